--- a/src/proxy/RetryPolicy.ts
+++ b/src/proxy/retry-policy.ts
@@ -1,8 +1,8 @@
-import type { Moment } from '../common/Ids.js';
-import type { FleetView } from './FleetView.js';
-import { RetryBudget, type RetryBudgetSettings } from './RetryBudget.js';
-import { LEAST_LEFT_MS, type RoutedRequest } from './RoutedRequest.js';
-import type { RunnerChoice } from './RunnerChoice.js';
+import type { Moment } from '../common/ids.js';
+import type { FleetView } from './fleet-view.js';
+import { RetryBudget, type RetryBudgetSettings } from './retry-budget.js';
+import { LEAST_LEFT_MS, type RoutedRequest } from './routed-request.js';
+import type { RunnerChoice } from './runner-choice.js';
 
 /**
  * Whether a request may arrive at a further runner, by its route's tries, its time, other runners and its service's
--- a/src/proxy/RoutedRequest.ts
+++ b/src/proxy/routed-request.ts
@@ -1,6 +1,6 @@
-import type { Moment } from '../common/Ids.js';
-import type { Route, Service } from '../route/Routing.js';
-import type { RequestHead } from './DispatchTypes.js';
+import type { Moment } from '../common/ids.js';
+import type { Route, Service } from '../route/routing.js';
+import type { RequestHead } from './dispatch-types.js';
 
 /** What is left of a request's time must still let a runner answer. */
 export const LEAST_LEFT_MS = 60;
--- a/src/proxy/RowAdmission.ts
+++ b/src/proxy/row-admission.ts
@@ -1,10 +1,10 @@
-import type { ErrorCode } from '../common/CodedError.js';
-import type { Moment } from '../common/Ids.js';
-import { rowKey } from '../policy/Table.js';
-import { isPlainService, newRequest, type AdmittedRequest, type Asked } from './DecisionTypes.js';
-import { DemandCounter, type RowDemandCount, type UnitDemandCount } from './DemandCounter.js';
-import { RowRates } from './RowRates.js';
-import type { TableView } from './TableView.js';
+import type { ErrorCode } from '../common/coded-error.js';
+import type { Moment } from '../common/ids.js';
+import { rowKey } from '../policy/table.js';
+import { isPlainService, newRequest, type AdmittedRequest, type Asked } from './decision-types.js';
+import { DemandCounter, type RowDemandCount, type UnitDemandCount } from './demand-counter.js';
+import { RowRates } from './row-rates.js';
+import type { TableView } from './table-view.js';
 
 /** Why a request is refused, and when coming back is worth while; 0 ms where nothing is known. */
 export interface Refusal {
--- a/src/proxy/RowRates.ts
+++ b/src/proxy/row-rates.ts
@@ -1,5 +1,5 @@
-import type { Moment } from '../common/Ids.js';
-import { rowKey, type Row } from '../policy/Table.js';
+import type { Moment } from '../common/ids.js';
+import { rowKey, type Row } from '../policy/table.js';
 
 interface Bucket {
   tokens: number;
--- a/src/proxy/RunnerAccount.test.ts
+++ b/src/proxy/runner-account.test.ts
@@ -1,6 +1,6 @@
 import { expect, test } from 'vitest';
-import { RunnerAccount } from './RunnerAccount.js';
-import { at, LLM, requestOf, runnerOf } from './testing/DispatchFixtures.js';
+import { RunnerAccount } from './runner-account.js';
+import { at, LLM, requestOf, runnerOf } from './testing/dispatch-fixtures.js';
 
 const ADAPTED = { adapter: 'a1' };
 
--- a/src/proxy/RunnerAccount.ts
+++ b/src/proxy/runner-account.ts
@@ -1,7 +1,7 @@
-import { later, moment, type Moment } from '../common/Ids.js';
-import type { FleetRunner } from '../placement/Fleet.js';
-import type { Service } from '../route/Routing.js';
-import type { RoutedRequest } from './RoutedRequest.js';
+import { later, moment, type Moment } from '../common/ids.js';
+import type { FleetRunner } from '../placement/fleet.js';
+import type { Service } from '../route/routing.js';
+import type { RoutedRequest } from './routed-request.js';
 
 type FleetHold = FleetRunner['holds'][number];
 
--- a/src/proxy/RunnerAgent.test.ts
+++ b/src/proxy/runner-agent.test.ts
@@ -6,7 +6,7 @@
   type ServerResponse,
 } from 'node:http';
 import { expect, test } from 'vitest';
-import { RunnerAgent } from './RunnerAgent.js';
+import { RunnerAgent } from './runner-agent.js';
 
 test('a connection that is kept for a second is used again, and not beyond that', checkKept);
 test('a connection that says it closes is not kept', checkClosed);
--- a/src/proxy/RunnerChoice.test.ts
+++ b/src/proxy/runner-choice.test.ts
@@ -1,10 +1,10 @@
 import { expect, test } from 'vitest';
-import type { FleetRunner } from '../placement/Fleet.js';
-import type { DispatcherSettings } from './DispatchTypes.js';
-import { FleetView } from './FleetView.js';
-import type { RoutedRequest } from './RoutedRequest.js';
-import { RunnerChoice } from './RunnerChoice.js';
-import { at, requestOf, runnerOf } from './testing/DispatchFixtures.js';
+import type { FleetRunner } from '../placement/fleet.js';
+import type { DispatcherSettings } from './dispatch-types.js';
+import { FleetView } from './fleet-view.js';
+import type { RoutedRequest } from './routed-request.js';
+import { RunnerChoice } from './runner-choice.js';
+import { at, requestOf, runnerOf } from './testing/dispatch-fixtures.js';
 
 class Bench {
   readonly fleet = new FleetView();
--- a/src/proxy/RunnerChoice.ts
+++ b/src/proxy/runner-choice.ts
@@ -1,9 +1,9 @@
-import type { Moment } from '../common/Ids.js';
-import type { Service } from '../route/Routing.js';
-import type { DispatcherSettings } from './DispatchTypes.js';
-import type { FleetView } from './FleetView.js';
-import type { RoutedRequest } from './RoutedRequest.js';
-import type { RunnerAccount } from './RunnerAccount.js';
+import type { Moment } from '../common/ids.js';
+import type { Service } from '../route/routing.js';
+import type { DispatcherSettings } from './dispatch-types.js';
+import type { FleetView } from './fleet-view.js';
+import type { RoutedRequest } from './routed-request.js';
+import type { RunnerAccount } from './runner-account.js';
 
 /** Costs of a choice are counted in prompt tokens, the unit in which engines are kept busy. */
 const ZONE_TOKENS = 300;
--- a/src/proxy/RunnerPool.ts
+++ b/src/proxy/runner-pool.ts
@@ -1,5 +1,5 @@
-import { later, moment, type Moment } from '../common/Ids.js';
-import type { PlacedRunner } from '../placement/Shapes.js';
+import { later, moment, type Moment } from '../common/ids.js';
+import type { PlacedRunner } from '../placement/shapes.js';
 
 /** What this proxy knows of one runner from its own requests. */
 interface RunnerState {
--- a/src/proxy/RunnerRequests.ts
+++ b/src/proxy/runner-requests.ts
@@ -1,13 +1,13 @@
 import { request, type IncomingMessage } from 'node:http';
 import type { Socket } from 'node:net';
-import type { Counters } from '../common/Counters.js';
-import { splitAddress } from '../common/Listen.js';
-import type { AttemptReports } from './AttemptReports.js';
-import { Attempt, breakOff, type ClientExchange, type SendEffect } from './ClientExchange.js';
-import type { AnswerHead } from './DispatchTypes.js';
-import { isBounded, passedOn, REFRAMED_HEADERS } from './HttpMessages.js';
-import type { RequestDialect } from './RequestDialect.js';
-import type { RunnerAgent } from './RunnerAgent.js';
+import type { Counters } from '../common/counters.js';
+import { splitAddress } from '../common/listen.js';
+import type { AttemptReports } from './attempt-reports.js';
+import { Attempt, breakOff, type ClientExchange, type SendEffect } from './client-exchange.js';
+import type { AnswerHead } from './dispatch-types.js';
+import { isBounded, passedOn, REFRAMED_HEADERS } from './http-messages.js';
+import type { RequestDialect } from './request-dialect.js';
+import type { RunnerAgent } from './runner-agent.js';
 
 /** Methods whose requests have a length even where they have no body. */
 const BODY_METHODS: ReadonlySet<string> = new Set(['POST', 'PUT', 'PATCH']);
--- a/src/proxy/StallGuard.ts
+++ b/src/proxy/stall-guard.ts
@@ -1,5 +1,5 @@
 import { setImmediate as nextTurn } from 'node:timers/promises';
-import { later, moment, type Moment } from '../common/Ids.js';
+import { later, moment, type Moment } from '../common/ids.js';
 
 /** A tick that is late by more than this was held up by a stall of the whole process. */
 const STALLED_MS = 500;
--- a/src/proxy/Standstill.test.ts
+++ b/src/proxy/standstill.test.ts
@@ -1,7 +1,7 @@
 import { expect, test } from 'vitest';
-import { Dispatcher } from './Dispatcher.js';
-import type { DispatchEffect } from './DispatchTypes.js';
-import { at, headOf, ROUTING, runnerOf } from './testing/DispatchFixtures.js';
+import { Dispatcher } from './dispatcher.js';
+import type { DispatchEffect } from './dispatch-types.js';
+import { at, headOf, ROUTING, runnerOf } from './testing/dispatch-fixtures.js';
 
 const TICK_MS = 50;
 const CONNECT_MS = 300;
--- a/src/proxy/StreamRelay.ts
+++ b/src/proxy/stream-relay.ts
@@ -1,10 +1,10 @@
 import type { IncomingMessage } from 'node:http';
-import type { Counters } from '../common/Counters.js';
-import type { AttemptReports } from './AttemptReports.js';
-import { writePaced } from './ByteRelay.js';
-import type { Attempt, ClientExchange } from './ClientExchange.js';
-import type { ClientReplies } from './ClientReplies.js';
-import { EventStream, type StreamEvent } from './EventStream.js';
+import type { Counters } from '../common/counters.js';
+import type { AttemptReports } from './attempt-reports.js';
+import { writePaced } from './byte-relay.js';
+import type { Attempt, ClientExchange } from './client-exchange.js';
+import type { ClientReplies } from './client-replies.js';
+import { EventStream, type StreamEvent } from './event-stream.js';
 
 /** What becomes of an event of a stream. */
 type EventVerdict = 'pass' | 'leaveOut' | 'gap';
--- a/src/proxy/TableView.ts
+++ b/src/proxy/table-view.ts
@@ -1,7 +1,7 @@
-import { later, type Moment } from '../common/Ids.js';
-import { parseAs } from '../common/Json.js';
-import { compareVersions, NO_VERSION, type Version } from '../common/Version.js';
-import { ConfigNewsShape, type ConfigNews } from '../control/ConfigDoc.js';
+import { later, type Moment } from '../common/ids.js';
+import { parseAs } from '../common/json.js';
+import { compareVersions, NO_VERSION, type Version } from '../common/version.js';
+import { ConfigNewsShape, type ConfigNews } from '../control/config-doc.js';
 import {
   MachinesShape,
   PlacesShape,
@@ -9,7 +9,7 @@
   type PlacedRunner,
   type Places,
   type Seat,
-} from '../placement/Shapes.js';
+} from '../placement/shapes.js';
 import {
   EMPTY_TABLE,
   findMapping,
@@ -18,14 +18,14 @@
   type Mapping,
   type Row,
   type Table,
-} from '../policy/Table.js';
+} from '../policy/table.js';
 import {
   isPlainService,
   type AdmittedRequest,
   type Asked,
   type Candidate,
-} from './DecisionTypes.js';
-import type { Watched } from './ConnectionProbes.js';
+} from './decision-types.js';
+import type { Watched } from './connection-probes.js';
 
 /** Who waits for a place, and when it is due as far as the leader can tell. */
 interface Wait {
--- a/src/proxy/testing/DispatchFixtures.ts
+++ b/src/proxy/testing/dispatch-fixtures.ts
@@ -1,10 +1,10 @@
 /** Routes, runners and requests for the tests of the dispatcher's parts. */
-import { moment, type Moment } from '../../common/Ids.js';
-import type { FleetRunner } from '../../placement/Fleet.js';
-import type { Engine, Route, Routing, Service } from '../../route/Routing.js';
-import { Admission } from '../Admission.js';
-import type { RequestHead } from '../DispatchTypes.js';
-import type { RoutedRequest } from '../RoutedRequest.js';
+import { moment, type Moment } from '../../common/ids.js';
+import type { FleetRunner } from '../../placement/fleet.js';
+import type { Engine, Route, Routing, Service } from '../../route/routing.js';
+import { Admission } from '../admission.js';
+import type { RequestHead } from '../dispatch-types.js';
+import type { RoutedRequest } from '../routed-request.js';
 
 const ENGINE: Engine = {
   slots: 64,
--- a/src/proxy/UnitDemand.test.ts
+++ b/src/proxy/unit-demand.test.ts
@@ -1,6 +1,6 @@
 import { expect, test } from 'vitest';
-import { at, requestOf } from './testing/DispatchFixtures.js';
-import { UnitDemand } from './UnitDemand.js';
+import { at, requestOf } from './testing/dispatch-fixtures.js';
+import { UnitDemand } from './unit-demand.js';
 
 const UNIT = { service: 'llm', model: 'm', adapter: '' };
 
--- a/src/proxy/UnitDemand.ts
+++ b/src/proxy/unit-demand.ts
@@ -1,6 +1,6 @@
-import { later, moment, type Moment } from '../common/Ids.js';
-import type { FleetDemand } from '../placement/Fleet.js';
-import type { RoutedRequest } from './RoutedRequest.js';
+import { later, moment, type Moment } from '../common/ids.js';
+import type { FleetDemand } from '../placement/fleet.js';
+import type { RoutedRequest } from './routed-request.js';
 
 type UnitReport = FleetDemand['units'][number];
 
--- a/src/rehearsal/BackEndTroubles.ts
+++ b/src/rehearsal/back-end-troubles.ts
@@ -1,6 +1,6 @@
-import type { EdgeTroubles } from './EdgeTroubles.js';
-import { MOODS, type Mood } from './SimBackend.js';
-import { idOf, PLAIN, RUNNERS, type Stage, type StageHands, type Strike } from './Stage.js';
+import type { EdgeTroubles } from './edge-troubles.js';
+import { MOODS, type Mood } from './sim-backend.js';
+import { idOf, PLAIN, RUNNERS, type Stage, type StageHands, type Strike } from './stage.js';
 
 /** Kinds of troubles of runners and plain back ends. */
 export const BACK_END_TROUBLES = [
--- a/src/rehearsal/CallerTraffic.ts
+++ b/src/rehearsal/caller-traffic.ts
@@ -1,6 +1,6 @@
-import type { Scheduler } from './Scheduler.js';
-import type { Seeded } from './Seeded.js';
-import type { Traffic } from './SimClients.js';
+import type { Scheduler } from './scheduler.js';
+import type { Seeded } from './seeded.js';
+import type { Traffic } from './sim-clients.js';
 
 const MODELS = 8;
 /** How long it takes for the busiest model to change, ms. */
--- a/src/rehearsal/Callers.ts
+++ b/src/rehearsal/callers.ts
@@ -1,11 +1,11 @@
 import { Agent, request, type IncomingMessage } from 'node:http';
 import { string, type } from 'superstruct';
-import { parseAs } from '../common/Json.js';
-import { splitAddress } from '../common/Listen.js';
-import type { TrafficKind } from './Deployment.js';
-import { LineCheck } from './LineCheck.js';
-import type { CallerRecord } from './Records.js';
-import { Seeded } from './Seeded.js';
+import { parseAs } from '../common/json.js';
+import { splitAddress } from '../common/listen.js';
+import type { TrafficKind } from './deployment.js';
+import { LineCheck } from './line-check.js';
+import type { CallerRecord } from './records.js';
+import { Seeded } from './seeded.js';
 
 const OutcomeShape = type({ outcome: string() });
 
--- a/src/rehearsal/ControlTroubles.ts
+++ b/src/rehearsal/control-troubles.ts
@@ -1,6 +1,6 @@
-import { allParts, VOTE_PART } from '../state/PartNames.js';
-import type { SimControl } from './SimControl.js';
-import { idOf, type Stage, type StageHands, type Strike } from './Stage.js';
+import { allParts, VOTE_PART } from '../state/part-names.js';
+import type { SimControl } from './sim-control.js';
+import { idOf, type Stage, type StageHands, type Strike } from './stage.js';
 
 /** Kinds of troubles of control nodes. */
 export const CONTROL_TROUBLES = [
--- a/src/rehearsal/Cuts.ts
+++ b/src/rehearsal/cuts.ts
@@ -1,5 +1,5 @@
 import { connect, createServer, type Server, type Socket } from 'node:net';
-import { listenOn, splitAddress } from '../common/Listen.js';
+import { listenOn, splitAddress } from '../common/listen.js';
 
 interface Pair {
   readonly near: Socket;
--- a/src/rehearsal/Deployment.test.ts
+++ b/src/rehearsal/deployment.test.ts
@@ -1,6 +1,6 @@
 import { expect, test } from 'vitest';
-import { compile } from '../policy/Language.js';
-import { DAKAR, HAMLET, SOFIA } from './Deployment.js';
+import { compile } from '../policy/language.js';
+import { DAKAR, HAMLET, SOFIA } from './deployment.js';
 
 function checkSizes(): void {
   const [dakar, sofia] = [DAKAR, SOFIA];
--- a/src/rehearsal/Deployment.ts
+++ b/src/rehearsal/deployment.ts
@@ -1,4 +1,4 @@
-import type { Catalog } from '../placement/Shapes.js';
+import type { Catalog } from '../placement/shapes.js';
 
 export interface TrafficKind {
   readonly type: string;
--- a/src/rehearsal/EdgeTroubles.ts
+++ b/src/rehearsal/edge-troubles.ts
@@ -1,8 +1,8 @@
-import { lookup } from './CallerTraffic.js';
-import type { Network } from './Network.js';
-import type { SimAgent } from './SimAgent.js';
-import type { SimProxy } from './SimProxy.js';
-import type { Stage, StageHands, Strike } from './Stage.js';
+import { lookup } from './caller-traffic.js';
+import type { Network } from './network.js';
+import type { SimAgent } from './sim-agent.js';
+import type { SimProxy } from './sim-proxy.js';
+import type { Stage, StageHands, Strike } from './stage.js';
 
 /** Kinds of troubles of agents, proxies and the network as a whole. */
 export const EDGE_TROUBLES = [
--- a/src/rehearsal/FinalChecks.ts
+++ b/src/rehearsal/final-checks.ts
@@ -1,11 +1,11 @@
-import { CONFIG_PART } from '../state/PartNames.js';
-import { decodeConfigDoc } from '../control/ConfigCodec.js';
-import type { ConfigDoc } from '../control/ConfigDoc.js';
-import type { ProxyWatch } from './ProxyWatch.js';
-import type { RunFindings } from './RunFindings.js';
-import type { SimControl } from './SimControl.js';
-import type { SimOperators } from './SimOperators.js';
-import type { SimProxy } from './SimProxy.js';
+import { CONFIG_PART } from '../state/part-names.js';
+import { decodeConfigDoc } from '../control/config-codec.js';
+import type { ConfigDoc } from '../control/config-doc.js';
+import type { ProxyWatch } from './proxy-watch.js';
+import type { RunFindings } from './run-findings.js';
+import type { SimControl } from './sim-control.js';
+import type { SimOperators } from './sim-operators.js';
+import type { SimProxy } from './sim-proxy.js';
 
 /** A simulated fleet at the end of its run, some time after all troubles were healed. */
 export interface HealedFleet {
--- a/src/rehearsal/FleetCommand.ts
+++ b/src/rehearsal/fleet-command.ts
@@ -2,11 +2,11 @@
 import { tmpdir } from 'node:os';
 import { join } from 'node:path';
 import { Args, Command, Flags } from '@oclif/core';
-import { reasonOf } from '../common/CodedError.js';
-import { Callers, summarise } from './Callers.js';
-import { DEPLOYMENTS } from './Deployment.js';
-import { Fleet } from './Fleet.js';
-import { Rehearsal } from './Rehearsal.js';
+import { reasonOf } from '../common/coded-error.js';
+import { Callers, summarise } from './callers.js';
+import { DEPLOYMENTS } from './deployment.js';
+import { Fleet } from './fleet.js';
+import { Rehearsal } from './rehearsal.js';
 
 export class FleetCommand extends Command {
   static override aliases = ['myth:fleet'];
--- a/src/rehearsal/Fleet.test.ts
+++ b/src/rehearsal/fleet.test.ts
@@ -1,8 +1,8 @@
 import { expect, test } from 'vitest';
-import { Callers } from './Callers.js';
-import { HAMLET } from './Deployment.js';
-import { type EdgePlace, Fleet, type ControlPlace, PROGRAM } from './Fleet.js';
-import { Rehearsal } from './Rehearsal.js';
+import { Callers } from './callers.js';
+import { HAMLET } from './deployment.js';
+import { type EdgePlace, Fleet, type ControlPlace, PROGRAM } from './fleet.js';
+import { Rehearsal } from './rehearsal.js';
 import { spawn } from 'node:child_process';
 import { mkdtempSync, openSync, readFileSync, rmSync } from 'node:fs';
 import { tmpdir } from 'node:os';
--- a/src/rehearsal/Fleet.ts
+++ b/src/rehearsal/fleet.ts
@@ -3,13 +3,13 @@
 import { createServer } from 'node:net';
 import { join } from 'node:path';
 import { fileURLToPath } from 'node:url';
-import { call, type CallReply } from '../common/Call.js';
-import { listenOn } from '../common/Listen.js';
-import { reasonOf } from '../common/CodedError.js';
-import { pause } from './StubRunner.js';
-import { Cuts } from './Cuts.js';
-import type { Deployment } from './Deployment.js';
-import type { Machine } from '../placement/Shapes.js';
+import { call, type CallReply } from '../common/call.js';
+import { listenOn } from '../common/listen.js';
+import { reasonOf } from '../common/coded-error.js';
+import { pause } from './stub-runner.js';
+import { Cuts } from './cuts.js';
+import type { Deployment } from './deployment.js';
+import type { Machine } from '../placement/shapes.js';
 
 interface Program {
   readonly name: string;
--- a/src/rehearsal/Garbage.test.ts
+++ b/src/rehearsal/garbage.test.ts
@@ -1,12 +1,12 @@
 import { expect, test } from 'vitest';
-import { compile } from '../policy/Language.js';
-import { Decision } from '../proxy/Decision.js';
-import { DECISION_DEFAULTS } from '../proxy/DecisionTypes.js';
-import { moment } from '../common/Ids.js';
-import { AgentCore } from '../agent/AgentCore.js';
-import { Garbage, WORDS } from './Garbage.js';
-import { Seeded as SeededClass } from './Seeded.js';
-import { Simulation } from './Simulation.js';
+import { compile } from '../policy/language.js';
+import { Decision } from '../proxy/decision.js';
+import { DECISION_DEFAULTS } from '../proxy/decision-types.js';
+import { moment } from '../common/ids.js';
+import { AgentCore } from '../agent/agent-core.js';
+import { Garbage, WORDS } from './garbage.js';
+import { Seeded as SeededClass } from './seeded.js';
+import { Simulation } from './simulation.js';
 
 const { table } = compile(
   'map POST /c to check\nrow check m-* weight 9 take 5/s late 10s once stream',
--- a/src/rehearsal/Garbage.ts
+++ b/src/rehearsal/garbage.ts
@@ -1,5 +1,5 @@
-import { SHAPES, type Message } from '../common/Messages.js';
-import type { Seeded } from './Seeded.js';
+import { SHAPES, type Message } from '../common/messages.js';
+import type { Seeded } from './seeded.js';
 
 export const WORDS = [
   '',
--- a/src/rehearsal/Judge.test.ts
+++ b/src/rehearsal/judge.test.ts
@@ -1,6 +1,6 @@
 import { expect, test } from 'vitest';
-import { Judge } from './Judge.js';
-import type { BackRecord, CallerRecord, EventRecord } from './Records.js';
+import { Judge } from './judge.js';
+import type { BackRecord, CallerRecord, EventRecord } from './records.js';
 
 const caller: CallerRecord = {
   what: 'call',
--- a/src/rehearsal/Judge.ts
+++ b/src/rehearsal/judge.ts
@@ -1,4 +1,4 @@
-import type { BackRecord, CallerRecord, EventRecord } from './Records.js';
+import type { BackRecord, CallerRecord, EventRecord } from './records.js';
 
 export interface Violation {
   readonly rule: string;
--- a/src/rehearsal/LineCheck.test.ts
+++ b/src/rehearsal/line-check.test.ts
@@ -1,5 +1,5 @@
 import { expect, test } from 'vitest';
-import { LineCheck } from './LineCheck.js';
+import { LineCheck } from './line-check.js';
 
 function faultOf(lines: readonly object[]): string {
   const check = new LineCheck('q');
--- a/src/rehearsal/LineCheck.ts
+++ b/src/rehearsal/line-check.ts
@@ -1,5 +1,5 @@
 import { number, optional, string, type } from 'superstruct';
-import { parseAs } from '../common/Json.js';
+import { parseAs } from '../common/json.js';
 
 const LineShape = type({
   id: string(),
--- a/src/rehearsal/LossMeasure.test.ts
+++ b/src/rehearsal/loss-measure.test.ts
@@ -1,5 +1,5 @@
 import { expect, test } from 'vitest';
-import { measureLosses, measureTakeover } from './LossMeasure.js';
+import { measureLosses, measureTakeover } from './loss-measure.js';
 
 async function checkLosses(): Promise<void> {
   for (const { loss, mostMs } of await measureLosses(1, 4)) {
--- a/src/rehearsal/LossMeasure.ts
+++ b/src/rehearsal/loss-measure.ts
@@ -1,5 +1,5 @@
-import { Simulation } from './Simulation.js';
-import type { SimControl } from './SimControl.js';
+import { Simulation } from './simulation.js';
+import type { SimControl } from './sim-control.js';
 
 export interface LossMeasure {
   readonly loss: string;
--- a/src/rehearsal/MeasureCommand.ts
+++ b/src/rehearsal/measure-command.ts
@@ -1,7 +1,7 @@
 import { Args, Command, Flags } from '@oclif/core';
-import { measureLosses, measureTakeover } from './LossMeasure.js';
-import { measureTable } from './TableMeasure.js';
-import { measureCrowd, measureDraw, measureNews, measureRelay } from './Measures.js';
+import { measureLosses, measureTakeover } from './loss-measure.js';
+import { measureTable } from './table-measure.js';
+import { measureCrowd, measureDraw, measureNews, measureRelay } from './measures.js';
 
 export class MeasureCommand extends Command {
   static override aliases = ['myth:measure'];
--- a/src/rehearsal/Measures.test.ts
+++ b/src/rehearsal/measures.test.ts
@@ -1,5 +1,5 @@
 import { expect, test } from 'vitest';
-import { measureCrowd, measureDraw, measureNews } from './Measures.js';
+import { measureCrowd, measureDraw, measureNews } from './measures.js';
 
 function checkDraw(): void {
   const [ours, random] = measureDraw(1);
--- a/src/rehearsal/Measures.ts
+++ b/src/rehearsal/measures.ts
@@ -1,15 +1,15 @@
 import { createServer, request, type IncomingMessage, type ServerResponse } from 'node:http';
-import { compile } from '../policy/Language.js';
-import { Decision } from '../proxy/Decision.js';
-import { DECISION_DEFAULTS } from '../proxy/DecisionTypes.js';
-import { Executor } from '../proxy/Executor.js';
-import { Counters } from '../common/Counters.js';
-import { monotonicNow } from '../common/Clock.js';
-import { moment, type Moment } from '../common/Ids.js';
-import { listenOn, splitAddress } from '../common/Listen.js';
-import { Scheduler } from './Scheduler.js';
-import { Seeded } from './Seeded.js';
-import { Simulation } from './Simulation.js';
+import { compile } from '../policy/language.js';
+import { Decision } from '../proxy/decision.js';
+import { DECISION_DEFAULTS } from '../proxy/decision-types.js';
+import { Executor } from '../proxy/executor.js';
+import { Counters } from '../common/counters.js';
+import { monotonicNow } from '../common/clock.js';
+import { moment, type Moment } from '../common/ids.js';
+import { listenOn, splitAddress } from '../common/listen.js';
+import { Scheduler } from './scheduler.js';
+import { Seeded } from './seeded.js';
+import { Simulation } from './simulation.js';
 
 export interface NewsMeasure {
   readonly edges: number;
--- a/src/rehearsal/Mutation.test.ts
+++ b/src/rehearsal/mutation.test.ts
@@ -1,5 +1,5 @@
 import { expect, test } from 'vitest';
-import { bite } from './Storms.js';
+import { bite } from './storms.js';
 
 async function checkBites(wrong: Parameters<typeof bite>[0]): Promise<void> {
   expect(await bite(wrong)).toEqual([]);
--- a/src/rehearsal/Mutation.ts
+++ b/src/rehearsal/mutation.ts
@@ -1,5 +1,5 @@
-import type { RULES } from './Judge.js';
-import type { TroubleKind } from './TroubleKinds.js';
+import type { RULES } from './judge.js';
+import type { TroubleKind } from './trouble-kinds.js';
 
 type Rule = (typeof RULES)[number] | 'slip' | 'turned-away-in-force' | 'lost-edit';
 
--- a/src/rehearsal/Network.test.ts
+++ b/src/rehearsal/network.test.ts
@@ -1,6 +1,6 @@
 import { expect, test } from 'vitest';
-import { Simulation } from './Simulation.js';
-import { storm } from './Storms.js';
+import { Simulation } from './simulation.js';
+import { storm } from './storms.js';
 
 async function checkCuts(): Promise<void> {
   expect(
--- a/src/rehearsal/Network.ts
+++ b/src/rehearsal/network.ts
@@ -1,6 +1,6 @@
-import { decodeMessage, encodeMessage, type Message } from '../common/Messages.js';
-import type { Scheduler } from './Scheduler.js';
-import type { Seeded } from './Seeded.js';
+import { decodeMessage, encodeMessage, type Message } from '../common/messages.js';
+import type { Scheduler } from './scheduler.js';
+import type { Seeded } from './seeded.js';
 
 export type Deliver = (to: string, from: string, message: Message) => void;
 
--- a/src/rehearsal/PlatformTroubles.ts
+++ b/src/rehearsal/platform-troubles.ts
@@ -1,5 +1,5 @@
-import type { SimOutside } from './SimOutside.js';
-import { LOADS_AT_ONCE, RUNNER_ROOM, RUNNERS, type Stage, type Strike } from './Stage.js';
+import type { SimOutside } from './sim-outside.js';
+import { LOADS_AT_ONCE, RUNNER_ROOM, RUNNERS, type Stage, type Strike } from './stage.js';
 
 /** Kinds of troubles of the platform's list, of room at runners and of the weight store. */
 export const PLATFORM_TROUBLES = [
--- a/src/rehearsal/ProxyConnections.ts
+++ b/src/rehearsal/proxy-connections.ts
@@ -1,8 +1,8 @@
-import type { InFlightRequests, Step } from '../proxy/InFlightRequests.js';
-import type { Moment } from '../common/Ids.js';
-import type { MutationKind } from './Mutation.js';
-import type { SimClients } from './SimClients.js';
-import type { Hear, SimConnection } from './SimConnection.js';
+import type { InFlightRequests, Step } from '../proxy/in-flight-requests.js';
+import type { Moment } from '../common/ids.js';
+import type { MutationKind } from './mutation.js';
+import type { SimClients } from './sim-clients.js';
+import type { Hear, SimConnection } from './sim-connection.js';
 
 /** The simulated proxy whose connections these are. */
 export interface ConnectedProxy {
--- a/src/rehearsal/ProxyWatch.ts
+++ b/src/rehearsal/proxy-watch.ts
@@ -1,8 +1,8 @@
-import { compareVersions, NO_VERSION, versionText, type Version } from '../common/Version.js';
-import type { RunFindings } from './RunFindings.js';
-import type { SimOperators } from './SimOperators.js';
-import type { SimOutside } from './SimOutside.js';
-import type { SimProxy } from './SimProxy.js';
+import { compareVersions, NO_VERSION, versionText, type Version } from '../common/version.js';
+import type { RunFindings } from './run-findings.js';
+import type { SimOperators } from './sim-operators.js';
+import type { SimOutside } from './sim-outside.js';
+import type { SimProxy } from './sim-proxy.js';
 
 /** How long after a list was learned a proxy may still be fresh without it, ms. */
 const FRESHNESS_SLACK_MS = 3000;
--- a/src/rehearsal/Records.ts
+++ b/src/rehearsal/records.ts
@@ -1,6 +1,6 @@
 import { existsSync, readFileSync } from 'node:fs';
 import { boolean, number, optional, string, type, type Infer } from 'superstruct';
-import { parseAs } from '../common/Json.js';
+import { parseAs } from '../common/json.js';
 
 /** What a caller saw of one request. */
 export const CallerShape = type({
--- a/src/rehearsal/Rehearsal.test.ts
+++ b/src/rehearsal/rehearsal.test.ts
@@ -1,9 +1,9 @@
 import { expect, test } from 'vitest';
-import { Callers as CallersClass } from './Callers.js';
-import { HAMLET } from './Deployment.js';
-import { Fleet as FleetClass } from './Fleet.js';
-import type { Violation } from './Judge.js';
-import { Rehearsal, isDone, isNamed } from './Rehearsal.js';
+import { Callers as CallersClass } from './callers.js';
+import { HAMLET } from './deployment.js';
+import { Fleet as FleetClass } from './fleet.js';
+import type { Violation } from './judge.js';
+import { Rehearsal, isDone, isNamed } from './rehearsal.js';
 import { mkdtempSync, rmSync } from 'node:fs';
 import { tmpdir } from 'node:os';
 import { join } from 'node:path';
--- a/src/rehearsal/Rehearsal.ts
+++ b/src/rehearsal/rehearsal.ts
@@ -1,14 +1,14 @@
 import { randomUUID } from 'node:crypto';
-import { compile } from '../policy/Language.js';
+import { compile } from '../policy/language.js';
 import { number, optional, type } from 'superstruct';
-import { call } from '../common/Call.js';
-import { parseAs } from '../common/Json.js';
-import { PlacesShape } from '../placement/Shapes.js';
-import type { Callers } from './Callers.js';
-import type { Fleet } from './Fleet.js';
-import { Judge, RULES, type Violation } from './Judge.js';
-import { readBackRecords, type EventRecord } from './Records.js';
-import { pause } from './StubRunner.js';
+import { call } from '../common/call.js';
+import { parseAs } from '../common/json.js';
+import { PlacesShape } from '../placement/shapes.js';
+import type { Callers } from './callers.js';
+import type { Fleet } from './fleet.js';
+import { Judge, RULES, type Violation } from './judge.js';
+import { readBackRecords, type EventRecord } from './records.js';
+import { pause } from './stub-runner.js';
 
 const CountersShape = type({
   memory: number(),
--- a/src/rehearsal/RunFindings.ts
+++ b/src/rehearsal/run-findings.ts
@@ -1,5 +1,5 @@
-import type { EventRecord } from './Records.js';
-import type { Scheduler } from './Scheduler.js';
+import type { EventRecord } from './records.js';
+import type { Scheduler } from './scheduler.js';
 
 /** What a simulated run found broken, and what it noted on its way for the judge. */
 export class RunFindings {
--- a/src/rehearsal/ScaleAgent.ts
+++ b/src/rehearsal/scale-agent.ts
@@ -1,12 +1,12 @@
-import { monotonicNow } from '../common/Clock.js';
-import type { Message } from '../common/Messages.js';
-import { newIncarnation } from '../common/Incarnation.js';
-import { compareVersions } from '../common/Version.js';
-import { AgentCore } from '../agent/AgentCore.js';
-import { AgentRuntime, type AgentPorts } from '../agent/AgentRuntime.js';
-import { Exchange, type Incoming } from '../dissemination/Exchange.js';
-import type { EdgePlace } from './ScaleShape.js';
-import { CountedExchange, frameBytes, type Count, Tally } from './Tally.js';
+import { monotonicNow } from '../common/clock.js';
+import type { Message } from '../common/messages.js';
+import { newIncarnation } from '../common/incarnation.js';
+import { compareVersions } from '../common/version.js';
+import { AgentCore } from '../agent/agent-core.js';
+import { AgentRuntime, type AgentPorts } from '../agent/agent-runtime.js';
+import { Exchange, type Incoming } from '../dissemination/exchange.js';
+import type { EdgePlace } from './scale-shape.js';
+import { CountedExchange, frameBytes, type Count, Tally } from './tally.js';
 
 const TICK_MS = 100;
 const BLIND_MS = 2500;
--- a/src/rehearsal/ScaleCommand.ts
+++ b/src/rehearsal/scale-command.ts
@@ -1,10 +1,10 @@
 import { mkdirSync, writeFileSync } from 'node:fs';
 import { join } from 'node:path';
 import { Command, Flags } from '@oclif/core';
-import { servePart } from './ScalePart.js';
-import { PART_KINDS, startPart } from './ScaleParts.js';
-import { ScaleRun, type ScalePoint } from './ScaleRun.js';
-import type { ScaleShape } from './ScaleShape.js';
+import { servePart } from './scale-part.js';
+import { PART_KINDS, startPart } from './scale-parts.js';
+import { ScaleRun, type ScalePoint } from './scale-run.js';
+import type { ScaleShape } from './scale-shape.js';
 
 /** The points of each series; what a series does not name stands as in BASE. */
 const BASE: ScaleShape = {
@@ -109,7 +109,7 @@
     }
     if (flags.out !== '') {
       // The plotting library is loaded by whoever plots, and by no other command.
-      const { plotSeries } = await import('./ScalePlot.js');
+      const { plotSeries } = await import('./scale-plot.js');
       for (const file of await plotSeries(flags.out)) this.log(file);
     }
     this.exit(0);
--- a/src/rehearsal/ScaleControl.ts
+++ b/src/rehearsal/scale-control.ts
@@ -1,14 +1,14 @@
 import { join } from 'node:path';
 import { pino, type Logger } from 'pino';
 import { array, boolean, nullable, number, optional, string, type, type Infer } from 'superstruct';
-import { FileStore } from '../state/FileStore.js';
-import { call } from '../common/Call.js';
-import { monotonicNow } from '../common/Clock.js';
-import { CodedError, reasonOf } from '../common/CodedError.js';
-import { mustParseAs, parseAs } from '../common/Json.js';
-import { newIncarnation } from '../common/Incarnation.js';
-import { ControlCore } from '../control/ControlCore.js';
-import { CONTROL_DEFAULTS, type OrderResult } from '../control/ControlEffect.js';
+import { FileStore } from '../state/file-store.js';
+import { call } from '../common/call.js';
+import { monotonicNow } from '../common/clock.js';
+import { CodedError, reasonOf } from '../common/coded-error.js';
+import { mustParseAs, parseAs } from '../common/json.js';
+import { newIncarnation } from '../common/incarnation.js';
+import { ControlCore } from '../control/control-core.js';
+import { CONTROL_DEFAULTS, type OrderResult } from '../control/control-effect.js';
 import {
   ControlRuntime,
   receiveWithZone,
@@ -17,14 +17,14 @@
   type OrderEffect,
   type OutsideEffect,
   type StoreEffect,
-} from '../control/ControlRuntime.js';
-import { Exchange, type Incoming } from '../dissemination/Exchange.js';
-import type { ListedRunner, RunnerStatus } from '../placement/Fleet.js';
-import { Planner } from '../placement/Planner.js';
-import { VOTE_DEFAULTS } from '../election/VoteSettings.js';
-import { PlainRouting } from './ScaleDialect.js';
-import { ownCost, type ScalePart } from './ScalePart.js';
-import { CountedExchange, Tally } from './Tally.js';
+} from '../control/control-runtime.js';
+import { Exchange, type Incoming } from '../dissemination/exchange.js';
+import type { ListedRunner, RunnerStatus } from '../placement/fleet.js';
+import { Planner } from '../placement/planner.js';
+import { VOTE_DEFAULTS } from '../election/vote-settings.js';
+import { PlainRouting } from './scale-dialect.js';
+import { ownCost, type ScalePart } from './scale-part.js';
+import { CountedExchange, Tally } from './tally.js';
 
 export const ScaleControlShape = type({
   me: string(),
--- a/src/rehearsal/ScaleDialect.ts
+++ b/src/rehearsal/scale-dialect.ts
@@ -1,9 +1,9 @@
 import type { IncomingHttpHeaders, OutgoingHttpHeaders } from 'node:http';
 import { array, boolean, enums, number, optional, string, type } from 'superstruct';
-import type { AnswerHead } from '../proxy/DispatchTypes.js';
-import type { RequestDialect, SaidByRequest } from '../proxy/RequestDialect.js';
-import { parseAs } from '../common/Json.js';
-import type { ConfigDialect, Routing, RoutingFault } from '../route/Routing.js';
+import type { AnswerHead } from '../proxy/dispatch-types.js';
+import type { RequestDialect, SaidByRequest } from '../proxy/request-dialect.js';
+import { parseAs } from '../common/json.js';
+import type { ConfigDialect, Routing, RoutingFault } from '../route/routing.js';
 
 const RouteShape = type({
   name: string(),
--- a/src/rehearsal/ScaleFigures.ts
+++ b/src/rehearsal/scale-figures.ts
@@ -1,5 +1,5 @@
 import { array, boolean, number, string, type, type Infer } from 'superstruct';
-import { difference, TallyShape, total, type Count, type TallyFigures } from './Tally.js';
+import { difference, TallyShape, total, type Count, type TallyFigures } from './tally.js';
 
 const CountShape = type({ messages: number(), bytes: number() });
 export const CostShape = type({ cpuMs: number(), rssMb: number(), countingMs: number() });
--- a/src/rehearsal/ScaleFit.test.ts
+++ b/src/rehearsal/scale-fit.test.ts
@@ -1,5 +1,5 @@
 import { expect, test } from 'vitest';
-import { fitOf } from './ScaleFit.js';
+import { fitOf } from './scale-fit.js';
 
 function checkLine(): void {
   const fit = fitOf([
--- a/src/rehearsal/ScaleParts.ts
+++ b/src/rehearsal/scale-parts.ts
@@ -1,9 +1,9 @@
-import { mustParseAs } from '../common/Json.js';
-import { SyntheticEdges, SyntheticEdgesShape } from './SyntheticEdges.js';
-import { SyntheticRunners, SyntheticRunnersShape } from './SyntheticRunners.js';
-import { ScaleControl, ScaleControlShape } from './ScaleControl.js';
-import type { ScalePart } from './ScalePart.js';
-import { ScaleProxy, ScaleProxyShape } from './ScaleProxy.js';
+import { mustParseAs } from '../common/json.js';
+import { SyntheticEdges, SyntheticEdgesShape } from './synthetic-edges.js';
+import { SyntheticRunners, SyntheticRunnersShape } from './synthetic-runners.js';
+import { ScaleControl, ScaleControlShape } from './scale-control.js';
+import type { ScalePart } from './scale-part.js';
+import { ScaleProxy, ScaleProxyShape } from './scale-proxy.js';
 
 export const PART_KINDS = ['mind', 'edges', 'proxy', 'runners'] as const;
 
--- a/src/rehearsal/ScalePlot.ts
+++ b/src/rehearsal/scale-plot.ts
@@ -3,8 +3,8 @@
 import { array, number, record, string, type, type Infer } from 'superstruct';
 import { parse, View } from 'vega';
 import { compile, type TopLevelSpec } from 'vega-lite';
-import { mustParseAs } from '../common/Json.js';
-import { fitOf, type Fit } from './ScaleFit.js';
+import { mustParseAs } from '../common/json.js';
+import { fitOf, type Fit } from './scale-fit.js';
 
 const CountShape = type({ messages: number(), bytes: number() });
 const RoleShape = type({
--- a/src/rehearsal/ScaleProxy.ts
+++ b/src/rehearsal/scale-proxy.ts
@@ -1,8 +1,8 @@
 import { pino } from 'pino';
 import { string, type, type Infer } from 'superstruct';
-import { ProxyProcess } from '../proxy/ProxyProcess.js';
-import { NoRequests, PlainRouting } from './ScaleDialect.js';
-import { ownCost, type ScalePart } from './ScalePart.js';
+import { ProxyProcess } from '../proxy/proxy-process.js';
+import { NoRequests, PlainRouting } from './scale-dialect.js';
+import { ownCost, type ScalePart } from './scale-part.js';
 
 export const ScaleProxyShape = type({
   listen: string(),
--- a/src/rehearsal/ScaleRun.test.ts
+++ b/src/rehearsal/scale-run.test.ts
@@ -1,6 +1,6 @@
 import { beforeAll, expect, test } from 'vitest';
-import type { PhaseFigures } from './ScaleFigures.js';
-import { ScaleRun, type ScalePoint } from './ScaleRun.js';
+import type { PhaseFigures } from './scale-figures.js';
+import { ScaleRun, type ScalePoint } from './scale-run.js';
 
 /** Small, and all in this process: what is counted is the same, only times and memory tell nothing. */
 const SIZES = [12, 48];
--- a/src/rehearsal/ScaleRun.ts
+++ b/src/rehearsal/scale-run.ts
@@ -2,9 +2,9 @@
 import { tmpdir } from 'node:os';
 import { join } from 'node:path';
 import { number, string, type } from 'superstruct';
-import { mustParseAs } from '../common/Json.js';
-import type { Version } from '../common/Version.js';
-import { pause } from './StubRunner.js';
+import { mustParseAs } from '../common/json.js';
+import type { Version } from '../common/version.js';
+import { pause } from './stub-runner.js';
 import {
   CostShape,
   EdgesFiguresShape,
@@ -15,9 +15,9 @@
   type ControlFigures,
   type PhaseFigures,
   type Snapshot,
-} from './ScaleFigures.js';
-import { ForkedPart, sharedNow, type ScalePart } from './ScalePart.js';
-import { startPart } from './ScaleParts.js';
+} from './scale-figures.js';
+import { ForkedPart, sharedNow, type ScalePart } from './scale-part.js';
+import { startPart } from './scale-parts.js';
 import {
   heldModels,
   modelName,
@@ -27,7 +27,7 @@
   zoneName,
   type EdgePlace,
   type ScaleShape,
-} from './ScaleShape.js';
+} from './scale-shape.js';
 
 const BodiesShape = type({ config: number(), fleet: number() });
 const ReachedShape = type({ reached: number(), lastAt: number() });
--- a/src/rehearsal/ScaleShape.ts
+++ b/src/rehearsal/scale-shape.ts
@@ -1,6 +1,6 @@
 import { boolean, number, string, type, type Infer } from 'superstruct';
-import type { ListedRunner } from '../placement/Fleet.js';
-import type { EngineModel, Route, Routing, Service } from '../route/Routing.js';
+import type { ListedRunner } from '../placement/fleet.js';
+import type { EngineModel, Route, Routing, Service } from '../route/routing.js';
 
 /** How large the fleet of one point of the scale run is. */
 export const ScaleShapeShape = type({
--- a/src/rehearsal/SimAgent.ts
+++ b/src/rehearsal/sim-agent.ts
@@ -1,9 +1,9 @@
-import { AgentCore } from '../agent/AgentCore.js';
-import type { Message } from '../common/Messages.js';
-import type { Scheduler } from './Scheduler.js';
-import type { Network } from './Network.js';
-import type { Seeded } from './Seeded.js';
-import { SimNode } from './SimNode.js';
+import { AgentCore } from '../agent/agent-core.js';
+import type { Message } from '../common/messages.js';
+import type { Scheduler } from './scheduler.js';
+import type { Network } from './network.js';
+import type { Seeded } from './seeded.js';
+import { SimNode } from './sim-node.js';
 
 /** How long a proxy may take new work after its configuration was last confirmed, ms. */
 export const BLIND_MS = 2500;
--- a/src/rehearsal/SimBackend.ts
+++ b/src/rehearsal/sim-backend.ts
@@ -1,7 +1,7 @@
-import type { Scheduler } from './Scheduler.js';
-import type { BackRecord } from './Records.js';
-import type { Seeded } from './Seeded.js';
-import type { SimConnection, SimRequest } from './SimConnection.js';
+import type { Scheduler } from './scheduler.js';
+import type { BackRecord } from './records.js';
+import type { Seeded } from './seeded.js';
+import type { SimConnection, SimRequest } from './sim-connection.js';
 
 /** How a back end misbehaves for a while. */
 export const MOODS = ['breaks', 'silent', 'slow', 'unbounded', 'full', 'closes'] as const;
--- a/src/rehearsal/SimClients.ts
+++ b/src/rehearsal/sim-clients.ts
@@ -1,8 +1,8 @@
-import { ERROR_CODES, type ErrorCode } from '../common/CodedError.js';
-import { retryAfterOf } from '../proxy/InFlightRequests.js';
-import type { Scheduler } from './Scheduler.js';
-import { LineCheck } from './LineCheck.js';
-import type { CallerRecord } from './Records.js';
+import { ERROR_CODES, type ErrorCode } from '../common/coded-error.js';
+import { retryAfterOf } from '../proxy/in-flight-requests.js';
+import type { Scheduler } from './scheduler.js';
+import { LineCheck } from './line-check.js';
+import type { CallerRecord } from './records.js';
 
 export interface Traffic {
   readonly type: string;
--- a/src/rehearsal/SimConnection.ts
+++ b/src/rehearsal/sim-connection.ts
@@ -1,4 +1,4 @@
-import type { Scheduler } from './Scheduler.js';
+import type { Scheduler } from './scheduler.js';
 
 /** What a proxy hears on one of its connections to a back end. */
 export interface Hear {
--- a/src/rehearsal/SimControl.test.ts
+++ b/src/rehearsal/sim-control.test.ts
@@ -1,7 +1,7 @@
 import { expect, test } from 'vitest';
-import { SimControl } from './SimControl.js';
-import { Simulation } from './Simulation.js';
-import { storm } from './Storms.js';
+import { SimControl } from './sim-control.js';
+import { Simulation } from './simulation.js';
+import { storm } from './storms.js';
 
 async function checkDisks(): Promise<void> {
   expect(
--- a/src/rehearsal/SimControl.ts
+++ b/src/rehearsal/sim-control.ts
@@ -1,16 +1,16 @@
-import { MemoryStore } from '../state/MemoryStore.js';
-import type { PartName } from '../common/Ids.js';
-import type { Message } from '../common/Messages.js';
-import { ControlCore } from '../control/ControlCore.js';
-import { CONTROL_DEFAULTS, type ControlEffect } from '../control/ControlEffect.js';
-import type { Scheduler } from './Scheduler.js';
-import type { SimOutside } from './SimOutside.js';
-import { SimNode } from './SimNode.js';
-import { PLACER_DEFAULTS } from '../placement/PlacerTypes.js';
-import type { VoteSettings } from '../election/VoteSettings.js';
-import type { Network } from './Network.js';
-import type { MutationKind } from './Mutation.js';
-import type { Seeded } from './Seeded.js';
+import { MemoryStore } from '../state/memory-store.js';
+import type { PartName } from '../common/ids.js';
+import type { Message } from '../common/messages.js';
+import { ControlCore } from '../control/control-core.js';
+import { CONTROL_DEFAULTS, type ControlEffect } from '../control/control-effect.js';
+import type { Scheduler } from './scheduler.js';
+import type { SimOutside } from './sim-outside.js';
+import { SimNode } from './sim-node.js';
+import { PLACER_DEFAULTS } from '../placement/placer-types.js';
+import type { VoteSettings } from '../election/vote-settings.js';
+import type { Network } from './network.js';
+import type { MutationKind } from './mutation.js';
+import type { Seeded } from './seeded.js';
 
 export type Returned = (status: number, body: string) => void;
 
--- a/src/rehearsal/SimNode.ts
+++ b/src/rehearsal/sim-node.ts
@@ -1,6 +1,6 @@
-import type { Message } from '../common/Messages.js';
-import { moment, type Moment } from '../common/Ids.js';
-import type { Scheduler } from './Scheduler.js';
+import type { Message } from '../common/messages.js';
+import { moment, type Moment } from '../common/ids.js';
+import type { Scheduler } from './scheduler.js';
 
 /** One simulated process: can be killed, frozen and woken; has a clock of its own that shares nothing with others'. */
 export abstract class SimNode {
--- a/src/rehearsal/SimOperators.ts
+++ b/src/rehearsal/sim-operators.ts
@@ -1,14 +1,14 @@
 import { number, optional, string, type } from 'superstruct';
-import { parseAs } from '../common/Json.js';
-import { compareVersions, NO_VERSION, versionText, type Version } from '../common/Version.js';
-import { ConfigNewsShape } from '../control/ConfigDoc.js';
-import { compile } from '../policy/Language.js';
-import type { RunFindings } from './RunFindings.js';
-import type { Scheduler } from './Scheduler.js';
-import type { Seeded } from './Seeded.js';
-import type { SimControl } from './SimControl.js';
-import { LATE_MS } from './SimProxy.js';
-import { ZONES } from './Stage.js';
+import { parseAs } from '../common/json.js';
+import { compareVersions, NO_VERSION, versionText, type Version } from '../common/version.js';
+import { ConfigNewsShape } from '../control/config-doc.js';
+import { compile } from '../policy/language.js';
+import type { RunFindings } from './run-findings.js';
+import type { Scheduler } from './scheduler.js';
+import type { Seeded } from './seeded.js';
+import type { SimControl } from './sim-control.js';
+import { LATE_MS } from './sim-proxy.js';
+import { ZONES } from './stage.js';
 
 /** What one operator was told of one edit. */
 export interface EditOutcome {
--- a/src/rehearsal/SimOrders.ts
+++ b/src/rehearsal/sim-orders.ts
@@ -1,8 +1,8 @@
-import { TAKE_WITHIN_MS } from '../control/Orderer.js';
-import type { Catalog, Hold, Intent } from '../placement/Shapes.js';
-import type { BackRecord } from './Records.js';
-import type { Scheduler } from './Scheduler.js';
-import { bootOf, unitKey, type SimRunner } from './SimRunner.js';
+import { TAKE_WITHIN_MS } from '../control/orderer.js';
+import type { Catalog, Hold, Intent } from '../placement/shapes.js';
+import type { BackRecord } from './records.js';
+import type { Scheduler } from './scheduler.js';
+import { bootOf, unitKey, type SimRunner } from './sim-runner.js';
 
 /** An order as a runner saw it. */
 export interface SeenOrder {
--- a/src/rehearsal/SimOutside.test.ts
+++ b/src/rehearsal/sim-outside.test.ts
@@ -1,5 +1,5 @@
 import { expect, test } from 'vitest';
-import { storm } from './Storms.js';
+import { storm } from './storms.js';
 
 async function checkRunners(): Promise<void> {
   expect(
--- a/src/rehearsal/SimOutside.ts
+++ b/src/rehearsal/sim-outside.ts
@@ -1,12 +1,12 @@
-import type { Catalog, Hold, RunnerReport } from '../placement/Shapes.js';
-import type { BackRecord } from './Records.js';
-import type { Scheduler } from './Scheduler.js';
-import type { Seeded } from './Seeded.js';
-import { SimBackend, type Holder } from './SimBackend.js';
-import { SimConnection, type Hear, type SimRequest } from './SimConnection.js';
-import { SimOrders } from './SimOrders.js';
-import { SimPlatform } from './SimPlatform.js';
-import { bootOf, newRunner, unitKey, type SimRunner } from './SimRunner.js';
+import type { Catalog, Hold, RunnerReport } from '../placement/shapes.js';
+import type { BackRecord } from './records.js';
+import type { Scheduler } from './scheduler.js';
+import type { Seeded } from './seeded.js';
+import { SimBackend, type Holder } from './sim-backend.js';
+import { SimConnection, type Hear, type SimRequest } from './sim-connection.js';
+import { SimOrders } from './sim-orders.js';
+import { SimPlatform } from './sim-platform.js';
+import { bootOf, newRunner, unitKey, type SimRunner } from './sim-runner.js';
 
 /** A runner of the first list. */
 export interface RunnerPlace {
--- a/src/rehearsal/SimPlatform.ts
+++ b/src/rehearsal/sim-platform.ts
@@ -1,6 +1,6 @@
-import type { Machine, Machines } from '../placement/Shapes.js';
-import type { BackRecord } from './Records.js';
-import type { Scheduler } from './Scheduler.js';
+import type { Machine, Machines } from '../placement/shapes.js';
+import type { BackRecord } from './records.js';
+import type { Scheduler } from './scheduler.js';
 
 /** The simulated platform: its list of machines, which ones it marks as leaving, and when each was first told. */
 export class SimPlatform {
--- a/src/rehearsal/SimRunner.ts
+++ b/src/rehearsal/sim-runner.ts
@@ -1,5 +1,5 @@
-import type { Hold } from '../placement/Shapes.js';
-import type { SimBackend } from './SimBackend.js';
+import type { Hold } from '../placement/shapes.js';
+import type { SimBackend } from './sim-backend.js';
 
 /** A simulated runner: what it holds, and which orders it took in this life. */
 export interface SimRunner {
--- a/src/rehearsal/SimTroubles.ts
+++ b/src/rehearsal/sim-troubles.ts
@@ -1,11 +1,11 @@
-import { BACK_END_TROUBLES, BackEndTroubles } from './BackEndTroubles.js';
-import { CONTROL_TROUBLES, ControlTroubles } from './ControlTroubles.js';
-import { EDGE_TROUBLES, EdgeTroubles } from './EdgeTroubles.js';
-import { PLATFORM_TROUBLES, PlatformTroubles } from './PlatformTroubles.js';
-import type { SimAgent } from './SimAgent.js';
-import type { SimControl } from './SimControl.js';
-import { PLAIN, RUNNERS, StageHands, ZONES, type Stage, type Strike } from './Stage.js';
-import { CONDITIONS, type TroubleKind } from './TroubleKinds.js';
+import { BACK_END_TROUBLES, BackEndTroubles } from './back-end-troubles.js';
+import { CONTROL_TROUBLES, ControlTroubles } from './control-troubles.js';
+import { EDGE_TROUBLES, EdgeTroubles } from './edge-troubles.js';
+import { PLATFORM_TROUBLES, PlatformTroubles } from './platform-troubles.js';
+import type { SimAgent } from './sim-agent.js';
+import type { SimControl } from './sim-control.js';
+import { PLAIN, RUNNERS, StageHands, ZONES, type Stage, type Strike } from './stage.js';
+import { CONDITIONS, type TroubleKind } from './trouble-kinds.js';
 
 const LEAST_SPAN_MS = 300;
 const MOST_SPAN_MS = 9000;
--- a/src/rehearsal/SimulationTypes.ts
+++ b/src/rehearsal/simulation-types.ts
@@ -1,5 +1,5 @@
-import type { MutationKind } from './Mutation.js';
-import type { TroubleKind } from './TroubleKinds.js';
+import type { MutationKind } from './mutation.js';
+import type { TroubleKind } from './trouble-kinds.js';
 
 /** What one run of the simulation is told. */
 export interface SimulationSettings {
--- a/src/rehearsal/Simulation.test.ts
+++ b/src/rehearsal/simulation.test.ts
@@ -1,10 +1,10 @@
 import { expect, test } from 'vitest';
-import { compile } from '../policy/Language.js';
-import { SimControl } from './SimControl.js';
-import { TROUBLES } from './TroubleKinds.js';
-import { Simulation } from './Simulation.js';
-import type { SimulationResult } from './SimulationTypes.js';
-import { storm } from './Storms.js';
+import { compile } from '../policy/language.js';
+import { SimControl } from './sim-control.js';
+import { TROUBLES } from './trouble-kinds.js';
+import { Simulation } from './simulation.js';
+import type { SimulationResult } from './simulation-types.js';
+import { storm } from './storms.js';
 
 async function checkAll(): Promise<void> {
   expect(await storm(1, 40, TROUBLES)).toEqual([]);
--- a/src/rehearsal/Stage.ts
+++ b/src/rehearsal/stage.ts
@@ -1,13 +1,13 @@
-import type { Network } from './Network.js';
-import type { RunFindings } from './RunFindings.js';
-import type { Scheduler } from './Scheduler.js';
-import type { Seeded } from './Seeded.js';
-import type { SimAgent } from './SimAgent.js';
-import type { SimControl } from './SimControl.js';
-import type { SimNode } from './SimNode.js';
-import type { SimOutside } from './SimOutside.js';
-import type { SimProxy } from './SimProxy.js';
-import type { Condition } from './TroubleKinds.js';
+import type { Network } from './network.js';
+import type { RunFindings } from './run-findings.js';
+import type { Scheduler } from './scheduler.js';
+import type { Seeded } from './seeded.js';
+import type { SimAgent } from './sim-agent.js';
+import type { SimControl } from './sim-control.js';
+import type { SimNode } from './sim-node.js';
+import type { SimOutside } from './sim-outside.js';
+import type { SimProxy } from './sim-proxy.js';
+import type { Condition } from './trouble-kinds.js';
 
 /** Runners with models, plain back ends and zones of every simulated fleet. */
 export const RUNNERS = ['r0', 'r1', 'r2', 'r3'] as const;
--- a/src/rehearsal/StormCommand.ts
+++ b/src/rehearsal/storm-command.ts
@@ -1,6 +1,6 @@
 import { Command, Flags } from '@oclif/core';
-import { Simulation } from './Simulation.js';
-import { CONDITIONS, TROUBLES, type TroubleKind } from './TroubleKinds.js';
+import { Simulation } from './simulation.js';
+import { CONDITIONS, TROUBLES, type TroubleKind } from './trouble-kinds.js';
 
 function isTrouble(text: string): text is TroubleKind {
   return TROUBLES.some(isSame.bind(undefined, text));
--- a/src/rehearsal/Storms.ts
+++ b/src/rehearsal/storms.ts
@@ -1,8 +1,8 @@
 /** Batches of seeded runs, for tests: a sound build under troubles, and builds with one thing wrong. */
 import { setImmediate } from 'node:timers/promises';
-import { WRONGS, type MutationKind } from './Mutation.js';
-import { Simulation } from './Simulation.js';
-import type { TroubleKind } from './TroubleKinds.js';
+import { WRONGS, type MutationKind } from './mutation.js';
+import { Simulation } from './simulation.js';
+import type { TroubleKind } from './trouble-kinds.js';
 
 /** Virtual time of troubles for a sound build and for a mutated one, ms. */
 const STORM_MS = 25_000;
--- a/src/rehearsal/StubBackend.ts
+++ b/src/rehearsal/stub-backend.ts
@@ -1,7 +1,7 @@
 import { randomUUID } from 'node:crypto';
 import type { IncomingMessage, ServerResponse } from 'node:http';
-import { pause } from './StubRunner.js';
-import { replyJson, StubServer } from './StubServer.js';
+import { pause } from './stub-runner.js';
+import { replyJson, StubServer } from './stub-server.js';
 
 /** A stub for a plain back end: kiosk lookups, ranking pages. */
 export class StubBackend {
--- a/src/rehearsal/StubCommand.ts
+++ b/src/rehearsal/stub-command.ts
@@ -1,13 +1,13 @@
 import { readFileSync } from 'node:fs';
 import { Args, Command, Flags } from '@oclif/core';
 import { array, number, string, type } from 'superstruct';
-import { mustParseAs } from '../common/Json.js';
-import { untilStopped } from '../common/Shutdown.js';
-import { CatalogShape, MachineShape } from '../placement/Shapes.js';
-import { StubBackend } from './StubBackend.js';
-import { StubPlatform } from './StubPlatform.js';
-import { StubRunner } from './StubRunner.js';
-import { StubStore } from './StubStore.js';
+import { mustParseAs } from '../common/json.js';
+import { untilStopped } from '../common/shutdown.js';
+import { CatalogShape, MachineShape } from '../placement/shapes.js';
+import { StubBackend } from './stub-backend.js';
+import { StubPlatform } from './stub-platform.js';
+import { StubRunner } from './stub-runner.js';
+import { StubStore } from './stub-store.js';
 
 const RunnerShape = type({
   id: string(),
--- a/src/rehearsal/StubPlatform.ts
+++ b/src/rehearsal/stub-platform.ts
@@ -1,8 +1,8 @@
 import type { ServerResponse } from 'node:http';
 import { array, boolean, string, type } from 'superstruct';
-import { parseAs } from '../common/Json.js';
-import { MachineShape, type Machine } from '../placement/Shapes.js';
-import { replyJson, StubServer } from './StubServer.js';
+import { parseAs } from '../common/json.js';
+import { MachineShape, type Machine } from '../placement/shapes.js';
+import { replyJson, StubServer } from './stub-server.js';
 
 const PutShape = type({ machines: array(MachineShape) });
 const MarkShape = type({ id: string(), leaving: boolean() });
--- a/src/rehearsal/StubRunner.ts
+++ b/src/rehearsal/stub-runner.ts
@@ -1,10 +1,10 @@
 import { randomUUID } from 'node:crypto';
 import type { IncomingMessage, ServerResponse } from 'node:http';
 import { array, boolean, number, optional, string, type } from 'superstruct';
-import { call } from '../common/Call.js';
-import { parseAs } from '../common/Json.js';
-import type { Hold } from '../placement/Shapes.js';
-import { replyJson, StubServer } from './StubServer.js';
+import { call } from '../common/call.js';
+import { parseAs } from '../common/json.js';
+import type { Hold } from '../placement/shapes.js';
+import { replyJson, StubServer } from './stub-server.js';
 
 const OrderShape = type({
   id: string(),
--- a/src/rehearsal/StubServer.ts
+++ b/src/rehearsal/stub-server.ts
@@ -1,7 +1,7 @@
 import { appendFileSync } from 'node:fs';
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from 'node:http';
-import { readBody } from '../common/Call.js';
-import { listenOn } from '../common/Listen.js';
+import { readBody } from '../common/call.js';
+import { listenOn } from '../common/listen.js';
 
 export type Serve = (
   method: string,
--- a/src/rehearsal/StubStore.ts
+++ b/src/rehearsal/stub-store.ts
@@ -1,9 +1,9 @@
 import type { ServerResponse } from 'node:http';
 import { string, type } from 'superstruct';
-import { parseAs } from '../common/Json.js';
-import type { Catalog } from '../placement/Shapes.js';
-import { pause } from './StubRunner.js';
-import { replyJson, StubServer } from './StubServer.js';
+import { parseAs } from '../common/json.js';
+import type { Catalog } from '../placement/shapes.js';
+import { pause } from './stub-runner.js';
+import { replyJson, StubServer } from './stub-server.js';
 
 const FetchShape = type({ runner: string(), model: string(), adapter: string() });
 
--- a/src/rehearsal/SyntheticEdges.ts
+++ b/src/rehearsal/synthetic-edges.ts
@@ -1,10 +1,10 @@
 import { array, number, string, type, type Infer } from 'superstruct';
-import { mustParseAs } from '../common/Json.js';
-import { SyntheticProxy } from './SyntheticProxy.js';
-import { ownCost, type ScalePart } from './ScalePart.js';
-import { Bodies, ScaleAgent } from './ScaleAgent.js';
-import { EdgePlaceShape, modelName } from './ScaleShape.js';
-import { total } from './Tally.js';
+import { mustParseAs } from '../common/json.js';
+import { SyntheticProxy } from './synthetic-proxy.js';
+import { ownCost, type ScalePart } from './scale-part.js';
+import { Bodies, ScaleAgent } from './scale-agent.js';
+import { EdgePlaceShape, modelName } from './scale-shape.js';
+import { total } from './tally.js';
 
 export const SyntheticEdgesShape = type({ edges: array(EdgePlaceShape), seeds: array(string()) });
 const ReachedShape = type({ topic: string(), epoch: number(), count: number() });
--- a/src/rehearsal/SyntheticProxy.ts
+++ b/src/rehearsal/synthetic-proxy.ts
@@ -1,9 +1,9 @@
-import { Exchange, type Incoming } from '../dissemination/Exchange.js';
-import type { FleetDemand } from '../placement/Fleet.js';
-import { compareVersions, NO_VERSION, type Version } from '../common/Version.js';
-import { newIncarnation } from '../common/Incarnation.js';
-import type { EdgePlace } from './ScaleShape.js';
-import { sharedNow } from './ScalePart.js';
+import { Exchange, type Incoming } from '../dissemination/exchange.js';
+import type { FleetDemand } from '../placement/fleet.js';
+import { compareVersions, NO_VERSION, type Version } from '../common/version.js';
+import { newIncarnation } from '../common/incarnation.js';
+import type { EdgePlace } from './scale-shape.js';
+import { sharedNow } from './scale-part.js';
 
 const TELL_MS = 1000;
 const UNTOLD_MS = 100;
--- a/src/rehearsal/SyntheticRunners.ts
+++ b/src/rehearsal/synthetic-runners.ts
@@ -1,10 +1,10 @@
 import type { ServerResponse } from 'node:http';
 import { boolean, number, optional, string, type, type Infer } from 'superstruct';
-import { mustParseAs } from '../common/Json.js';
-import type { ListedRunner } from '../placement/Fleet.js';
-import { ownCost, type ScalePart } from './ScalePart.js';
-import { ADAPTER_MS, listedRunners, LOAD_MS, ScaleShapeShape } from './ScaleShape.js';
-import { replyJson, StubServer } from './StubServer.js';
+import { mustParseAs } from '../common/json.js';
+import type { ListedRunner } from '../placement/fleet.js';
+import { ownCost, type ScalePart } from './scale-part.js';
+import { ADAPTER_MS, listedRunners, LOAD_MS, ScaleShapeShape } from './scale-shape.js';
+import { replyJson, StubServer } from './stub-server.js';
 
 export const SyntheticRunnersShape = type({ shape: ScaleShapeShape, address: string() });
 const OrderShape = type({
--- a/src/rehearsal/TableMeasure.test.ts
+++ b/src/rehearsal/table-measure.test.ts
@@ -1,5 +1,5 @@
 import { expect, test } from 'vitest';
-import { measureTable } from './TableMeasure.js';
+import { measureTable } from './table-measure.js';
 
 async function checkLarge(): Promise<void> {
   const small = measureTable(10);
--- a/src/rehearsal/TableMeasure.ts
+++ b/src/rehearsal/table-measure.ts
@@ -1,4 +1,4 @@
-import { compile, printTable } from '../policy/Language.js';
+import { compile, printTable } from '../policy/language.js';
 import {
   checkTable,
   findMapping,
@@ -7,12 +7,12 @@
   type Mapping,
   type Row,
   type Table,
-} from '../policy/Table.js';
-import { Decision } from '../proxy/Decision.js';
-import { DECISION_DEFAULTS } from '../proxy/DecisionTypes.js';
-import { monotonicNow } from '../common/Clock.js';
-import { moment } from '../common/Ids.js';
-import { Simulation } from './Simulation.js';
+} from '../policy/table.js';
+import { Decision } from '../proxy/decision.js';
+import { DECISION_DEFAULTS } from '../proxy/decision-types.js';
+import { monotonicNow } from '../common/clock.js';
+import { moment } from '../common/ids.js';
+import { Simulation } from './simulation.js';
 
 export interface TableMeasure {
   readonly rows: number;
--- a/src/rehearsal/Tally.ts
+++ b/src/rehearsal/tally.ts
@@ -1,6 +1,6 @@
 import { number, record, string, type, type Infer } from 'superstruct';
-import { encodeMessage, type Message } from '../common/Messages.js';
-import type { Exchange, Incoming } from '../dissemination/Exchange.js';
+import { encodeMessage, type Message } from '../common/messages.js';
+import type { Exchange, Incoming } from '../dissemination/exchange.js';
 import type { Observable } from 'rxjs';
 
 const CountShape = type({ messages: number(), bytes: number() });
--- a/src/simulation/AgentNode.ts
+++ b/src/simulation/agent-node.ts
@@ -1,13 +1,13 @@
-import type { Message } from '../common/Messages.js';
-import type { AgentCore } from '../agent/AgentCore.js';
-import type { Scheduler } from '../rehearsal/Scheduler.js';
-import type { Seeded } from '../rehearsal/Seeded.js';
-import { AGENT_BLIND_MS, AGENT_TICK_MS } from '../agent/AgentProcess.js';
-import type { CoreBuild } from './CoreBuild.js';
-import type { Endpoint } from './Endpoint.js';
-import { SimExchange } from './SimExchange.js';
-import type { Host, SimNetwork } from './SimNetwork.js';
-import { SimProcess } from './SimProcess.js';
+import type { Message } from '../common/messages.js';
+import type { AgentCore } from '../agent/agent-core.js';
+import type { Scheduler } from '../rehearsal/scheduler.js';
+import type { Seeded } from '../rehearsal/seeded.js';
+import { AGENT_BLIND_MS, AGENT_TICK_MS } from '../agent/agent-process.js';
+import type { CoreBuild } from './core-build.js';
+import type { Endpoint } from './endpoint.js';
+import { SimExchange } from './sim-exchange.js';
+import type { Host, SimNetwork } from './sim-network.js';
+import { SimProcess } from './sim-process.js';
 
 export interface AgentSurroundings {
   readonly scheduler: Scheduler;
--- a/src/simulation/CallAttempt.ts
+++ b/src/simulation/call-attempt.ts
@@ -1,11 +1,11 @@
-import { textOf, type Endpoint, type Payload } from './Endpoint.js';
+import { textOf, type Endpoint, type Payload } from './endpoint.js';
 import {
   decodeAnswer,
   encodeCall,
   type OperatorAnswer,
   type OperatorCall,
-} from './OperatorCall.js';
-import type { Host, SimNetwork } from './SimNetwork.js';
+} from './operator-call.js';
+import type { Host, SimNetwork } from './sim-network.js';
 
 /** A node that says nothing for so long is left for another one. */
 const SILENCE_MS = 1000;
--- a/src/simulation/commands/SeedPool.ts
+++ b/src/simulation/commands/seed-pool.ts
@@ -1,8 +1,8 @@
 import { fork, type ChildProcess } from 'node:child_process';
 import { fileURLToPath } from 'node:url';
 import { is } from 'superstruct';
-import { shapeOf, type WantedShape } from '../RunShape.js';
-import { SeedResultShape, type SeedResult } from '../SeedRun.js';
+import { shapeOf, type WantedShape } from '../run-shape.js';
+import { SeedResultShape, type SeedResult } from '../seed-run.js';
 
 /** A run makes much that lives shortly: with room for it (MB) the collector is called less often. */
 const WORKER_FLAGS = ['--max-semi-space-size=64'];
@@ -51,7 +51,7 @@
   }
 
   #hire(): void {
-    const script = fileURLToPath(new URL('./SeedWorker.js', import.meta.url));
+    const script = fileURLToPath(new URL('./seed-worker.js', import.meta.url));
     const worker = fork(script, [], { execArgv: WORKER_FLAGS });
     this.#workers.add(worker);
     worker.on('message', this.#take.bind(this, worker));
--- a/src/simulation/commands/SeedWorker.ts
+++ b/src/simulation/commands/seed-worker.ts
@@ -1,6 +1,6 @@
 import { enums, is, number, type } from 'superstruct';
-import { SHAPE_NAMES } from '../RunShape.js';
-import { runSeed } from '../SeedRun.js';
+import { SHAPE_NAMES } from '../run-shape.js';
+import { runSeed } from '../seed-run.js';
 
 /** What the pool asks of a worker process: one seed. */
 const AskShape = type({ seed: number(), shape: enums([...SHAPE_NAMES]) });
--- a/src/simulation/commands/SimulateControlCommand.ts
+++ b/src/simulation/commands/simulate-control-command.ts
@@ -1,14 +1,20 @@
 import { writeFileSync } from 'node:fs';
 import { Command, Flags } from '@oclif/core';
-import { simulate } from '../ControlSimulation.js';
-import { pastedTest } from '../PastedTest.js';
-import { ORDER_KINDS, totalOf, type OutcomeCounts } from '../RunFigures.js';
-import { reportOf, rulesOf, type RunReport, type Spread } from '../RunReport.js';
-import { isWantedShape, optionsOf, shapeOf, WANTED_SHAPES, type WantedShape } from '../RunShape.js';
-import { drawSchedule } from '../ScheduleDraw.js';
-import type { SeedResult } from '../SeedRun.js';
-import { shrinkRun } from '../Shrinker.js';
-import { SeedPool } from './SeedPool.js';
+import { simulate } from '../control-simulation.js';
+import { pastedTest } from '../pasted-test.js';
+import { ORDER_KINDS, totalOf, type OutcomeCounts } from '../run-figures.js';
+import { reportOf, rulesOf, type RunReport, type Spread } from '../run-report.js';
+import {
+  isWantedShape,
+  optionsOf,
+  shapeOf,
+  WANTED_SHAPES,
+  type WantedShape,
+} from '../run-shape.js';
+import { drawSchedule } from '../schedule-draw.js';
+import type { SeedResult } from '../seed-run.js';
+import { shrinkRun } from '../shrinker.js';
+import { SeedPool } from './seed-pool.js';
 
 const MOST_SHOWN = 3;
 const PROGRESS_EVERY = 100;
--- a/src/simulation/ControlNode.ts
+++ b/src/simulation/control-node.ts
@@ -1,15 +1,15 @@
-import type { Moment } from '../common/Ids.js';
-import type { Message } from '../common/Messages.js';
-import type { ControlCore } from '../control/ControlCore.js';
+import type { Moment } from '../common/ids.js';
+import type { Message } from '../common/messages.js';
+import type { ControlCore } from '../control/control-core.js';
 import {
   CONTROL_DEFAULTS,
   type ControlEffect,
   type OrderResult,
-} from '../control/ControlEffect.js';
-import type { Scheduler } from '../rehearsal/Scheduler.js';
-import type { Seeded } from '../rehearsal/Seeded.js';
-import type { ListedRunner } from '../placement/Fleet.js';
-import { VOTE_DEFAULTS } from '../election/VoteSettings.js';
+} from '../control/control-effect.js';
+import type { Scheduler } from '../rehearsal/scheduler.js';
+import type { Seeded } from '../rehearsal/seeded.js';
+import type { ListedRunner } from '../placement/fleet.js';
+import { VOTE_DEFAULTS } from '../election/vote-settings.js';
 import {
   CONTROL_SILENT_MS,
   CONTROL_TICK_MS,
@@ -17,19 +17,19 @@
   DISK_AGAIN_MS,
   LIST_MS,
   RETIRE_MS,
-} from '../control/ControlProcess.js';
-import { GRACE_MS, LEASE_MS } from './ContractBounds.js';
-import type { CoreBuild } from './CoreBuild.js';
-import type { Endpoint } from './Endpoint.js';
-import { LeasedOrder } from './LeasedOrder.js';
-import type { CoreCommand, OperatorAnswer, OperatorCall } from './OperatorCall.js';
-import { OperatorPort } from './OperatorPort.js';
-import { OrderStub } from './OrderStub.js';
-import { PlainDialect } from '../control/testing/PlainDialect.js';
-import { SimDisk, type UnsyncedFate } from './SimDisk.js';
-import { SimExchange } from './SimExchange.js';
-import type { Host, Port, SimNetwork } from './SimNetwork.js';
-import { SimProcess } from './SimProcess.js';
+} from '../control/control-process.js';
+import { GRACE_MS, LEASE_MS } from './contract-bounds.js';
+import type { CoreBuild } from './core-build.js';
+import type { Endpoint } from './endpoint.js';
+import { LeasedOrder } from './leased-order.js';
+import type { CoreCommand, OperatorAnswer, OperatorCall } from './operator-call.js';
+import { OperatorPort } from './operator-port.js';
+import { OrderStub } from './order-stub.js';
+import { PlainDialect } from '../control/testing/plain-dialect.js';
+import { SimDisk, type UnsyncedFate } from './sim-disk.js';
+import { SimExchange } from './sim-exchange.js';
+import type { Host, Port, SimNetwork } from './sim-network.js';
+import { SimProcess } from './sim-process.js';
 
 /** What a run is told of a control node as it works. */
 export interface ControlObserver {
--- a/src/simulation/ControlSimulation.property.test.ts
+++ b/src/simulation/control-simulation.property.test.ts
@@ -1,9 +1,9 @@
 import fc from 'fast-check';
 import { test } from 'vitest';
-import { simulate, TROUBLE_FROM_MS } from './ControlSimulation.js';
-import { EVENTS, ROLES, type Fault, type Schedule } from './Faults.js';
-import { OPTION_DEFAULTS, type SimulationOptions } from './Options.js';
-import { pastedTest } from './PastedTest.js';
+import { simulate, TROUBLE_FROM_MS } from './control-simulation.js';
+import { EVENTS, ROLES, type Fault, type Schedule } from './faults.js';
+import { OPTION_DEFAULTS, type SimulationOptions } from './options.js';
+import { pastedTest } from './pasted-test.js';
 
 const TROUBLE_MS = 8000;
 const MOST_FAULTS = 6;
--- a/src/simulation/ControlSimulation.test.ts
+++ b/src/simulation/control-simulation.test.ts
@@ -1,12 +1,12 @@
 import { expect, test } from 'vitest';
-import { simulate, type Outcome } from './ControlSimulation.js';
-import type { Schedule } from './Faults.js';
-import type { Attempt, OrderRecord } from './history/History.js';
-import { OPTION_DEFAULTS, type SimulationOptions } from './Options.js';
-import { totalOf } from './RunFigures.js';
-import type { RunShape } from './RunShape.js';
-import { drawOptions, drawSchedule } from './ScheduleDraw.js';
-import { runSeed } from './SeedRun.js';
+import { simulate, type Outcome } from './control-simulation.js';
+import type { Schedule } from './faults.js';
+import type { Attempt, OrderRecord } from './history/history.js';
+import { OPTION_DEFAULTS, type SimulationOptions } from './options.js';
+import { totalOf } from './run-figures.js';
+import type { RunShape } from './run-shape.js';
+import { drawOptions, drawSchedule } from './schedule-draw.js';
+import { runSeed } from './seed-run.js';
 
 /** The share of seeds that is always run; the command runs as many as one likes. */
 const SEEDS_OF_THREE = 8;
--- a/src/simulation/CoreBuild.ts
+++ b/src/simulation/core-build.ts
@@ -1,9 +1,9 @@
-import { AgentCore, type AgentSettings } from '../agent/AgentCore.js';
-import type { Moment } from '../common/Ids.js';
-import { ControlCore } from '../control/ControlCore.js';
-import type { ControlSettings } from '../control/ControlEffect.js';
-import type { VoteSettings } from '../election/VoteSettings.js';
-import type { StoredPart } from '../state/Store.js';
+import { AgentCore, type AgentSettings } from '../agent/agent-core.js';
+import type { Moment } from '../common/ids.js';
+import { ControlCore } from '../control/control-core.js';
+import type { ControlSettings } from '../control/control-effect.js';
+import type { VoteSettings } from '../election/vote-settings.js';
+import type { StoredPart } from '../state/store.js';
 
 /** What a control node's core is made of when its process starts. */
 export interface ControlInputs {
--- a/src/simulation/Endpoint.ts
+++ b/src/simulation/endpoint.ts
@@ -1,6 +1,6 @@
-import type { Message } from '../common/Messages.js';
-import type { Scheduler } from '../rehearsal/Scheduler.js';
-import type { SimProcess } from './SimProcess.js';
+import type { Message } from '../common/messages.js';
+import type { Scheduler } from '../rehearsal/scheduler.js';
+import type { SimProcess } from './sim-process.js';
 
 /** Where a host listens: for other nodes, or for operators' and runners' calls. */
 export type Port = 'nodes' | 'calls';
--- a/src/simulation/exhaustive/CalmRun.ts
+++ b/src/simulation/exhaustive/calm-run.ts
@@ -1,8 +1,8 @@
-import type { Message } from '../../common/Messages.js';
-import type { Cluster } from './Cluster.js';
-import { idsOf } from './MessageText.js';
-import type { CalmRun, World } from './Protocol.js';
-import { stepAt, type Step } from './Steps.js';
+import type { Message } from '../../common/messages.js';
+import type { Cluster } from './cluster.js';
+import { idsOf } from './message-text.js';
+import type { CalmRun, World } from './protocol.js';
+import { stepAt, type Step } from './steps.js';
 
 /** Delivers every message once, in the order of sending, and finishes every write at once. */
 class Calm<Command, Event, Facts, Ghost> implements CalmRun<Command> {
--- a/src/simulation/exhaustive/Cluster.ts
+++ b/src/simulation/exhaustive/cluster.ts
@@ -1,18 +1,18 @@
-import { moment, type Moment } from '../../common/Ids.js';
-import type { Message } from '../../common/Messages.js';
-import { written } from './Disk.js';
-import { Interner } from './Interner.js';
+import { moment, type Moment } from '../../common/ids.js';
+import type { Message } from '../../common/messages.js';
+import { written } from './disk.js';
+import { Interner } from './interner.js';
 import {
   LocalStates,
   type DiskWrite,
   type Envelope,
   type Input,
   type LocalStep,
-} from './LocalStates.js';
-import { withAll } from './MessageText.js';
-import type { FaultKind, NodeState, Protocol, View, World } from './Protocol.js';
-import type { StateDigest } from './StateDigest.js';
-import type { Step } from './Steps.js';
+} from './local-states.js';
+import { withAll } from './message-text.js';
+import type { FaultKind, NodeState, Protocol, View, World } from './protocol.js';
+import type { StateDigest } from './state-digest.js';
+import type { Step } from './steps.js';
 
 /** A state after a step, and what the step did. */
 export interface Taken<Ghost> {
--- a/src/simulation/exhaustive/ControlNode.ts
+++ b/src/simulation/exhaustive/control-node.ts
@@ -1,16 +1,16 @@
-import { IdlePlanner } from '../../control/testing/IdlePlanner.js';
-import { documentOf, PlainDialect } from '../../control/testing/PlainDialect.js';
+import { IdlePlanner } from '../../control/testing/idle-planner.js';
+import { documentOf, PlainDialect } from '../../control/testing/plain-dialect.js';
 import { array, number, optional, string, type, type Infer } from 'superstruct';
-import { CONFIG_PART } from '../../state/PartNames.js';
-import type { StoredPart } from '../../state/Store.js';
-import { partName, type Moment } from '../../common/Ids.js';
-import { parseAs } from '../../common/Json.js';
-import type { Message } from '../../common/Messages.js';
-import { isNewer } from '../../common/Version.js';
-import { ControlCore } from '../../control/ControlCore.js';
-import { CONTROL_DEFAULTS } from '../../control/ControlEffect.js';
-import type { VoteSettings } from '../../election/VoteSettings.js';
-import type { Boot, DiskWrite, Input, Output, Sent, Subject } from './LocalStates.js';
+import { CONFIG_PART } from '../../state/part-names.js';
+import type { StoredPart } from '../../state/store.js';
+import { partName, type Moment } from '../../common/ids.js';
+import { parseAs } from '../../common/json.js';
+import type { Message } from '../../common/messages.js';
+import { isNewer } from '../../common/version.js';
+import { ControlCore } from '../../control/control-core.js';
+import { CONTROL_DEFAULTS } from '../../control/control-effect.js';
+import type { VoteSettings } from '../../election/vote-settings.js';
+import type { Boot, DiskWrite, Input, Output, Sent, Subject } from './local-states.js';
 
 /** Classes inside the control core that an idle planner never makes change. */
 export const UNUSED_CLASSES: readonly string[] = [
--- a/src/simulation/exhaustive/Departures.ts
+++ b/src/simulation/exhaustive/departures.ts
@@ -1,9 +1,9 @@
-import { prepared } from './CalmRun.js';
-import type { Cluster } from './Cluster.js';
-import type { Model, Visit } from './Explorer.js';
-import { has, idsOf, queued, without } from './MessageText.js';
-import type { FaultKind, World } from './Protocol.js';
-import { stepAt, stepCode, stepOf, type Step } from './Steps.js';
+import { prepared } from './calm-run.js';
+import type { Cluster } from './cluster.js';
+import type { Model, Visit } from './explorer.js';
+import { has, idsOf, queued, without } from './message-text.js';
+import type { FaultKind, World } from './protocol.js';
+import { stepAt, stepCode, stepOf, type Step } from './steps.js';
 
 /** A cluster in the calm order of things, as far as it has not departed from it. Sets of nodes are bit masks. */
 export interface Schedule<Ghost> {
--- a/src/simulation/exhaustive/Disk.ts
+++ b/src/simulation/exhaustive/disk.ts
@@ -1,4 +1,4 @@
-import type { DiskWrite } from './LocalStates.js';
+import type { DiskWrite } from './local-states.js';
 
 function isOlder(a: DiskWrite, b: DiskWrite): boolean {
   return a.epoch < b.epoch || (a.epoch === b.epoch && a.count < b.count);
--- a/src/simulation/exhaustive/ElectionProtocol.ts
+++ b/src/simulation/exhaustive/election-protocol.ts
@@ -1,11 +1,11 @@
-import { nodeId, later, moment, type NodeId, type Moment } from '../../common/Ids.js';
-import { parseAs } from '../../common/Json.js';
+import { nodeId, later, moment, type NodeId, type Moment } from '../../common/ids.js';
+import { parseAs } from '../../common/json.js';
 import { boolean, number, optional, string, type } from 'superstruct';
-import type { Message } from '../../common/Messages.js';
-import { Quorum } from '../../common/Quorum.js';
-import { Elector } from '../../election/Elector.js';
-import type { VoteRecord } from '../../election/VoteEffect.js';
-import type { VoteSettings } from '../../election/VoteSettings.js';
+import type { Message } from '../../common/messages.js';
+import { Quorum } from '../../common/quorum.js';
+import { Elector } from '../../election/elector.js';
+import type { VoteRecord } from '../../election/vote-effect.js';
+import type { VoteSettings } from '../../election/vote-settings.js';
 import {
   CLOCK_STEP_MS,
   type CalmRun,
@@ -15,9 +15,9 @@
   type NodeCommand,
   type Protocol,
   type View,
-} from './Protocol.js';
-import { withLeader, type LeaderJudgement, type Leaders } from './Leaders.js';
-import type { Boot, DiskWrite, Envelope, Input, Output, Subject } from './LocalStates.js';
+} from './protocol.js';
+import { withLeader, type LeaderJudgement, type Leaders } from './leaders.js';
+import type { Boot, DiskWrite, Envelope, Input, Output, Subject } from './local-states.js';
 
 const VOTE_SLOT = 'vote';
 const RecordShape = type({
--- a/src/simulation/exhaustive/ElectionSearches.test.ts
+++ b/src/simulation/exhaustive/election-searches.test.ts
@@ -1,7 +1,7 @@
 import { expect, test } from 'vitest';
-import { election } from './SearchedProtocols.js';
-import type { Search } from './Searches.js';
-import { brokenBy, faults, orders, searchesOf, shortcomingsOf } from './testing/SearchChecks.js';
+import { election } from './searched-protocols.js';
+import type { Search } from './searches.js';
+import { brokenBy, faults, orders, searchesOf, shortcomingsOf } from './testing/search-checks.js';
 
 async function checkSound(search: Search): Promise<void> {
   expect(await shortcomingsOf(search)).toEqual([]);
--- a/src/simulation/exhaustive/ExhaustiveCommand.ts
+++ b/src/simulation/exhaustive/exhaustive-command.ts
@@ -1,5 +1,5 @@
 import { Command, Flags } from '@oclif/core';
-import { MODEL_NAMES, SEARCHES, type Extent, type Search, type SearchReport } from './Searches.js';
+import { MODEL_NAMES, SEARCHES, type Extent, type Search, type SearchReport } from './searches.js';
 
 /** A search is given up as partial beyond so many states; each takes some hundred bytes. */
 const MOST_STATES = 3_000_000;
--- a/src/simulation/exhaustive/Interleavings.ts
+++ b/src/simulation/exhaustive/interleavings.ts
@@ -1,9 +1,9 @@
-import { prepared } from './CalmRun.js';
-import type { Cluster } from './Cluster.js';
-import type { Model, Visit } from './Explorer.js';
-import { idsOf } from './MessageText.js';
-import type { World } from './Protocol.js';
-import { stepAt, stepCode, stepOf, type Step } from './Steps.js';
+import { prepared } from './calm-run.js';
+import type { Cluster } from './cluster.js';
+import type { Model, Visit } from './explorer.js';
+import { idsOf } from './message-text.js';
+import type { World } from './protocol.js';
+import { stepAt, stepCode, stepOf, type Step } from './steps.js';
 
 /**
  * Every order of everything: any message ever sent may be delivered next, any timer looked at, any disk may finish or
--- a/src/simulation/exhaustive/LocalStates.ts
+++ b/src/simulation/exhaustive/local-states.ts
@@ -1,8 +1,8 @@
 import { createHash } from 'node:crypto';
-import type { Moment } from '../../common/Ids.js';
-import type { Message } from '../../common/Messages.js';
-import { Interner } from './Interner.js';
-import type { StateDigest } from './StateDigest.js';
+import type { Moment } from '../../common/ids.js';
+import type { Message } from '../../common/messages.js';
+import { Interner } from './interner.js';
+import type { StateDigest } from './state-digest.js';
 
 /** Nodes kept in memory at most; each holds some hundred kilobytes. */
 const MOST_LIVE = 256;
--- a/src/simulation/exhaustive/MessageText.test.ts
+++ b/src/simulation/exhaustive/message-text.test.ts
@@ -1,5 +1,5 @@
 import { expect, test } from 'vitest';
-import { has, idsOf, queued, withAll, without } from './MessageText.js';
+import { has, idsOf, queued, withAll, without } from './message-text.js';
 
 /** On both sides of the numbers that fit into one character or half of one. */
 const IDS = [70_000, 3, 65_536 + 3, 32_768, 65_535, 32_767, 65_536, 0];
--- a/src/simulation/exhaustive/Protocol.ts
+++ b/src/simulation/exhaustive/protocol.ts
@@ -1,5 +1,5 @@
-import type { Message } from '../../common/Messages.js';
-import type { DiskWrite, Envelope, NodeFactory } from './LocalStates.js';
+import type { Message } from '../../common/messages.js';
+import type { DiskWrite, Envelope, NodeFactory } from './local-states.js';
 
 /** The usual milliseconds between two of the moments that a model has. Nothing happens at any other. */
 export const CLOCK_STEP_MS = 1000;
--- a/src/simulation/exhaustive/RefusalProtocol.ts
+++ b/src/simulation/exhaustive/refusal-protocol.ts
@@ -1,7 +1,7 @@
-import { CONFIG_PART } from '../../state/PartNames.js';
-import { nodeId, type NodeId } from '../../common/Ids.js';
-import type { Message } from '../../common/Messages.js';
-import { Quorum } from '../../common/Quorum.js';
+import { CONFIG_PART } from '../../state/part-names.js';
+import { nodeId, type NodeId } from '../../common/ids.js';
+import type { Message } from '../../common/messages.js';
+import { Quorum } from '../../common/quorum.js';
 import {
   CONTROL_STEP_MS,
   ControlNode,
@@ -10,9 +10,9 @@
   type ControlCommand,
   type ControlEvent,
   type ControlFacts,
-} from './ControlNode.js';
-import { isOfSlot } from './Disk.js';
-import type { Boot, DiskWrite } from './LocalStates.js';
+} from './control-node.js';
+import { isOfSlot } from './disk.js';
+import type { Boot, DiskWrite } from './local-states.js';
 import type {
   CalmRun,
   FaultBounds,
@@ -22,7 +22,7 @@
   NodeCommand,
   Protocol,
   View,
-} from './Protocol.js';
+} from './protocol.js';
 
 const NODES = ['a', 'b', 'c'];
 /** Steps of the clocks after which three nodes that were just started have a leader that serves. */
--- a/src/simulation/exhaustive/RefusalSearches.test.ts
+++ b/src/simulation/exhaustive/refusal-searches.test.ts
@@ -1,7 +1,7 @@
 import { expect, test } from 'vitest';
-import { newerRefusal, refusal } from './SearchedProtocols.js';
-import type { Search } from './Searches.js';
-import { brokenBy, faults, searchesOf, shortcomingsOf } from './testing/SearchChecks.js';
+import { newerRefusal, refusal } from './searched-protocols.js';
+import type { Search } from './searches.js';
+import { brokenBy, faults, searchesOf, shortcomingsOf } from './testing/search-checks.js';
 
 async function checkSound(search: Search): Promise<void> {
   expect(await shortcomingsOf(search)).toEqual([]);
--- a/src/simulation/exhaustive/Replica.ts
+++ b/src/simulation/exhaustive/replica.ts
@@ -1,12 +1,12 @@
 import { number, type } from 'superstruct';
-import { ReplicatedState } from '../../state/ReplicatedState.js';
-import { CONFIG_PART, VOTE_PART } from '../../state/PartNames.js';
+import { ReplicatedState } from '../../state/replicated-state.js';
+import { CONFIG_PART, VOTE_PART } from '../../state/part-names.js';
 import {
   ReplicaStatus,
   type ReplicaStatusName,
   type ReplicaStatusOutcome,
-} from '../../state/ReplicaStatus.js';
-import type { StoredPart } from '../../state/Store.js';
+} from '../../state/replica-status.js';
+import type { StoredPart } from '../../state/store.js';
 import {
   epochOf,
   nodeId,
@@ -14,12 +14,12 @@
   partName,
   type NodeId,
   type Moment,
-} from '../../common/Ids.js';
-import { parseAs } from '../../common/Json.js';
-import type { Message } from '../../common/Messages.js';
-import type { Quorum } from '../../common/Quorum.js';
-import type { Version } from '../../common/Version.js';
-import type { Boot, DiskWrite, Input, Output, Sent, Subject } from './LocalStates.js';
+} from '../../common/ids.js';
+import { parseAs } from '../../common/json.js';
+import type { Message } from '../../common/messages.js';
+import type { Quorum } from '../../common/quorum.js';
+import type { Version } from '../../common/version.js';
+import type { Boot, DiskWrite, Input, Output, Sent, Subject } from './local-states.js';
 
 /** Deliberate mistakes that the invariants must find. */
 export type ReplicaMistake =
--- a/src/simulation/exhaustive/ReplicationProtocol.ts
+++ b/src/simulation/exhaustive/replication-protocol.ts
@@ -1,10 +1,10 @@
-import { VOTE_PART } from '../../state/PartNames.js';
-import { nodeId, type NodeId } from '../../common/Ids.js';
-import { Quorum } from '../../common/Quorum.js';
-import { compareVersions, type Version } from '../../common/Version.js';
-import { withLeader, type Leaders } from './Leaders.js';
-import type { Boot, DiskWrite, Envelope } from './LocalStates.js';
-import { CLOCK_STEP_MS } from './Protocol.js';
+import { VOTE_PART } from '../../state/part-names.js';
+import { nodeId, type NodeId } from '../../common/ids.js';
+import { Quorum } from '../../common/quorum.js';
+import { compareVersions, type Version } from '../../common/version.js';
+import { withLeader, type Leaders } from './leaders.js';
+import type { Boot, DiskWrite, Envelope } from './local-states.js';
+import { CLOCK_STEP_MS } from './protocol.js';
 import type {
   CalmRun,
   FaultBounds,
@@ -13,7 +13,7 @@
   NodeCommand,
   Protocol,
   View,
-} from './Protocol.js';
+} from './protocol.js';
 import {
   isConfig,
   Replica,
@@ -22,7 +22,7 @@
   type ReplicaEvent,
   type ReplicaFacts,
   type ReplicaMistake,
-} from './Replica.js';
+} from './replica.js';
 
 /** The first leader's epoch; each later one is two above the one before. */
 const FIRST_EPOCH = 2;
--- a/src/simulation/exhaustive/ReplicationSearches.test.ts
+++ b/src/simulation/exhaustive/replication-searches.test.ts
@@ -1,7 +1,7 @@
 import { expect, test } from 'vitest';
-import { replication } from './SearchedProtocols.js';
-import type { Search } from './Searches.js';
-import { brokenBy, orders, searchesOf, shortcomingsOf } from './testing/SearchChecks.js';
+import { replication } from './searched-protocols.js';
+import type { Search } from './searches.js';
+import { brokenBy, orders, searchesOf, shortcomingsOf } from './testing/search-checks.js';
 
 async function checkSound(search: Search): Promise<void> {
   expect(await shortcomingsOf(search)).toEqual([]);
--- a/src/simulation/exhaustive/SearchedProtocols.ts
+++ b/src/simulation/exhaustive/searched-protocols.ts
@@ -1,17 +1,17 @@
-import type { ControlMistake } from './ControlNode.js';
+import type { ControlMistake } from './control-node.js';
 import {
   ElectionProtocol,
   type ElectionBeginning,
   type ElectionMistake,
-} from './ElectionProtocol.js';
-import { FAULT_KINDS, type FaultKind } from './Protocol.js';
-import { RefusalProtocol, type RefusalBounds, type RefusalMistake } from './RefusalProtocol.js';
+} from './election-protocol.js';
+import { FAULT_KINDS, type FaultKind } from './protocol.js';
+import { RefusalProtocol, type RefusalBounds, type RefusalMistake } from './refusal-protocol.js';
 import {
   ReplicationProtocol,
   type ReplicationBeginning,
   type ReplicationMistake,
-} from './ReplicationProtocol.js';
-import { VoterChangeProtocol } from './VoterChangeProtocol.js';
+} from './replication-protocol.js';
+import { VoterChangeProtocol } from './voter-change-protocol.js';
 
 export const SEEDS = ['a', 'b', 'c'];
 /** A change of voters that is under way for good. */
--- a/src/simulation/exhaustive/Searches.ts
+++ b/src/simulation/exhaustive/searches.ts
@@ -1,9 +1,9 @@
-import { Cluster } from './Cluster.js';
-import { UNUSED_CLASSES } from './ControlNode.js';
-import { Departures } from './Departures.js';
-import { Explorer, type Bounds, type Verdict } from './Explorer.js';
-import { Interleavings } from './Interleavings.js';
-import type { Protocol } from './Protocol.js';
+import { Cluster } from './cluster.js';
+import { UNUSED_CLASSES } from './control-node.js';
+import { Departures } from './departures.js';
+import { Explorer, type Bounds, type Verdict } from './explorer.js';
+import { Interleavings } from './interleavings.js';
+import type { Protocol } from './protocol.js';
 import {
   election,
   JOINT,
@@ -17,8 +17,8 @@
   troubledChange,
   troubledVoters,
   voterChange,
-} from './SearchedProtocols.js';
-import { StateDigest } from './StateDigest.js';
+} from './searched-protocols.js';
+import { StateDigest } from './state-digest.js';
 
 export const MODEL_NAMES = [
   'election',
--- a/src/simulation/exhaustive/StateDigest.test.ts
+++ b/src/simulation/exhaustive/state-digest.test.ts
@@ -1,5 +1,5 @@
 import { expect, test } from 'vitest';
-import { StateDigest } from './StateDigest.js';
+import { StateDigest } from './state-digest.js';
 
 class Inner {
   readonly #items = new Map<string, number>();
--- a/src/simulation/exhaustive/StateDigest.ts
+++ b/src/simulation/exhaustive/state-digest.ts
@@ -1,7 +1,7 @@
 import { createHash } from 'node:crypto';
 import { Session, type Runtime } from 'node:inspector';
-import { BoundCalls } from './BoundCalls.js';
-import { PrivateFields, type PrivateKey } from './PrivateFields.js';
+import { BoundCalls } from './bound-calls.js';
+import { PrivateFields, type PrivateKey } from './private-fields.js';
 
 const HOLDER = 'haretrackStateDigest';
 const GROUP = 'state-digest';
--- a/src/simulation/exhaustive/testing/SearchChecks.ts
+++ b/src/simulation/exhaustive/testing/search-checks.ts
@@ -1,5 +1,5 @@
-import type { Protocol } from '../Protocol.js';
-import { explore, SEARCHES, type Extent, type ModelName, type Search } from '../Searches.js';
+import type { Protocol } from '../protocol.js';
+import { explore, SEARCHES, type Extent, type ModelName, type Search } from '../searches.js';
 
 /** No search here comes near it: a verdict never depends on the memory or speed of the machine. */
 const MOST_STATES = 1_000_000;
--- a/src/simulation/exhaustive/VoterChangeProtocol.ts
+++ b/src/simulation/exhaustive/voter-change-protocol.ts
@@ -1,7 +1,7 @@
-import { CONFIG_PART } from '../../state/PartNames.js';
-import { nodeId } from '../../common/Ids.js';
-import type { Message } from '../../common/Messages.js';
-import { Quorum } from '../../common/Quorum.js';
+import { CONFIG_PART } from '../../state/part-names.js';
+import { nodeId } from '../../common/ids.js';
+import type { Message } from '../../common/messages.js';
+import { Quorum } from '../../common/quorum.js';
 import {
   CONTROL_STEP_MS,
   ControlNode,
@@ -10,10 +10,10 @@
   type ControlEvent,
   type ControlFacts,
   type ControlMistake,
-} from './ControlNode.js';
-import { isOfSlot } from './Disk.js';
-import { withLeader, type Leaders } from './Leaders.js';
-import type { Boot, DiskWrite } from './LocalStates.js';
+} from './control-node.js';
+import { isOfSlot } from './disk.js';
+import { withLeader, type Leaders } from './leaders.js';
+import type { Boot, DiskWrite } from './local-states.js';
 import type {
   CalmRun,
   FaultBounds,
@@ -23,7 +23,7 @@
   NodeCommand,
   Protocol,
   View,
-} from './Protocol.js';
+} from './protocol.js';
 
 const SEEDS = ['a', 'b', 'c'];
 const SPARE = 'd';
--- a/src/simulation/FakeRunner.ts
+++ b/src/simulation/fake-runner.ts
@@ -1,8 +1,8 @@
 import { number, string, type, type Infer } from 'superstruct';
-import { parseAs } from '../common/Json.js';
-import { textOf, type Endpoint, type Payload } from './Endpoint.js';
-import type { Host } from './SimNetwork.js';
-import type { SimProcess } from './SimProcess.js';
+import { parseAs } from '../common/json.js';
+import { textOf, type Endpoint, type Payload } from './endpoint.js';
+import type { Host } from './sim-network.js';
+import type { SimProcess } from './sim-process.js';
 
 const OrderShape = type({ holder: string(), fence: number() });
 export type RunnerOrder = Infer<typeof OrderShape>;
--- a/src/simulation/FaultDriver.ts
+++ b/src/simulation/fault-driver.ts
@@ -1,10 +1,10 @@
-import type { ControlNode } from './ControlNode.js';
-import { toleratedOf } from './Options.js';
-import type { SimulationOptions } from './Options.js';
-import type { Fault, FaultKind, Schedule, Target, When } from './Faults.js';
-import type { FaultTargets } from './FaultTargets.js';
-import { LinkFaults } from './LinkFaults.js';
-import { MachineFaults, type FaultSurroundings, type Undo } from './MachineFaults.js';
+import type { ControlNode } from './control-node.js';
+import { toleratedOf } from './options.js';
+import type { SimulationOptions } from './options.js';
+import type { Fault, FaultKind, Schedule, Target, When } from './faults.js';
+import type { FaultTargets } from './fault-targets.js';
+import { LinkFaults } from './link-faults.js';
+import { MachineFaults, type FaultSurroundings, type Undo } from './machine-faults.js';
 
 /** How often faults of each kind struck; nothing for those that never did. */
 export type FaultCounts = Partial<Record<FaultKind, number>>;
--- a/src/simulation/FaultTargets.ts
+++ b/src/simulation/fault-targets.ts
@@ -1,7 +1,7 @@
-import type { ControlNode } from './ControlNode.js';
-import type { Target } from './Faults.js';
-import type { Fleet } from './Fleet.js';
-import type { RunEvents } from './RunEvents.js';
+import type { ControlNode } from './control-node.js';
+import type { Target } from './faults.js';
+import type { Fleet } from './fleet.js';
+import type { RunEvents } from './run-events.js';
 
 /** Finds the control node that a fault is aimed at, as the fleet stands when it strikes. */
 export class FaultTargets {
--- a/src/simulation/Fleet.ts
+++ b/src/simulation/fleet.ts
@@ -1,14 +1,14 @@
-import type { Scheduler } from '../rehearsal/Scheduler.js';
-import type { ListedRunner } from '../placement/Fleet.js';
-import { AgentNode } from './AgentNode.js';
-import { ControlNode, type ControlObserver } from './ControlNode.js';
-import { SEED_DELAY_MS } from './ContractBounds.js';
-import { FakeRunner, type OrderListener } from './FakeRunner.js';
-import type { SimulationOptions } from './Options.js';
-import type { RandomStreams } from './RandomStreams.js';
-import type { CoreBuild } from './CoreBuild.js';
-import { SimNetwork } from './SimNetwork.js';
-import { SimProcess } from './SimProcess.js';
+import type { Scheduler } from '../rehearsal/scheduler.js';
+import type { ListedRunner } from '../placement/fleet.js';
+import { AgentNode } from './agent-node.js';
+import { ControlNode, type ControlObserver } from './control-node.js';
+import { SEED_DELAY_MS } from './contract-bounds.js';
+import { FakeRunner, type OrderListener } from './fake-runner.js';
+import type { SimulationOptions } from './options.js';
+import type { RandomStreams } from './random-streams.js';
+import type { CoreBuild } from './core-build.js';
+import { SimNetwork } from './sim-network.js';
+import { SimProcess } from './sim-process.js';
 
 const ZONES = ['zone-a', 'zone-b', 'zone-c'] as const;
 const RUNNERS = 2;
--- a/src/simulation/HistoryRecorder.ts
+++ b/src/simulation/history-recorder.ts
@@ -5,7 +5,7 @@
   Order,
   OrderRecord,
   ReadRecord,
-} from './history/History.js';
+} from './history/history.js';
 
 /**
  * A node that stood still for a second or more knows that its input may be late, and takes no evacuation from it. Its clock
--- a/src/simulation/history/Diagnosis.ts
+++ b/src/simulation/history/diagnosis.ts
@@ -1,14 +1,14 @@
-import type { ReadRecord } from './History.js';
-import type { KnownChange, Refusal, ZoneRead, ZoneView } from './Orders.js';
+import type { ReadRecord } from './history.js';
+import type { KnownChange, Refusal, ZoneRead, ZoneView } from './orders.js';
 import {
   candidateOf,
   readVersion,
   searchRegister,
   type Candidate,
   type RegisterRun,
-} from './RegisterSearch.js';
-import { REGISTER_PART, type Part, type Violation } from './Violation.js';
-import { isZoneLegal, zoneCandidateOf, type ZoneCandidate, type ZoneRun } from './ZoneSearch.js';
+} from './register-search.js';
+import { REGISTER_PART, type Part, type Violation } from './violation.js';
+import { isZoneLegal, zoneCandidateOf, type ZoneCandidate, type ZoneRun } from './zone-search.js';
 
 /**
  * Names the rule that an illegal run breaks where no few records show it by themselves: one requirement at a time is
--- a/src/simulation/history/HistoryCheck.property.test.ts
+++ b/src/simulation/history/history-check.property.test.ts
@@ -1,7 +1,7 @@
 import fc from 'fast-check';
 import { expect, test } from 'vitest';
-import type { Attempt, History, OrderRecord, PutOrder, ReadRecord } from './History.js';
-import { checkHistory } from './HistoryCheck.js';
+import type { Attempt, History, OrderRecord, PutOrder, ReadRecord } from './history.js';
+import { checkHistory } from './history-check.js';
 import {
   amendModel,
   playModel,
@@ -9,10 +9,10 @@
   withRead,
   type AttemptPlan,
   type StepPlan,
-} from './ModelRuns.js';
-import { settingsOf, viewOf, type KnownZoneOrder } from './Orders.js';
-import { isRegisterLegalByTrying, isZoneLegalByTrying } from './ReferenceSearch.js';
-import type { HistoryRule, Violation } from './Violation.js';
+} from './model-runs.js';
+import { settingsOf, viewOf, type KnownZoneOrder } from './orders.js';
+import { isRegisterLegalByTrying, isZoneLegalByTrying } from './reference-search.js';
+import type { HistoryRule, Violation } from './violation.js';
 
 /** Runs of the sequential model are always accepted; each kind of damage to one is found under its name. */
 
--- a/src/simulation/history/HistoryCheck.test.ts
+++ b/src/simulation/history/history-check.test.ts
@@ -6,10 +6,10 @@
   Order,
   OrderRecord,
   ReadRecord,
-} from './History.js';
-import { checkHistory } from './HistoryCheck.js';
-import { amendModel } from './ModelRuns.js';
-import { violationText } from './Violation.js';
+} from './history.js';
+import { checkHistory } from './history-check.js';
+import { amendModel } from './model-runs.js';
+import { violationText } from './violation.js';
 
 /** Histories made by hand: a bad one for each rule, and beside it one that differs little and is legal. */
 
--- a/src/simulation/history/HistoryCheck.ts
+++ b/src/simulation/history/history-check.ts
@@ -1,16 +1,16 @@
-import type { History } from './History.js';
-import { diagnoseRegister, diagnoseZone, registerRun } from './Diagnosis.js';
+import type { History } from './history.js';
+import { diagnoseRegister, diagnoseZone, registerRun } from './diagnosis.js';
 import {
   settingsOf,
   viewOf,
   type HistoryOptions,
   type KnownZoneOrder,
   type ZoneView,
-} from './Orders.js';
-import { judgeRegister } from './RegisterRules.js';
-import { searchRegister } from './RegisterSearch.js';
-import type { Violation } from './Violation.js';
-import { isZoneLegal, zoneCandidateOf } from './ZoneSearch.js';
+} from './orders.js';
+import { judgeRegister } from './register-rules.js';
+import { searchRegister } from './register-search.js';
+import type { Violation } from './violation.js';
+import { isZoneLegal, zoneCandidateOf } from './zone-search.js';
 
 /**
  * Judges what operators saw of a run against the sequential model: one register of configurations that changes by
--- a/src/simulation/history/HistoryReference.property.test.ts
+++ b/src/simulation/history/history-reference.property.test.ts
@@ -1,13 +1,13 @@
 import fc from 'fast-check';
 import { expect, test } from 'vitest';
-import type { Attempt, History, Order, OrderRecord, ReadRecord } from './History.js';
-import { registerRun } from './Diagnosis.js';
-import { checkHistory } from './HistoryCheck.js';
-import { settingsOf, viewOf } from './Orders.js';
-import { isRegisterLegalByTrying, isZoneLegalByTrying } from './ReferenceSearch.js';
-import { judgeRegister } from './RegisterRules.js';
-import { searchRegister } from './RegisterSearch.js';
-import { isZoneLegal, zoneCandidateOf } from './ZoneSearch.js';
+import type { Attempt, History, Order, OrderRecord, ReadRecord } from './history.js';
+import { registerRun } from './diagnosis.js';
+import { checkHistory } from './history-check.js';
+import { settingsOf, viewOf } from './orders.js';
+import { isRegisterLegalByTrying, isZoneLegalByTrying } from './reference-search.js';
+import { judgeRegister } from './register-rules.js';
+import { searchRegister } from './register-search.js';
+import { isZoneLegal, zoneCandidateOf } from './zone-search.js';
 
 /** The searches against a plain one that tries every ordering, on small random histories, legal or not. */
 
--- a/src/simulation/history/ModelRuns.ts
+++ b/src/simulation/history/model-runs.ts
@@ -7,7 +7,7 @@
   PatchOrder,
   PutOrder,
   ReadRecord,
-} from './History.js';
+} from './history.js';
 
 /**
  * Legal histories for the tests of the checker: concurrent operators send orders, with delayed copies and lost
--- a/src/simulation/history/Orders.ts
+++ b/src/simulation/history/orders.ts
@@ -1,4 +1,4 @@
-import type { Attempt, History, OrderRecord, PatchOrder, PutOrder, ReadRecord } from './History.js';
+import type { Attempt, History, OrderRecord, PatchOrder, PutOrder, ReadRecord } from './history.js';
 
 /**
  * The records of a history as the checker judges them: copies of one order brought together, and for each order the
--- a/src/simulation/history/PossibleTexts.ts
+++ b/src/simulation/history/possible-texts.ts
@@ -1,4 +1,4 @@
-import type { Amend, KnownChange } from './Orders.js';
+import type { Amend, KnownChange } from './orders.js';
 
 /**
  * Which texts the document of a version may have, whoever made it: also orders that must not be in force count, so
--- a/src/simulation/history/ReferenceSearch.ts
+++ b/src/simulation/history/reference-search.ts
@@ -1,5 +1,5 @@
-import type { ReadRecord } from './History.js';
-import { mayTakeEffect, type Amend, type KnownChange, type ZoneView } from './Orders.js';
+import type { ReadRecord } from './history.js';
+import { mayTakeEffect, type Amend, type KnownChange, type ZoneView } from './orders.js';
 
 /**
  * A plain search that tries every ordering of the steps of a run: the reference that tests hold the fast searches
--- a/src/simulation/history/RegisterRules.ts
+++ b/src/simulation/history/register-rules.ts
@@ -1,8 +1,8 @@
-import type { ReadRecord } from './History.js';
-import { mayTakeEffect, type Amend, type KnownChange, type Refusal } from './Orders.js';
-import { PossibleTexts } from './PossibleTexts.js';
-import { readVersion } from './RegisterSearch.js';
-import { REGISTER_PART, type Violation } from './Violation.js';
+import type { ReadRecord } from './history.js';
+import { mayTakeEffect, type Amend, type KnownChange, type Refusal } from './orders.js';
+import { PossibleTexts } from './possible-texts.js';
+import { readVersion } from './register-search.js';
+import { REGISTER_PART, type Violation } from './violation.js';
 
 /**
  * Rules of the register that a few records break by themselves. Each of these findings proves that the run is not
--- a/src/simulation/history/RegisterSearch.ts
+++ b/src/simulation/history/register-search.ts
@@ -1,6 +1,6 @@
-import type { ReadRecord } from './History.js';
-import { clip, unionOf, type Interval, type Intervals } from './Intervals.js';
-import { mayTakeEffect, type Amend, type KnownChange, type Refusal } from './Orders.js';
+import type { ReadRecord } from './history.js';
+import { clip, unionOf, type Interval, type Intervals } from './intervals.js';
+import { mayTakeEffect, type Amend, type KnownChange, type Refusal } from './orders.js';
 
 /**
  * Decides whether a run of the register of configurations is linearizable, exactly.
--- a/src/simulation/history/ZoneSearch.ts
+++ b/src/simulation/history/zone-search.ts
@@ -1,4 +1,4 @@
-import type { KnownZoneOrder, OrderCopy, ZoneRead } from './Orders.js';
+import type { KnownZoneOrder, OrderCopy, ZoneRead } from './orders.js';
 
 /**
  * Decides whether a run of one zone is linearizable, exactly: a flag that evacuations set and their ends clear.
--- a/src/simulation/HolderRules.test.ts
+++ b/src/simulation/holder-rules.test.ts
@@ -1,6 +1,6 @@
 import { expect, test } from 'vitest';
-import type { ArrivedOrder } from './FakeRunner.js';
-import { HolderRules } from './HolderRules.js';
+import type { ArrivedOrder } from './fake-runner.js';
+import { HolderRules } from './holder-rules.js';
 
 interface Times {
   readonly thawedAt?: number;
--- a/src/simulation/HolderRules.ts
+++ b/src/simulation/holder-rules.ts
@@ -1,6 +1,6 @@
-import { LEASE_MS, THAW_MS } from './ContractBounds.js';
-import type { ArrivedOrder } from './FakeRunner.js';
-import type { Report } from './Violation.js';
+import { LEASE_MS, THAW_MS } from './contract-bounds.js';
+import type { ArrivedOrder } from './fake-runner.js';
+import type { Report } from './violation.js';
 
 export interface HolderRulesSettings {
   readonly report: Report;
--- a/src/simulation/JudgedHistory.ts
+++ b/src/simulation/judged-history.ts
@@ -1,7 +1,7 @@
-import type { History } from './history/History.js';
-import { checkHistory } from './history/HistoryCheck.js';
-import { violationText } from './history/Violation.js';
-import { amendDocument } from '../control/testing/PlainDialect.js';
+import type { History } from './history/history.js';
+import { checkHistory } from './history/history-check.js';
+import { violationText } from './history/violation.js';
+import { amendDocument } from '../control/testing/plain-dialect.js';
 
 export interface HistoryFinding {
   readonly rule: string;
--- a/src/simulation/LeasedOrder.ts
+++ b/src/simulation/leased-order.ts
@@ -1,9 +1,9 @@
-import type { OrderResult } from '../control/ControlEffect.js';
-import { mayWrite, orderLimitMs, type Lease } from '../control/Lease.js';
-import { ANSWER_MS, CONNECT_MS } from '../control/LeasedSend.js';
-import { textOf, type Endpoint, type Payload } from './Endpoint.js';
-import { ORDER_FENCED, ORDER_TAKEN, type RunnerOrder } from './FakeRunner.js';
-import type { Host, SimNetwork } from './SimNetwork.js';
+import type { OrderResult } from '../control/control-effect.js';
+import { mayWrite, orderLimitMs, type Lease } from '../control/lease.js';
+import { ANSWER_MS, CONNECT_MS } from '../control/leased-send.js';
+import { textOf, type Endpoint, type Payload } from './endpoint.js';
+import { ORDER_FENCED, ORDER_TAKEN, type RunnerOrder } from './fake-runner.js';
+import type { Host, SimNetwork } from './sim-network.js';
 
 export interface LeasedOrderSettings {
   readonly network: SimNetwork;
--- a/src/simulation/LinkFaults.ts
+++ b/src/simulation/link-faults.ts
@@ -1,7 +1,7 @@
-import type { ControlNode } from './ControlNode.js';
-import type { Fault } from './Faults.js';
-import type { CutStyle } from './SimNetwork.js';
-import type { FaultSurroundings, Undo } from './MachineFaults.js';
+import type { ControlNode } from './control-node.js';
+import type { Fault } from './faults.js';
+import type { CutStyle } from './sim-network.js';
+import type { FaultSurroundings, Undo } from './machine-faults.js';
 
 type Cut = Extract<Fault, { kind: 'cut' }>;
 type Direction = Cut['direction'];
--- a/src/simulation/LossBudget.test.ts
+++ b/src/simulation/loss-budget.test.ts
@@ -1,7 +1,7 @@
 import { expect, test } from 'vitest';
-import { CATCH_UP_MS } from './ContractBounds.js';
-import { LossBudget } from './LossBudget.js';
-import type { LossLimit } from './Options.js';
+import { CATCH_UP_MS } from './contract-bounds.js';
+import { LossBudget } from './loss-budget.js';
+import type { LossLimit } from './options.js';
 
 /** Two disks within the time to catch up are one too many of three machines, also where one was no voter. */
 function checkBeyond(): void {
--- a/src/simulation/LossBudget.ts
+++ b/src/simulation/loss-budget.ts
@@ -1,5 +1,5 @@
-import { CATCH_UP_MS } from './ContractBounds.js';
-import { toleratedOf, type LossLimit } from './Options.js';
+import { CATCH_UP_MS } from './contract-bounds.js';
+import { toleratedOf, type LossLimit } from './options.js';
 
 /** One that left for good with no successor counts for so long; then the fleet is that much smaller. */
 const LEFT_MS = 10_000;
--- a/src/simulation/MachineFaults.ts
+++ b/src/simulation/machine-faults.ts
@@ -1,11 +1,11 @@
-import type { ControlNode } from './ControlNode.js';
-import { CATCH_UP_MS } from './ContractBounds.js';
-import type { Fault } from './Faults.js';
-import type { Fleet } from './Fleet.js';
-import type { LossBudget } from './LossBudget.js';
-import type { RunEvents } from './RunEvents.js';
-import type { Settled } from './Settled.js';
-import type { UnsyncedFate } from './SimDisk.js';
+import type { ControlNode } from './control-node.js';
+import { CATCH_UP_MS } from './contract-bounds.js';
+import type { Fault } from './faults.js';
+import type { Fleet } from './fleet.js';
+import type { LossBudget } from './loss-budget.js';
+import type { RunEvents } from './run-events.js';
+import type { Settled } from './settled.js';
+import type { UnsyncedFate } from './sim-disk.js';
 
 /** Takes a fault back; called once, at its end or when all trouble ends. */
 export type Undo = () => void;
--- a/src/simulation/MessageCopy.test.ts
+++ b/src/simulation/message-copy.test.ts
@@ -1,6 +1,6 @@
 import { expect, test } from 'vitest';
-import type { Message } from '../common/Messages.js';
-import { copyMessage } from './MessageCopy.js';
+import type { Message } from '../common/messages.js';
+import { copyMessage } from './message-copy.js';
 
 function pingOf(score: number): Message {
   const links = [{ peer: 'b:1', score, alive: true }];
--- a/src/simulation/MessageCopy.ts
+++ b/src/simulation/message-copy.ts
@@ -1,4 +1,4 @@
-import { SHAPES, type Message } from '../common/Messages.js';
+import { SHAPES, type Message } from '../common/messages.js';
 
 /** JSON has no infinities; everything else that nodes say to each other survives it. */
 function isMessage(value: unknown): value is Message {
--- a/src/simulation/mutants/AgentMutants.ts
+++ b/src/simulation/mutants/agent-mutants.ts
@@ -1,7 +1,7 @@
-import { AgentCore } from '../../agent/AgentCore.js';
-import type { Moment } from '../../common/Ids.js';
-import type { Message } from '../../common/Messages.js';
-import { isNewer } from '../../common/Version.js';
+import { AgentCore } from '../../agent/agent-core.js';
+import type { Moment } from '../../common/ids.js';
+import type { Message } from '../../common/messages.js';
+import { isNewer } from '../../common/version.js';
 
 /** Agents that hold configuration wrongly. */
 
--- a/src/simulation/mutants/AimedSchedules.ts
+++ b/src/simulation/mutants/aimed-schedules.ts
@@ -1,5 +1,5 @@
-import type { Seeded } from '../../rehearsal/Seeded.js';
-import type { Fault, Target, When } from '../Faults.js';
+import type { Seeded } from '../../rehearsal/seeded.js';
+import type { Fault, Target, When } from '../faults.js';
 
 /**
  * Schedules of faults for mutants that show in a narrow window alone: the faults that open the window, with moments
--- a/src/simulation/mutants/ElectionMutants.ts
+++ b/src/simulation/mutants/election-mutants.ts
@@ -1,13 +1,13 @@
 import { number, string, type } from 'superstruct';
-import { moment, type Moment, type PartName } from '../../common/Ids.js';
-import { parseAs } from '../../common/Json.js';
-import type { Message } from '../../common/Messages.js';
-import type { Version } from '../../common/Version.js';
-import type { ControlEffect } from '../../control/ControlEffect.js';
-import { VOTE_PART } from '../../state/PartNames.js';
-import type { StoredPart } from '../../state/Store.js';
-import type { ControlInputs } from '../CoreBuild.js';
-import { InterceptedControl, type Heard } from './InterceptedControl.js';
+import { moment, type Moment, type PartName } from '../../common/ids.js';
+import { parseAs } from '../../common/json.js';
+import type { Message } from '../../common/messages.js';
+import type { Version } from '../../common/version.js';
+import type { ControlEffect } from '../../control/control-effect.js';
+import { VOTE_PART } from '../../state/part-names.js';
+import type { StoredPart } from '../../state/store.js';
+import type { ControlInputs } from '../core-build.js';
+import { InterceptedControl, type Heard } from './intercepted-control.js';
 
 const VoteBodyShape = type({ epoch: number(), grantEpoch: number(), grantLeader: string() });
 
--- a/src/simulation/mutants/ExchangedParts.ts
+++ b/src/simulation/mutants/exchanged-parts.ts
@@ -1,7 +1,7 @@
-import type { NodeId } from '../../common/Ids.js';
-import { Quorum } from '../../common/Quorum.js';
-import { OrderForwarding } from '../../control/OrderForwarding.js';
-import { VoterPlan, type VoterChange } from '../../control/VoterPlan.js';
+import type { NodeId } from '../../common/ids.js';
+import { Quorum } from '../../common/quorum.js';
+import { OrderForwarding } from '../../control/order-forwarding.js';
+import { VoterPlan, type VoterChange } from '../../control/voter-plan.js';
 
 /**
  * Wrong parts that a core makes for itself, so that they can't be handed to it: for the time of a run the method of the
--- a/src/simulation/mutants/InterceptedControl.ts
+++ b/src/simulation/mutants/intercepted-control.ts
@@ -1,10 +1,10 @@
-import type { Moment, PartName } from '../../common/Ids.js';
-import type { Message } from '../../common/Messages.js';
-import type { Version } from '../../common/Version.js';
-import { ControlCore } from '../../control/ControlCore.js';
-import type { ControlEffect } from '../../control/ControlEffect.js';
-import type { CommandAnswer } from '../../control/OrderAnswers.js';
-import type { ControlInputs } from '../CoreBuild.js';
+import type { Moment, PartName } from '../../common/ids.js';
+import type { Message } from '../../common/messages.js';
+import type { Version } from '../../common/version.js';
+import { ControlCore } from '../../control/control-core.js';
+import type { ControlEffect } from '../../control/control-effect.js';
+import type { CommandAnswer } from '../../control/order-answers.js';
+import type { ControlInputs } from '../core-build.js';
 
 /** A message as the core is to hear it. */
 export interface Heard {
--- a/src/simulation/mutants/MutantCommand.ts
+++ b/src/simulation/mutants/mutant-command.ts
@@ -1,6 +1,6 @@
 import { Command, Flags } from '@oclif/core';
-import { hunt, type HuntResult } from './MutantHunt.js';
-import { MUTANT_NAMES, MUTANTS, type MutantName } from './Mutants.js';
+import { hunt, type HuntResult } from './mutant-hunt.js';
+import { MUTANT_NAMES, MUTANTS, type MutantName } from './mutants.js';
 
 const DEFAULT_SEEDS = 20;
 
--- a/src/simulation/mutants/MutantHunt.ts
+++ b/src/simulation/mutants/mutant-hunt.ts
@@ -1,10 +1,10 @@
-import { Seeded } from '../../rehearsal/Seeded.js';
-import { simulate, type Outcome } from '../ControlSimulation.js';
-import type { Fault, FaultKind } from '../Faults.js';
-import { OPTION_DEFAULTS, type SimulationOptions } from '../Options.js';
-import { drawSchedule } from '../ScheduleDraw.js';
-import { SOUND_BUILD } from '../CoreBuild.js';
-import { MUTANTS, type Mutant, type MutantName } from './Mutants.js';
+import { Seeded } from '../../rehearsal/seeded.js';
+import { simulate, type Outcome } from '../control-simulation.js';
+import type { Fault, FaultKind } from '../faults.js';
+import { OPTION_DEFAULTS, type SimulationOptions } from '../options.js';
+import { drawSchedule } from '../schedule-draw.js';
+import { SOUND_BUILD } from '../core-build.js';
+import { MUTANTS, type Mutant, type MutantName } from './mutants.js';
 
 /** Runs of a mutant, seed after seed, until one of its rules is seen broken. */
 
--- a/src/simulation/mutants/Mutants.test.ts
+++ b/src/simulation/mutants/mutants.test.ts
@@ -1,9 +1,9 @@
 import { expect, test } from 'vitest';
-import { Quorum } from '../../common/Quorum.js';
-import { nodeId } from '../../common/Ids.js';
-import { huntOptions, huntSchedule, runMutant, runSound } from './MutantHunt.js';
-import { MUTANTS, type Mutant, type MutantName } from './Mutants.js';
-import { halfIsMajority } from './ExchangedParts.js';
+import { Quorum } from '../../common/quorum.js';
+import { nodeId } from '../../common/ids.js';
+import { huntOptions, huntSchedule, runMutant, runSound } from './mutant-hunt.js';
+import { MUTANTS, type Mutant, type MutantName } from './mutants.js';
+import { halfIsMajority } from './exchanged-parts.js';
 
 /** Mutants that few seeds catch; all of them are run by hand with `haretrack simulation mutants`. */
 const QUICK = [
--- a/src/simulation/mutants/Mutants.ts
+++ b/src/simulation/mutants/mutants.ts
@@ -1,10 +1,10 @@
-import type { AgentSettings } from '../../agent/AgentCore.js';
-import type { Moment } from '../../common/Ids.js';
-import type { ControlCore } from '../../control/ControlCore.js';
-import type { Seeded } from '../../rehearsal/Seeded.js';
-import type { Fault, FaultKind } from '../Faults.js';
-import type { HistoryRule } from '../history/Violation.js';
-import type { StateRule } from '../Violation.js';
+import type { AgentSettings } from '../../agent/agent-core.js';
+import type { Moment } from '../../common/ids.js';
+import type { ControlCore } from '../../control/control-core.js';
+import type { Seeded } from '../../rehearsal/seeded.js';
+import type { Fault, FaultKind } from '../faults.js';
+import type { HistoryRule } from '../history/violation.js';
+import type { StateRule } from '../violation.js';
 import {
   cutLeaders,
   frozenLeaders,
@@ -17,9 +17,9 @@
   stalledVotes,
   swapBesideCut,
   tornElections,
-} from './AimedSchedules.js';
-import { TakesOlder } from './AgentMutants.js';
-import { SOUND_BUILD, type ControlInputs, type CoreBuild } from '../CoreBuild.js';
+} from './aimed-schedules.js';
+import { TakesOlder } from './agent-mutants.js';
+import { SOUND_BUILD, type ControlInputs, type CoreBuild } from '../core-build.js';
 import {
   ForgetsGrants,
   GrantsTwice,
@@ -28,7 +28,7 @@
   LeavesNoGap,
   RenewsItself,
   WinsByOne,
-} from './ElectionMutants.js';
+} from './election-mutants.js';
 import {
   AcknowledgesForwarded,
   FollowerReads,
@@ -38,7 +38,7 @@
   RefusesByUncommitted,
   RefusesUnclear,
   RefusesUnproved,
-} from './OrderMutants.js';
+} from './order-mutants.js';
 import {
   CountsOldDisk,
   CountsUnacknowledged,
@@ -51,7 +51,7 @@
   StoresConfigUnsynced,
   StoresVotesUnsynced,
   TakesDeposedWrites,
-} from './StateMutants.js';
+} from './state-mutants.js';
 import {
   ageUnjudged,
   halfIsMajority,
@@ -60,7 +60,7 @@
   repairSkipsOne,
   withoutJointSet,
   type Restore,
-} from './ExchangedParts.js';
+} from './exchanged-parts.js';
 
 /** Builds of the control side with one thing wrong each: a check that none of them fails proves nothing. */
 
--- a/src/simulation/mutants/OrderMutants.ts
+++ b/src/simulation/mutants/order-mutants.ts
@@ -1,12 +1,12 @@
-import { CodedError } from '../../common/CodedError.js';
-import { parseAs } from '../../common/Json.js';
-import { NO_VERSION } from '../../common/Version.js';
-import { ConfigNewsShape, EditShapes, type ConfigDoc } from '../../control/ConfigDoc.js';
-import { decodeConfigDoc } from '../../control/ConfigCodec.js';
-import type { ControlEffect } from '../../control/ControlEffect.js';
-import { acceptedAnswer, errorAnswer, type CommandAnswer } from '../../control/OrderAnswers.js';
-import { CONFIG_PART } from '../../state/PartNames.js';
-import { InterceptedControl, type Command } from './InterceptedControl.js';
+import { CodedError } from '../../common/coded-error.js';
+import { parseAs } from '../../common/json.js';
+import { NO_VERSION } from '../../common/version.js';
+import { ConfigNewsShape, EditShapes, type ConfigDoc } from '../../control/config-doc.js';
+import { decodeConfigDoc } from '../../control/config-codec.js';
+import type { ControlEffect } from '../../control/control-effect.js';
+import { acceptedAnswer, errorAnswer, type CommandAnswer } from '../../control/order-answers.js';
+import { CONFIG_PART } from '../../state/part-names.js';
+import { InterceptedControl, type Command } from './intercepted-control.js';
 
 /** Control nodes that answer operators' orders wrongly. */
 
--- a/src/simulation/mutants/StateMutants.ts
+++ b/src/simulation/mutants/state-mutants.ts
@@ -1,13 +1,13 @@
-import { partName, type PartName } from '../../common/Ids.js';
-import type { Message } from '../../common/Messages.js';
-import { isNewer } from '../../common/Version.js';
-import { decodeConfigDoc, encodeConfigDoc } from '../../control/ConfigCodec.js';
-import type { ConfigDoc } from '../../control/ConfigDoc.js';
-import type { ControlEffect } from '../../control/ControlEffect.js';
-import { allParts, CONFIG_PART, VOTE_PART } from '../../state/PartNames.js';
-import type { StoredPart } from '../../state/Store.js';
-import type { ControlInputs } from '../CoreBuild.js';
-import { InterceptedControl, type Heard } from './InterceptedControl.js';
+import { partName, type PartName } from '../../common/ids.js';
+import type { Message } from '../../common/messages.js';
+import { isNewer } from '../../common/version.js';
+import { decodeConfigDoc, encodeConfigDoc } from '../../control/config-codec.js';
+import type { ConfigDoc } from '../../control/config-doc.js';
+import type { ControlEffect } from '../../control/control-effect.js';
+import { allParts, CONFIG_PART, VOTE_PART } from '../../state/part-names.js';
+import type { StoredPart } from '../../state/store.js';
+import type { ControlInputs } from '../core-build.js';
+import { InterceptedControl, type Heard } from './intercepted-control.js';
 
 /** Control nodes that keep or repair the replicated state wrongly. */
 
--- a/src/simulation/NodeWatch.ts
+++ b/src/simulation/node-watch.ts
@@ -1,5 +1,5 @@
-import type { ControlNode } from './ControlNode.js';
-import type { RunEvents } from './RunEvents.js';
+import type { ControlNode } from './control-node.js';
+import type { RunEvents } from './run-events.js';
 
 export interface NodeWatchSettings {
   readonly events: RunEvents;
--- a/src/simulation/OperatorCall.ts
+++ b/src/simulation/operator-call.ts
@@ -10,7 +10,7 @@
   union,
   type Infer,
 } from 'superstruct';
-import { parseAs } from '../common/Json.js';
+import { parseAs } from '../common/json.js';
 
 /** An operator's call as it goes over the simulated network. */
 const EditCallShape = object({
--- a/src/simulation/OperatorClient.ts
+++ b/src/simulation/operator-client.ts
@@ -1,12 +1,12 @@
-import type { Scheduler } from '../rehearsal/Scheduler.js';
-import type { Seeded } from '../rehearsal/Seeded.js';
-import { CallAttempt } from './CallAttempt.js';
-import { ACK_MS } from './ContractBounds.js';
-import type { AttemptOutcome, Order } from './history/History.js';
-import type { HistoryRecorder, OpenOrder } from './HistoryRecorder.js';
-import { decodeRead, type OperatorAnswer, type OperatorCall } from './OperatorCall.js';
-import type { Host, SimNetwork } from './SimNetwork.js';
-import { SimProcess } from './SimProcess.js';
+import type { Scheduler } from '../rehearsal/scheduler.js';
+import type { Seeded } from '../rehearsal/seeded.js';
+import { CallAttempt } from './call-attempt.js';
+import { ACK_MS } from './contract-bounds.js';
+import type { AttemptOutcome, Order } from './history/history.js';
+import type { HistoryRecorder, OpenOrder } from './history-recorder.js';
+import { decodeRead, type OperatorAnswer, type OperatorCall } from './operator-call.js';
+import type { Host, SimNetwork } from './sim-network.js';
+import { SimProcess } from './sim-process.js';
 
 export interface OperatorSurroundings {
   readonly scheduler: Scheduler;
--- a/src/simulation/OperatorPlan.ts
+++ b/src/simulation/operator-plan.ts
@@ -1,8 +1,8 @@
-import type { Scheduler } from '../rehearsal/Scheduler.js';
-import type { Seeded } from '../rehearsal/Seeded.js';
-import type { Order } from './history/History.js';
-import type { OpenOrder } from './HistoryRecorder.js';
-import type { OperatorClient, OrderOutcome } from './OperatorClient.js';
+import type { Scheduler } from '../rehearsal/scheduler.js';
+import type { Seeded } from '../rehearsal/seeded.js';
+import type { Order } from './history/history.js';
+import type { OpenOrder } from './history-recorder.js';
+import type { OperatorClient, OrderOutcome } from './operator-client.js';
 
 /** Kinds of what an operator does next, with how often each is drawn. */
 const ACTIONS = [
--- a/src/simulation/OperatorPort.ts
+++ b/src/simulation/operator-port.ts
@@ -1,6 +1,6 @@
-import type { Moment } from '../common/Ids.js';
-import type { Seeded } from '../rehearsal/Seeded.js';
-import { textOf, type Endpoint, type Payload } from './Endpoint.js';
+import type { Moment } from '../common/ids.js';
+import type { Seeded } from '../rehearsal/seeded.js';
+import { textOf, type Endpoint, type Payload } from './endpoint.js';
 import {
   answerOf,
   commandOf,
@@ -9,7 +9,7 @@
   type CoreCommand,
   type OperatorAnswer,
   type OperatorCall,
-} from './OperatorCall.js';
+} from './operator-call.js';
 
 export interface OperatorPortSettings {
   readonly random: Seeded;
--- a/src/simulation/OrderStub.ts
+++ b/src/simulation/order-stub.ts
@@ -1,7 +1,7 @@
-import { later, moment, type Moment } from '../common/Ids.js';
-import type { Fleet, ListedRunner } from '../placement/Fleet.js';
-import type { Intent, ServiceDoc } from '../placement/Shapes.js';
-import type { FleetPlanner, OrderResult } from '../control/ControlEffect.js';
+import { later, moment, type Moment } from '../common/ids.js';
+import type { Fleet, ListedRunner } from '../placement/fleet.js';
+import type { Intent, ServiceDoc } from '../placement/shapes.js';
+import type { FleetPlanner, OrderResult } from '../control/control-effect.js';
 
 const NEVER = moment(-1e12);
 /** A runner is given its next order so long after the last. */
--- a/src/simulation/PastedTest.ts
+++ b/src/simulation/pasted-test.ts
@@ -1,5 +1,5 @@
-import type { Schedule } from './Faults.js';
-import type { SimulationOptions } from './Options.js';
+import type { Schedule } from './faults.js';
+import type { SimulationOptions } from './options.js';
 
 /** A test to paste beside the simulation: the run must break no rule. */
 export function pastedTest(options: SimulationOptions, schedule: Schedule, rule: string): string {
@@ -8,9 +8,9 @@
   const title = `seed ${options.seed} of ${options.nodes} nodes keeps ${rule}`;
   return [
     "import { expect, test } from 'vitest';",
-    "import { simulate } from './ControlSimulation.js';",
-    "import type { Schedule } from './Faults.js';",
-    "import type { SimulationOptions } from './Options.js';",
+    "import { simulate } from './control-simulation.js';",
+    "import type { Schedule } from './faults.js';",
+    "import type { SimulationOptions } from './options.js';",
     '',
     'function checkRun(): void {',
     `  const options: SimulationOptions = ${JSON.stringify(options)};`,
--- a/src/simulation/RandomStreams.ts
+++ b/src/simulation/random-streams.ts
@@ -1,4 +1,4 @@
-import { Seeded } from '../rehearsal/Seeded.js';
+import { Seeded } from '../rehearsal/seeded.js';
 
 const FNV_OFFSET = 2166136261;
 const FNV_PRIME = 16777619;
--- a/src/simulation/RunEvents.ts
+++ b/src/simulation/run-events.ts
@@ -1,4 +1,4 @@
-import type { TriggerEvent } from './Faults.js';
+import type { TriggerEvent } from './faults.js';
 
 export type EventHandler = (node: string) => void;
 
--- a/src/simulation/RunFigures.ts
+++ b/src/simulation/run-figures.ts
@@ -1,6 +1,6 @@
-import type { FaultCounts } from './FaultDriver.js';
-import type { Order } from './history/History.js';
-import type { OpenOrder } from './HistoryRecorder.js';
+import type { FaultCounts } from './fault-driver.js';
+import type { Order } from './history/history.js';
+import type { OpenOrder } from './history-recorder.js';
 
 /** What became of the orders of one kind, as their operator saw it. */
 export interface OutcomeCounts {
--- a/src/simulation/RunReport.test.ts
+++ b/src/simulation/run-report.test.ts
@@ -1,7 +1,7 @@
 import { expect, test } from 'vitest';
-import { reportOf, spreadOf } from './RunReport.js';
-import { optionsOf, RUN_SHAPES, SHAPE_NAMES, shapeOf, type RunShape } from './RunShape.js';
-import { runSeed } from './SeedRun.js';
+import { reportOf, spreadOf } from './run-report.js';
+import { optionsOf, RUN_SHAPES, SHAPE_NAMES, shapeOf, type RunShape } from './run-shape.js';
+import { runSeed } from './seed-run.js';
 
 const MIX_LENGTH = 100;
 
--- a/src/simulation/RunReport.ts
+++ b/src/simulation/run-report.ts
@@ -1,5 +1,5 @@
-import type { FaultCounts } from './FaultDriver.js';
-import type { FaultKind } from './Faults.js';
+import type { FaultCounts } from './fault-driver.js';
+import type { FaultKind } from './faults.js';
 import {
   noOrders,
   ORDER_KINDS,
@@ -8,10 +8,10 @@
   type OrderFigures,
   type OutcomeCounts,
   type RunFigures,
-} from './RunFigures.js';
-import type { RunShape } from './RunShape.js';
-import { WEIGHTS } from './ScheduleDraw.js';
-import type { SeedResult } from './SeedRun.js';
+} from './run-figures.js';
+import type { RunShape } from './run-shape.js';
+import { WEIGHTS } from './schedule-draw.js';
+import type { SeedResult } from './seed-run.js';
 
 /** Where the values of a figure lie, ms. */
 export interface Spread {
--- a/src/simulation/RunShape.ts
+++ b/src/simulation/run-shape.ts
@@ -1,5 +1,5 @@
-import type { SimulationOptions } from './Options.js';
-import { drawOptions } from './ScheduleDraw.js';
+import type { SimulationOptions } from './options.js';
+import { drawOptions } from './schedule-draw.js';
 
 /** What of a run is fixed; all else is drawn from its seed. */
 type FixedOptions = Partial<Omit<SimulationOptions, 'seed' | 'nodes'>> &
--- a/src/simulation/ScheduleDraw.ts
+++ b/src/simulation/schedule-draw.ts
@@ -1,5 +1,5 @@
-import type { Seeded } from '../rehearsal/Seeded.js';
-import { TROUBLE_FROM_MS } from './ControlSimulation.js';
+import type { Seeded } from '../rehearsal/seeded.js';
+import { TROUBLE_FROM_MS } from './control-simulation.js';
 import {
   EVENTS,
   ROLES,
@@ -8,9 +8,9 @@
   type Target,
   type TriggerEvent,
   type When,
-} from './Faults.js';
-import { OPTION_DEFAULTS, type SimulationOptions } from './Options.js';
-import { hashText, RandomStreams } from './RandomStreams.js';
+} from './faults.js';
+import { OPTION_DEFAULTS, type SimulationOptions } from './options.js';
+import { hashText, RandomStreams } from './random-streams.js';
 
 /** How often each kind is drawn. Putting an old disk back breaks every promise that a disk makes: never. */
 export const WEIGHTS = [
--- a/src/simulation/SeedRun.ts
+++ b/src/simulation/seed-run.ts
@@ -1,9 +1,9 @@
 import { array, boolean, enums, number, object, record, string, type Infer } from 'superstruct';
-import { simulate, type RunLog } from './ControlSimulation.js';
-import { ORDER_KINDS, type RunFigures } from './RunFigures.js';
-import { optionsOf, SHAPE_NAMES, type RunShape } from './RunShape.js';
-import { drawSchedule } from './ScheduleDraw.js';
-import type { RunViolation } from './Violation.js';
+import { simulate, type RunLog } from './control-simulation.js';
+import { ORDER_KINDS, type RunFigures } from './run-figures.js';
+import { optionsOf, SHAPE_NAMES, type RunShape } from './run-shape.js';
+import { drawSchedule } from './schedule-draw.js';
+import type { RunViolation } from './violation.js';
 
 const ViolationShape = object({ rule: string(), at: number(), text: string() });
 const OutcomesShape = object({
--- a/src/simulation/Settled.ts
+++ b/src/simulation/settled.ts
@@ -1,4 +1,4 @@
-import { IN_TOUCH_MS } from './ContractBounds.js';
+import { IN_TOUCH_MS } from './contract-bounds.js';
 
 /** Since when the core has been free of trouble, by the contract's meaning of `settled`. */
 export class Settled {
--- a/src/simulation/Shrinker.test.ts
+++ b/src/simulation/shrinker.test.ts
@@ -1,8 +1,8 @@
 import { expect, test } from 'vitest';
-import type { Fault, Schedule } from './Faults.js';
-import { pastedTest } from './PastedTest.js';
-import { drawOptions } from './ScheduleDraw.js';
-import { Shrinker } from './Shrinker.js';
+import type { Fault, Schedule } from './faults.js';
+import { pastedTest } from './pasted-test.js';
+import { drawOptions } from './schedule-draw.js';
+import { Shrinker } from './shrinker.js';
 
 function faultOf(place: number): Fault {
   const target = { kind: 'place', place } as const;
--- a/src/simulation/Shrinker.ts
+++ b/src/simulation/shrinker.ts
@@ -1,6 +1,6 @@
-import { simulate } from './ControlSimulation.js';
-import type { Fault, Schedule } from './Faults.js';
-import type { SimulationOptions } from './Options.js';
+import { simulate } from './control-simulation.js';
+import type { Fault, Schedule } from './faults.js';
+import type { SimulationOptions } from './options.js';
 
 /** Whether a schedule still brings about what is looked for. */
 export type StillFails = (schedule: Schedule) => boolean;
--- a/src/simulation/SimDisk.test.ts
+++ b/src/simulation/sim-disk.test.ts
@@ -1,8 +1,8 @@
 import { expect, test } from 'vitest';
-import { CONFIG_PART } from '../state/PartNames.js';
-import { Scheduler } from '../rehearsal/Scheduler.js';
-import { Seeded } from '../rehearsal/Seeded.js';
-import { SimDisk } from './SimDisk.js';
+import { CONFIG_PART } from '../state/part-names.js';
+import { Scheduler } from '../rehearsal/scheduler.js';
+import { Seeded } from '../rehearsal/seeded.js';
+import { SimDisk } from './sim-disk.js';
 
 class DiskUser {
   readonly scheduler = new Scheduler();
--- a/src/simulation/SimDisk.ts
+++ b/src/simulation/sim-disk.ts
@@ -1,8 +1,8 @@
-import { compareVersions, type Version } from '../common/Version.js';
-import type { PartName } from '../common/Ids.js';
-import type { StoredPart } from '../state/Store.js';
-import type { Scheduler } from '../rehearsal/Scheduler.js';
-import type { Seeded } from '../rehearsal/Seeded.js';
+import { compareVersions, type Version } from '../common/version.js';
+import type { PartName } from '../common/ids.js';
+import type { StoredPart } from '../state/store.js';
+import type { Scheduler } from '../rehearsal/scheduler.js';
+import type { Seeded } from '../rehearsal/seeded.js';
 
 export type DiskTrouble = 'none' | 'slow' | 'stalled' | 'full';
 
--- a/src/simulation/SimExchange.ts
+++ b/src/simulation/sim-exchange.ts
@@ -1,5 +1,5 @@
-import type { Message } from '../common/Messages.js';
-import type { Moment } from '../common/Ids.js';
+import type { Message } from '../common/messages.js';
+import type { Moment } from '../common/ids.js';
 import {
   CHECK_MS,
   CONNECT_MS,
@@ -7,10 +7,10 @@
   MOST_QUEUED,
   REDIAL_MS,
   SILENT_MS,
-} from '../dissemination/Exchange.js';
-import type { Endpoint, Payload } from './Endpoint.js';
-import { copyMessage } from './MessageCopy.js';
-import type { Host, SimNetwork } from './SimNetwork.js';
+} from '../dissemination/exchange.js';
+import type { Endpoint, Payload } from './endpoint.js';
+import { copyMessage } from './message-copy.js';
+import type { Host, SimNetwork } from './sim-network.js';
 
 /** What its owner hears of other nodes. */
 export interface ExchangeOwner {
--- a/src/simulation/SimNetwork.test.ts
+++ b/src/simulation/sim-network.test.ts
@@ -1,10 +1,10 @@
 import { expect, test } from 'vitest';
-import { Scheduler } from '../rehearsal/Scheduler.js';
-import { Seeded } from '../rehearsal/Seeded.js';
-import type { Endpoint } from './Endpoint.js';
-import { RandomStreams } from './RandomStreams.js';
-import { SimNetwork, type Host } from './SimNetwork.js';
-import { SimProcess } from './SimProcess.js';
+import { Scheduler } from '../rehearsal/scheduler.js';
+import { Seeded } from '../rehearsal/seeded.js';
+import type { Endpoint } from './endpoint.js';
+import { RandomStreams } from './random-streams.js';
+import { SimNetwork, type Host } from './sim-network.js';
+import { SimProcess } from './sim-process.js';
 
 /** A host that remembers what it hears. */
 class ListeningHost implements Host {
--- a/src/simulation/SimNetwork.ts
+++ b/src/simulation/sim-network.ts
@@ -1,8 +1,8 @@
-import type { Scheduler } from '../rehearsal/Scheduler.js';
-import type { RandomStreams } from './RandomStreams.js';
-import { Endpoint, type Host, type Port } from './Endpoint.js';
+import type { Scheduler } from '../rehearsal/scheduler.js';
+import type { RandomStreams } from './random-streams.js';
+import { Endpoint, type Host, type Port } from './endpoint.js';
 
-export type { Host, Port } from './Endpoint.js';
+export type { Host, Port } from './endpoint.js';
 
 /** How a cut shows: packets vanish, connections across it are reset, or new ones are refused at once. */
 export type CutStyle = 'silent' | 'reset' | 'refuse';
--- a/src/simulation/SimProcess.test.ts
+++ b/src/simulation/sim-process.test.ts
@@ -1,7 +1,7 @@
 import { expect, test } from 'vitest';
-import { Scheduler } from '../rehearsal/Scheduler.js';
-import { Seeded } from '../rehearsal/Seeded.js';
-import { SimProcess } from './SimProcess.js';
+import { Scheduler } from '../rehearsal/scheduler.js';
+import { Seeded } from '../rehearsal/seeded.js';
+import { SimProcess } from './sim-process.js';
 
 interface Loop {
   readonly scheduler: Scheduler;
--- a/src/simulation/SimProcess.ts
+++ b/src/simulation/sim-process.ts
@@ -1,6 +1,6 @@
-import { moment, type Moment } from '../common/Ids.js';
-import type { Scheduler } from '../rehearsal/Scheduler.js';
-import type { Seeded } from '../rehearsal/Seeded.js';
+import { moment, type Moment } from '../common/ids.js';
+import type { Scheduler } from '../rehearsal/scheduler.js';
+import type { Seeded } from '../rehearsal/seeded.js';
 
 type ProcessState = 'down' | 'running' | 'frozen';
 
--- a/src/simulation/StateRules.ts
+++ b/src/simulation/state-rules.ts
@@ -1,17 +1,17 @@
 import { array, number, optional, string, type } from 'superstruct';
-import { CONFIG_PART } from '../state/PartNames.js';
-import { parseAs } from '../common/Json.js';
+import { CONFIG_PART } from '../state/part-names.js';
+import { parseAs } from '../common/json.js';
 import {
   compareVersions,
   isNewer,
   NO_VERSION,
   versionText,
   type Version,
-} from '../common/Version.js';
-import type { NewsItem, Relay } from '../dissemination/Relay.js';
-import type { ControlNode } from './ControlNode.js';
-import type { OperatorAnswer } from './OperatorCall.js';
-import type { Report } from './Violation.js';
+} from '../common/version.js';
+import type { NewsItem, Relay } from '../dissemination/relay.js';
+import type { ControlNode } from './control-node.js';
+import type { OperatorAnswer } from './operator-call.js';
+import type { Report } from './violation.js';
 
 const NewsShape = type({
   voters: array(array(string())),
--- a/src/state/CopyMending.ts
+++ b/src/state/copy-mending.ts
@@ -1,8 +1,8 @@
-import { later, moment, type Moment, type NodeId } from '../common/Ids.js';
-import type { Message } from '../common/Messages.js';
-import type { ReplicaCopies } from './ReplicaCopies.js';
-import type { StateEffects } from './ReplicatedStateEffect.js';
-import type { StateOwner } from './StateOwner.js';
+import { later, moment, type Moment, type NodeId } from '../common/ids.js';
+import type { Message } from '../common/messages.js';
+import type { ReplicaCopies } from './replica-copies.js';
+import type { StateEffects } from './replicated-state-effect.js';
+import type { StateOwner } from './state-owner.js';
 
 type DigestMessage = Extract<Message, { kind: 'digest' }>;
 type DigestReply = Extract<Message, { kind: 'digestReply' }>;
--- a/src/state/FileStore.test.ts
+++ b/src/state/file-store.test.ts
@@ -1,9 +1,9 @@
 import { describe, expect, test } from 'vitest';
-import { CodedError } from '../common/CodedError.js';
-import { partName } from '../common/Ids.js';
-import { FileStore, NodeDisk } from './FileStore.js';
-import { MemoryStore } from './MemoryStore.js';
-import type { Store } from './Store.js';
+import { CodedError } from '../common/coded-error.js';
+import { partName } from '../common/ids.js';
+import { FileStore, NodeDisk } from './file-store.js';
+import { MemoryStore } from './memory-store.js';
+import type { Store } from './store.js';
 import { mkdir, mkdtemp, readFile, writeFile } from 'node:fs/promises';
 import { tmpdir } from 'node:os';
 import { join } from 'node:path';
--- a/src/state/FileStore.ts
+++ b/src/state/file-store.ts
@@ -2,10 +2,10 @@
 import { mkdir, open, readdir, readFile, rename, rm } from 'node:fs/promises';
 import { join } from 'node:path';
 import { is, number, string, type } from 'superstruct';
-import { CodedError, reasonOf } from '../common/CodedError.js';
-import { partName, type PartName } from '../common/Ids.js';
-import { compareVersions, NO_VERSION, type Version } from '../common/Version.js';
-import type { Store, StoredPart } from './Store.js';
+import { CodedError, reasonOf } from '../common/coded-error.js';
+import { partName, type PartName } from '../common/ids.js';
+import { compareVersions, NO_VERSION, type Version } from '../common/version.js';
+import type { Store, StoredPart } from './store.js';
 
 const FileShape = type({
   part: string(),
--- a/src/state/MemoryStore.ts
+++ b/src/state/memory-store.ts
@@ -1,6 +1,6 @@
-import type { PartName } from '../common/Ids.js';
-import { compareVersions, NO_VERSION, type Version } from '../common/Version.js';
-import type { Store, StoredPart } from './Store.js';
+import type { PartName } from '../common/ids.js';
+import { compareVersions, NO_VERSION, type Version } from '../common/version.js';
+import type { Store, StoredPart } from './store.js';
 
 /** A store for the simulator: what was kept outlasts crash(), what was not is gone; wipe() loses all. */
 export class MemoryStore implements Store {
--- a/src/state/PartNames.ts
+++ b/src/state/part-names.ts
@@ -1,5 +1,5 @@
 import { createHash } from 'node:crypto';
-import { partName, type PartName } from '../common/Ids.js';
+import { partName, type PartName } from '../common/ids.js';
 
 /** The part that holds the configuration; it stands beside the hashed ones. */
 export const CONFIG_PART = partName('config');
--- a/src/state/ReplicaCopies.test.ts
+++ b/src/state/replica-copies.test.ts
@@ -1,7 +1,7 @@
 import { expect, test } from 'vitest';
-import { partName } from '../common/Ids.js';
-import { ReplicaCopies } from './ReplicaCopies.js';
-import { StateEffects } from './ReplicatedStateEffect.js';
+import { partName } from '../common/ids.js';
+import { ReplicaCopies } from './replica-copies.js';
+import { StateEffects } from './replicated-state-effect.js';
 
 /** The last is no part of ours. */
 const [FIRST, SECOND, OTHER] = [partName('p0'), partName('p1'), partName('p9')];
--- a/src/state/ReplicaCopies.ts
+++ b/src/state/replica-copies.ts
@@ -1,9 +1,9 @@
 import { createHash } from 'node:crypto';
-import { partName, type PartName } from '../common/Ids.js';
-import type { CopyMessage } from '../common/Messages.js';
-import { compareVersions, isNewer, NO_VERSION, type Version } from '../common/Version.js';
-import type { StateEffects } from './ReplicatedStateEffect.js';
-import type { StoredPart } from './Store.js';
+import { partName, type PartName } from '../common/ids.js';
+import type { CopyMessage } from '../common/messages.js';
+import { compareVersions, isNewer, NO_VERSION, type Version } from '../common/version.js';
+import type { StateEffects } from './replicated-state-effect.js';
+import type { StoredPart } from './store.js';
 
 /** One part as it is held here, on disk or on its way there. */
 export interface Copy {
--- a/src/state/ReplicaStatus.test.ts
+++ b/src/state/replica-status.test.ts
@@ -1,8 +1,8 @@
 import { expect, test } from 'vitest';
-import { nodeId, moment } from '../common/Ids.js';
-import type { Message } from '../common/Messages.js';
-import { Quorum as Voters } from '../common/Quorum.js';
-import { ReplicaStatus } from './ReplicaStatus.js';
+import { nodeId, moment } from '../common/ids.js';
+import type { Message } from '../common/messages.js';
+import { Quorum as Voters } from '../common/quorum.js';
+import { ReplicaStatus } from './replica-status.js';
 
 const [a, b, c] = [nodeId('a'), nodeId('b'), nodeId('c')];
 const quorum = new Voters([a, b, c]);
--- a/src/state/ReplicaStatus.ts
+++ b/src/state/replica-status.ts
@@ -1,8 +1,8 @@
-import { later, type NodeId, type Moment } from '../common/Ids.js';
-import type { CopyMessage, Message } from '../common/Messages.js';
-import type { Quorum } from '../common/Quorum.js';
-import { isNewer, NO_VERSION, type Version } from '../common/Version.js';
-import { CONFIG_PART } from './PartNames.js';
+import { later, type NodeId, type Moment } from '../common/ids.js';
+import type { CopyMessage, Message } from '../common/messages.js';
+import type { Quorum } from '../common/quorum.js';
+import { isNewer, NO_VERSION, type Version } from '../common/version.js';
+import { CONFIG_PART } from './part-names.js';
 
 /** blank: an empty folder. lost: the record of our votes is unreadable. sound: we may vote and count. */
 export type ReplicaStatusName = 'blank' | 'lost' | 'sound';
--- a/src/state/ReplicatedStateEffect.ts
+++ b/src/state/replicated-state-effect.ts
@@ -1,6 +1,6 @@
-import type { NodeId, PartName } from '../common/Ids.js';
-import type { MemberMessage, Message } from '../common/Messages.js';
-import type { Version } from '../common/Version.js';
+import type { NodeId, PartName } from '../common/ids.js';
+import type { MemberMessage, Message } from '../common/messages.js';
+import type { Version } from '../common/version.js';
 
 /** What the replicated state wants done, or tells of what it reached. */
 export type ReplicatedStateEffect =
--- a/src/state/ReplicatedState.test.ts
+++ b/src/state/replicated-state.test.ts
@@ -1,10 +1,10 @@
 import { expect, test } from 'vitest';
-import { type NodeId, type PartName, nodeId, moment, partName } from '../common/Ids.js';
-import type { CopyMessage } from '../common/Messages.js';
-import { Quorum as Voters } from '../common/Quorum.js';
-import type { Version } from '../common/Version.js';
-import { ReplicatedState, type ReplicatedStateEffect } from './ReplicatedState.js';
-import type { StoredPart } from './Store.js';
+import { type NodeId, type PartName, nodeId, moment, partName } from '../common/ids.js';
+import type { CopyMessage } from '../common/messages.js';
+import { Quorum as Voters } from '../common/quorum.js';
+import type { Version } from '../common/version.js';
+import { ReplicatedState, type ReplicatedStateEffect } from './replicated-state.js';
+import type { StoredPart } from './store.js';
 
 const [a, b, c] = [nodeId('a'), nodeId('b'), nodeId('c')];
 const names = [partName('p0'), partName('p1'), partName('p2')];
--- a/src/state/ReplicatedState.ts
+++ b/src/state/replicated-state.ts
@@ -1,14 +1,14 @@
-import { partName, type Moment, type NodeId, type PartName } from '../common/Ids.js';
-import type { CopyMessage, MemberMessage, Message } from '../common/Messages.js';
-import type { Quorum } from '../common/Quorum.js';
-import { compareVersions, NO_VERSION, type Version } from '../common/Version.js';
-import { CopyMending } from './CopyMending.js';
-import { ReplicaCopies } from './ReplicaCopies.js';
-import { StateEffects, type ReplicatedStateEffect } from './ReplicatedStateEffect.js';
-import { StateOwner, type QuorumOf } from './StateOwner.js';
-import type { StoredPart } from './Store.js';
-
-export type { ReplicatedStateEffect } from './ReplicatedStateEffect.js';
+import { partName, type Moment, type NodeId, type PartName } from '../common/ids.js';
+import type { CopyMessage, MemberMessage, Message } from '../common/messages.js';
+import type { Quorum } from '../common/quorum.js';
+import { compareVersions, NO_VERSION, type Version } from '../common/version.js';
+import { CopyMending } from './copy-mending.js';
+import { ReplicaCopies } from './replica-copies.js';
+import { StateEffects, type ReplicatedStateEffect } from './replicated-state-effect.js';
+import { StateOwner, type QuorumOf } from './state-owner.js';
+import type { StoredPart } from './store.js';
+
+export type { ReplicatedStateEffect } from './replicated-state-effect.js';
 
 type ReadMessage = Extract<Message, { kind: 'read' }>;
 type WriteMessage = Extract<Message, { kind: 'write' }>;
--- a/src/state/StateOwner.ts
+++ b/src/state/state-owner.ts
@@ -1,10 +1,10 @@
-import { later, moment, partName, type Moment, type NodeId, type PartName } from '../common/Ids.js';
-import type { CopyMessage, MemberMessage, Message } from '../common/Messages.js';
-import type { Quorum } from '../common/Quorum.js';
-import { compareVersions, isNewer, NO_VERSION, type Version } from '../common/Version.js';
-import { CONFIG_PART } from './PartNames.js';
-import type { ReplicaCopies } from './ReplicaCopies.js';
-import type { StateEffects } from './ReplicatedStateEffect.js';
+import { later, moment, partName, type Moment, type NodeId, type PartName } from '../common/ids.js';
+import type { CopyMessage, MemberMessage, Message } from '../common/messages.js';
+import type { Quorum } from '../common/quorum.js';
+import { compareVersions, isNewer, NO_VERSION, type Version } from '../common/version.js';
+import { CONFIG_PART } from './part-names.js';
+import type { ReplicaCopies } from './replica-copies.js';
+import type { StateEffects } from './replicated-state-effect.js';
 
 type ReadReply = Extract<Message, { kind: 'readReply' }>;
 type WriteReply = Extract<Message, { kind: 'writeReply' }>;
--- a/src/state/Store.ts
+++ b/src/state/store.ts
@@ -1,5 +1,5 @@
-import type { PartName } from '../common/Ids.js';
-import type { Version } from '../common/Version.js';
+import type { PartName } from '../common/ids.js';
+import type { Version } from '../common/version.js';
 
 /** One part as a store holds it. An unsound copy lost its newest version and must be mended from a peer. */
 export interface StoredPart {
