--- /dev/null
+++ b/src/control/voter-membership.test.ts
@@ -0,0 +1,204 @@
+import { expect, test } from 'vitest';
+import { moment, nodeId, type Moment, type PartName } from '../common/ids.js';
+import type { Message } from '../common/messages.js';
+import { allParts, CONFIG_PART } from '../state/part-names.js';
+import { firstDoc, type ConfigDoc } from './config-doc.js';
+import type { ControlReplica } from './control-replica.js';
+import { DutyNode, SOUND_DISK } from './testing/duty-node.js';
+import { VoterMembership } from './voter-membership.js';
+
+type Voters = readonly (readonly string[])[];
+
+const EPOCH = 2;
+const TICK_MS = 50;
+const THREE = ['a', 'b', 'c'];
+/** Spare `d` in the place of voter `b`. */
+const SWAPPED = ['a', 'd', 'c'];
+const FOLLOWERS = ['b', 'c'].map(nodeId);
+const SERVICE_PARTS = allParts().filter((part) => part !== CONFIG_PART);
+
+/** The membership of node `a`, which leads voters `a`, `b` and `c` and has taken over the state. */
+class LeadingMembership {
+  readonly replica: ControlReplica = new DutyNode(SOUND_DISK).replica;
+  readonly membership: VoterMembership;
+  /** The voters that were written, in their order. */
+  readonly changes: Voters[] = [];
+  rewrites = 0;
+  #document: ConfigDoc = firstDoc(THREE);
+  #now = moment(0);
+  #sent: Message[] = [];
+
+  constructor() {
+    const { parts, leadership, replicaStatus } = this.replica;
+    parts.lead(this.#now, EPOCH);
+    this.#readFollowers();
+    for (const part of allParts()) this.commit(part);
+    leadership.begin(EPOCH);
+    leadership.serve();
+    const host = {
+      ...this.replica,
+      status: replicaStatus,
+      zone: 'zone-a',
+      isFirstStart: false,
+      peers: () => FOLLOWERS,
+      document: () => this.#document,
+      zoneOf: (id: string) => `zone-${id}`,
+      send: (_to: string, message: Message) => this.#sent.push(message),
+      rewriteParts: (now: Moment) => this.#rewriteParts(now),
+      changeVoters: (_now: Moment, change: { readonly voters: Voters }) => {
+        this.changes.push(change.voters);
+        this.setVoters(change.voters);
+      },
+    };
+    this.membership = new VoterMembership(host, this.#now);
+  }
+
+  /** The voters of the newest configuration are these from now on. */
+  setVoters(voters: Voters): void {
+    this.#document = { ...this.#document, voters: voters.map((set) => [...set]) };
+  }
+
+  tick(): void {
+    this.#now = moment(this.#now + TICK_MS);
+    this.membership.tick(this.#now);
+  }
+
+  /** A node that is no voter announces itself. */
+  announce(id: string, isSound: boolean): void {
+    const message = { id, zone: `zone-${id}`, isFirst: false, isSound, epoch: 0, count: 0 };
+    this.membership.receiveAnnounce(this.#now, id, { kind: 'announce', ...message });
+  }
+
+  /** A node says that it is told to stop; returns whether the leader lets it. */
+  leave(id: string): boolean | undefined {
+    this.#sent = [];
+    this.membership.receiveLeave(this.#now, id, { kind: 'leave', id });
+    for (const message of this.#sent) if (message.kind === 'leaveReply') return message.mayStop;
+    return undefined;
+  }
+
+  /** Whether the leader itself, which is told to stop, has to stay. */
+  mustKeepSeat(): boolean {
+    return this.membership.mustKeepSeat(this.#now);
+  }
+
+  /** Begins to write the configuration, without any answer of the followers. */
+  beginWriting(part: PartName): void {
+    this.replica.parts.write(this.#now, part, 'body', 0);
+  }
+
+  /** The write of a part that is under way reaches the disks of all voters. */
+  commit(part: PartName): void {
+    const { parts } = this.replica;
+    const version = parts.versionOf(part);
+    parts.stored(part, version, EPOCH, this.#now);
+    for (const from of FOLLOWERS) {
+      const message = { part, ...version, good: true, members: [] };
+      parts.receive(this.#now, from, { kind: 'writeReply', ...message }, EPOCH, [], 'sound');
+    }
+    parts.drain();
+    if (parts.isWriting(part)) throw new Error(`${part} is still being written`);
+  }
+
+  #readFollowers(): void {
+    const { parts } = this.replica;
+    for (const from of FOLLOWERS) {
+      const copies = parts.copies();
+      const message = { epoch: EPOCH, nonce: 1, sound: true, copies, standing: 'sound' };
+      parts.receive(this.#now, from, { kind: 'readReply', ...message }, EPOCH, [], 'sound');
+    }
+  }
+
+  #rewriteParts(now: Moment): void {
+    this.rewrites += 1;
+    const { parts } = this.replica;
+    for (const part of SERVICE_PARTS) parts.write(now, part, parts.body(part), 0);
+  }
+}
+
+test('the new voters decide alone only once every part was rewritten by a majority of both sets', () => {
+  const leader = new LeadingMembership();
+  leader.setVoters([THREE, SWAPPED]);
+  leader.tick();
+  expect(leader.rewrites).toBe(1);
+  for (const part of SERVICE_PARTS) {
+    leader.tick();
+    leader.tick();
+    expect(leader.changes, `${part} is still being written`).toEqual([]);
+    leader.commit(part);
+  }
+  leader.tick();
+  expect(leader.changes).toEqual([[SWAPPED]]);
+  expect(leader.rewrites).toBe(1);
+});
+
+test('voters are changed while parts other than the configuration are being written', () => {
+  const leader = new LeadingMembership();
+  for (const part of SERVICE_PARTS) leader.beginWriting(part);
+  leader.announce('d', true);
+  expect(leader.leave('b')).toBe(false);
+  expect(leader.changes).toEqual([[THREE, SWAPPED]]);
+});
+
+test('no voters are changed while the configuration is being written', () => {
+  const leader = new LeadingMembership();
+  leader.beginWriting(CONFIG_PART);
+  leader.announce('d', true);
+  expect(leader.leave('b')).toBe(false);
+  leader.tick();
+  expect(leader.changes).toEqual([]);
+  leader.commit(CONFIG_PART);
+  leader.tick();
+  expect(leader.changes).toEqual([[THREE, SWAPPED]]);
+});
+
+test('a voter may stop where nobody could take its seat', () => {
+  expect(new LeadingMembership().leave('b')).toBe(true);
+});
+
+test('a voter may not stop while a spare that could take its seat is still being repaired', () => {
+  const leader = new LeadingMembership();
+  leader.announce('d', false);
+  expect(leader.leave('b')).toBe(false);
+  expect(leader.changes).toEqual([]);
+});
+
+test('a leader may not stop itself while a spare that could take its seat is still being repaired', () => {
+  const leader = new LeadingMembership();
+  leader.announce('d', false);
+  expect(leader.mustKeepSeat()).toBe(true);
+  expect(leader.membership.isHandingOver).toBe(true);
+});
+
+test('a leader may stop itself where nobody could take its seat', () => {
+  expect(new LeadingMembership().mustKeepSeat()).toBe(false);
+});
+
+test('a voter may stop where the only spare leaves as well', () => {
+  const leader = new LeadingMembership();
+  leader.announce('d', false);
+  leader.leave('d');
+  expect(leader.leave('b')).toBe(true);
+});
+
+test('a voter may stop once its seat was taken over, and not while both sets decide together', () => {
+  const leader = new LeadingMembership();
+  leader.announce('d', true);
+  expect(leader.leave('b')).toBe(false);
+  expect(leader.changes).toEqual([[THREE, SWAPPED]]);
+  leader.tick();
+  for (const part of SERVICE_PARTS) leader.commit(part);
+  // The change to the new set alone is written now, and its configuration is not yet on a majority.
+  leader.beginWriting(CONFIG_PART);
+  expect(leader.leave('b')).toBe(false);
+  leader.commit(CONFIG_PART);
+  leader.tick();
+  expect(leader.changes).toEqual([[THREE, SWAPPED], [SWAPPED]]);
+  expect(leader.leave('b')).toBe(true);
+});
+
+test('a node that has not taken over the state answers nobody that leaves', () => {
+  const leader = new LeadingMembership();
+  leader.replica.leadership.begin(EPOCH + 2);
+  expect(leader.leave('b')).toBe(undefined);
+});
