--- a/src/compatibility/messages.test.ts
+++ b/src/compatibility/messages.test.ts
@@ -7,7 +7,7 @@
   type Message,
   type MessageKind,
 } from '../common/messages.js';
-import { readGolden } from './golden.js';
+import { readGolden } from './testing/golden.js';
 
 function isKind(value: unknown): value is MessageKind {
   return typeof value === 'string' && Object.hasOwn(SHAPES, value);
