--- /dev/null
+++ b/src/compatibility/stored-state.test.ts
@@ -0,0 +1,242 @@
+import { cp, mkdtemp, readdir, readFile, rename, rm, writeFile } from 'node:fs/promises';
+import { tmpdir } from 'node:os';
+import { join } from 'node:path';
+import { afterEach, describe, expect, test } from 'vitest';
+import type { CodedError } from '../common/coded-error.js';
+import { nodeId } from '../common/ids.js';
+import { parseAs } from '../common/json.js';
+import { decodeConfigDoc, encodeConfigDoc } from '../control/config-codec.js';
+import { quorumOf } from '../control/config-voters.js';
+import { EffectQueue } from '../control/effect-queue.js';
+import { readVotes, VoteStorage } from '../control/vote-storage.js';
+import { ServicePartShape } from '../placement/shapes.js';
+import { FileStore } from '../state/file-store.js';
+import { allParts, CONFIG_PART, VOTE_PART } from '../state/part-names.js';
+import type { StoredPart } from '../state/store.js';
+import { expectGolden, TEST_DATA } from './testing/golden.js';
+
+/** Data folders that control nodes left when they were killed, after some hundred orders and a change of the voters. */
+const FOLDERS = [
+  'deployed/leader',
+  'deployed/follower',
+  'deployed/joined',
+  'deployed/replaced',
+  'table/leader',
+  'table/follower',
+  'table/joined',
+];
+
+const temporary: string[] = [];
+let faults: CodedError[] = [];
+
+afterEach(async () => {
+  faults = [];
+  for (const path of temporary.splice(0)) await rm(path, { recursive: true, force: true });
+});
+
+async function temporaryFolder(): Promise<string> {
+  const path = await mkdtemp(join(tmpdir(), 'stored-state-'));
+  temporary.push(path);
+  return path;
+}
+
+async function copyOf(folder: string): Promise<string> {
+  const path = await temporaryFolder();
+  await cp(join(TEST_DATA, 'stored', folder, 'parts'), path, { recursive: true });
+  return path;
+}
+
+function storeAt(path: string): FileStore {
+  return new FileStore(path, (fault) => faults.push(fault));
+}
+
+async function readFolder(folder: string): Promise<readonly StoredPart[]> {
+  return storeAt(await copyOf(folder)).readAll();
+}
+
+function byPart(a: StoredPart, b: StoredPart): number {
+  return a.part < b.part ? -1 : 1;
+}
+
+function partOf(stored: readonly StoredPart[], name: string): StoredPart {
+  const found = stored.find(({ part }) => part === name);
+  if (!found) throw new Error(`no part ${name}`);
+  return found;
+}
+
+/** The files of a part's versions, the newest first. */
+async function versionsOf(path: string, part: string): Promise<string[]> {
+  const names = await readdir(join(path, part));
+  const numbered = names.map((name) => ({ name, numbers: name.split('.').map(Number) }));
+  numbered.sort(({ numbers: [epochA = 0, countA = 0] }, { numbers: [epochB = 0, countB = 0] }) =>
+    epochA === epochB ? countB - countA : epochB - epochA,
+  );
+  return numbered.map(({ name }) => join(path, part, name));
+}
+
+async function newestOf(path: string, part: string): Promise<string> {
+  const [newest] = await versionsOf(path, part);
+  if (newest === undefined) throw new Error(`no file of ${part}`);
+  return newest;
+}
+
+describe.each(FOLDERS)('the data folder %s of an earlier build', (folder) => {
+  test('opens with the same parts, versions and bodies', async () => {
+    const stored = [...(await readFolder(folder))].sort(byPart);
+    const seen = stored.map(({ part, version, body, isSound }) => {
+      const { epoch, count } = version;
+      // A part that nothing was written to yet is stored empty.
+      const content: unknown = body === '' ? null : JSON.parse(body);
+      return { part, epoch, count, intact: isSound, content };
+    });
+    expect(faults).toEqual([]);
+    expect(stored.map(({ part }) => part)).toEqual([...allParts(), VOTE_PART].sort());
+    expectGolden(`stored/${folder}.json`, seen);
+  });
+
+  test('is written again as the same files', async () => {
+    const source = await copyOf(folder);
+    const target = await temporaryFolder();
+    const stored = await storeAt(source).readAll();
+    for (const { part, version, body } of stored) await storeAt(target).write(part, version, body);
+    for (const { part } of stored) {
+      const [written, ...more] = await versionsOf(target, part);
+      const original = await newestOf(source, part);
+      expect(more).toEqual([]);
+      expect(written?.replace(target, '')).toBe(original.replace(source, ''));
+      expect(await readFile(written ?? '', 'utf8')).toBe(await readFile(original, 'utf8'));
+    }
+  });
+
+  test('has a configuration that is decoded and encoded without loss', async () => {
+    const { body } = partOf(await readFolder(folder), CONFIG_PART);
+    const document = decodeConfigDoc(body);
+    expect(document?.edits.length).toBeGreaterThan(100);
+    expect(document && encodeConfigDoc(document)).toBe(body);
+  });
+
+  test('has placements that can be read', async () => {
+    const stored = await readFolder(folder);
+    const models = new Set<string>();
+    for (const part of allParts()) {
+      if (part === CONFIG_PART) continue;
+      const { body } = partOf(stored, part);
+      if (body === '') continue;
+      const services = parseAs(ServicePartShape, body)?.services;
+      expect(services).toBeDefined();
+      for (const { model } of services ?? []) models.add(model);
+    }
+    expect(models.size).toBeGreaterThan(5);
+  });
+
+  test('has a record of votes that counts, and is stored again as it was', async () => {
+    const stored = await readFolder(folder);
+    const { version, body } = partOf(stored, VOTE_PART);
+    const votes = readVotes(stored);
+    expect(votes.status).toBe('sound');
+    expect(votes.count).toBe(version.count);
+    if (!votes.record) throw new Error('no record of votes');
+
+    const effects = new EffectQueue();
+    const storage = new VoteStorage(effects, votes.count, votes.record.grantEpoch);
+    storage.keep(1, votes.record);
+    const following = { epoch: version.epoch, count: version.count + 1 };
+    expect(effects.drain()).toMatchObject([{ part: VOTE_PART, version: following, body }]);
+  });
+});
+
+test('a configuration with two sets of voters is read while they change', async () => {
+  const path = await copyOf('deployed/follower');
+  await rm(await newestOf(path, CONFIG_PART));
+  const { version, body } = partOf(await storeAt(path).readAll(), CONFIG_PART);
+  const quorum = quorumOf(body);
+  expect(version).toEqual({ epoch: 2, count: 108 });
+  expect(quorum?.sets).toBe(2);
+  expect(quorum?.all).toEqual([
+    '127.114.57.10:7660',
+    '127.114.57.11:7660',
+    '127.114.57.12:7660',
+    '127.114.57.25:7660',
+  ]);
+  // A majority of the new voters alone decides nothing.
+  const north = nodeId('127.114.57.10:7660');
+  const next = nodeId('127.114.57.25:7660');
+  expect(quorum?.isMajority(new Set([north, next]))).toBe(false);
+  expect(quorum?.isMajority(new Set([north, nodeId('127.114.57.12:7660')]))).toBe(true);
+});
+
+describe('damage to the files of an earlier build is detected', () => {
+  const damages: readonly (readonly [string, (path: string, file: string) => Promise<void>])[] = [
+    [
+      'a changed byte in the body',
+      async (_path, file) => {
+        const text = await readFile(file, 'utf8');
+        const at = text.indexOf('"body":"') + 20;
+        await writeFile(file, `${text.slice(0, at)}#${text.slice(at + 1)}`);
+      },
+    ],
+    [
+      'a file that is cut off',
+      async (_path, file) => {
+        const text = await readFile(file, 'utf8');
+        await writeFile(file, text.slice(0, -10));
+      },
+    ],
+    ['an empty file', async (_path, file) => writeFile(file, '')],
+    [
+      'a file under another version',
+      async (_path, file) => rename(file, file.replace(/\d+\.json$/, '9999.json')),
+    ],
+  ];
+
+  test.each(damages)(
+    '%s: the version before it is shown, and does not count',
+    async (_name, damage) => {
+      const path = await copyOf('deployed/leader');
+      const before = partOf(await storeAt(path).readAll(), CONFIG_PART);
+      await damage(path, await newestOf(path, CONFIG_PART));
+      const after = partOf(await storeAt(path).readAll(), CONFIG_PART);
+      expect(before.isSound).toBe(true);
+      expect(after.isSound).toBe(false);
+      expect(after.version).toEqual({ epoch: 2, count: 108 });
+      expect(faults.map(({ kind }) => kind)).toEqual(['bad-file']);
+    },
+  );
+
+  test('a part without any intact version is empty and does not count', async () => {
+    const path = await copyOf('deployed/leader');
+    for (const file of await versionsOf(path, CONFIG_PART)) await writeFile(file, '{}');
+    const { version, body, isSound } = partOf(await storeAt(path).readAll(), CONFIG_PART);
+    expect({ version, body, isSound }).toEqual({
+      version: { epoch: 0, count: 0 },
+      body: '',
+      isSound: false,
+    });
+  });
+
+  test('a damaged record of votes makes the replica a lost one', async () => {
+    const path = await copyOf('deployed/leader');
+    await writeFile(await newestOf(path, VOTE_PART), '{}');
+    expect(readVotes(await storeAt(path).readAll())).toMatchObject({
+      status: 'lost',
+      record: undefined,
+    });
+  });
+
+  test('a missing record of votes beside other parts makes the replica a lost one', async () => {
+    const path = await copyOf('deployed/leader');
+    await rm(join(path, VOTE_PART), { recursive: true });
+    expect(readVotes(await storeAt(path).readAll())).toMatchObject({ status: 'lost', count: 0 });
+  });
+
+  test('a file that was being written aside is ignored', async () => {
+    const path = await copyOf('deployed/leader');
+    const file = await newestOf(path, CONFIG_PART);
+    await writeFile(file.replace(/\d+\.json$/, '9999.json.aside'), '{"part":"con');
+    expect(partOf(await storeAt(path).readAll(), CONFIG_PART)).toMatchObject({
+      version: { epoch: 2, count: 109 },
+      isSound: true,
+    });
+    expect(faults).toEqual([]);
+  });
+});
