--- a/src/commands.ts
+++ b/src/commands.ts
@@ -8,6 +8,7 @@
 import { ScaleCommand } from './rehearsal/scale-command.js';
 import { StormCommand } from './rehearsal/storm-command.js';
 import { StubCommand } from './rehearsal/stub-command.js';
+import { SameRunsCommand } from './simulation/same-runs/same-runs-command.js';
 import { ExhaustiveCommand } from './simulation/exhaustive/exhaustive-command.js';
 import {
   AskEditCommand,
@@ -34,6 +35,7 @@
   'rehearsal:exhaustive': ExhaustiveCommand,
   'rehearsal:fleet': FleetCommand,
   'rehearsal:measure': MeasureCommand,
+  'rehearsal:same-runs': SameRunsCommand,
   'rehearsal:scale': ScaleCommand,
   'rehearsal:stub': StubCommand,
   'rehearsal:storm': StormCommand,
--- a/src/simulation/commands/seed-pool.ts
+++ b/src/simulation/commands/seed-pool.ts
@@ -1,39 +1,37 @@
 import { fork, type ChildProcess } from 'node:child_process';
 import { fileURLToPath } from 'node:url';
-import { is } from 'superstruct';
-import { shapeOf, type WantedShape } from '../run-shape.js';
-import { SeedResultShape, type SeedResult } from '../seed-run.js';
 
 /** A run makes much that lives shortly: with room for it (MB) the collector is called less often. */
 const WORKER_FLAGS = ['--max-semi-space-size=64'];
 
-export interface SeedPoolSettings {
-  readonly from: number;
-  readonly seeds: number;
-  readonly shape: WantedShape;
+export interface SeedPoolSettings<Result> {
+  /** The module that a worker process runs; it answers each run that it is sent with one result. */
+  readonly worker: URL;
+  /** What is to be run, in this order; it goes to the workers as JSON. */
+  readonly runs: readonly object[];
   readonly jobs: number;
-  /** No seed is begun after so long, ms. */
+  /** No run is begun after so long, ms. */
   readonly mostMs: number;
-  /** Told of each seed as it is done, in no order. */
-  readonly done: (result: SeedResult) => void;
+  readonly isResult: (message: unknown) => message is Result;
+  /** Told of each run as it is done, in no order. */
+  readonly done: (result: Result) => void;
 }
 
 /** Runs seeds in child processes, one seed at a time in each. */
-export class SeedPool {
-  readonly #settings: SeedPoolSettings;
-  #next: number;
+export class SeedPool<Result> {
+  readonly #settings: SeedPoolSettings<Result>;
+  #next = 0;
   readonly #until: number;
   #finish: (() => void) | undefined;
   #fail: ((error: Error) => void) | undefined;
   readonly #workers = new Set<ChildProcess>();
 
-  constructor(settings: SeedPoolSettings) {
+  constructor(settings: SeedPoolSettings<Result>) {
     this.#settings = settings;
-    this.#next = settings.from;
     this.#until = performance.now() + settings.mostMs;
   }
 
-  /** The first seed that was not begun: where another batch goes on. */
+  /** How many runs were begun: where another batch goes on. */
   get next(): number {
     return this.#next;
   }
@@ -46,13 +44,12 @@
   #begin(finish: () => void, fail: (error: Error) => void): void {
     this.#finish = finish;
     this.#fail = fail;
-    const { jobs, seeds } = this.#settings;
-    for (let index = 0; index < Math.min(jobs, seeds); index += 1) this.#hire();
+    const { jobs, runs } = this.#settings;
+    for (let index = 0; index < Math.min(jobs, runs.length); index += 1) this.#hire();
   }
 
   #hire(): void {
-    const script = fileURLToPath(new URL('./seed-worker.js', import.meta.url));
-    const worker = fork(script, [], { execArgv: WORKER_FLAGS });
+    const worker = fork(fileURLToPath(this.#settings.worker), [], { execArgv: WORKER_FLAGS });
     this.#workers.add(worker);
     worker.on('message', this.#take.bind(this, worker));
     worker.on('exit', this.#ended.bind(this, worker));
@@ -60,18 +57,19 @@
   }
 
   #ask(worker: ChildProcess): void {
-    const { from, seeds, shape } = this.#settings;
-    if (this.#next >= from + seeds || performance.now() >= this.#until) {
+    const run = this.#settings.runs[this.#next];
+    if (!run || performance.now() >= this.#until) {
       this.#dismiss(worker);
       return;
     }
-    worker.send({ seed: this.#next, shape: shapeOf(this.#next, shape) });
+    worker.send(run);
     this.#next += 1;
   }
 
   #take(worker: ChildProcess, message: unknown): void {
-    if (!is(message, SeedResultShape)) return;
-    this.#settings.done(message);
+    const { isResult, done } = this.#settings;
+    if (!isResult(message)) return;
+    done(message);
     this.#ask(worker);
   }
 
--- a/src/simulation/commands/simulate-control-command.ts
+++ b/src/simulation/commands/simulate-control-command.ts
@@ -1,5 +1,6 @@
 import { writeFileSync } from 'node:fs';
 import { Command, Flags } from '@oclif/core';
+import { is } from 'superstruct';
 import { simulate } from '../control-simulation.js';
 import { pastedTest } from '../pasted-test.js';
 import { ORDER_KINDS, totalOf, type OutcomeCounts } from '../run-figures.js';
@@ -12,7 +13,7 @@
   type WantedShape,
 } from '../run-shape.js';
 import { drawSchedule } from '../schedule-draw.js';
-import type { SeedResult } from '../seed-run.js';
+import { SeedResultShape, type SeedResult } from '../seed-run.js';
 import { shrinkRun } from '../shrinker.js';
 import { SeedPool } from './seed-pool.js';
 
@@ -26,6 +27,18 @@
   return nodes === '5' ? 'five' : 'three';
 }
 
+function seedRuns(from: number, seeds: number, wanted: WantedShape): readonly object[] {
+  const runs: object[] = [];
+  for (let seed = from; seed < from + seeds; seed += 1) {
+    runs.push({ seed, shape: shapeOf(seed, wanted) });
+  }
+  return runs;
+}
+
+function isSeedResult(message: unknown): message is SeedResult {
+  return is(message, SeedResultShape);
+}
+
 function spreadText(spread: Spread): string {
   const { count, median, ninetyFive, ninetyNine, most } = spread;
   return `${count} times, median ${median}, 95% ${ninetyFive}, 99% ${ninetyNine}, most ${most} ms`;
@@ -69,12 +82,14 @@
     const results: SeedResult[] = [];
     const done = this.#done.bind(this, results, seeds, file);
     const mostMs = (flags.minutes ?? Infinity) * MS_PER_MINUTE;
-    const pool = new SeedPool({ from, seeds, shape, jobs, mostMs, done });
+    const worker = new URL('./seed-worker.js', import.meta.url);
+    const runs = seedRuns(from, seeds, shape);
+    const pool = new SeedPool({ worker, runs, jobs, mostMs, isResult: isSeedResult, done });
     await pool.run();
     const report = reportOf(results);
     this.#save(report, file);
     this.#print(report);
-    if (pool.next < from + seeds) this.log(`time is up: go on with --from ${pool.next}`);
+    if (pool.next < seeds) this.log(`time is up: go on with --from ${from + pool.next}`);
     this.exit(report.failedSeeds.length === 0 ? 0 : 1);
   }
 
--- a/src/simulation/control-node.ts
+++ b/src/simulation/control-node.ts
@@ -6,6 +6,7 @@
   type ControlEffect,
   type OrderResult,
 } from '../control/control-effect.js';
+import { NodeTrace } from '../rehearsal/node-trace.js';
 import type { Scheduler } from '../rehearsal/scheduler.js';
 import type { Seeded } from '../rehearsal/seeded.js';
 import type { ListedRunner } from '../placement/fleet.js';
@@ -69,6 +70,7 @@
   readonly process: SimProcess;
   readonly disk: SimDisk;
   readonly #around: ControlSurroundings;
+  readonly #trace: NodeTrace;
   readonly #exchange: SimExchange;
   #core: ControlCore | undefined;
   #isPowered = true;
@@ -84,6 +86,7 @@
     this.id = id;
     this.zone = zone;
     this.#around = around;
+    this.#trace = new NodeTrace(id, around.scheduler, around.network.trace);
     this.process = new SimProcess(around.scheduler, around.random, around.drift);
     this.disk = new SimDisk(around.scheduler, around.random);
     this.#operators = new OperatorPort({
@@ -287,12 +290,14 @@
         this.#keep(core, effect);
         break;
       case 'askList':
+        this.#trace.record('list', []);
         this.process.after(LIST_DELAY_MS, this.#list.bind(this, core));
         break;
       case 'order':
         this.#order(core, effect);
         break;
       case 'reply':
+        this.#trace.answer(effect.status, effect.body);
         this.#operators.reply(effect.id, { status: effect.status, body: effect.body });
         break;
       case 'note':
@@ -328,6 +333,7 @@
     const wait = this.process.after.bind(this.process, DISK_AGAIN_MS, again);
     const done = this.#input.bind(this, core, stream, stored);
     const fail = this.process.submit.bind(this.process, stream, wait);
+    this.#trace.write(part, version, body);
     this.disk.write(part, version, body, done, fail);
   }
 
@@ -348,6 +354,7 @@
     }
     const order = { holder: this.id, fence: core.elector.epoch };
     const { network } = this.#around;
+    this.#trace.order(intent);
     const writing = this.#writeOrder.bind(this);
     const lease = core;
     new LeasedOrder({ network, host: this, runner: address, order, lease, writing, done }).send();
--- a/src/simulation/control-simulation.ts
+++ b/src/simulation/control-simulation.ts
@@ -1,3 +1,4 @@
+import { UNTRACED, type RunTrace } from '../rehearsal/run-trace.js';
 import { Scheduler } from '../rehearsal/scheduler.js';
 import { VOTE_PART } from '../state/part-names.js';
 import type { AgentNode } from './agent-node.js';
@@ -70,7 +71,7 @@
   #lostAnswers = 0;
   #hasBegun = false;
 
-  constructor(options: SimulationOptions, log: RunLog, build: CoreBuild) {
+  constructor(options: SimulationOptions, log: RunLog, build: CoreBuild, trace: RunTrace) {
     this.#options = options;
     this.#streams = new RandomStreams(options.seed);
     this.#log = this.#logAt.bind(this, log);
@@ -86,6 +87,7 @@
       agentStepped: this.#agentStepped.bind(this),
       build,
       orderArrived: this.#orderArrived.bind(this),
+      trace,
     });
     this.#targets = new FaultTargets(this.#fleet, this.#events);
     this.#watch = new NodeWatch({ events: this.#events, now, log: this.#log });
@@ -372,6 +374,7 @@
   schedule: Schedule,
   log: RunLog = silence,
   build: CoreBuild = SOUND_BUILD,
+  trace: RunTrace = UNTRACED,
 ): Outcome {
-  return new ControlSimulation(options, log, build).run(schedule);
+  return new ControlSimulation(options, log, build, trace).run(schedule);
 }
--- a/src/simulation/endpoint.ts
+++ b/src/simulation/endpoint.ts
@@ -20,6 +20,8 @@
   /** The delay of one packet on a link, in milliseconds. */
   delay(from: string, to: string): number;
   isOpen(from: string, to: string): boolean;
+  /** Takes down a write of a host, also one to a connection that is closed. */
+  traceWrite(from: string, to: string, payload: Payload): void;
   countPacket(): void;
   forget(endpoint: Endpoint): void;
 }
@@ -105,6 +107,7 @@
   }
 
   send(payload: Payload): void {
+    this.#network.traceWrite(this.#host.id, this.#other?.host.id ?? '', payload);
     if (!this.#isOpen) return;
     this.#network.countPacket();
     this.#enqueue(payload);
--- a/src/simulation/fleet.ts
+++ b/src/simulation/fleet.ts
@@ -1,3 +1,4 @@
+import type { RunTrace } from '../rehearsal/run-trace.js';
 import type { Scheduler } from '../rehearsal/scheduler.js';
 import type { ListedRunner } from '../placement/fleet.js';
 import { AgentNode } from './agent-node.js';
@@ -26,6 +27,7 @@
   /** Makes the cores of all processes. */
   readonly build: CoreBuild;
   readonly orderArrived: OrderListener;
+  readonly trace: RunTrace;
 }
 
 /** Which control machines the operators' list held from a moment on. */
@@ -47,8 +49,8 @@
 
   constructor(settings: FleetSettings) {
     this.#settings = settings;
-    const { scheduler, streams, options } = settings;
-    this.network = new SimNetwork(scheduler, streams);
+    const { scheduler, streams, options, trace } = settings;
+    this.network = new SimNetwork(scheduler, streams, trace);
     for (let index = 1; index <= RUNNERS; index += 1) this.#addRunner(index);
     for (let index = 0; index < options.nodes; index += 1) this.#addControl();
     for (let index = 0; index < options.agents; index += 1) this.#addAgent(index);
--- /dev/null
+++ b/src/simulation/same-runs/pinned-runs.ts
@@ -0,0 +1,35 @@
+import { simulate } from '../control-simulation.js';
+import { MIXED, optionsOf, shapeOf } from '../run-shape.js';
+import { drawSchedule } from '../schedule-draw.js';
+import { TraceDigest, type TraceLog } from './trace-digest.js';
+
+/** What is run, and compared, under a seed. */
+export interface PinnedKind {
+  /** How many seeds, from 1 on, have a recorded digest. */
+  readonly seeds: number;
+  /** Runs a seed and digests its trace. */
+  run(seed: number, log?: TraceLog): string;
+}
+
+const MIXED_SEEDS = 500;
+
+function runMixed(seed: number, log?: TraceLog): string {
+  const options = optionsOf(seed, shapeOf(seed, MIXED));
+  const digest = new TraceDigest(log);
+  simulate(options, drawSchedule(options), undefined, undefined, digest);
+  return digest.finish();
+}
+
+/** Everything whose behaviour is pinned by digests of seeded runs. */
+export const PINNED_KINDS = {
+  /** The deployed control side under faults (`haretrack rehearsal control --shape mixed`). */
+  mixed: { seeds: MIXED_SEEDS, run: runMixed },
+} as const satisfies Record<string, PinnedKind>;
+export type PinnedKindName = keyof typeof PINNED_KINDS;
+
+export function isPinnedKind(text: string): text is PinnedKindName {
+  return text in PINNED_KINDS;
+}
+
+export const PINNED_KIND_NAMES: readonly PinnedKindName[] =
+  Object.keys(PINNED_KINDS).filter(isPinnedKind);
--- /dev/null
+++ b/src/simulation/same-runs/same-runs.test.ts
@@ -0,0 +1,25 @@
+import { setImmediate } from 'node:timers/promises';
+import { expect, test } from 'vitest';
+import { PINNED_KINDS, type PinnedKindName } from './pinned-runs.js';
+import { RecordedDigests } from './recorded-digests.js';
+
+/** Twenty in a row have every shape of `mixed` but the long ones. */
+const MIXED_FROM = 21;
+const MIXED_COUNT = 20;
+
+async function expectSame(kind: PinnedKindName, from: number, count: number): Promise<void> {
+  const recorded = new RecordedDigests();
+  const differing: number[] = [];
+  for (let seed = from; seed < from + count; seed += 1) {
+    // The test runner must be heard between two runs.
+    await setImmediate();
+    const expected = recorded.of(kind, seed);
+    if (expected === undefined || PINNED_KINDS[kind].run(seed) !== expected) differing.push(seed);
+  }
+  expect(differing).toEqual([]);
+}
+
+async function checkMixed(): Promise<void> {
+  await expectSame('mixed', MIXED_FROM, MIXED_COUNT);
+}
+test('seeds of the deployed control side run as they were recorded', checkMixed);
--- a/src/simulation/sim-exchange.ts
+++ b/src/simulation/sim-exchange.ts
@@ -95,6 +95,8 @@
       this.#write(line, message);
       return;
     }
+    // What finds no connection is traced here, and again once it is written.
+    this.#network.trace.message(this.#network.scheduler.now, this.#host.id, to, message);
     this.dial(to);
     if (!this.#dialing.has(to)) return;
     const queued = this.#queued.get(to) ?? [];
--- a/src/simulation/sim-network.ts
+++ b/src/simulation/sim-network.ts
@@ -1,6 +1,7 @@
+import { UNTRACED, type RunTrace } from '../rehearsal/run-trace.js';
 import type { Scheduler } from '../rehearsal/scheduler.js';
 import type { RandomStreams } from './random-streams.js';
-import { Endpoint, type Host, type Port } from './endpoint.js';
+import { Endpoint, type Host, type Payload, type Port } from './endpoint.js';
 
 export type { Host, Port } from './endpoint.js';
 
@@ -31,6 +32,8 @@
 export class SimNetwork {
   readonly #scheduler: Scheduler;
   readonly #streams: RandomStreams;
+  /** What the run shows to its outside; hosts add to it what does not go over the network. */
+  readonly trace: RunTrace;
   readonly #hosts = new Map<string, Host>();
   readonly #endpoints = new Set<Endpoint>();
   /** How many faults cut a link at present, and how the last of them shows. */
@@ -40,9 +43,10 @@
   #connections = 0;
   #packets = 0;
 
-  constructor(scheduler: Scheduler, streams: RandomStreams) {
+  constructor(scheduler: Scheduler, streams: RandomStreams, trace: RunTrace = UNTRACED) {
     this.#scheduler = scheduler;
     this.#streams = streams;
+    this.trace = trace;
   }
 
   get scheduler(): Scheduler {
@@ -116,6 +120,12 @@
     this.#packets += 1;
   }
 
+  traceWrite(from: string, to: string, payload: Payload): void {
+    const { now } = this.#scheduler;
+    if (typeof payload === 'string') this.trace.text(now, from, to, payload);
+    else this.trace.message(now, from, to, payload);
+  }
+
   forget(endpoint: Endpoint): void {
     this.#endpoints.delete(endpoint);
   }
