--- a/eslint.config.js
+++ b/eslint.config.js
@@ -55,7 +55,7 @@
 
 export default tseslint.config(
   {
-    ignores: ['dist/', 'target/', 'node_modules/', 'bin/', 'eslint.config.js', 'vitest.config.ts'],
+    ignores: ['dist/', 'target/', 'node_modules/', 'bin/', 'eslint.config.js', 'vitest*.config.ts'],
   },
   ...tseslint.configs.recommended,
   {
