--- /dev/null
+++ b/src/compatibility/testing/stored-folder.ts
@@ -0,0 +1,20 @@
+import { cp, mkdtemp, rm } from 'node:fs/promises';
+import { tmpdir } from 'node:os';
+import { join } from 'node:path';
+import { FileStore } from '../../state/file-store.js';
+import type { StoredPart } from '../../state/store.js';
+import { TEST_DATA } from './golden.js';
+
+/** Reads a committed data folder by way of a temporary copy; throws if any of its files is damaged. */
+export async function readStoredFolder(folder: string): Promise<readonly StoredPart[]> {
+  const path = await mkdtemp(join(tmpdir(), 'stored-folder-'));
+  try {
+    await cp(join(TEST_DATA, 'stored', folder, 'parts'), path, { recursive: true });
+    const store = new FileStore(path, (fault) => {
+      throw fault;
+    });
+    return await store.readAll();
+  } finally {
+    await rm(path, { recursive: true });
+  }
+}
