--- /dev/null
+++ b/src/compatibility/frames.test.ts
@@ -0,0 +1,99 @@
+import { array, string, type } from 'superstruct';
+import { afterEach, beforeEach, describe, expect, test } from 'vitest';
+import type { CodedError } from '../common/coded-error.js';
+import type { Message } from '../common/messages.js';
+import { Exchange, type Incoming } from '../dissemination/exchange.js';
+import { readGolden } from './testing/golden.js';
+import { RawListener, RawPeer, waitFor } from './testing/raw-peer.js';
+
+const FramesShape = type({
+  hello: string(),
+  keepalive: string(),
+  helloOfProxy: string(),
+  messages: array(type({ message: type({}), frame: string() })),
+});
+
+const golden = readGolden(FramesShape, 'wire/frames.json');
+const bytesOf = (frame: string): Buffer => Buffer.from(frame, 'hex');
+
+const SENT: readonly Message[] = [
+  { kind: 'update', topic: 'config', epoch: 4, count: 17, body: '{"number":3}' },
+  { kind: 'leaving', runners: ['i-1', 'i-2'] },
+  { kind: 'freshnessReply', nonce: 9, epoch: 4, count: 17, marks: 2 },
+];
+
+describe('the frames between processes', () => {
+  let exchange: Exchange;
+  let port: number;
+  let incoming: Incoming[];
+  let faults: CodedError[];
+
+  beforeEach(async () => {
+    incoming = [];
+    faults = [];
+    exchange = new Exchange(
+      { id: 'server', role: 'mind', zone: 'north', listen: '127.0.0.1:0', reach: {} },
+      (fault) => faults.push(fault),
+    );
+    exchange.incoming$.subscribe((item) => incoming.push(item));
+    port = await exchange.open();
+  });
+
+  afterEach(() => {
+    exchange.close();
+  });
+
+  test('a listener greets who calls, and repeats an empty frame while there is nothing to say', async () => {
+    const peer = await RawPeer.dial(`127.0.0.1:${port}`);
+    const expected = Buffer.concat([bytesOf(golden.hello), bytesOf(golden.keepalive)]);
+    await waitFor('a greeting and a keepalive', () => peer.bytes.length >= expected.length);
+    expect(peer.bytes.subarray(0, expected.length).toString('hex')).toBe(expected.toString('hex'));
+    peer.close();
+  });
+
+  test('a caller greets first and then sends what was queued, in order', async () => {
+    const listener = new RawListener();
+    const address = `127.0.0.1:${await listener.listen('127.0.0.1:0')}`;
+    for (const message of SENT) exchange.send(address, message);
+    const peer = await listener.accept();
+    const expected = golden.hello + golden.messages.map(({ frame }) => frame).join('');
+    await waitFor('all frames', () => peer.bytes.length >= expected.length / 2);
+    expect(peer.bytes.toString('hex').slice(0, expected.length)).toBe(expected);
+    listener.close();
+  });
+
+  test('frames are read whatever pieces they come in, keepalives between them', async () => {
+    const peer = await RawPeer.dial(`127.0.0.1:${port}`);
+    const frames = [golden.helloOfProxy, golden.keepalive];
+    for (const { frame } of golden.messages) frames.push(frame, golden.keepalive);
+    const bytes = bytesOf(frames.join(''));
+    for (let at = 0; at < bytes.length; at += 7) {
+      peer.write(bytes.subarray(at, at + 7));
+      await new Promise((resolve) => setImmediate(resolve));
+    }
+    await waitFor('all messages', () => incoming.length >= golden.messages.length);
+    expect(incoming).toEqual(
+      golden.messages.map(({ message }) => ({
+        from: 'flow@10.0.0.1:8080',
+        role: 'flow',
+        zone: 'east',
+        message,
+      })),
+    );
+    peer.close();
+  });
+
+  test('what comes before a greeting is ignored, and a frame of more than 64 MiB ends the connection', async () => {
+    const peer = await RawPeer.dial(`127.0.0.1:${port}`);
+    const [first] = golden.messages;
+    peer.write(bytesOf(first?.frame ?? ''));
+    peer.write(Buffer.from([0x04, 0x00, 0x00, 0x01]));
+    await waitFor('the end of the connection', () => peer.isClosed);
+    expect(incoming).toEqual([]);
+    expect(faults.map(({ kind }) => kind)).toEqual(['bad-frame']);
+  });
+
+  test('the committed messages are the ones sent here', () => {
+    expect(golden.messages.map(({ message }) => message)).toEqual(SENT);
+  });
+});
