--- a/src/rehearsal/network.ts
+++ b/src/rehearsal/network.ts
@@ -1,4 +1,5 @@
 import { decodeMessage, encodeMessage, type Message } from '../common/messages.js';
+import { UNTRACED, type RunTrace } from './run-trace.js';
 import type { Scheduler } from './scheduler.js';
 import type { Seeded } from './seeded.js';
 
@@ -9,6 +10,8 @@
   readonly #scheduler: Scheduler;
   readonly #seeded: Seeded;
   readonly #deliver: Deliver;
+  /** What the run shows to its outside; nodes add to it what does not go over the network. */
+  readonly trace: RunTrace;
   readonly #cuts = new Set<string>();
   readonly #last = new Map<string, number>();
   loss = 0;
@@ -16,10 +19,11 @@
   #sent = 0;
   readonly #links = new Set<string>();
 
-  constructor(scheduler: Scheduler, seeded: Seeded, deliver: Deliver) {
+  constructor(scheduler: Scheduler, seeded: Seeded, deliver: Deliver, trace: RunTrace = UNTRACED) {
     this.#scheduler = scheduler;
     this.#seeded = seeded;
     this.#deliver = deliver;
+    this.trace = trace;
   }
 
   get sent(): number {
@@ -56,6 +60,7 @@
 
   send(from: string, to: string, message: Message): void {
     this.#sent += 1;
+    this.trace.message(this.#scheduler.now, from, to, message);
     if (from.startsWith('link-')) this.#links.add(from);
     if (this.isCut(from, to) || this.#seeded.isLikely(this.loss)) return;
     const key = `${from}\n${to}`;
--- a/src/rehearsal/sim-agent.ts
+++ b/src/rehearsal/sim-agent.ts
@@ -2,6 +2,7 @@
 import type { Message } from '../common/messages.js';
 import type { Scheduler } from './scheduler.js';
 import type { Network } from './network.js';
+import { NodeTrace } from './node-trace.js';
 import type { Seeded } from './seeded.js';
 import { SimNode } from './sim-node.js';
 
@@ -17,6 +18,7 @@
 /** A simulated edge machine's link: the real core. */
 export class SimAgent extends SimNode {
   readonly #network: Network;
+  readonly #trace: NodeTrace;
   readonly #seeds: readonly string[];
   #core: AgentCore | undefined;
   /** The proxies beside it, by id: fed over loopback, which is never cut. */
@@ -31,6 +33,7 @@
   ) {
     super(id, scheduler, seeded.between(0, 1e6), 25);
     this.#network = network;
+    this.#trace = new NodeTrace(id, scheduler, network.trace);
     this.#seeds = seeds;
   }
 
@@ -74,12 +77,13 @@
     for (const effect of this.#core?.drain() ?? []) {
       if (effect.do !== 'send') continue;
       const flow = this.proxies.get(effect.to);
-      if (flow)
+      if (flow) {
+        this.#trace.message(effect.to, effect.message);
         this.scheduler.after(
           0.1,
           flow.perform.bind(flow, flow.receive.bind(flow, this.id, effect.message)),
         );
-      else this.#network.send(this.id, effect.to, effect.message);
+      } else this.#network.send(this.id, effect.to, effect.message);
     }
   }
 }
--- a/src/rehearsal/sim-clients.ts
+++ b/src/rehearsal/sim-clients.ts
@@ -2,6 +2,7 @@
 import { retryAfterOf } from '../proxy/in-flight-requests.js';
 import type { Scheduler } from './scheduler.js';
 import { LineCheck } from './line-check.js';
+import type { NodeTrace } from './node-trace.js';
 import type { CallerRecord } from './records.js';
 
 export interface Traffic {
@@ -31,13 +32,15 @@
   readonly #flow: string;
   readonly #scheduler: Scheduler;
   readonly #records: CallerRecord[];
+  readonly #trace: NodeTrace;
   readonly #open = new Map<number, SimClient>();
   #count = 0;
 
-  constructor(flow: string, scheduler: Scheduler, records: CallerRecord[]) {
+  constructor(flow: string, scheduler: Scheduler, records: CallerRecord[], trace: NodeTrace) {
     this.#flow = flow;
     this.#scheduler = scheduler;
     this.#records = records;
+    this.#trace = trace;
   }
 
   get size(): number {
@@ -125,6 +128,9 @@
   ): void {
     if (!this.#open.delete(client.id)) return;
     const { type, model, once } = client.traffic;
+    const { status, run, isWhole, retryAfter } = part;
+    const values = [client.requestId, client.table, status, run, isWhole, retryAfter];
+    this.#trace.record('call', values);
     this.#records.push({
       what: 'call',
       id: client.requestId,
--- a/src/rehearsal/sim-control.ts
+++ b/src/rehearsal/sim-control.ts
@@ -9,6 +9,7 @@
 import { PLACER_DEFAULTS } from '../placement/placer-types.js';
 import type { VoteSettings } from '../election/vote-settings.js';
 import type { Network } from './network.js';
+import { NodeTrace } from './node-trace.js';
 import type { MutationKind } from './mutation.js';
 import type { Seeded } from './seeded.js';
 
@@ -17,6 +18,7 @@
 /** A simulated core machine: the real core, on a simulated disk, network and outside. */
 export class SimControl extends SimNode {
   readonly #network: Network;
+  readonly #trace: NodeTrace;
   readonly #outside: SimOutside;
   readonly #seeded: Seeded;
   readonly #seeds: readonly string[];
@@ -46,6 +48,7 @@
     this.#wrong = wrong;
     this.#seeded = seeded;
     this.#network = network;
+    this.#trace = new NodeTrace(id, scheduler, network.trace);
     this.#outside = outside;
     this.#seeds = seeds;
   }
@@ -183,10 +186,12 @@
       case 'reply': {
         const returned = this.#replies.get(effect.id);
         this.#replies.delete(effect.id);
+        this.#trace.answer(effect.status, effect.body);
         returned?.(effect.status, effect.body);
         break;
       }
       case 'askMachines': {
+        this.#trace.record('machines', []);
         const machines = this.#outside.platform.machines();
         function take(inner: ControlCore): void {
           if (machines) inner.machines(now(), machines);
@@ -195,6 +200,7 @@
         break;
       }
       case 'askCatalog': {
+        this.#trace.record('catalog', []);
         const outside = this.#outside;
         const more = this.#wrong === 'slots-forgotten' ? 3 : 0;
         function take(inner: ControlCore): void {
@@ -218,6 +224,7 @@
   }
 
   #askReport(runner: string): void {
+    this.#trace.record('report', [runner]);
     const askedAt = this.now();
     const outside = this.#outside;
     const now = this.now.bind(this);
@@ -248,6 +255,7 @@
     const scheduler = this.scheduler;
     const later = this.later.bind(this);
     const { intent } = effect;
+    this.#trace.order(intent);
     function told(outcome: 'taken' | 'turnedAway' | 'unsure' | 'unsent', inner: ControlCore): void {
       inner.ordered(now(), intent.id, outcome);
     }
@@ -295,6 +303,7 @@
     }
     const perform = this.perform.bind(this, this.#do.bind(this, stored));
     const late = this.#wrong === 'yes-unsynced' ? this.later.bind(this, 3000) : undefined;
+    this.#trace.write(part, version, body);
     function keep(): void {
       store.keep(part, version, body);
     }
--- a/src/rehearsal/sim-proxy.ts
+++ b/src/rehearsal/sim-proxy.ts
@@ -9,6 +9,8 @@
 import type { Network } from './network.js';
 import { drawTraffic } from './caller-traffic.js';
 import { ProxyConnections } from './proxy-connections.js';
+import { NodeTrace } from './node-trace.js';
+import { probeValues, stepValues } from './proxy-trace.js';
 import type { CallerRecord } from './records.js';
 import type { Seeded } from './seeded.js';
 import { SimClients, type SimClient, type Traffic } from './sim-clients.js';
@@ -28,6 +30,7 @@
   readonly #agent: SimAgent;
   readonly #seeded: Seeded;
   readonly #network: Network;
+  readonly #trace: NodeTrace;
   readonly #outside: SimOutside;
   readonly #onWrite: (runner: string) => void;
   readonly #clients: SimClients;
@@ -56,11 +59,12 @@
     super(id, scheduler, seeded.between(0, 1e6), 25);
     this.#seeded = seeded;
     this.#network = network;
+    this.#trace = new NodeTrace(id, scheduler, network.trace);
     this.#outside = outside;
     this.#onWrite = onWrite;
     this.#agent = agent;
     this.#wrong = wrong;
-    this.#clients = new SimClients(id, scheduler, records);
+    this.#clients = new SimClients(id, scheduler, records, this.#trace);
     this.#connections = new ProxyConnections({
       clients: this.#clients,
       wrong,
@@ -221,13 +225,17 @@
       steps.length > 0;
       steps = this.#inFlightRequests?.drain() ?? []
     ) {
-      for (const step of steps) this.#carryOut(step);
+      for (const step of steps) {
+        this.#trace.record('step', stepValues(step));
+        this.#carryOut(step);
+      }
     }
     for (const step of this.#probes?.drain() ?? []) this.#watch(step);
     this.#isObeying = false;
   }
 
   #watch(step: ConnectionProbeStep): void {
+    this.#trace.record('probe', probeValues(step));
     this.#watchLines.get(step.id)?.close();
     this.#watchLines.delete(step.id);
     if (step.do === 'close') return;
@@ -330,6 +338,7 @@
 
   #tell(message: Message): void {
     const agent = this.#agent;
+    this.#trace.message(agent.id, message);
     const receive = agent.receive.bind(agent, this.id, message);
     this.scheduler.after(0.1, agent.perform.bind(agent, receive));
   }
--- a/src/rehearsal/simulation-types.ts
+++ b/src/rehearsal/simulation-types.ts
@@ -1,4 +1,5 @@
 import type { MutationKind } from './mutation.js';
+import type { RunTrace } from './run-trace.js';
 import type { TroubleKind } from './trouble-kinds.js';
 
 /** What one run of the simulation is told. */
@@ -11,6 +12,8 @@
   readonly troubles: readonly TroubleKind[];
   /** One thing wrong with the build, to show that the checks bite. */
   readonly wrong?: MutationKind;
+  /** Takes down what the run shows to its outside. */
+  readonly runTrace?: RunTrace;
 }
 
 /** What one run of the simulation found and counted. */
--- a/src/rehearsal/simulation.ts
+++ b/src/rehearsal/simulation.ts
@@ -57,7 +57,12 @@
     this.#settings = settings;
     this.#findings = new RunFindings(this.#scheduler, trace);
     this.#seeded = new Seeded(settings.seed);
-    this.#network = new Network(this.#scheduler, this.#seeded, this.#deliver.bind(this));
+    this.#network = new Network(
+      this.#scheduler,
+      this.#seeded,
+      this.#deliver.bind(this),
+      settings.runTrace,
+    );
     this.#outside = this.#makeOutside();
     this.#operators = new SimOperators({
       scheduler: this.#scheduler,
--- a/src/simulation/same-runs/pinned-runs.ts
+++ b/src/simulation/same-runs/pinned-runs.ts
@@ -1,3 +1,5 @@
+import { Simulation } from '../../rehearsal/simulation.js';
+import { TROUBLES } from '../../rehearsal/trouble-kinds.js';
 import { simulate } from '../control-simulation.js';
 import { MIXED, optionsOf, shapeOf } from '../run-shape.js';
 import { drawSchedule } from '../schedule-draw.js';
@@ -12,6 +14,10 @@
 }
 
 const MIXED_SEEDS = 500;
+const STORM_SEEDS = 100;
+/** Virtual time of troubles in a storm. */
+const STORM_MS = 25_000;
+const STORM_PROXIES = 3;
 
 function runMixed(seed: number, log?: TraceLog): string {
   const options = optionsOf(seed, shapeOf(seed, MIXED));
@@ -20,10 +26,19 @@
   return digest.finish();
 }
 
+function runStorm(seed: number, log?: TraceLog): string {
+  const runTrace = new TraceDigest(log);
+  const fixed = { edges: STORM_PROXIES, stormMs: STORM_MS, troubles: TROUBLES };
+  new Simulation({ seed, ...fixed, runTrace }).run();
+  return runTrace.finish();
+}
+
 /** Everything whose behaviour is pinned by digests of seeded runs. */
 export const PINNED_KINDS = {
   /** The deployed control side under faults (`haretrack rehearsal control --shape mixed`). */
   mixed: { seeds: MIXED_SEEDS, run: runMixed },
+  /** A fleet of the table of policies under all troubles (`haretrack rehearsal storm`). */
+  storms: { seeds: STORM_SEEDS, run: runStorm },
 } as const satisfies Record<string, PinnedKind>;
 export type PinnedKindName = keyof typeof PINNED_KINDS;
 
--- a/src/simulation/same-runs/same-runs.test.ts
+++ b/src/simulation/same-runs/same-runs.test.ts
@@ -6,6 +6,7 @@
 /** Twenty in a row have every shape of `mixed` but the long ones. */
 const MIXED_FROM = 21;
 const MIXED_COUNT = 20;
+const STORMS = 4;
 
 async function expectSame(kind: PinnedKindName, from: number, count: number): Promise<void> {
   const recorded = new RecordedDigests();
@@ -23,3 +24,8 @@
   await expectSame('mixed', MIXED_FROM, MIXED_COUNT);
 }
 test('seeds of the deployed control side run as they were recorded', checkMixed);
+
+async function checkStorms(): Promise<void> {
+  await expectSame('storms', 1, STORMS);
+}
+test('storms over a fleet of the table of policies run as they were recorded', checkStorms);
