--- /dev/null
+++ b/src/election/lease-renewals.test.ts
@@ -0,0 +1,74 @@
+import { expect, test } from 'vitest';
+import { moment, nodeId, type NodeId } from '../common/ids.js';
+import { Quorum } from '../common/quorum.js';
+import { Lease } from './lease.js';
+import { VOTE_DEFAULTS } from './vote-settings.js';
+
+const [a, b, c] = [nodeId('a'), nodeId('b'), nodeId('c')];
+const QUORUM = new Quorum([a, b, c]);
+const { spanMs, renewMs } = VOTE_DEFAULTS;
+
+/** A lease that `a` and `b` granted at moment 0, each with so many milliseconds to wait for a former holder. */
+function grantedAfter(waitMs: number): Lease {
+  const lease = new Lease(VOTE_DEFAULTS);
+  const nonce = lease.begin(moment(0));
+  for (const voter of [a, b]) {
+    lease.countGrant(moment(0), voter, waitMs, QUORUM);
+    lease.countRenewal(voter, nonce, QUORUM);
+  }
+  return lease;
+}
+
+function renewedBy(lease: Lease, voters: readonly NodeId[], nonce: number): void {
+  for (const voter of voters) lease.countRenewal(voter, nonce, QUORUM);
+}
+
+test('a lease that nobody granted has ended before the first moment', () => {
+  const lease = new Lease(VOTE_DEFAULTS);
+  expect(lease.end).toBeLessThan(0);
+  const granted = grantedAfter(0);
+  granted.clear();
+  expect(granted.end).toBeLessThan(0);
+});
+
+test('a renewal that a majority returned leaves the one after it to be returned', () => {
+  const lease = grantedAfter(0);
+  const first = lease.renew(moment(renewMs)) ?? 0;
+  const second = lease.renew(moment(renewMs * 2)) ?? 0;
+  renewedBy(lease, [a, b], first);
+  expect(lease.end).toBe(renewMs + spanMs);
+  renewedBy(lease, [a, c], second);
+  expect(lease.end).toBe(renewMs * 2 + spanMs);
+});
+
+test('returns of different renewals make no majority together', () => {
+  const lease = grantedAfter(0);
+  const first = lease.renew(moment(renewMs)) ?? 0;
+  const second = lease.renew(moment(renewMs * 2)) ?? 0;
+  lease.countRenewal(a, first, QUORUM);
+  lease.countRenewal(b, second, QUORUM);
+  expect(lease.end).toBe(spanMs);
+});
+
+test('a promise to a former holder that ends earlier than was said binds no longer', () => {
+  const lease = grantedAfter(900);
+  expect(lease.mayOrder(moment(600), QUORUM)).toBe(false);
+  // As after the former holder has handed its lease back.
+  lease.countGrant(moment(100), b, 300, QUORUM);
+  expect(lease.mayOrder(moment(399), QUORUM)).toBe(false);
+  expect(lease.mayOrder(moment(400), QUORUM)).toBe(false);
+  lease.countGrant(moment(100), a, 300, QUORUM);
+  expect(lease.mayOrder(moment(399), QUORUM)).toBe(false);
+  expect(lease.mayOrder(moment(400), QUORUM)).toBe(true);
+});
+
+test('the wait for a former holder outlasts every later change of voters', () => {
+  const lease = grantedAfter(900);
+  lease.keepWait();
+  const nonce = lease.begin(moment(100));
+  lease.keepWait();
+  for (const voter of [a, b]) lease.countGrant(moment(100), voter, 0, QUORUM);
+  renewedBy(lease, [a, b], nonce);
+  expect(lease.mayOrder(moment(899), QUORUM)).toBe(false);
+  expect(lease.mayOrder(moment(900), QUORUM)).toBe(true);
+});
--- /dev/null
+++ b/src/election/synced-outbox.test.ts
@@ -0,0 +1,82 @@
+import { expect, test } from 'vitest';
+import { moment, nodeId } from '../common/ids.js';
+import type { Message } from '../common/messages.js';
+import { SyncedOutbox } from './synced-outbox.js';
+
+const b = nodeId('b');
+const RECORD = { epoch: 3, grantEpoch: 2, grantLeader: 'b' };
+const MESSAGE: Message = { kind: 'released', epoch: 3 };
+const SEND = { do: 'send', to: 'b', message: MESSAGE };
+const STALL_MS = 1000;
+
+test('what is sent after a record leaves once that record is on disk', () => {
+  const outbox = new SyncedOutbox(moment(0));
+  outbox.keep(RECORD, moment(0));
+  outbox.send(b, MESSAGE);
+  expect(outbox.drain()).toEqual([{ do: 'keep', token: 1, record: RECORD }]);
+  outbox.kept(0);
+  expect(outbox.drain()).toEqual([]);
+  outbox.kept(1);
+  expect(outbox.drain()).toEqual([SEND]);
+  expect(outbox.drain()).toEqual([]);
+});
+
+test('what is sent after two records waits for the second, and what was sent before it does not', () => {
+  const outbox = new SyncedOutbox(moment(0));
+  const released: Message = { kind: 'released', epoch: 4 };
+  outbox.keep(RECORD, moment(0));
+  outbox.send(b, MESSAGE);
+  outbox.keep(RECORD, moment(0));
+  outbox.send(b, released);
+  outbox.drain();
+  outbox.kept(1);
+  expect(outbox.drain()).toEqual([SEND]);
+  outbox.kept(2);
+  expect(outbox.drain()).toEqual([{ ...SEND, message: released }]);
+});
+
+test('a newer record on disk stands for the older ones, and an older one told late takes nothing back', () => {
+  const outbox = new SyncedOutbox(moment(0));
+  outbox.keep(RECORD, moment(0));
+  outbox.keep(RECORD, moment(0));
+  outbox.send(b, MESSAGE);
+  outbox.drain();
+  outbox.kept(2);
+  expect(outbox.drain()).toEqual([SEND]);
+  outbox.kept(1);
+  outbox.send(b, MESSAGE);
+  expect(outbox.drain()).toEqual([SEND]);
+});
+
+test('nothing waits where every record is on disk', () => {
+  const outbox = new SyncedOutbox(moment(0));
+  outbox.send(b, MESSAGE);
+  expect(outbox.drain()).toEqual([SEND]);
+});
+
+test('what rests on no record is sent at once, and a record that nobody awaits holds nothing up', () => {
+  const outbox = new SyncedOutbox(moment(0));
+  outbox.keepUnawaited(RECORD);
+  outbox.send(b, MESSAGE);
+  expect(outbox.drain()).toEqual([{ do: 'keep', token: 0, record: RECORD }, SEND]);
+  outbox.keep(RECORD, moment(0));
+  outbox.sendUnsynced(b, MESSAGE);
+  expect(outbox.drain()).toEqual([{ do: 'keep', token: 1, record: RECORD }, SEND]);
+});
+
+test('a disk is stalled once the oldest record that it owes has waited for longer than the limit', () => {
+  const outbox = new SyncedOutbox(moment(0));
+  expect(outbox.isStalled(moment(50_000), STALL_MS)).toBe(false);
+  outbox.keep(RECORD, moment(10_000));
+  // A second record does not begin the wait anew.
+  outbox.keep(RECORD, moment(10_900));
+  expect(outbox.isStalled(moment(11_000), STALL_MS)).toBe(false);
+  expect(outbox.isStalled(moment(11_001), STALL_MS)).toBe(true);
+  outbox.kept(1);
+  expect(outbox.isStalled(moment(11_001), STALL_MS)).toBe(true);
+  outbox.kept(2);
+  expect(outbox.isStalled(moment(11_001), STALL_MS)).toBe(false);
+  outbox.keep(RECORD, moment(20_000));
+  expect(outbox.isStalled(moment(21_000), STALL_MS)).toBe(false);
+  expect(outbox.isStalled(moment(21_001), STALL_MS)).toBe(true);
+});
