--- a/src/rehearsal/scale-run.test.ts
+++ b/src/rehearsal/scale-run.test.ts
@@ -1,8 +1,12 @@
 import { beforeAll, expect, test } from 'vitest';
 import type { PhaseFigures } from './scale-figures.js';
 import { ScaleRun, type ScalePoint } from './scale-run.js';
+import { runInPacedTime } from './testing/paced-time.js';
 
-/** Small, and all in this process: what is counted is the same, only times and memory tell nothing. */
+/**
+ * Small, and all in this process: what is counted is the same, only memory and processor time tell nothing. Time is paced,
+ * so that a second is as many ticks of each program on a busy machine as on an idle one.
+ */
 const SIZES = [12, 48];
 const points: ScalePoint[] = [];
 function ignore(): void {
@@ -22,8 +26,11 @@
     say: ignore,
   }).run();
 }
+function runSizes(): Promise<ScalePoint[]> {
+  return Promise.all(SIZES.map(runOne));
+}
 async function runAll(): Promise<void> {
-  points.push(...(await Promise.all(SIZES.map(runOne))));
+  points.push(...(await runInPacedTime(runSizes)));
 }
 
 function phaseOf(point: ScalePoint | undefined, name: string): PhaseFigures {
