--- a/src/rehearsal/fleet-command.ts
+++ b/src/rehearsal/fleet-command.ts
@@ -5,9 +5,12 @@
 import { reasonOf } from '../common/coded-error.js';
 import { Callers, summarise } from './callers.js';
 import { DEPLOYMENTS } from './deployment.js';
-import { Fleet } from './fleet.js';
+import { Fleet, type ProgramOf } from './fleet.js';
 import { Rehearsal } from './rehearsal.js';
 
+/** How often it is asked who leads. */
+const LEADER_WATCH_MS = 500;
+
 export class FleetCommand extends Command {
   static override aliases = ['myth:fleet'];
   static override deprecateAliases = true;
@@ -30,6 +33,9 @@
     }),
     keep: Flags.boolean({ default: false, description: 'keep logs and records' }),
     factor: Flags.integer({ default: 1, description: 'multiplies the traffic' }),
+    'other-build': Flags.string({
+      description: "another build's bin/run.js, which half of the processes run",
+    }),
   };
 
   async run(): Promise<void> {
@@ -37,9 +43,12 @@
     const deployment = DEPLOYMENTS[args.deployment];
     if (!deployment) return this.exit(2);
     const root = mkdtempSync(join(tmpdir(), `haretrack-${deployment.name}-`));
-    const fleet = new Fleet(deployment, root);
+    const programOf = mixedPrograms(flags['other-build']);
+    const fleet = new Fleet(deployment, root, programOf);
     const say = this.log.bind(this);
     let isGood = false;
+    const leaders = new Set<string>();
+    let watch: NodeJS.Timeout | undefined;
     // Ended from outside, it leaves no process behind.
     async function stopAll(): Promise<void> {
       await fleet.stop();
@@ -50,6 +59,9 @@
     try {
       const rehearsal = new Rehearsal(fleet, say);
       await rehearsal.begin();
+      watch = setInterval(() => {
+        void rehearsal.leaderName().then((name) => leaders.add(name));
+      }, LEADER_WATCH_MS);
       const callers = new Callers(fleet.edges.map(flowOf), flags.seed);
       isGood = await rehearsal.run(callers, {
         seconds: flags.seconds,
@@ -62,6 +74,9 @@
     } catch (thrown) {
       this.log(`rehearsal ended early: ${reasonOf(thrown)}`);
     } finally {
+      clearInterval(watch);
+      for (const name of leaders)
+        this.log(`${name} led, of ${programOf(name) === undefined ? 'this' : 'the other'} build`);
       await fleet.stop();
       if (flags.keep || !isGood) this.log(`records and logs: ${root}`);
       else rmSync(root, { recursive: true, force: true });
@@ -70,6 +85,19 @@
   }
 }
 
+/**
+ * Every other control node, agent and proxy runs the other build, if there is one; an agent never the same as the proxy
+ * beside it.
+ */
+function mixedPrograms(otherBuild: string | undefined): ProgramOf {
+  return (name) => {
+    const [, program = '', index = ''] = /^(mind|link|flow)-(\d+)$/.exec(name) ?? [];
+    if (program === '') return undefined;
+    const isOther = Number(index) % 2 === (program === 'flow' ? 1 : 0);
+    return isOther ? otherBuild : undefined;
+  };
+}
+
 function flowOf(edge: { readonly flow: string }): string {
   return edge.flow;
 }
--- a/src/rehearsal/fleet.ts
+++ b/src/rehearsal/fleet.ts
@@ -35,6 +35,9 @@
   readonly zone: string;
 }
 
+/** Says which build's program a process runs; the present build's where it says nothing. */
+export type ProgramOf = (name: string) => string | undefined;
+
 export const PROGRAM = fileURLToPath(new URL('../../bin/run.js', import.meta.url));
 
 /**
@@ -72,14 +75,16 @@
     string,
     { address: string; zone: string; records: string; service: string }
   >();
+  readonly #programOf: ProgramOf;
   #platform = '';
   #store = '';
   #platformRecords = '';
   #storeRecords = '';
 
-  constructor(deployment: Deployment, root: string) {
+  constructor(deployment: Deployment, root: string, programOf: ProgramOf = () => undefined) {
     this.#deployment = deployment;
     this.#root = root;
+    this.#programOf = programOf;
   }
 
   get deployment(): Deployment {
@@ -309,7 +314,7 @@
     const program = this.#programs.get(name);
     if (!program || program.process) return;
     const log = openSync(join(this.#root, `${name}.log`), 'a');
-    const child = spawn(process.execPath, [PROGRAM, ...program.args], {
+    const child = spawn(process.execPath, [this.#programOf(name) ?? PROGRAM, ...program.args], {
       stdio: ['ignore', log, log],
     });
     program.process = child;
