--- /dev/null
+++ b/src/simulation/same-runs/drawn-attempts.ts
@@ -0,0 +1,110 @@
+import type { Moment } from '../../common/ids.js';
+import type { AnswerHead, Dispatcher } from '../../proxy/dispatcher.js';
+import type { Seeded } from '../../rehearsal/seeded.js';
+import type { TraceDigest } from './trace-digest.js';
+
+type Stage = 'chosen' | 'written' | 'answering';
+
+interface DrawnAttempt {
+  readonly id: number;
+  readonly attempt: number;
+  stage: Stage;
+}
+
+/** Heads of answers, the usual one several times; the shares of the rest are even. */
+const OK: AnswerHead = { status: 200, isNotRun: false, isGenuine: true };
+const HEADS: readonly AnswerHead[] = [
+  ...[OK, OK, OK, OK, OK, OK, OK, OK],
+  { status: 500, isNotRun: false, isGenuine: true },
+  { status: 503, isNotRun: true, isGenuine: true },
+  { status: 421, isNotRun: true, isGenuine: true },
+  { status: 200, isNotRun: false, isGenuine: false },
+  { status: 429, isNotRun: false, isGenuine: true },
+  { status: 404, isNotRun: false, isGenuine: true },
+];
+
+/** The attempts of a dispatcher that are under way, and what comes of them. */
+export class DrawnAttempts {
+  readonly #random: Seeded;
+  readonly #dispatcher: Dispatcher;
+  readonly #digest: TraceDigest;
+  readonly #byId = new Map<number, DrawnAttempt>();
+
+  constructor(random: Seeded, dispatcher: Dispatcher, digest: TraceDigest) {
+    this.#random = random;
+    this.#dispatcher = dispatcher;
+    this.#digest = digest;
+  }
+
+  begin(id: number, attempt: number): void {
+    this.#byId.set(id, { id, attempt, stage: 'chosen' });
+  }
+
+  /** The answer's head was taken: what follows is passed on. */
+  pass(id: number): void {
+    const attempt = this.#byId.get(id);
+    if (attempt) attempt.stage = 'answering';
+  }
+
+  end(id: number): void {
+    this.#byId.delete(id);
+  }
+
+  /** Something comes of one attempt; now and then it is said of an earlier one, which is void. */
+  goOn(now: Moment): void {
+    const attempt = this.#random.pick([...this.#byId.values()]);
+    if (!attempt) return;
+    if (this.#random.isLikely(0.03)) this.#sayVoid(now, attempt);
+    else if (attempt.stage === 'chosen') this.#connect(now, attempt);
+    else if (attempt.stage === 'written') this.#hearHead(now, attempt);
+    else this.#hearBody(now, attempt);
+  }
+
+  #sayVoid(now: Moment, { id, attempt }: DrawnAttempt): void {
+    const earlier = attempt - 1;
+    this.#dispatcher.head(now, id, earlier, OK);
+    this.#dispatcher.moved(now, id, earlier);
+    this.#dispatcher.broke(now, id, earlier, false);
+  }
+
+  #connect(now: Moment, attempt: DrawnAttempt): void {
+    const { id, attempt: number } = attempt;
+    const draw = this.#random.next();
+    if (draw < 0.85) {
+      const mayWrite = this.#dispatcher.mayWrite(now, id, number);
+      this.#digest.record(now, 'dispatcher', 'may write', [id, number, mayWrite]);
+      if (mayWrite) attempt.stage = 'written';
+      else this.end(id);
+      return;
+    }
+    this.end(id);
+    if (draw < 0.9) this.#dispatcher.unwritten(now, id, number);
+    else if (draw < 0.96) this.#dispatcher.unreached(now, id, number);
+    else this.#dispatcher.broke(now, id, number, false);
+  }
+
+  #hearHead(now: Moment, { id, attempt }: DrawnAttempt): void {
+    const draw = this.#random.next();
+    // A runner that says nothing for long is left to the ticks.
+    if (draw < 0.3) return;
+    if (draw < 0.36) {
+      this.end(id);
+      this.#dispatcher.broke(now, id, attempt, draw < 0.33);
+      return;
+    }
+    const head = this.#random.pick(HEADS) ?? OK;
+    if (head.isNotRun) this.end(id);
+    this.#dispatcher.head(now, id, attempt, head);
+  }
+
+  #hearBody(now: Moment, { id, attempt }: DrawnAttempt): void {
+    const draw = this.#random.next();
+    if (draw < 0.6) {
+      this.#dispatcher.moved(now, id, attempt);
+      return;
+    }
+    this.end(id);
+    if (draw < 0.95) this.#dispatcher.ended(now, id, attempt);
+    else this.#dispatcher.broke(now, id, attempt, false);
+  }
+}
--- a/src/simulation/same-runs/pinned-runs.ts
+++ b/src/simulation/same-runs/pinned-runs.ts
@@ -3,6 +3,8 @@
 import { simulate } from '../control-simulation.js';
 import { MIXED, optionsOf, shapeOf } from '../run-shape.js';
 import { drawSchedule } from '../schedule-draw.js';
+import { runDispatcher } from './dispatcher-run.js';
+import { runPlanner } from './planner-run.js';
 import { TraceDigest, type TraceLog } from './trace-digest.js';
 
 /** What is run, and compared, under a seed. */
@@ -15,6 +17,8 @@
 
 const MIXED_SEEDS = 500;
 const STORM_SEEDS = 100;
+const DISPATCHER_SEEDS = 1000;
+const PLANNER_SEEDS = 500;
 /** Virtual time of troubles in a storm. */
 const STORM_MS = 25_000;
 const STORM_PROXIES = 3;
@@ -39,6 +43,10 @@
   mixed: { seeds: MIXED_SEEDS, run: runMixed },
   /** A fleet of the table of policies under all troubles (`haretrack rehearsal storm`). */
   storms: { seeds: STORM_SEEDS, run: runStorm },
+  /** The proxy's dispatcher alone, under drawn requests, answers, faults and words on the fleet. */
+  dispatcher: { seeds: DISPATCHER_SEEDS, run: runDispatcher },
+  /** The planner alone, under drawn demand, runners, lost orders, configurations and leaders. */
+  planner: { seeds: PLANNER_SEEDS, run: runPlanner },
 } as const satisfies Record<string, PinnedKind>;
 export type PinnedKindName = keyof typeof PINNED_KINDS;
 
--- a/src/simulation/same-runs/same-runs.test.ts
+++ b/src/simulation/same-runs/same-runs.test.ts
@@ -7,6 +7,8 @@
 const MIXED_FROM = 21;
 const MIXED_COUNT = 20;
 const STORMS = 4;
+const DISPATCHERS = 60;
+const PLANNERS = 30;
 
 async function expectSame(kind: PinnedKindName, from: number, count: number): Promise<void> {
   const recorded = new RecordedDigests();
@@ -29,3 +31,13 @@
   await expectSame('storms', 1, STORMS);
 }
 test('storms over a fleet of the table of policies run as they were recorded', checkStorms);
+
+async function checkDispatchers(): Promise<void> {
+  await expectSame('dispatcher', 1, DISPATCHERS);
+}
+test('dispatchers alone do what was recorded', checkDispatchers);
+
+async function checkPlanners(): Promise<void> {
+  await expectSame('planner', 1, PLANNERS);
+}
+test('planners alone do what was recorded', checkPlanners);
