--- a/src/glossary.test.ts
+++ b/src/glossary.test.ts
@@ -18,22 +18,18 @@
   return rows.slice(2);
 }
 
-function checkFiles(): void {
+test('every file that the glossary names for a term exists', () => {
   const missing: string[] = [];
   for (const [word = '', , , where = ''] of rowsOf(USERS_SECTION))
     for (const [, file = ''] of where.matchAll(/`([^`]+)`/g))
       if (!existsSync(join(SOURCES, file))) missing.push(`${word}: ${file}`);
   expect(missing).toEqual([]);
-}
-
-function checkPairs(): void {
+});
+test('the glossary has a row for each pair of the users', () => {
   const rows = rowsOf(USERS_SECTION);
   expect(rows).toHaveLength(USERS_PAIRS);
   for (const [word, term] of rows) {
     expect(word?.trim()).not.toBe('');
     expect(term?.trim()).not.toBe('');
   }
-}
-
-test('every file that the glossary names for a term exists', checkFiles);
-test('the glossary has a row for each pair of the users', checkPairs);
+});
--- a/src/placement/planner.test.ts
+++ b/src/placement/planner.test.ts
@@ -615,8 +615,45 @@
     nothingUnkept,
   );
   test('after a lost unload nothing is ordered there before a fresh report', lostUnload);
-  test('the last copies of what is asked for most stay', keepsLastCopies);
-  test('no runner has much more to do than its share', spreadsWork);
+  test('the last copies of what is asked for most stay', () => {
+    const world = new World({ engine: engineOf(8), zones: ['a', 'b'], runnersPerZone: 1, seed: 5 });
+    world.hold('r1', 'm0', 'm1', 'm2');
+    world.hold('r2', 'm3', 'm4', 'm5');
+    world.run(1000);
+    // The busiest one's last copies stay while others come and go.
+    const busy = new Traffic({ m0: 1 }, 60);
+    const rare = new Traffic(rareWeights(1, 8), 6, 1);
+    let without = 0;
+    world.run(20_000, (one: World) => {
+      busy.each(one);
+      rare.each(one);
+      if (one.copies('m0').length === 0) without += 1;
+    });
+    expect(without).toBe(0);
+    expect(world.missed.size).toBe(0);
+    expect(world.breaks).toEqual([]);
+  });
+  test('no runner has much more to do than its share', () => {
+    const world = smallSite(11, { slots: 32 });
+    const busy = new Traffic({ m0: 50, m1: 30, m2: 20 }, 120);
+    const rare = new Traffic(rareWeights(5, 17), 5, 1);
+    const each = (world: World) => both(busy, rare, world);
+    world.run(10_000, each);
+    const sums = new Map<string, number>();
+    world.run(5000, (one: World) => {
+      each(one);
+      for (const call of one.calls)
+        if (call.runner) sums.set(call.runner.id, (sums.get(call.runner.id) ?? 0) + 1);
+    });
+    let all = 0;
+    let most = 0;
+    for (const sum of sums.values()) {
+      all += sum;
+      most = Math.max(most, sum);
+    }
+    expect(most).toBeLessThan((all / world.runners.size) * 2.5);
+    expect(world.breaks).toEqual([]);
+  });
   test('copies follow a crowd though rare models are always being loaded', growsAmongRare);
   test('a steady demand needs few orders', steadyIsCalm);
   test('rare models that do not all fit are served in turn', rotatesFairly);
@@ -634,13 +671,103 @@
   test('the less urgent is not starved by the urgent', starvesNobody);
   test('what was just loaded stays for a while', stays);
   test('an understudy goes to another zone, also where its own has room', pairsAcrossZones);
-  test('a new leader takes over without ordering anew', takesOver);
+  test('a new leader takes over without ordering anew', () => {
+    const world = smallSite(8);
+    const busy = new Traffic({ m0: 73, m1: 27 }, 90);
+    const rare = new Traffic(rareWeights(5, 17), 8, 1);
+    const each = (world: World) => both(busy, rare, world);
+    world.run(8000, each);
+    const before = world.orders.length;
+    const primary = world.stored.get('llm/m0')?.primary;
+    world.changeLeader();
+    world.run(5000, each);
+    // Its rates begin anew, so a copy may move.
+    expect(world.orders.length - before).toBeLessThan(12);
+    expect(world.asked).toBe(world.runners.size);
+    expect(world.stored.get('llm/m0')?.primary).toBe(primary);
+    // In the midst of loads.
+    world.ask('m30');
+    world.ask('m31');
+    world.run(150, each);
+    world.changeLeader();
+    world.run(3000, each);
+    expect(world.served.get('m30')).toBe(1);
+    expect(world.served.get('m31')).toBe(1);
+    for (const doc of world.stored.values())
+      for (const intent of doc.intents) expect(intent.id.startsWith('l2')).toBe(true);
+    expect(world.breaks).toEqual([]);
+  });
   test(
     'nothing breaks under storms of lost orders, crashes, leaving and changes of leader',
-    storms,
+    () => {
+      for (let seed = 1; seed <= STORMS; seed += 1) {
+        const roomMb = [140_000, 220_000, 300_000][seed % 3] ?? 0;
+        const engine = engineOf(24, {
+          roomMb,
+          adapterSlots: 1 + (seed % 8),
+          loadsPerSecond: [2, 6.8, 40][seed % 3] ?? 1,
+        });
+        const world = new World({
+          engine,
+          zones: ['a', 'b', 'c'],
+          runnersPerZone: 2,
+          seed,
+          unsure: 60,
+          countsHeld: seed % 5 === 0,
+          isStrict: seed % 2 === 0,
+        });
+        world.run(1000);
+        let shift = 0;
+        for (let round = 0; round < 8; round += 1) {
+          const busy = new Traffic(
+            {
+              [`m${shift}`]: 5,
+              [`m${shift + 1}`]: 2,
+              'm0/a1': 1,
+              'm0/a2': 1,
+              'm0/a3': 1,
+              'm0/a4': 1,
+              'm0/a5': 1,
+            },
+            60,
+          );
+          const rare = new Traffic(rareWeights(5, 24), 10, 1);
+          const each = (world: World) => both(busy, rare, world);
+          world.run(1500 + world.dice.below(1000), each);
+          trouble(world);
+          shift = world.dice.below(6);
+        }
+        for (const runner of world.runners.values()) runner.isDark = false;
+        expect(world.breaks, `seed ${seed}`).toEqual([]);
+        // Calm again: whatever is asked for is served.
+        world.emptied = [];
+        world.served.clear();
+        const after = new Traffic({ m0: 5, m1: 2 }, 40);
+        world.run(6000, (world) => after.each(world));
+        expect(world.served.get('m0') ?? 0, `seed ${seed}`).toBeGreaterThan(50);
+        expect(world.served.get('m1') ?? 0, `seed ${seed}`).toBeGreaterThan(15);
+        expect(world.breaks, `seed ${seed}`).toEqual([]);
+      }
+    },
     2000 * STORMS,
   );
-  test('time alone is no news for the data plane', fleetIsStable);
+  test('time alone is no news for the data plane', () => {
+    const world = new World({ engine: engineOf(6), zones: ['a', 'b'], runnersPerZone: 1 });
+    world.hold('r1', 'm0', 'm1', 'm2');
+    world.hold('r2', 'm3', 'm4', 'm0');
+    world.run(1000);
+    world.ask('m5');
+    world.run(150);
+    const first = JSON.stringify(world.planner.fleet(world.at()));
+    expect(first).toContain('"coming":[{"model":"m5","adapter":"","readyMs":');
+    world.run(300);
+    expect(JSON.stringify(world.planner.fleet(world.at()))).toBe(first);
+    // What makes way is told no more from the moment it is decided.
+    let holders = 0;
+    for (const runner of world.planner.fleet(world.at()).runners)
+      for (const hold of runner.holds) if (hold.model === 'm0') holders += 1;
+    expect(holders).toBe(1);
+  });
   test('called only when it says so, it still places everything', () => {
     const world = new World({
       engine: engineOf(20),
@@ -658,9 +785,77 @@
     world.run(4000);
     expect(world.plans - calm).toBeLessThan(200);
   });
-  test('what a new configuration names no longer makes way, and is not loaded', followsRouting);
-  test('a crowd waiting for places at many copies is no doubt about them', crowdIsNoDoubt);
-  test('a runner that takes no order is passed over', passesOver);
+  test('what a new configuration names no longer makes way, and is not loaded', () => {
+    const world = new World({ engine: engineOf(6), zones: ['a', 'b'], runnersPerZone: 1 });
+    world.hold('r1', 'm0', 'm1', 'm2');
+    world.hold('r2', 'm3', 'm4', 'm5');
+    world.run(3000);
+    const engine = engineOf(8);
+    const fewer: Engine = { ...engine, models: engine.models.filter(isNotFirst) };
+    world.routing = routingOf(fewer);
+    world.run(500);
+    world.ask('m0');
+    world.ask('m7');
+    world.run(2000);
+    expect(world.copies('m7').length).toBe(1);
+    expect(world.copies('m0').length).toBe(0);
+    for (const model of ['m1', 'm2', 'm3', 'm4', 'm5']) expect(world.copies(model).length).toBe(1);
+    world.run(3000);
+    expect(world.copies('m0').length).toBe(0);
+  });
+  test('a crowd waiting for places at many copies is no doubt about them', () => {
+    const planner = new Planner({ lagMs: LAG });
+    const routing = routingOf(engineOf(9));
+    const input = { routing, emptied: [], flows: 1 };
+    planner.restore(moment(0), [], 'l1');
+    planner.plan(moment(0), input);
+    const hold = [{ model: 'm0', adapters: [] }];
+    planner.list(moment(0), [
+      listedOf('r1', 'a', hold),
+      listedOf('r2', 'b', hold),
+      listedOf('r3', 'c', hold),
+      listedOf('r4', 'c', []),
+    ]);
+    for (let now = 100; now < 5000; now += 100) {
+      planner.demand(moment(now), {
+        flow: 'f1',
+        units: [
+          {
+            service: 'llm',
+            model: 'm0',
+            adapter: '',
+            count: 1,
+            waiting: 3,
+            running: 5,
+            priority: 0,
+          },
+        ],
+      });
+      planner.plan(moment(now), input);
+    }
+    expect(intentIdsOf(planner)).toEqual([]);
+  });
+  test('a runner that takes no order is passed over', () => {
+    const planner = new Planner({ lagMs: LAG });
+    const routing = routingOf(engineOf(9));
+    const input = { routing, emptied: [], flows: 1 };
+    planner.restore(moment(0), [], 'l1');
+    planner.plan(moment(0), input);
+    planner.list(moment(0), [listedOf('r1', 'a', []), listedOf('r2', 'b', [])]);
+    const sent: string[] = [];
+    for (let now = 100; now < 1500; now += 5) {
+      planner.demand(moment(now), { flow: 'f1', units: [{ ...waitingUnit('m0', 1), count: 0 }] });
+      planner.plan(moment(now), input);
+      planner.kept(intentIdsOf(planner));
+      for (const order of planner.orders(moment(now))) {
+        sent.push(order.runner);
+        planner.ordered(moment(now + 1), order.id, order.runner === 'r1' ? 'unsent' : 'taken');
+      }
+    }
+    expect(sent.slice(0, 2)).toEqual(['r1', 'r2']);
+    expect(sent.slice(2)).not.toContain('r1');
+    expect(planner.fleet(moment(1500)).waits).toEqual([]);
+  });
   test('whether runners count orders that they need not do is learnt', () => {
     const world = new World({
       engine: engineOf(30),
@@ -1202,117 +1397,10 @@
   expect([load?.verb, load?.model, load?.count]).toEqual(['load', 'm3', 1]);
 }
 
-function keepsLastCopies(): void {
-  const world = new World({ engine: engineOf(8), zones: ['a', 'b'], runnersPerZone: 1, seed: 5 });
-  world.hold('r1', 'm0', 'm1', 'm2');
-  world.hold('r2', 'm3', 'm4', 'm5');
-  world.run(1000);
-  // The busiest one's last copies stay while others come and go.
-  const busy = new Traffic({ m0: 1 }, 60);
-  const rare = new Traffic(rareWeights(1, 8), 6, 1);
-  let without = 0;
-  world.run(20_000, (one: World) => {
-    busy.each(one);
-    rare.each(one);
-    if (one.copies('m0').length === 0) without += 1;
-  });
-  expect(without).toBe(0);
-  expect(world.missed.size).toBe(0);
-  expect(world.breaks).toEqual([]);
-}
-
-function spreadsWork(): void {
-  const world = smallSite(11, { slots: 32 });
-  const busy = new Traffic({ m0: 50, m1: 30, m2: 20 }, 120);
-  const rare = new Traffic(rareWeights(5, 17), 5, 1);
-  const each = (world: World) => both(busy, rare, world);
-  world.run(10_000, each);
-  const sums = new Map<string, number>();
-  world.run(5000, (one: World) => {
-    each(one);
-    for (const call of one.calls)
-      if (call.runner) sums.set(call.runner.id, (sums.get(call.runner.id) ?? 0) + 1);
-  });
-  let all = 0;
-  let most = 0;
-  for (const sum of sums.values()) {
-    all += sum;
-    most = Math.max(most, sum);
-  }
-  expect(most).toBeLessThan((all / world.runners.size) * 2.5);
-  expect(world.breaks).toEqual([]);
-}
-
-function followsRouting(): void {
-  const world = new World({ engine: engineOf(6), zones: ['a', 'b'], runnersPerZone: 1 });
-  world.hold('r1', 'm0', 'm1', 'm2');
-  world.hold('r2', 'm3', 'm4', 'm5');
-  world.run(3000);
-  const engine = engineOf(8);
-  const fewer: Engine = { ...engine, models: engine.models.filter(isNotFirst) };
-  world.routing = routingOf(fewer);
-  world.run(500);
-  world.ask('m0');
-  world.ask('m7');
-  world.run(2000);
-  expect(world.copies('m7').length).toBe(1);
-  expect(world.copies('m0').length).toBe(0);
-  for (const model of ['m1', 'm2', 'm3', 'm4', 'm5']) expect(world.copies(model).length).toBe(1);
-  world.run(3000);
-  expect(world.copies('m0').length).toBe(0);
-}
-
 function isNotFirst(model: { name: string }): boolean {
   return model.name !== 'm0';
 }
 
-function crowdIsNoDoubt(): void {
-  const planner = new Planner({ lagMs: LAG });
-  const routing = routingOf(engineOf(9));
-  const input = { routing, emptied: [], flows: 1 };
-  planner.restore(moment(0), [], 'l1');
-  planner.plan(moment(0), input);
-  const hold = [{ model: 'm0', adapters: [] }];
-  planner.list(moment(0), [
-    listedOf('r1', 'a', hold),
-    listedOf('r2', 'b', hold),
-    listedOf('r3', 'c', hold),
-    listedOf('r4', 'c', []),
-  ]);
-  for (let now = 100; now < 5000; now += 100) {
-    planner.demand(moment(now), {
-      flow: 'f1',
-      units: [
-        { service: 'llm', model: 'm0', adapter: '', count: 1, waiting: 3, running: 5, priority: 0 },
-      ],
-    });
-    planner.plan(moment(now), input);
-  }
-  expect(intentIdsOf(planner)).toEqual([]);
-}
-
-function passesOver(): void {
-  const planner = new Planner({ lagMs: LAG });
-  const routing = routingOf(engineOf(9));
-  const input = { routing, emptied: [], flows: 1 };
-  planner.restore(moment(0), [], 'l1');
-  planner.plan(moment(0), input);
-  planner.list(moment(0), [listedOf('r1', 'a', []), listedOf('r2', 'b', [])]);
-  const sent: string[] = [];
-  for (let now = 100; now < 1500; now += 5) {
-    planner.demand(moment(now), { flow: 'f1', units: [{ ...waitingUnit('m0', 1), count: 0 }] });
-    planner.plan(moment(now), input);
-    planner.kept(intentIdsOf(planner));
-    for (const order of planner.orders(moment(now))) {
-      sent.push(order.runner);
-      planner.ordered(moment(now + 1), order.id, order.runner === 'r1' ? 'unsent' : 'taken');
-    }
-  }
-  expect(sent.slice(0, 2)).toEqual(['r1', 'r2']);
-  expect(sent.slice(2)).not.toContain('r1');
-  expect(planner.fleet(moment(1500)).waits).toEqual([]);
-}
-
 function routingOf(engine: Engine): Routing {
   return {
     version: 1,
@@ -1355,84 +1443,6 @@
   return ids;
 }
 
-function takesOver(): void {
-  const world = smallSite(8);
-  const busy = new Traffic({ m0: 73, m1: 27 }, 90);
-  const rare = new Traffic(rareWeights(5, 17), 8, 1);
-  const each = (world: World) => both(busy, rare, world);
-  world.run(8000, each);
-  const before = world.orders.length;
-  const primary = world.stored.get('llm/m0')?.primary;
-  world.changeLeader();
-  world.run(5000, each);
-  // Its rates begin anew, so a copy may move.
-  expect(world.orders.length - before).toBeLessThan(12);
-  expect(world.asked).toBe(world.runners.size);
-  expect(world.stored.get('llm/m0')?.primary).toBe(primary);
-  // In the midst of loads.
-  world.ask('m30');
-  world.ask('m31');
-  world.run(150, each);
-  world.changeLeader();
-  world.run(3000, each);
-  expect(world.served.get('m30')).toBe(1);
-  expect(world.served.get('m31')).toBe(1);
-  for (const doc of world.stored.values())
-    for (const intent of doc.intents) expect(intent.id.startsWith('l2')).toBe(true);
-  expect(world.breaks).toEqual([]);
-}
-
-function storms(): void {
-  for (let seed = 1; seed <= STORMS; seed += 1) {
-    const roomMb = [140_000, 220_000, 300_000][seed % 3] ?? 0;
-    const engine = engineOf(24, {
-      roomMb,
-      adapterSlots: 1 + (seed % 8),
-      loadsPerSecond: [2, 6.8, 40][seed % 3] ?? 1,
-    });
-    const world = new World({
-      engine,
-      zones: ['a', 'b', 'c'],
-      runnersPerZone: 2,
-      seed,
-      unsure: 60,
-      countsHeld: seed % 5 === 0,
-      isStrict: seed % 2 === 0,
-    });
-    world.run(1000);
-    let shift = 0;
-    for (let round = 0; round < 8; round += 1) {
-      const busy = new Traffic(
-        {
-          [`m${shift}`]: 5,
-          [`m${shift + 1}`]: 2,
-          'm0/a1': 1,
-          'm0/a2': 1,
-          'm0/a3': 1,
-          'm0/a4': 1,
-          'm0/a5': 1,
-        },
-        60,
-      );
-      const rare = new Traffic(rareWeights(5, 24), 10, 1);
-      const each = (world: World) => both(busy, rare, world);
-      world.run(1500 + world.dice.below(1000), each);
-      trouble(world);
-      shift = world.dice.below(6);
-    }
-    for (const runner of world.runners.values()) runner.isDark = false;
-    expect(world.breaks, `seed ${seed}`).toEqual([]);
-    // Calm again: whatever is asked for is served.
-    world.emptied = [];
-    world.served.clear();
-    const after = new Traffic({ m0: 5, m1: 2 }, 40);
-    world.run(6000, (world) => after.each(world));
-    expect(world.served.get('m0') ?? 0, `seed ${seed}`).toBeGreaterThan(50);
-    expect(world.served.get('m1') ?? 0, `seed ${seed}`).toBeGreaterThan(15);
-    expect(world.breaks, `seed ${seed}`).toEqual([]);
-  }
-}
-
 function trouble(world: World): void {
   const all = [...world.runners.values()];
   const one = all[world.dice.below(all.length)];
@@ -1447,21 +1457,3 @@
   } else if (kind === 4 && one) one.isDark = !one.isDark;
   else world.emptied = world.emptied.length > 0 ? [] : ['b'];
 }
-
-function fleetIsStable(): void {
-  const world = new World({ engine: engineOf(6), zones: ['a', 'b'], runnersPerZone: 1 });
-  world.hold('r1', 'm0', 'm1', 'm2');
-  world.hold('r2', 'm3', 'm4', 'm0');
-  world.run(1000);
-  world.ask('m5');
-  world.run(150);
-  const first = JSON.stringify(world.planner.fleet(world.at()));
-  expect(first).toContain('"coming":[{"model":"m5","adapter":"","readyMs":');
-  world.run(300);
-  expect(JSON.stringify(world.planner.fleet(world.at()))).toBe(first);
-  // What makes way is told no more from the moment it is decided.
-  let holders = 0;
-  for (const runner of world.planner.fleet(world.at()).runners)
-    for (const hold of runner.holds) if (hold.model === 'm0') holders += 1;
-  expect(holders).toBe(1);
-}
--- a/src/rehearsal/scale-run.test.ts
+++ b/src/rehearsal/scale-run.test.ts
@@ -29,29 +29,16 @@
 function runSizes(): Promise<ScalePoint[]> {
   return Promise.all(SIZES.map(runOne));
 }
-async function runAll(): Promise<void> {
-  points.push(...(await runInPacedTime(runSizes)));
-}
 
 function phaseOf(point: ScalePoint | undefined, name: string): PhaseFigures {
-  const phase = point?.phases.find(isCalled.bind(undefined, name));
+  const phase = point?.phases.find((phase) => phase.phase === name);
   if (!phase) throw new Error(`no ${name}`);
   return phase;
 }
-function isCalled(name: string, phase: PhaseFigures): boolean {
-  return phase.phase === name;
-}
 
-beforeAll(runAll);
-
-/** docs/CAPACITY.md: at rest a link sends and receives what it does in any fleet; all else is its control node's. */
-function checkRest(): void {
-  for (const point of points) {
-    const { link } = phaseOf(point, 'rest').roles;
-    expect(link?.sent.messages ?? Infinity).toBeLessThan(6);
-    expect((link?.sent.bytes ?? Infinity) + (link?.received.bytes ?? Infinity)).toBeLessThan(1000);
-  }
-}
+beforeAll(async () => {
+  points.push(...(await runInPacedTime(runSizes)));
+});
 
 interface Sum {
   messages: number;
@@ -76,9 +63,16 @@
   }
   return sum;
 }
-
+/** docs/CAPACITY.md: at rest a link sends and receives what it does in any fleet; all else is its control node's. */
+test('at rest a link says no more in a larger fleet', () => {
+  for (const point of points) {
+    const { link } = phaseOf(point, 'rest').roles;
+    expect(link?.sent.messages ?? Infinity).toBeLessThan(6);
+    expect((link?.sent.bytes ?? Infinity) + (link?.received.bytes ?? Infinity)).toBeLessThan(1000);
+  }
+});
 /** Each node takes one copy of a change and acks it. */
-function checkChanges(): void {
+test('a change takes a bounded number of messages a node', () => {
   for (const point of points) {
     const config = phaseOf(point, 'configuration change');
     expect(config.inForceMs).toHaveLength(2);
@@ -97,9 +91,8 @@
     for (const { repeats } of [config, fleet])
       expect(repeats.messages).toBeLessThan(1.2 * point.shape.nodes);
   }
-}
-
-function checkGrowth(): void {
+});
+test('messages and bytes grow no faster than the nodes', () => {
   const [small, large] = points;
   if (!small || !large) throw new Error('no points');
   const factor = large.shape.nodes / small.shape.nodes;
@@ -112,7 +105,4 @@
     expect((last?.messages ?? Infinity) / (first?.messages ?? 0)).toBeLessThan(factor * 1.2);
     expect((last?.bytes ?? Infinity) / (first?.bytes ?? 0)).toBeLessThan(factor * 1.2);
   }
-}
-test('at rest a link says no more in a larger fleet', checkRest);
-test('a change takes a bounded number of messages a node', checkChanges);
-test('messages and bytes grow no faster than the nodes', checkGrowth);
+});
--- a/src/rehearsal/sim-agent.ts
+++ b/src/rehearsal/sim-agent.ts
@@ -79,10 +79,7 @@
       const flow = this.proxies.get(effect.to);
       if (flow) {
         this.#trace.message(effect.to, effect.message);
-        this.scheduler.after(
-          0.1,
-          flow.perform.bind(flow, flow.receive.bind(flow, this.id, effect.message)),
-        );
+        this.scheduler.after(0.1, () => flow.perform(() => flow.receive(this.id, effect.message)));
       } else this.#network.send(this.id, effect.to, effect.message);
     }
   }
--- a/src/rehearsal/sim-control.ts
+++ b/src/rehearsal/sim-control.ts
@@ -88,11 +88,11 @@
 
   /** A planned stop: says whether it handed over. */
   retire(): void {
-    const now = this.now.bind(this);
+    const now = () => this.now();
     function retire(core: ControlCore): void {
       core.retire(now());
     }
-    this.perform(this.#do.bind(this, retire));
+    this.perform(() => this.#do(retire));
   }
 
   rot(part: PartName): void {
@@ -107,7 +107,7 @@
   }
 
   protected tick(): void {
-    this.#do(this.#tickCore.bind(this));
+    this.#do((core) => this.#tickCore(core));
   }
 
   #tickCore(core: ControlCore): void {
@@ -121,19 +121,17 @@
   }
 
   receive(from: string, message: Message): void {
-    const now = this.now.bind(this);
-    function receive(core: ControlCore): void {
+    const now = () => this.now();
+    this.#do((core: ControlCore) => {
       core.receive(now(), from, message);
-    }
-    this.#do(receive);
+    });
   }
 
   gone(from: string): void {
-    const now = this.now.bind(this);
-    function gone(core: ControlCore): void {
+    const now = () => this.now();
+    this.#do((core: ControlCore) => {
       core.gone(now(), from);
-    }
-    this.#do(gone);
+    });
   }
 
   /** While set, it freezes for so long right after the next check of its lease before an order. */
@@ -142,7 +140,7 @@
   #freezeAtOrder(): void {
     if (this.freezeAtOrderMs === 0 || this.isFrozen) return;
     this.freeze();
-    this.scheduler.after(this.freezeAtOrderMs, this.wake.bind(this));
+    this.scheduler.after(this.freezeAtOrderMs, () => this.wake());
     this.freezeAtOrderMs = 0;
   }
 
@@ -155,15 +153,15 @@
     this.#commandId += 1;
     const id = this.#commandId;
     this.#replies.set(id, returned);
-    const now = this.now.bind(this);
+    const now = () => this.now();
     function command(core: ControlCore): void {
       core.command(now(), id, verb, body);
     }
-    this.perform(this.#do.bind(this, command));
+    this.perform(() => this.#do(command));
   }
 
   #atWake(input: (core: ControlCore) => void): void {
-    this.perform(this.#do.bind(this, input));
+    this.perform(() => this.#do(input));
   }
 
   #do(input: (core: ControlCore) => void): void {
@@ -174,8 +172,8 @@
   }
 
   #carryOut(core: ControlCore, effect: ControlEffect): void {
-    const now = this.now.bind(this);
-    const perform = this.#do.bind(this);
+    const now = () => this.now();
+    const perform = (input: (core: ControlCore) => void) => this.#do(input);
     switch (effect.do) {
       case 'send':
         this.#network.send(this.id, effect.to, effect.message);
@@ -196,7 +194,7 @@
         function take(inner: ControlCore): void {
           if (machines) inner.machines(now(), machines);
         }
-        if (machines) this.later(this.#network.delay(), perform.bind(undefined, take));
+        if (machines) this.later(this.#network.delay(), () => perform(take));
         break;
       }
       case 'askCatalog': {
@@ -209,7 +207,7 @@
             limit: outside.orders.catalog.limit + more,
           });
         }
-        this.later(this.#network.delay(), perform.bind(undefined, take));
+        this.later(this.#network.delay(), () => perform(take));
         break;
       }
       case 'askReport':
@@ -227,33 +225,32 @@
     this.#trace.record('report', [runner]);
     const askedAt = this.now();
     const outside = this.#outside;
-    const now = this.now.bind(this);
-    const perform = this.#do.bind(this);
+    const now = () => this.now();
+    const perform = (input: (core: ControlCore) => void) => this.#do(input);
     const delay = this.#network.delay();
-    const later = this.later.bind(this);
-    const isCut = this.#network.isCut.bind(this.#network, this.id, runner);
+    const later = (millis: number, run: () => void) => this.later(millis, run);
+    const isCut = () => this.#network.isCut(this.id, runner);
     const more = this.#wrong === 'room-forgotten' ? 30 : 0;
     // The runner writes its report when the ask arrives; it then travels back.
-    function arrive(): void {
+    this.scheduler.after(delay, () => {
       const told = isCut() ? undefined : outside.report(runner);
       const report = told && more > 0 ? { ...told, room: told.room + more } : told;
       function take(core: ControlCore): void {
         core.reported(now(), runner, askedAt, report);
       }
-      later(report ? delay : 800, perform.bind(undefined, take));
-    }
-    this.scheduler.after(delay, arrive);
+      later(report ? delay : 800, () => perform(take));
+    });
   }
 
   /** The head of an order goes out, the runner says to go on, the lease is checked, and the order is written. */
   #order(core: ControlCore, effect: Extract<ControlEffect, { do: 'order' }>): void {
-    const perform = this.#atWake.bind(this);
-    const now = this.now.bind(this);
+    const perform = (input: (core: ControlCore) => void) => this.#atWake(input);
+    const now = () => this.now();
     const network = this.#network;
     const outside = this.#outside;
     const me = this.id;
     const scheduler = this.scheduler;
-    const later = this.later.bind(this);
+    const later = (millis: number, run: () => void) => this.later(millis, run);
     const { intent } = effect;
     this.#trace.order(intent);
     function told(outcome: 'taken' | 'turnedAway' | 'unsure' | 'unsent', inner: ControlCore): void {
@@ -262,11 +259,7 @@
     const epoch = core.elector.epoch;
     const wrong = this.#wrong;
     let continuedAt = 0;
-    const freezeHere = this.#freezeAtOrder.bind(this);
-    function goOn(): void {
-      continuedAt = scheduler.now;
-      scheduler.after(network.delay(), perform.bind(undefined, write));
-    }
+    const freezeHere = () => this.#freezeAtOrder();
     function write(inner: ControlCore): void {
       if (!inner.mayOrder(now()) || inner.leaseEnd() - now() <= 350) {
         told('unsent', inner);
@@ -279,7 +272,7 @@
     function put(): void {
       // From here on it is in the socket: a freeze or a lost lease no longer holds it back.
       if (network.isCut(me, intent.runner)) {
-        later(1000, perform.bind(undefined, told.bind(undefined, 'unsure')));
+        later(1000, () => perform((inner: ControlCore) => told('unsure', inner)));
         return;
       }
       scheduler.after(network.delay(), arrive);
@@ -287,32 +280,36 @@
     function arrive(): void {
       const goneOnAt = wrong === 'orders-untimed' ? scheduler.now : continuedAt;
       const outcome = outside.orders.order({ holder: me, epoch, intent, continuedAt: goneOnAt });
-      later(network.delay(), perform.bind(undefined, told.bind(undefined, outcome)));
+      later(network.delay(), () => perform((inner: ControlCore) => told(outcome, inner)));
     }
     if (network.isCut(me, intent.runner) || !outside.isAnswering(intent.runner))
-      later(1000, perform.bind(undefined, told.bind(undefined, 'unsent')));
-    else scheduler.after(network.delay(), goOn);
+      later(1000, () => perform((inner: ControlCore) => told('unsent', inner)));
+    else
+      scheduler.after(network.delay(), () => {
+        continuedAt = scheduler.now;
+        scheduler.after(network.delay(), () => perform(write));
+      });
   }
 
   #keep(effect: Extract<ControlEffect, { do: 'store' }>): void {
     const { part, version, body } = effect;
     const store = this.#store;
-    const now = this.now.bind(this);
+    const now = () => this.now();
     function stored(core: ControlCore): void {
       core.stored(now(), part, version);
     }
-    const perform = this.perform.bind(this, this.#do.bind(this, stored));
-    const late = this.#wrong === 'yes-unsynced' ? this.later.bind(this, 3000) : undefined;
+    const perform = () => this.perform(() => this.#do(stored));
+    const late =
+      this.#wrong === 'yes-unsynced' ? (run: () => void) => this.later(3000, run) : undefined;
     this.#trace.write(part, version, body);
     function keep(): void {
       store.keep(part, version, body);
     }
-    function reach(): void {
+    const write = this.later.bind(this, this.#seeded.between(0.5, this.diskMs), () => {
       if (late) late(keep);
       else keep();
       perform();
-    }
-    const write = this.later.bind(this, this.#seeded.between(0.5, this.diskMs), reach);
+    });
     if (this.isDiskStalled) this.#stalled.push(write);
     else write();
   }
--- a/src/rehearsal/sim-proxy.ts
+++ b/src/rehearsal/sim-proxy.ts
@@ -68,15 +68,15 @@
     this.#connections = new ProxyConnections({
       clients: this.#clients,
       wrong,
-      inFlightRequests: this.#currentRequests.bind(this),
-      now: this.now.bind(this),
-      perform: this.perform.bind(this),
-      later: this.later.bind(this),
-      obey: this.#obey.bind(this),
-      open: this.#open.bind(this),
+      inFlightRequests: () => this.#currentRequests(),
+      now: () => this.now(),
+      perform: (run) => this.perform(run),
+      later: (millis, run) => this.later(millis, run),
+      obey: () => this.#obey(),
+      open: (back, hear) => this.#open(back, hear),
     });
     agent.proxies.set(id, this);
-    scheduler.after(seeded.between(0, 200), this.#call.bind(this));
+    scheduler.after(seeded.between(0, 200), () => this.#call());
   }
 
   #currentRequests(): InFlightRequests | undefined {
@@ -132,14 +132,13 @@
     this.#isDraining = true;
     const node = {
       inFlightRequests: this.#inFlightRequests,
-      obey: this.#obey.bind(this),
-      now: this.now.bind(this),
+      obey: () => this.#obey(),
+      now: () => this.now(),
     };
-    function start(): void {
+    this.perform(() => {
       node.inFlightRequests?.startDraining(node.now());
       node.obey();
-    }
-    this.perform(start);
+    });
     const end = this.scheduler.now + (this.#wrong === 'drain-cuts' ? 50 : DRAIN_MS);
     this.#awaitIdle(end, done);
   }
@@ -147,7 +146,7 @@
   #awaitIdle(end: number, done: () => void): void {
     if (!this.#isDraining || !this.isUp) return;
     if ((this.#inFlightRequests?.size ?? 0) === 0 || this.scheduler.now >= end) done();
-    else this.scheduler.after(25, this.#awaitIdle.bind(this, end, done));
+    else this.scheduler.after(25, () => this.#awaitIdle(end, done));
   }
 
   protected tick(): void {
@@ -180,7 +179,7 @@
   // ---- callers
 
   #call(): void {
-    this.scheduler.after(this.#seeded.between(50, 200), this.#call.bind(this));
+    this.scheduler.after(this.#seeded.between(50, 200), () => this.#call());
     this.send(drawTraffic(this.scheduler, this.#seeded));
   }
 
@@ -188,10 +187,10 @@
   send(traffic: Traffic): void {
     if (!this.isUp || this.#isDraining) return;
     const client = this.#clients.begin(traffic);
-    this.perform(this.#take.bind(this, client));
+    this.perform(() => this.#take(client));
     // Some leave, and some read no further.
     if (this.#seeded.isLikely(0.04))
-      this.later(this.#seeded.between(0, 1500), this.#leave.bind(this, client));
+      this.later(this.#seeded.between(0, 1500), () => this.#leave(client));
     if (this.#seeded.isLikely(0.01)) client.isReading = false;
   }
 
@@ -243,21 +242,19 @@
     const proxy = {
       probes: this.#probes,
       inFlightRequests: this.#inFlightRequests,
-      now: this.now.bind(this),
-      obey: this.#obey.bind(this),
-      perform: this.perform.bind(this),
+      now: () => this.now(),
+      obey: () => this.#obey(),
+      perform: (run: () => void) => this.perform(run),
     };
-    function opened(): void {
+    const connected = proxy.perform.bind(undefined, () => {
       proxy.probes?.opened(proxy.now(), id, count);
       proxy.inFlightRequests?.settle(proxy.now());
       proxy.obey();
-    }
-    function closed(): void {
+    });
+    const broke = proxy.perform.bind(undefined, () => {
       proxy.probes?.closed(proxy.now(), id, count);
       proxy.obey();
-    }
-    const connected = proxy.perform.bind(undefined, opened);
-    const broke = proxy.perform.bind(undefined, closed);
+    });
     this.#watchLines.set(
       id,
       this.#open(id, { connected, head: ignore, text: ignore, ended: broke, broke }),
@@ -265,8 +262,8 @@
   }
 
   #open(back: string, hear: Hear): SimConnection {
-    const isCut = this.#network.isCut.bind(this.#network, this.#agent.id, back);
-    return this.#outside.open(back, isCut, this.#network.delay.bind(this.#network), hear);
+    const isCut = () => this.#network.isCut(this.#agent.id, back);
+    return this.#outside.open(back, isCut, () => this.#network.delay(), hear);
   }
 
   #carryOut(step: Step): void {
@@ -331,7 +328,7 @@
     }
     // As if another run could go on where the broken one ended.
     const next = this.#clients.alias(client);
-    this.later(1, this.#take.bind(this, next));
+    this.later(1, () => this.#take(next));
   }
 
   // ---- news
@@ -339,8 +336,8 @@
   #tell(message: Message): void {
     const agent = this.#agent;
     this.#trace.message(agent.id, message);
-    const receive = agent.receive.bind(agent, this.id, message);
-    this.scheduler.after(0.1, agent.perform.bind(agent, receive));
+    const receive = () => agent.receive(this.id, message);
+    this.scheduler.after(0.1, () => agent.perform(receive));
   }
 
   receive(_from: string, message: Message): void {
--- a/src/rehearsal/simulation.ts
+++ b/src/rehearsal/simulation.ts
@@ -60,7 +60,7 @@
     this.#network = new Network(
       this.#scheduler,
       this.#seeded,
-      this.#deliver.bind(this),
+      (to, from, message) => this.#deliver(to, from, message),
       settings.runTrace,
     );
     this.#outside = this.#makeOutside();
@@ -85,7 +85,7 @@
       agents: this.#agents,
       proxies: this.#proxies,
       findings: this.#findings,
-      holds: this.#holds.bind(this),
+      holds: (condition) => this.#holds(condition),
     });
   }
 
@@ -125,7 +125,7 @@
       this.#outside,
       agent,
       this.#calls,
-      this.#ran.bind(this, id),
+      (runner) => this.#ran(id, runner),
       this.#settings.wrong ?? '',
     );
     this.#agents.push(agent);
@@ -149,7 +149,7 @@
       case 'zone emptied':
         return this.#operators.evacuated.size > 0;
       case 'back end cold':
-        return this.#outside.records.some(isBootAfter.bind(undefined, now - COLD_MS));
+        return this.#outside.records.some((record) => isBootAfter(now - COLD_MS, record));
       case 'proxy draining':
         return this.#proxies.some(isDraining);
       case 'no holder':
@@ -219,7 +219,8 @@
     const models = new Set<string>();
     const places = parseAs(PlacesShape, this.leader()?.core?.relay.item('places')?.body ?? '');
     for (const place of places?.places ?? [])
-      if (place.seats.some(isPrimaryAt.bind(undefined, runner))) models.add(place.model);
+      if (place.seats.some((seat) => seat.primary && seat.runner === runner))
+        models.add(place.model);
     return models;
   }
 
@@ -249,26 +250,26 @@
     const node = this.#nodes.get(to);
     const sender = this.#nodes.get(from);
     // A dead process's lines are reset; nothing arrives at it.
-    if (node && sender) node.perform(node.receive.bind(node, from, message));
+    if (node && sender) node.perform(() => node.receive(from, message));
   }
 
   run(): SimulationResult {
     for (const node of [...this.#controlNodes, ...this.#agents, ...this.#proxies])
-      this.#scheduler.at(this.#seeded.between(0, 500), node.start.bind(node));
-    this.#scheduler.at(FIRST_WATCH_MS, this.#look.bind(this));
+      this.#scheduler.at(this.#seeded.between(0, 500), () => node.start());
+    this.#scheduler.at(FIRST_WATCH_MS, () => this.#look());
     this.#scheduler.runUntil(QUIET_MS);
     const serveMs = this.#servingNow() ? this.#scheduler.now : -1;
     if (serveMs < 0) this.#findings.find('no leader serves after a quiet start');
     this.found();
     this.#isStorm = true;
     this.#operators.begin();
-    this.#scheduler.after(100, this.#operators.operate.bind(this.#operators));
-    this.#scheduler.after(1000, this.#fail.bind(this));
+    this.#scheduler.after(100, () => this.#operators.operate());
+    this.#scheduler.after(1000, () => this.#fail());
     this.#scheduler.runUntil(QUIET_MS + this.#settings.stormMs);
     this.#isStorm = false;
     this.#operators.end();
     this.#troubles.healAll();
-    this.#scheduler.after(RESTORE_AFTER_MS, this.#restoreZones.bind(this));
+    this.#scheduler.after(RESTORE_AFTER_MS, () => this.#restoreZones());
     this.#scheduler.runUntil(QUIET_MS + this.#settings.stormMs + HEAL_MS);
     this.#checkEnd();
     return this.#result(serveMs);
@@ -349,7 +350,7 @@
       if (this.#isStorm) this.#leaderless.push(now - this.#leaderlessSince);
       this.#leaderlessSince = undefined;
     }
-    this.#scheduler.after(WATCH_MS, this.#look.bind(this));
+    this.#scheduler.after(WATCH_MS, () => this.#look());
   }
 
   #ran(proxy: string, runner: string): void {
@@ -360,7 +361,7 @@
     if (!this.#isStorm) return;
     const kind = this.#seeded.pick(this.#settings.troubles);
     if (kind) this.#troubles.bringAbout(kind);
-    this.#scheduler.after(this.#seeded.between(300, 5000), this.#fail.bind(this));
+    this.#scheduler.after(this.#seeded.between(300, 5000), () => this.#fail());
   }
 
   #restoreZones(): void {
@@ -373,12 +374,6 @@
 function isFresh(proxy: SimProxy): boolean {
   return proxy.decision?.isFresh(proxy.now()) === true;
 }
-function isPrimaryAt(
-  runner: string,
-  seat: { readonly runner: string; readonly primary: boolean },
-): boolean {
-  return seat.primary && seat.runner === runner;
-}
 function isOpen(proxy: SimProxy): boolean {
   return proxy.open > 0;
 }
--- a/src/simulation/leased-order.ts
+++ b/src/simulation/leased-order.ts
@@ -46,9 +46,9 @@
     const open = (endpoint: Endpoint) => this.#open(endpoint);
     const inThisLife = (run: () => void) => process.inThisLife(run);
     function connected(endpoint: Endpoint): void {
-      inThisLife(submit.bind(undefined, () => open(endpoint)))();
+      inThisLife(() => submit(() => open(endpoint)))();
     }
-    const refused = inThisLife(submit.bind(undefined, () => this.#giveUp()));
+    const refused = inThisLife(() => submit(() => this.#giveUp()));
     network.connect(host, runner, 'calls', { connected, refused });
   }
 
--- a/src/simulation/same-runs/same-runs-command.ts
+++ b/src/simulation/same-runs/same-runs-command.ts
@@ -52,11 +52,11 @@
 
   async #runAll(runs: readonly DigestRun[], jobs: number): Promise<readonly DigestResult[]> {
     const results: DigestResult[] = [];
-    const log = this.log.bind(this);
-    function done(result: DigestResult): void {
+    const done = (result: DigestResult): void => {
       results.push(result);
-      if (results.length % PROGRESS_EVERY === 0) log(`${results.length} of ${runs.length} runs`);
-    }
+      if (results.length % PROGRESS_EVERY === 0)
+        this.log(`${results.length} of ${runs.length} runs`);
+    };
     const pool = { worker: WORKER, runs, jobs, mostMs: Infinity, isResult: isDigestResult, done };
     await new SeedPool(pool).run();
     return results;
@@ -90,11 +90,12 @@
     const [kind] = kinds;
     if (kind === undefined || kinds.length > 1) this.error('--trace wants one --kind');
     const file = createWriteStream(path);
-    function write(line: string): void {
-      file.write(`${line.replaceAll('\n', '\\n')}\n`);
-    }
-    this.log(`${kind} ${seed}: ${PINNED_KINDS[kind].run(seed, write)}`);
-    await new Promise<void>(file.end.bind(file));
+    this.log(
+      `${kind} ${seed}: ${PINNED_KINDS[kind].run(seed, (line: string) => {
+        file.write(`${line.replaceAll('\n', '\\n')}\n`);
+      })}`,
+    );
+    await new Promise<void>((ended) => file.end(ended));
   }
 }
 
--- a/src/simulation/sim-exchange.ts
+++ b/src/simulation/sim-exchange.ts
@@ -115,7 +115,7 @@
     const dialed = (endpoint: Endpoint) => this.#dialed(id, dial, endpoint);
     const failed = () => this.#failed(id, dial);
     const network = this.#network;
-    const refused = process.inThisLife(submit.bind(undefined, failed));
+    const refused = process.inThisLife(() => submit(failed));
     this.#network.connect(this.#host, id, 'nodes', {
       connected: guardConnected(
         network,
