--- a/src/compatibility/stored-state.test.ts
+++ b/src/compatibility/stored-state.test.ts
@@ -223,6 +223,30 @@
     });
   });
 
+  test.each(['epoch', 'grantEpoch', 'grantLeader', 'isFree'])(
+    'a record of votes whose %s is of another type makes the replica a lost one',
+    async (field) => {
+      const stored = await readFolder('deployed/leader');
+      const { body, ...file } = partOf(stored, VOTE_PART);
+      const record: unknown = JSON.parse(body);
+      expect(record).toHaveProperty(field);
+      const spoiled = body.replace(new RegExp(`"${field}":[^,}]+`), `"${field}":[]`);
+      expect(readVotes([{ ...file, body: spoiled }]).status).toBe('lost');
+      expect(readVotes([{ ...file, body }]).status).toBe('sound');
+    },
+  );
+
+  test.each(['number', 'table', 'emptied', 'edits', 'voters', 'routing', 'editColumns'])(
+    'a configuration whose %s is of another type is not decoded',
+    async (field) => {
+      const { body } = partOf(await readFolder('deployed/leader'), CONFIG_PART);
+      const content: object = JSON.parse(body);
+      expect(content).toHaveProperty(field);
+      expect(decodeConfigDoc(JSON.stringify({ ...content, [field]: 'wrong' }))).toBeUndefined();
+      expect(decodeConfigDoc(JSON.stringify(content))).toBeDefined();
+    },
+  );
+
   test('a missing record of votes beside other parts makes the replica a lost one', async () => {
     const path = await copyOf('deployed/leader');
     await rm(join(path, VOTE_PART), { recursive: true });
