--- a/src/agent/agent-process.ts
+++ b/src/agent/agent-process.ts
@@ -1,6 +1,6 @@
 import type { Logger } from 'pino';
 import { monotonicNow } from '../common/clock.js';
-import type { CodedError } from '../common/coded-error.js';
+import type { HaretrackError } from '../common/errors.js';
 import type { Moment } from '../common/ids.js';
 import { newIncarnation } from '../common/incarnation.js';
 import type { Message } from '../common/messages.js';
@@ -75,7 +75,7 @@
     this.#log.info({ state, ...metrics }, 'agent state');
   }
 
-  #tell(error: CodedError): void {
-    this.#log.warn({ defect: error.kind }, error.message);
+  #tell(error: HaretrackError): void {
+    this.#log.warn({ defect: error.code }, error.message);
   }
 }
--- a/src/agent/table-agent-process.ts
+++ b/src/agent/table-agent-process.ts
@@ -3,7 +3,7 @@
 import { newIncarnation } from '../common/incarnation.js';
 import { monotonicNow } from '../common/clock.js';
 import { Counters } from '../common/counters.js';
-import type { CodedError } from '../common/coded-error.js';
+import type { HaretrackError } from '../common/errors.js';
 import type { Message } from '../common/messages.js';
 import type { TableAgentSettingsShape } from '../common/settings.js';
 import { Exchange, type Incoming } from '../dissemination/exchange.js';
@@ -77,8 +77,8 @@
     /* its metrics are asked for */
   }
 
-  #tell(error: CodedError): void {
-    this.#counters.add(`defects.${error.kind}`);
-    this.#log.warn({ defect: error.kind }, error.message);
+  #tell(error: HaretrackError): void {
+    this.#counters.add(`defects.${error.code}`);
+    this.#log.warn({ defect: error.code }, error.message);
   }
 }
--- a/src/check/check-command.ts
+++ b/src/check/check-command.ts
@@ -1,7 +1,7 @@
 import { readFileSync } from 'node:fs';
 import { Args, Command, Flags } from '@oclif/core';
 import { compile } from '../policy/language.js';
-import { reasonOf } from '../common/coded-error.js';
+import { reasonOf } from '../common/errors.js';
 import { Operator } from '../operator/operator.js';
 import { OPERATOR_FLAGS } from '../operator/operator-command.js';
 import { TableCheck, FleetShape } from './table-check.js';
--- a/src/common/json.ts
+++ b/src/common/json.ts
@@ -1,4 +1,4 @@
-import { CodedError } from './coded-error.js';
+import { MalformedRequestError } from './errors.js';
 import type { Shape } from './wire.js';
 
 /** JSON text of a given shape, or nothing. */
@@ -14,6 +14,6 @@
 
 export function mustParseAs<T>(shape: Shape<T>, text: string, what: string): T {
   const value = parseAs(shape, text);
-  if (value === undefined) throw new CodedError('malformed', `${what} is not what it should be`);
+  if (value === undefined) throw new MalformedRequestError(`${what} is not what it should be`);
   return value;
 }
--- a/src/common/messages.ts
+++ b/src/common/messages.ts
@@ -1,5 +1,5 @@
 import { array, boolean, number, string, type, type Infer } from 'superstruct';
-import { CodedError } from './coded-error.js';
+import { MalformedFrameError } from './errors.js';
 import { Codec, Wire, type Shape } from './wire.js';
 
 const Link = type({ peer: string(), score: number(), alive: boolean() });
@@ -153,12 +153,12 @@
     return isMessage(value, kind);
   }
   function encode(message: Message): Uint8Array {
-    if (!isOfShape(message)) throw new CodedError('bad-frame', `not a ${kind}`);
+    if (!isOfShape(message)) throw new MalformedFrameError(`not a ${kind}`);
     return codec.encode(message);
   }
   function decode(bytes: Uint8Array): Message {
     const value: unknown = { kind, ...codec.decode(bytes) };
-    if (!isMessage(value, kind)) throw new CodedError('bad-frame', `not a ${kind}`);
+    if (!isMessage(value, kind)) throw new MalformedFrameError(`not a ${kind}`);
     return value;
   }
   coders.set(kind, { encode, decode });
@@ -171,13 +171,13 @@
 /** A frame is one byte for the kind's place in the table, then the message. */
 export function encodeMessage(message: Message): Buffer {
   const coder = coders.get(message.kind);
-  if (!coder) throw new CodedError('bad-frame', `unknown kind ${message.kind}`);
+  if (!coder) throw new MalformedFrameError(`unknown kind ${message.kind}`);
   return Buffer.concat([Buffer.from([kinds.indexOf(message.kind)]), coder.encode(message)]);
 }
 
 export function decodeMessage(bytes: Uint8Array): Message {
   const kind = kinds[bytes[0] ?? 255];
   const coder = kind === undefined ? undefined : coders.get(kind);
-  if (!coder) throw new CodedError('bad-frame', `unknown kind ${bytes[0]}`);
+  if (!coder) throw new MalformedFrameError(`unknown kind ${bytes[0]}`);
   return coder.decode(bytes.subarray(1));
 }
--- a/src/common/program-command.ts
+++ b/src/common/program-command.ts
@@ -1,6 +1,6 @@
 import { Command, Flags } from '@oclif/core';
 import type { Struct } from 'superstruct';
-import { reasonOf } from './coded-error.js';
+import { reasonOf } from './errors.js';
 import { readSettings } from './settings.js';
 
 /** Flags that every program takes; each setting of the file may also be given as a flag. */
--- a/src/common/settings.ts
+++ b/src/common/settings.ts
@@ -15,7 +15,7 @@
   StructError,
   type Struct,
 } from 'superstruct';
-import { reasonOf } from './coded-error.js';
+import { reasonOf } from './errors.js';
 
 function checkAddress(value: unknown): boolean | string {
   if (typeof value !== 'string') return 'must be text like 10.0.0.1:7000';
--- a/src/common/wire.ts
+++ b/src/common/wire.ts
@@ -1,6 +1,6 @@
 import protobuf from 'protobufjs';
 import { Struct } from 'superstruct';
-import { CodedError } from './coded-error.js';
+import { MalformedFrameError } from './errors.js';
 
 /** What is needed of a superstruct shape; unlike Struct itself it may stand for a narrower one. */
 export interface Shape<T> {
@@ -71,14 +71,13 @@
     try {
       raw = this.#type.toObject(this.#type.decode(bytes), { defaults: true, arrays: true });
     } catch (thrown) {
-      throw new CodedError(
-        'bad-frame',
+      throw new MalformedFrameError(
         `undecodable ${this.#type.name}`,
         thrown instanceof Error ? thrown : undefined,
       );
     }
     if (!this.#shape.is(raw))
-      throw new CodedError('bad-frame', `${this.#type.name} has fields of the wrong kind`);
+      throw new MalformedFrameError(`${this.#type.name} has fields of the wrong kind`);
     return raw;
   }
 }
--- a/src/compatibility/counters.test.ts
+++ b/src/compatibility/counters.test.ts
@@ -2,7 +2,7 @@
 import { dirname, join } from 'node:path';
 import { fileURLToPath } from 'node:url';
 import { expect, test } from 'vitest';
-import { ERROR_CODES } from '../common/coded-error.js';
+import { ERROR_RESPONSES } from '../common/errors.js';
 import type { OrderOutcome } from '../control/orderer.js';
 import type { RefuseReason } from '../proxy/dispatch-types.js';
 import { expectGolden } from './testing/golden.js';
@@ -46,9 +46,11 @@
 });
 
 test('the codes of errors keep their names, statuses and hints to come back', () => {
-  const codes = Object.entries(ERROR_CODES).map(([code, { status, retryAfter, unsure }]) => [
-    code,
-    [status, retryAfter, unsure ? 'unsure' : 'turned-away'],
-  ]);
+  const codes = Object.entries(ERROR_RESPONSES).map(
+    ([code, { status, retryAfterSeconds, isOutcomeUnknown }]) => [
+      code,
+      [status, retryAfterSeconds, isOutcomeUnknown ? 'unsure' : 'turned-away'],
+    ],
+  );
   expectGolden('operators/error-codes.json', Object.fromEntries(codes));
 });
--- a/src/compatibility/frames.test.ts
+++ b/src/compatibility/frames.test.ts
@@ -1,6 +1,6 @@
 import { array, string, type } from 'superstruct';
 import { afterEach, beforeEach, describe, expect, test } from 'vitest';
-import type { CodedError } from '../common/coded-error.js';
+import type { HaretrackError } from '../common/errors.js';
 import type { Message } from '../common/messages.js';
 import { Exchange, type Incoming } from '../dissemination/exchange.js';
 import { readGolden } from './testing/golden.js';
@@ -26,7 +26,7 @@
   let exchange: Exchange;
   let port: number;
   let incoming: Incoming[];
-  let faults: CodedError[];
+  let faults: HaretrackError[];
 
   beforeEach(async () => {
     incoming = [];
@@ -90,7 +90,7 @@
     peer.write(Buffer.from([0x04, 0x00, 0x00, 0x01]));
     await waitFor('the end of the connection', () => peer.isClosed);
     expect(incoming).toEqual([]);
-    expect(faults.map(({ kind }) => kind)).toEqual(['bad-frame']);
+    expect(faults.map(({ code: kind }) => kind)).toEqual(['bad-frame']);
   });
 
   test('the committed messages are the ones sent here', () => {
--- a/src/compatibility/stored-state.test.ts
+++ b/src/compatibility/stored-state.test.ts
@@ -2,7 +2,7 @@
 import { tmpdir } from 'node:os';
 import { join } from 'node:path';
 import { afterEach, describe, expect, test } from 'vitest';
-import type { CodedError } from '../common/coded-error.js';
+import type { HaretrackError } from '../common/errors.js';
 import { nodeId } from '../common/ids.js';
 import { parseAs } from '../common/json.js';
 import { decodeConfigDoc, encodeConfigDoc } from '../control/config-codec.js';
@@ -27,7 +27,7 @@
 ];
 
 const temporary: string[] = [];
-let faults: CodedError[] = [];
+let faults: HaretrackError[] = [];
 
 afterEach(async () => {
   faults = [];
@@ -199,7 +199,7 @@
       expect(before.isSound).toBe(true);
       expect(after.isSound).toBe(false);
       expect(after.version).toEqual({ epoch: 2, count: 108 });
-      expect(faults.map(({ kind }) => kind)).toEqual(['bad-file']);
+      expect(faults.map(({ code: kind }) => kind)).toEqual(['bad-file']);
     },
   );
 
--- a/src/control/command-handler.ts
+++ b/src/control/command-handler.ts
@@ -1,4 +1,4 @@
-import { CodedError, codedErrorOf } from '../common/coded-error.js';
+import { NoLeaderError, toHaretrackError } from '../common/errors.js';
 import type { Moment } from '../common/ids.js';
 import type { Message } from '../common/messages.js';
 import type { Elector } from '../election/elector.js';
@@ -75,7 +75,7 @@
     const { forwarding, takeover, elector, leadership } = this.#parts;
     forwarding.checkAge(now, verb);
     if (takeover.isRecovering)
-      throw new CodedError('no-leader', 'the table is being recovered from the members');
+      throw new NoLeaderError('the table is being recovered from the members');
     if (elector.isLeading() && leadership.isServing) this.#lead(now, origin, verb, body);
     else forwarding.forward(now, origin, verb, body);
   }
@@ -106,6 +106,6 @@
   }
 
   #refuse(origin: Origin, thrown: unknown): void {
-    this.#parts.effects.answer(origin, errorAnswer(codedErrorOf(thrown)));
+    this.#parts.effects.answer(origin, errorAnswer(toHaretrackError(thrown)));
   }
 }
--- a/src/control/config-codec.ts
+++ b/src/control/config-codec.ts
@@ -1,5 +1,5 @@
 import { array, assign, number, optional, string, type, type Infer } from 'superstruct';
-import { CodedError } from '../common/coded-error.js';
+import { MalformedRequestError } from '../common/errors.js';
 import { parseAs } from '../common/json.js';
 import { ConfigDocShape, type ConfigDoc } from './config-doc.js';
 
@@ -59,6 +59,6 @@
 
 export function mustDecodeConfigDoc(text: string): ConfigDoc {
   const doc = decodeConfigDoc(text);
-  if (!doc) throw new CodedError('malformed', 'the configuration part is not what it should be');
+  if (!doc) throw new MalformedRequestError('the configuration part is not what it should be');
   return doc;
 }
--- a/src/control/control-metrics.ts
+++ b/src/control/control-metrics.ts
@@ -3,7 +3,7 @@
  * state. Nothing here knows a metrics library, a clock or the network, so the core that owns it stays pure.
  */
 
-import type { ErrorCode } from '../common/coded-error.js';
+import type { ErrorCode } from '../common/errors.js';
 import { versionsBetween, type Version } from '../common/version.js';
 
 /** Why an order of an operator was refused: it was not carried out and never will be. */
--- a/src/control/control-process.ts
+++ b/src/control/control-process.ts
@@ -2,7 +2,7 @@
 import type { Logger } from 'pino';
 import { FileStore } from '../state/file-store.js';
 import { monotonicNow } from '../common/clock.js';
-import { CodedError, reasonOf } from '../common/coded-error.js';
+import { type HaretrackError, reasonOf } from '../common/errors.js';
 import type { Moment } from '../common/ids.js';
 import { newIncarnation } from '../common/incarnation.js';
 import { Exchange, type Incoming } from '../dissemination/exchange.js';
@@ -194,8 +194,8 @@
     );
   }
 
-  #tell(error: CodedError): void {
-    this.#log.warn({ defect: error.kind }, error.message);
+  #tell(error: HaretrackError): void {
+    this.#log.warn({ defect: error.code }, error.message);
   }
 
   async #list(): Promise<void> {
--- a/src/control/edits.ts
+++ b/src/control/edits.ts
@@ -1,29 +1,28 @@
 import { compile } from '../policy/language.js';
 import { checkTable, COLUMNS, rowKey, type Fault, type Table } from '../policy/table.js';
-import { CodedError } from '../common/coded-error.js';
+import { HaretrackError, MalformedRequestError, VersionConflictError } from '../common/errors.js';
 import { mustParseAs } from '../common/json.js';
 import { checkRouting, type ConfigDialect, type RoutingFault } from '../route/routing.js';
 import { EditShapes, MAX_EDITS, type ConfigDoc } from './config-doc.js';
 
-/** A turning away that names every fault of the table. */
-export class TableError extends CodedError {
+/** A policy table that may not be in force, with every fault in it. */
+export class TableError extends HaretrackError {
+  readonly code = 'bad-table';
   readonly faults: readonly Fault[];
 
   constructor(faults: readonly Fault[]) {
-    super('bad-table', `${faults.length} fault${faults.length === 1 ? '' : 's'} in the table`);
+    super(`${faults.length} fault${faults.length === 1 ? '' : 's'} in the table`);
     this.faults = faults;
   }
 }
 
 /** A turning away that names every fault of a configuration. */
-export class ConfigError extends CodedError {
+export class ConfigError extends HaretrackError {
+  readonly code = 'bad-config';
   readonly faults: readonly RoutingFault[];
 
   constructor(faults: readonly RoutingFault[]) {
-    super(
-      'bad-config',
-      `${faults.length} fault${faults.length === 1 ? '' : 's'} in the configuration`,
-    );
+    super(`${faults.length} fault${faults.length === 1 ? '' : 's'} in the configuration`);
     this.faults = faults;
   }
 }
@@ -41,10 +40,7 @@
 
 function checkBase(doc: ConfigDoc, base: number): void {
   if (base !== doc.number)
-    throw new CodedError(
-      'base-lost',
-      `made from table ${base}, but table ${doc.number} is in force`,
-    );
+    throw new VersionConflictError(`made from table ${base}, but table ${doc.number} is in force`);
 }
 
 function editTable(doc: ConfigDoc, body: string): Edited {
@@ -126,8 +122,7 @@
   const current = doc.routing?.version ?? 0;
   // The base goes first: whoever lost a race is told so, and not that its number is too low by now.
   if (edit.base !== current)
-    throw new CodedError(
-      'base-lost',
+    throw new VersionConflictError(
       `made from version ${edit.base}, but version ${current} is in force`,
     );
   const text = verb === 'configure' ? edit.text : dialect.amend(doc.routing?.text ?? '', edit.text);
@@ -176,7 +171,7 @@
     default:
       break;
   }
-  throw new CodedError('malformed', `no such edit: ${verb}`);
+  throw new MalformedRequestError(`no such edit: ${verb}`);
 }
 
 export function recordEdit(doc: ConfigDoc, id: string, outcome: 'accepted' | 'closed'): ConfigDoc {
--- a/src/control/forwarded-order-age.test.ts
+++ b/src/control/forwarded-order-age.test.ts
@@ -1,5 +1,5 @@
 import { expect, test } from 'vitest';
-import { CodedError } from '../common/coded-error.js';
+import { HaretrackError } from '../common/errors.js';
 import { moment } from '../common/ids.js';
 import type { Message } from '../common/messages.js';
 import { ControlCounters } from './control-metrics.js';
@@ -33,7 +33,7 @@
     forwarding.checkForwarded(NOW, EPOCH, message);
     return ['taken', counters.orders.refused['too-old']];
   } catch (thrown) {
-    const kind = thrown instanceof CodedError ? thrown.kind : 'untyped';
+    const kind = thrown instanceof HaretrackError ? thrown.code : 'untyped';
     return [kind, counters.orders.refused['too-old']];
   }
 }
--- a/src/control/operator-orders.ts
+++ b/src/control/operator-orders.ts
@@ -1,4 +1,11 @@
-import { CodedError, codedErrorOf } from '../common/coded-error.js';
+import {
+  type HaretrackError,
+  MalformedRequestError,
+  NoLeaderError,
+  OutcomeUnknownError,
+  toHaretrackError,
+  VersionConflictError,
+} from '../common/errors.js';
 import { later, type Moment } from '../common/ids.js';
 import { mustParseAs, parseAs } from '../common/json.js';
 import type { MemberMessage } from '../common/messages.js';
@@ -90,9 +97,10 @@
         this.#askOutcome(now, origin, mustParseAs(EditShapes.edit, body, 'the ask'));
       else this.#take(now, origin, verb, body);
     } catch (thrown) {
-      const error = codedErrorOf(thrown);
+      const error = toHaretrackError(thrown);
       // What is already unsure, or does not depend on what we hold, needs no proof.
-      if (error.row.unsure || error.kind === 'malformed') this.#refuse(origin, error);
+      if (error.response.isOutcomeUnknown || error instanceof MalformedRequestError)
+        this.#refuse(origin, error);
       else this.#prove({ origin, verb, body, arrivedAt: now });
     }
   }
@@ -154,13 +162,13 @@
 
   #leaveUnclear(refusal: UnprovedRefusal, reason: UnclearReason, text: string): void {
     this.#counters.countUnclear(reason);
-    this.#host.answer(refusal.origin, errorAnswer(new CodedError('no-leader', text)));
+    this.#host.answer(refusal.origin, errorAnswer(new NoLeaderError(text)));
   }
 
   /** Answers with an error that stands: a refusal, or that the outcome is no longer known. */
-  #refuse(origin: Origin, error: CodedError): void {
-    if (error.row.unsure) this.#counters.countUnclear('forgotten');
-    else this.#counters.countRefused(refusalReason(error.kind));
+  #refuse(origin: Origin, error: HaretrackError): void {
+    if (error.response.isOutcomeUnknown) this.#counters.countUnclear('forgotten');
+    else this.#counters.countRefused(refusalReason(error.code));
     this.#host.answer(origin, errorAnswer(error));
   }
 
@@ -180,9 +188,10 @@
     try {
       this.#take(now, origin, verb, body);
     } catch (thrown) {
-      const error = codedErrorOf(thrown);
+      const error = toHaretrackError(thrown);
       // By what is written but not committed it may only lose once that holds.
-      if (error.row.unsure || !this.#isAcceptable(verb, body)) this.#refuse(origin, error);
+      if (error.response.isOutcomeUnknown || !this.#isAcceptable(verb, body))
+        this.#refuse(origin, error);
       else this.#awaitingCommit.push(refusal);
     }
   }
@@ -209,7 +218,7 @@
     if (before) {
       // The same id again is the same edit: it is told what became of it, and done once.
       if (before.outcome === 'closed')
-        throw new CodedError('base-lost', `edit ${id} was asked about before it came, and closed`);
+        throw new VersionConflictError(`edit ${id} was asked about before it came, and closed`);
       this.#write(now, { origin, id, outcome: 'accepted', occasion: 'again' }, doc);
       return;
     }
@@ -230,12 +239,11 @@
     try {
       return verb === 'swap' ? swapVoter(doc, body) : applyEdit(doc, verb, body, this.#dialect);
     } catch (thrown) {
-      if (!(thrown instanceof CodedError) || thrown.kind !== 'base-lost') throw thrown;
+      if (!(thrown instanceof VersionConflictError)) throw thrown;
       const edit = parseAs(EditShapes.edit, body);
       const kind = verb === 'configure' || verb === 'amend' ? 'routing' : 'table';
       if (!mayBeForgotten(doc, edit?.base, kind)) throw thrown;
-      throw new CodedError(
-        'unsure-edit',
+      throw new OutcomeUnknownError(
         `edit ${edit?.id ?? ''} was made from table ${edit?.base ?? 0}, so long ago that whether it was accepted is no longer known`,
       );
     }
@@ -249,8 +257,7 @@
     const doc = this.#host.newest();
     const known = doc.edits.find((edit) => hasId(id, edit));
     if (!known && mayBeForgotten(doc, base))
-      throw new CodedError(
-        'unsure-edit',
+      throw new OutcomeUnknownError(
         `edit ${id} is not among the last ${MAX_EDITS}: whether it was accepted before is no longer known`,
       );
     // Whether known or not, the word given must outlast us: it is written like an edit before it is told.
@@ -292,9 +299,9 @@
   const edit = mustParseAs(EditShapes.swap, body, 'the swap');
   const [current] = doc.voters;
   if (!current || doc.voters.length !== 1)
-    throw new CodedError('base-lost', 'another swap is under way');
+    throw new VersionConflictError('another swap is under way');
   if (!current.includes(edit.old) || current.includes(edit.new))
-    throw new CodedError('malformed', `${edit.old} is no voter, or ${edit.new} is one`);
+    throw new MalformedRequestError(`${edit.old} is no voter, or ${edit.new} is one`);
   return {
     id: edit.id,
     doc: {
--- a/src/control/order-answers.ts
+++ b/src/control/order-answers.ts
@@ -1,4 +1,4 @@
-import { CodedError, ERROR_CODES, type ErrorCode } from '../common/coded-error.js';
+import { ERROR_RESPONSES, type ErrorCode, type HaretrackError } from '../common/errors.js';
 import { versionText, type Version } from '../common/version.js';
 import { ConfigError, TableError } from './edits.js';
 
@@ -28,13 +28,13 @@
 }
 
 /** A refusal, or an outcome that cannot be told, by the kind of the error. */
-export function errorAnswer(error: CodedError): CommandAnswer {
+export function errorAnswer(error: HaretrackError): CommandAnswer {
   const faults =
     error instanceof TableError || error instanceof ConfigError ? { faults: error.faults } : {};
-  const outcome = error.row.unsure ? 'unsure' : 'turned-away';
+  const outcome = error.response.isOutcomeUnknown ? 'unsure' : 'turned-away';
   return {
-    status: error.row.status,
-    body: JSON.stringify({ outcome, defect: error.kind, text: error.message, ...faults }),
+    status: error.response.status,
+    body: JSON.stringify({ outcome, defect: error.code, text: error.message, ...faults }),
   };
 }
 
@@ -45,7 +45,7 @@
   const text =
     id === '' ? 'the leader was lost' : `the leader was lost; ask what became of edit ${id}`;
   return {
-    status: ERROR_CODES[kind].status,
+    status: ERROR_RESPONSES[kind].status,
     body: JSON.stringify({ outcome, defect: kind, id, text }),
   };
 }
--- a/src/control/order-forwarding.ts
+++ b/src/control/order-forwarding.ts
@@ -1,4 +1,4 @@
-import { CodedError } from '../common/coded-error.js';
+import { NoLeaderError } from '../common/errors.js';
 import { later, moment, type Moment } from '../common/ids.js';
 import { parseAs } from '../common/json.js';
 import type { Message } from '../common/messages.js';
@@ -103,8 +103,7 @@
     if (!UNVERSIONED.has(verb)) return;
     if (now < this.#backlogUntil || now - this.#tickedAt > STANDSTILL_MS) {
       this.#counters.countRefused('too-old');
-      throw new CodedError(
-        'no-leader',
+      throw new NoLeaderError(
         'this node stood still and cannot tell how old the order is; nothing was done',
       );
     }
@@ -115,8 +114,7 @@
     if (!UNVERSIONED.has(message.verb)) return;
     if (message.epoch !== epoch || now - message.leaderTime > MOST_AGE_MS) {
       this.#counters.countRefused('too-old');
-      throw new CodedError(
-        'no-leader',
+      throw new NoLeaderError(
         'the order took too long on its way, or came for another leader; nothing was done',
       );
     }
@@ -127,7 +125,7 @@
     // Passed on once at most: two nodes that take each other for leader must not play ball with it.
     if (leader === undefined || origin.from !== '' || this.#closed.has(leader)) {
       if (!READS.has(verb)) this.#counters.countUnserved();
-      throw new CodedError('no-leader', 'no leader is known; nothing was done');
+      throw new NoLeaderError('no leader is known; nothing was done');
     }
     if (!READS.has(verb)) this.#counters.countForwarded();
     this.#forwardId += 1;
--- a/src/control/quorum-reads.ts
+++ b/src/control/quorum-reads.ts
@@ -1,4 +1,4 @@
-import { CodedError } from '../common/coded-error.js';
+import { NoLeaderError } from '../common/errors.js';
 import type { Moment, NodeId } from '../common/ids.js';
 import type { MemberMessage, Message } from '../common/messages.js';
 import type { Quorum } from '../common/quorum.js';
@@ -212,7 +212,7 @@
   }
 
   #refuse(origin: Origin, text: string): void {
-    this.#parts.effects.answer(origin, errorAnswer(new CodedError('no-leader', text)));
+    this.#parts.effects.answer(origin, errorAnswer(new NoLeaderError(text)));
   }
 }
 
--- a/src/control/table-control-process.ts
+++ b/src/control/table-control-process.ts
@@ -5,7 +5,7 @@
 import { call } from '../common/call.js';
 import { monotonicNow } from '../common/clock.js';
 import { Counters } from '../common/counters.js';
-import { CodedError, reasonOf } from '../common/coded-error.js';
+import { type HaretrackError, MalformedFrameError, reasonOf } from '../common/errors.js';
 import type { Moment } from '../common/ids.js';
 import { parseAs } from '../common/json.js';
 import { newIncarnation } from '../common/incarnation.js';
@@ -139,17 +139,16 @@
       core.receive(monotonicNow(), incoming.from, incoming.message);
     } catch (thrown) {
       this.#tell(
-        new CodedError(
-          'bad-frame',
+        new MalformedFrameError(
           `${incoming.message.kind} from ${incoming.from}: ${reasonOf(thrown)}`,
         ),
       );
     }
   }
 
-  #tell(error: CodedError): void {
-    this.#counters.add(`defects.${error.kind}`);
-    this.#log.warn({ defect: error.kind }, error.message);
+  #tell(error: HaretrackError): void {
+    this.#counters.add(`defects.${error.code}`);
+    this.#log.warn({ defect: error.code }, error.message);
   }
 
   #metrics(): Promise<Exposition | undefined> {
--- a/src/dissemination/exchange.test.ts
+++ b/src/dissemination/exchange.test.ts
@@ -2,7 +2,7 @@
 import { firstValueFrom, take, toArray } from 'rxjs';
 import { expect, test } from 'vitest';
 import { monotonicNow } from '../common/clock.js';
-import { CodedError } from '../common/coded-error.js';
+import type { HaretrackError } from '../common/errors.js';
 import { listenOn } from '../common/listen.js';
 import { encodeMessage } from '../common/messages.js';
 import { Exchange, type Incoming } from './exchange.js';
@@ -11,8 +11,8 @@
   /* nothing to say */
 }
 
-const told: CodedError[] = [];
-function tell(defect: CodedError): void {
+const told: HaretrackError[] = [];
+function tell(defect: HaretrackError): void {
   told.push(defect);
 }
 function make(id: string, listen: string): Exchange {
@@ -21,8 +21,8 @@
 function kindOf(incoming: Incoming): string {
   return incoming.message.kind;
 }
-function isBadFrame(defect: CodedError): boolean {
-  return defect.kind === 'bad-frame';
+function isBadFrame(defect: HaretrackError): boolean {
+  return defect.code === 'bad-frame';
 }
 test('messages come whole and in order both ways, and a closed line is told', async () => {
   const server = make('server', '127.0.0.1:0');
--- a/src/dissemination/exchange.ts
+++ b/src/dissemination/exchange.ts
@@ -1,6 +1,6 @@
 import { createServer, connect, type Server, type Socket } from 'node:net';
 import { Subject, type Observable } from 'rxjs';
-import { CodedError, reasonOf } from '../common/coded-error.js';
+import { HaretrackError, MalformedFrameError, reasonOf } from '../common/errors.js';
 import { decodeMessage, encodeMessage, type Message } from '../common/messages.js';
 import { monotonicNow } from '../common/clock.js';
 import type { Moment } from '../common/ids.js';
@@ -98,7 +98,7 @@
     let all = this.#parts.length === 1 ? chunk : Buffer.concat(this.#parts);
     while (all.length >= 4) {
       const length = all.readUInt32BE(0);
-      if (length > MAX_FRAME) throw new CodedError('bad-frame', `a frame of ${length} bytes`);
+      if (length > MAX_FRAME) throw new MalformedFrameError(`a frame of ${length} bytes`);
       if (all.length < 4 + length) break;
       if (length > 0) messages.push(decodeMessage(all.subarray(4, 4 + length)));
       all = all.subarray(4 + length);
@@ -120,13 +120,13 @@
   readonly #dialing = new Set<string>();
   /** The newest messages for a node that is being dialled; they are lost with a dial that fails. */
   readonly #queued = new Map<string, Message[]>();
-  readonly #tell: (defect: CodedError) => void;
+  readonly #tell: (defect: HaretrackError) => void;
   #server: Server | undefined;
   #isClosed = false;
   #checkedAt: Moment = monotonicNow();
   readonly #checks: NodeJS.Timeout;
 
-  constructor(settings: ExchangeSettings, tell: (defect: CodedError) => void) {
+  constructor(settings: ExchangeSettings, tell: (defect: HaretrackError) => void) {
     this.#settings = settings;
     this.#tell = tell;
     this.#checks = setInterval(() => this.#check(), CHECK_MS).unref();
@@ -251,7 +251,7 @@
       messages = line.take(chunk);
     } catch (thrown) {
       this.#tell(
-        thrown instanceof CodedError ? thrown : new CodedError('bad-frame', reasonOf(thrown)),
+        thrown instanceof HaretrackError ? thrown : new MalformedFrameError(reasonOf(thrown)),
       );
       line.socket.destroy();
       return;
--- a/src/operator/edit-commands.ts
+++ b/src/operator/edit-commands.ts
@@ -1,6 +1,6 @@
 import { readFileSync } from 'node:fs';
 import { Args, Flags } from '@oclif/core';
-import { reasonOf } from '../common/coded-error.js';
+import { reasonOf } from '../common/errors.js';
 import { baseOfEdit } from './operator.js';
 import { OPERATOR_FLAGS, OperatorCommand } from './operator-command.js';
 
--- a/src/operator/import-command.ts
+++ b/src/operator/import-command.ts
@@ -1,7 +1,7 @@
 import { existsSync } from 'node:fs';
 import { Args, Command } from '@oclif/core';
 import { importOpenApi } from '../policy/open-api.js';
-import { reasonOf } from '../common/coded-error.js';
+import { reasonOf } from '../common/errors.js';
 
 export class ImportCommand extends Command {
   static override aliases = ['word:import'];
--- a/src/operator/operator.ts
+++ b/src/operator/operator.ts
@@ -1,6 +1,6 @@
 import { randomUUID } from 'node:crypto';
 import { call, type CallReply } from '../common/call.js';
-import { reasonOf } from '../common/coded-error.js';
+import { reasonOf } from '../common/errors.js';
 
 export interface OperatorReply {
   readonly status: number;
--- a/src/policy/open-api.ts
+++ b/src/policy/open-api.ts
@@ -1,6 +1,6 @@
 import { Validator } from '@seriousme/openapi-schema-validator';
 import { record, string, type, unknown } from 'superstruct';
-import { CodedError } from '../common/coded-error.js';
+import { MalformedRequestError } from '../common/errors.js';
 import type { Mapping } from './table.js';
 
 const DocumentShape = type({ paths: record(string(), unknown()) });
@@ -41,13 +41,12 @@
   const validator = new Validator();
   const result = await validator.validate(source);
   if (!result.valid)
-    throw new CodedError(
-      'malformed',
+    throw new MalformedRequestError(
       `no sound OpenAPI document: ${JSON.stringify(result.errors ?? 'unreadable').slice(0, 500)}`,
     );
   const document: unknown = validator.specification;
   if (!DocumentShape.is(document))
-    throw new CodedError('malformed', 'the OpenAPI document has no paths');
+    throw new MalformedRequestError('the OpenAPI document has no paths');
   const mappings = new Map<string, Mapping>();
   const skipped: string[] = [];
   for (const [path, item] of Object.entries(document.paths)) {
--- a/src/proxy/decision-types.ts
+++ b/src/proxy/decision-types.ts
@@ -1,4 +1,4 @@
-import type { ErrorCode } from '../common/coded-error.js';
+import type { ErrorCode } from '../common/errors.js';
 import { later, type Moment } from '../common/ids.js';
 import type { Row } from '../policy/table.js';
 
--- a/src/proxy/decision.ts
+++ b/src/proxy/decision.ts
@@ -1,5 +1,5 @@
 import { indexOf } from '../policy/table-index.js';
-import type { ErrorCode } from '../common/coded-error.js';
+import type { ErrorCode } from '../common/errors.js';
 import { later, type Moment } from '../common/ids.js';
 import type { Version } from '../common/version.js';
 import { ServiceBudgets } from './budget.js';
--- a/src/proxy/error-replies.ts
+++ b/src/proxy/error-replies.ts
@@ -1,5 +1,5 @@
 import type { OutgoingHttpHeaders, ServerResponse } from 'node:http';
-import { ERROR_CODES, type ErrorCode } from '../common/coded-error.js';
+import { ERROR_RESPONSES, type ErrorCode } from '../common/errors.js';
 import type { Counters } from '../common/counters.js';
 import type { Decision } from './decision.js';
 import { retryAfterOf } from './in-flight-requests.js';
@@ -33,7 +33,7 @@
       returned.destroy();
       return;
     }
-    const { status, unsure } = ERROR_CODES[kind];
+    const { status, isOutcomeUnknown: unsure } = ERROR_RESPONSES[kind];
     const outcome = unsure ? 'unsure' : 'turned-away';
     const body = JSON.stringify({ defect: kind, text, outcome });
     returned.writeHead(status, this.#headersOf(requestId, kind, body, retryMs));
--- a/src/proxy/in-flight-requests.ts
+++ b/src/proxy/in-flight-requests.ts
@@ -1,5 +1,5 @@
 import type { Counters } from '../common/counters.js';
-import { ERROR_CODES, type ErrorCode } from '../common/coded-error.js';
+import { ERROR_RESPONSES, type ErrorCode } from '../common/errors.js';
 import { later, type Moment } from '../common/ids.js';
 import type { Decision } from './decision.js';
 import type { Asked, RunVerdict } from './decision-types.js';
@@ -338,7 +338,7 @@
 
 /** Seconds after which coming back is worth while: from what is known, else the kind's own. */
 export function retryAfterOf(kind: ErrorCode, retryMs: number): number {
-  const { retryAfter } = ERROR_CODES[kind];
+  const { retryAfterSeconds: retryAfter } = ERROR_RESPONSES[kind];
   return retryAfter === 0 || retryMs === 0
     ? retryAfter
     : Math.min(120, Math.max(1, Math.ceil(retryMs / 1000)));
--- a/src/proxy/proxy-process.ts
+++ b/src/proxy/proxy-process.ts
@@ -3,7 +3,7 @@
 import type { Logger } from 'pino';
 import { monotonicNow } from '../common/clock.js';
 import { Counters } from '../common/counters.js';
-import type { CodedError } from '../common/coded-error.js';
+import type { HaretrackError } from '../common/errors.js';
 import { parseAs } from '../common/json.js';
 import { newIncarnation } from '../common/incarnation.js';
 import { listenOn, splitAddress } from '../common/listen.js';
@@ -139,9 +139,9 @@
     return this.#versions.get(topic) ?? NO_VERSION;
   }
 
-  #tell(defect: CodedError): void {
-    this.#counters.add(`defects.${defect.kind}`);
-    this.#log.warn({ defect: defect.kind }, defect.message);
+  #tell(defect: HaretrackError): void {
+    this.#counters.add(`defects.${defect.code}`);
+    this.#log.warn({ defect: defect.code }, defect.message);
   }
 
   #sayReady(asked: IncomingMessage, answer: ServerResponse): void {
--- a/src/proxy/row-admission.ts
+++ b/src/proxy/row-admission.ts
@@ -1,4 +1,4 @@
-import type { ErrorCode } from '../common/coded-error.js';
+import type { ErrorCode } from '../common/errors.js';
 import type { Moment } from '../common/ids.js';
 import { rowKey } from '../policy/table.js';
 import { isPlainService, newRequest, type AdmittedRequest, type Asked } from './decision-types.js';
--- a/src/proxy/table-proxy-process.ts
+++ b/src/proxy/table-proxy-process.ts
@@ -3,7 +3,7 @@
 import type { Logger } from 'pino';
 import { monotonicNow } from '../common/clock.js';
 import { Counters } from '../common/counters.js';
-import type { CodedError } from '../common/coded-error.js';
+import type { HaretrackError } from '../common/errors.js';
 import type { HaveMessage } from '../common/messages.js';
 import { newIncarnation } from '../common/incarnation.js';
 import { SerialQueue } from '../common/serial-queue.js';
@@ -85,9 +85,9 @@
     };
   }
 
-  #tell(defect: CodedError): void {
-    this.#counters.add(`defects.${defect.kind}`);
-    this.#log.warn({ defect: defect.kind }, defect.message);
+  #tell(defect: HaretrackError): void {
+    this.#counters.add(`defects.${defect.code}`);
+    this.#log.warn({ defect: defect.code }, defect.message);
   }
 
   #have(): HaveMessage[] {
--- a/src/rehearsal/fleet-command.ts
+++ b/src/rehearsal/fleet-command.ts
@@ -2,7 +2,7 @@
 import { tmpdir } from 'node:os';
 import { join } from 'node:path';
 import { Args, Command, Flags } from '@oclif/core';
-import { reasonOf } from '../common/coded-error.js';
+import { reasonOf } from '../common/errors.js';
 import { Callers, summarise } from './callers.js';
 import { DEPLOYMENTS } from './deployment.js';
 import { Fleet, type ProgramOf } from './fleet.js';
--- a/src/rehearsal/fleet.ts
+++ b/src/rehearsal/fleet.ts
@@ -5,7 +5,7 @@
 import { fileURLToPath } from 'node:url';
 import { call, type CallReply } from '../common/call.js';
 import { listenOn } from '../common/listen.js';
-import { reasonOf } from '../common/coded-error.js';
+import { reasonOf } from '../common/errors.js';
 import { pause } from './stub-runner.js';
 import { Cuts } from './cuts.js';
 import type { Deployment } from './deployment.js';
--- a/src/rehearsal/scale-control.ts
+++ b/src/rehearsal/scale-control.ts
@@ -4,7 +4,7 @@
 import { FileStore } from '../state/file-store.js';
 import { call } from '../common/call.js';
 import { monotonicNow } from '../common/clock.js';
-import { CodedError, reasonOf } from '../common/coded-error.js';
+import { type HaretrackError, reasonOf } from '../common/errors.js';
 import { mustParseAs, parseAs } from '../common/json.js';
 import { newIncarnation } from '../common/incarnation.js';
 import { ControlCore } from '../control/control-core.js';
@@ -197,8 +197,8 @@
     throw thrown;
   }
 
-  #tell(error: CodedError): void {
-    this.#log.warn({ defect: error.kind }, error.message);
+  #tell(error: HaretrackError): void {
+    this.#log.warn({ defect: error.code }, error.message);
   }
 
   async #list(): Promise<void> {
--- a/src/rehearsal/scale-part.ts
+++ b/src/rehearsal/scale-part.ts
@@ -1,6 +1,6 @@
 import { fork, type ChildProcess } from 'node:child_process';
 import { number, string, type } from 'superstruct';
-import { reasonOf } from '../common/coded-error.js';
+import { reasonOf } from '../common/errors.js';
 
 /** One part of a scale run, in this process or in one of its own; it is asked by a verb and a JSON body. */
 export interface ScalePart {
--- a/src/rehearsal/sim-clients.ts
+++ b/src/rehearsal/sim-clients.ts
@@ -1,4 +1,4 @@
-import { ERROR_CODES, type ErrorCode } from '../common/coded-error.js';
+import { ERROR_RESPONSES, type ErrorCode } from '../common/errors.js';
 import { retryAfterOf } from '../proxy/in-flight-requests.js';
 import type { Scheduler } from './scheduler.js';
 import { LineCheck } from './line-check.js';
@@ -113,11 +113,11 @@
   }
 
   told(client: SimClient, kind: ErrorCode, retryMs: number, table: number): void {
-    const row = ERROR_CODES[kind];
+    const row = ERROR_RESPONSES[kind];
     client.table = kind === 'blind' ? -1 : table;
     this.#end(client, {
       status: row.status,
-      outcome: row.unsure ? 'unsure' : 'turned-away',
+      outcome: row.isOutcomeUnknown ? 'unsure' : 'turned-away',
       retryAfter: retryAfterOf(kind, retryMs),
     });
   }
--- a/src/simulation/mutants/order-mutants.ts
+++ b/src/simulation/mutants/order-mutants.ts
@@ -1,4 +1,4 @@
-import { CodedError } from '../../common/coded-error.js';
+import { VersionConflictError } from '../../common/errors.js';
 import { parseAs } from '../../common/json.js';
 import { NO_VERSION } from '../../common/version.js';
 import { ConfigNewsShape, EditShapes, type ConfigDoc } from '../../control/config-doc.js';
@@ -22,7 +22,7 @@
 }
 
 function refusal(base: number, current: number): CommandAnswer {
-  return errorAnswer(new CodedError('base-lost', `made from ${base}, but ${current} is in force`));
+  return errorAnswer(new VersionConflictError(`made from ${base}, but ${current} is in force`));
 }
 
 function hasId(id: string, edit: { readonly id: string }): boolean {
--- a/src/state/file-store.test.ts
+++ b/src/state/file-store.test.ts
@@ -1,5 +1,5 @@
 import { describe, expect, test } from 'vitest';
-import { CodedError } from '../common/coded-error.js';
+import type { HaretrackError } from '../common/errors.js';
 import { partName } from '../common/ids.js';
 import { FileStore, NodeDisk } from './file-store.js';
 import { MemoryStore } from './memory-store.js';
@@ -9,8 +9,8 @@
 import { join } from 'node:path';
 
 const part = partName('p1');
-const told: CodedError[] = [];
-function tell(defect: CodedError): void {
+const told: HaretrackError[] = [];
+function tell(defect: HaretrackError): void {
   told.push(defect);
 }
 async function folder(): Promise<string> {
@@ -76,8 +76,8 @@
     await super.syncFolder(path);
   }
 }
-function kindOf(defect: CodedError): string {
-  return defect.kind;
+function kindOf(defect: HaretrackError): string {
+  return defect.code;
 }
 class StallingDisk extends NodeDisk {
   #free: () => void = doNothing;
--- a/src/state/file-store.ts
+++ b/src/state/file-store.ts
@@ -2,7 +2,12 @@
 import { mkdir, open, readdir, readFile, rename, rm } from 'node:fs/promises';
 import { join } from 'node:path';
 import { is, number, string, type } from 'superstruct';
-import { CodedError, reasonOf } from '../common/coded-error.js';
+import {
+  CorruptFileError,
+  DiskWriteError,
+  type HaretrackError,
+  reasonOf,
+} from '../common/errors.js';
 import { partName, type PartName } from '../common/ids.js';
 import { compareVersions, NO_VERSION, type Version } from '../common/version.js';
 import type { Store, StoredPart } from './store.js';
@@ -75,9 +80,9 @@
   readonly #busy = new Set<PartName>();
   /** Parts whose folder is known to last, with all folders above it that we may have made. */
   readonly #lasting = new Set<PartName>();
-  readonly #tell: (defect: CodedError) => void;
+  readonly #tell: (defect: HaretrackError) => void;
 
-  constructor(root: string, tell: (defect: CodedError) => void, disk: Disk = new NodeDisk()) {
+  constructor(root: string, tell: (defect: HaretrackError) => void, disk: Disk = new NodeDisk()) {
     this.#root = root;
     this.#tell = tell;
     this.#disk = disk;
@@ -119,7 +124,7 @@
       } catch (thrown) {
         // The newest version was told as kept: an older one may be shown, but must not stand in for it.
         isSound = false;
-        this.#tell(new CodedError('bad-file', `${part}/${name}: ${reasonOf(thrown)}`));
+        this.#tell(new CorruptFileError(`${part}/${name}: ${reasonOf(thrown)}`));
       }
     }
     return isSound ? undefined : { part, version: NO_VERSION, body: '', isSound };
@@ -160,7 +165,7 @@
         await this.#writeFile(part, next.version, next.body);
         for (const done of next.done) done();
       } catch (thrown) {
-        this.#tell(new CodedError('disk-write', `${part}: ${reasonOf(thrown)}`));
+        this.#tell(new DiskWriteError(`${part}: ${reasonOf(thrown)}`));
         for (const fail of next.fail) fail(thrown);
       }
     }
