--- a/eslint.config.js
+++ b/eslint.config.js
@@ -43,7 +43,7 @@
   'platform/testbed/wire-judge.ts',
   'src/agent/agent-core.ts',
   'src/check/table-check.ts',
-  'src/control/api.ts',
+  'src/control/operator-api.ts',
   'src/control/table-manager.ts',
   'src/placement/adapter-choice.ts',
   'src/placement/order-queue.ts',
--- a/src/compatibility/counters.test.ts
+++ b/src/compatibility/counters.test.ts
@@ -3,7 +3,7 @@
 import { fileURLToPath } from 'node:url';
 import { expect, test } from 'vitest';
 import { ERROR_RESPONSES } from '../common/errors.js';
-import type { OrderOutcome } from '../control/orderer.js';
+import type { OrderOutcome } from '../control/order-sender.js';
 import type { RefuseReason } from '../proxy/dispatch-types.js';
 import { expectGolden } from './testing/golden.js';
 
--- a/src/control/control-core.ts
+++ b/src/control/control-core.ts
@@ -87,9 +87,15 @@
 
   /** One look at this node, for its metrics; nothing changes by it. */
   metrics(now: Moment): ControlMetrics {
-    const { repair, sessions, leavingWatch } = this.#duties;
+    const { repair, sessions, drainingRunners } = this.#duties;
     const mayOrder = (now: Moment) => this.mayOrder(now);
-    return metricsOf(now, { ...this.#replica, repair, sessions, leavingWatch, mayOrder });
+    return metricsOf(now, {
+      ...this.#replica,
+      repair,
+      sessions,
+      drainingRunners,
+      mayOrder,
+    });
   }
 
   /** Takes the effects that are to be carried out, in their order. */
@@ -140,7 +146,7 @@
     this.#endSwap(now);
     this.#duties.membership?.tick(now);
     placement.tick(now, takeover.isRecovering);
-    this.#duties.leavingWatch?.tick(now);
+    this.#duties.drainingRunners?.tick(now);
     this.#collect(now);
   }
 
@@ -148,7 +154,7 @@
   receive(now: Moment, from: string, message: Message, zone: string = ''): void {
     const { forwarding, zones, stateMessages, memberMessages } = this.#duties;
     forwarding.heard(from);
-    if (zone !== '' && this.#isVoter(from)) zones.note(from, zone);
+    if (zone !== '' && this.#isVoter(from)) zones.onZoneReported(from, zone);
     const isTaken =
       stateMessages.receive(now, nodeId(from), message) ||
       memberMessages.receive(now, from, message) ||
@@ -160,9 +166,9 @@
 
   /** The connection to a node closed. */
   gone(now: Moment, from: string): void {
-    this.#duties.tree.gone(from);
+    this.#duties.tree.onDisconnect(from);
     this.#duties.forwarding.gone(from);
-    this.#duties.tree.redraw();
+    this.#duties.tree.reassignParents();
     this.#collect(now);
   }
 
@@ -180,38 +186,38 @@
 
   /** The platform's list of machines. */
   machines(now: Moment, machines: Machines): void {
-    this.#duties.updates.takeMachines(machines);
+    this.#duties.updates.onMachineList(machines);
     this.#collect(now);
   }
 
   /** The platform's list of runners. */
   list(now: Moment, runners: readonly ListedRunner[]): void {
-    const { placement, leavingWatch } = this.#duties;
-    placement.list(now, runners);
-    if (this.isServing) leavingWatch?.readByLeader(now);
-    else leavingWatch?.listed(now, runners);
+    const { placement, drainingRunners } = this.#duties;
+    placement.onRunnerList(now, runners);
+    if (this.isServing) drainingRunners?.onListReadAsLeader(now);
+    else drainingRunners?.onRunnerList(now, runners);
     this.#collect(now);
   }
 
   /** A runner's own report, asked for at that moment; nothing if it gave none. */
   status(now: Moment, runner: string, askedAt: Moment, status: RunnerStatus | undefined): void {
-    this.#duties.placement.status(now, runner, askedAt, status);
+    this.#duties.placement.onRunnerStatus(now, runner, askedAt, status);
     this.#collect(now);
   }
 
   /** What the weight store holds. */
   catalog(_now: Moment, catalog: Catalog): void {
-    this.#duties.placement.table.catalog(catalog);
+    this.#duties.placement.table.onCatalog(catalog);
   }
 
   /** What a runner returned to an ask sent at that moment; nothing if it did not. */
   reported(now: Moment, id: string, askedAt: Moment, report: RunnerReport | undefined): void {
-    this.#duties.placement.table.reported(now, id, askedAt, report);
+    this.#duties.placement.table.onReport(now, id, askedAt, report);
   }
 
   /** What became of an order: taken, turned away for good, or unsure. */
   ordered(now: Moment, intent: string, outcome: OrderResult | 'turnedAway'): void {
-    this.#duties.placement.ordered(now, intent, outcome);
+    this.#duties.placement.onOrderOutcome(now, intent, outcome);
     if (this.#isDeployed) this.#collect(now);
   }
 
@@ -240,7 +246,7 @@
 
   /** Voters of a deployment announce themselves, say when they leave, and who leaves while nobody leads. */
   #receiveOfVoters(now: Moment, from: string, message: Message): boolean {
-    const { membership, leavingWatch } = this.#duties;
+    const { membership, drainingRunners } = this.#duties;
     switch (message.kind) {
       case 'announce':
         membership?.receiveAnnounce(now, from, message);
@@ -252,7 +258,7 @@
         membership?.receiveLeaveReply(message);
         return true;
       case 'leaving':
-        leavingWatch?.receive(now, from, message.runners);
+        drainingRunners?.onDrainingRunners(now, from, message.runners);
         return true;
       default:
         return false;
@@ -326,7 +332,7 @@
   #commitServices(now: Moment, { part, version }: CommittedEffect): void {
     const { placement, writer } = this.#duties;
     const body = parseAs(ServicePartShape, writer.take(part, version));
-    placement.kept(now, body?.services ?? []);
+    placement.onCommitted(now, body?.services ?? []);
   }
 
   #commitConfig(now: Moment, { version, tokens, members: named }: CommittedEffect): void {
--- a/src/control/control-duties.ts
+++ b/src/control/control-duties.ts
@@ -11,7 +11,7 @@
 import type { ControlReplica } from './control-replica.js';
 import { statusOf, type ControlStatus } from './control-status.js';
 import { KnownMembers } from './known-members.js';
-import { LeavingWatch } from './leaving-watch.js';
+import { DrainingRunnersReader } from './draining-runners-reader.js';
 import { MemberMessages } from './member-messages.js';
 import { OperatorOrders, type Commit } from './operator-orders.js';
 import { OrderForwarding } from './order-forwarding.js';
@@ -53,7 +53,7 @@
   /** Set in a deployment, where voters change by themselves. */
   readonly membership: VoterMembership | undefined;
   /** Set in a deployment, where the leader alone reads the list of runners. */
-  readonly leavingWatch: LeavingWatch | undefined;
+  readonly drainingRunners: DrainingRunnersReader | undefined;
   readonly repair: ReplicaRepair;
   readonly takeover: Takeover;
   readonly commands: CommandHandler;
@@ -93,7 +93,7 @@
     this.reads = this.#makeReads();
     this.voterSet = new VoterSetWriter({ ...replica, ...this.#written() });
     this.membership = this.#isDeployed ? this.#makeMembership(now) : undefined;
-    this.leavingWatch = this.#isDeployed ? this.#makeLeavingWatch(now) : undefined;
+    this.drainingRunners = this.#isDeployed ? this.#makeDrainingRunnersReader(now) : undefined;
     this.repair = this.#makeRepair();
     this.takeover = this.#makeTakeover();
     this.commands = this.#makeCommands();
@@ -123,7 +123,7 @@
     return new RelayTree({
       ...this.#replica,
       sessions: this.sessions,
-      fedNodes: () => this.#fedNodes(),
+      controlNodeChildren: () => this.#fedNodes(),
     });
   }
 
@@ -151,7 +151,7 @@
       tree: this.tree,
       members: this.members,
       table: this.placement.table,
-      followsTold: this.#isDeployed,
+      followsConfigUpdates: this.#isDeployed,
     });
   }
 
@@ -228,17 +228,17 @@
     return new VoterMembership(host, now);
   }
 
-  #makeLeavingWatch(now: Moment): LeavingWatch {
+  #makeDrainingRunnersReader(now: Moment): DrainingRunnersReader {
     const { effects } = this.#replica;
     const host = {
       ...this.#replica,
       quorum: () => this.#currentQuorum(),
       isServing: () => this.#isServing(),
       children: () => this.tree.children(),
-      askList: () => effects.add({ do: 'askList' }),
+      pollRunnerList: () => effects.add({ do: 'askList' }),
       send: (to: string, message: Message) => effects.send(to, message),
     };
-    return new LeavingWatch(host, now);
+    return new DrainingRunnersReader(host, now);
   }
 
   #currentQuorum(): Quorum {
@@ -292,7 +292,7 @@
   }
 
   #makeMemberMessages(): MemberMessages {
-    const { sessions, tree, members, updates, reads, placement, zones, leavingWatch } = this;
+    const { sessions, tree, members, updates, reads, placement, zones, drainingRunners } = this;
     return new MemberMessages({
       ...this.#replica,
       isDeployed: this.#isDeployed,
@@ -303,7 +303,7 @@
       reads,
       placement,
       zones,
-      leavingWatch,
+      drainingRunners,
     });
   }
 }
--- a/src/control/control-node-zones.test.ts
+++ b/src/control/control-node-zones.test.ts
@@ -11,7 +11,7 @@
 }
 test('a node that was silent for a second is told without its zone', () => {
   const zones = new ControlNodeZones(ME, 'east', { heardAt });
-  zones.note('b', 'west');
+  zones.onZoneReported('b', 'west');
   const near = [
     { id: ME, zone: 'east' },
     { id: OTHER, zone: 'west' },
@@ -20,8 +20,8 @@
     { id: ME, zone: 'east' },
     { id: OTHER, zone: '' },
   ];
-  expect(zones.list(moment(1000), [ME, OTHER])).toEqual(near);
-  expect(zones.list(moment(1100), [ME, OTHER])).toEqual(silent);
+  expect(zones.describe(moment(1000), [ME, OTHER])).toEqual(near);
+  expect(zones.describe(moment(1100), [ME, OTHER])).toEqual(silent);
   expect(zones.zoneOf('b')).toBe('west');
   expect(zones.zoneOf('c')).toBe('');
 });
--- a/src/control/control-node-zones.ts
+++ b/src/control/control-node-zones.ts
@@ -7,7 +7,7 @@
 }
 
 /** One that was silent for longer is told without a zone. */
-const NEAR_MS = 1000;
+const REACHABLE_MS = 1000;
 
 /** In which zones the control nodes are, by their own word. */
 export class ControlNodeZones {
@@ -23,7 +23,7 @@
     this.#heartbeats = heartbeats;
   }
 
-  note(id: string, zone: string): void {
+  onZoneReported(id: string, zone: string): void {
     this.#zones.set(id, zone);
   }
 
@@ -33,16 +33,16 @@
   }
 
   /** These nodes as agents are told of them, who turn to one in their own zone. */
-  list(now: Moment, ids: readonly NodeId[]): ControlNodeMessage[] {
+  describe(now: Moment, ids: readonly NodeId[]): ControlNodeMessage[] {
     const list: ControlNodeMessage[] = [];
     for (const id of ids)
-      list.push({ id, zone: id === this.#me ? this.#zone : this.#nearZoneOf(now, id) });
+      list.push({ id, zone: id === this.#me ? this.#zone : this.#reachableZoneOf(now, id) });
     return list;
   }
 
   /** Of one that is silent nothing is told: nobody is to turn to it for being near. */
-  #nearZoneOf(now: Moment, id: NodeId): string {
+  #reachableZoneOf(now: Moment, id: NodeId): string {
     const at = this.#heartbeats.heardAt(id);
-    return at !== undefined && now - at < NEAR_MS ? this.zoneOf(id) : '';
+    return at !== undefined && now - at < REACHABLE_MS ? this.zoneOf(id) : '';
   }
 }
--- a/src/control/control-process.ts
+++ b/src/control/control-process.ts
@@ -18,7 +18,7 @@
 import { ControlReport } from './control-report.js';
 import {
   ControlRuntime,
-  receiveWithZone,
+  deliverWithZone,
   type CommandReply,
   type ControlRuntimePorts,
   type CoreCommand,
@@ -27,10 +27,13 @@
   type StoreEffect,
 } from './control-runtime.js';
 
-export { DISK_AGAIN_MS, RETIRE_MS } from './control-runtime.js';
+export {
+  DISK_RETRY_MS as DISK_AGAIN_MS,
+  RETIRE_TIMEOUT_MS as RETIRE_MS,
+} from './control-runtime.js';
 
 export const CONTROL_TICK_MS = 50;
-export const LIST_MS = 1000;
+export const RUNNER_LIST_INTERVAL_MS = 1000;
 export const DEPLOYED_VOTE = {
   pingMs: 250,
   renewMs: 300,
@@ -39,7 +42,7 @@
   deadMs: 1200,
 } as const;
 /** How long a session may be silent in a deployment before it counts as lost. */
-export const CONTROL_SILENT_MS = 3000;
+export const SESSION_TIMEOUT_MS = 3000;
 
 export interface ControlProcessSettings {
   readonly me: string;
@@ -56,7 +59,7 @@
 export type ControlAnswer = CommandReply;
 
 /** Hands a verb of the core and its JSON body on to it. */
-export type ControlAsk = (verb: string, body: string) => Promise<ControlAnswer>;
+export type ControlRequest = (verb: string, body: string) => Promise<ControlAnswer>;
 
 /** Renders the metrics of this process; nothing while it has not started. */
 export type ControlMetricsSource = () => Promise<Exposition | undefined>;
@@ -65,9 +68,9 @@
 export interface ControlPorts {
   readonly dialect: ConfigDialect;
   /** The list of runners; nothing where there is none to be had. */
-  readonly list: (() => Promise<readonly ListedRunner[]>) | undefined;
-  status(address: string): Promise<RunnerStatus | undefined>;
-  order(
+  readonly listRunners: (() => Promise<readonly ListedRunner[]>) | undefined;
+  runnerStatus(address: string): Promise<RunnerStatus | undefined>;
+  sendOrder(
     intent: Intent,
     address: string,
     holder: string,
@@ -75,8 +78,8 @@
     lease: Lease,
     now: () => Moment,
   ): Promise<OrderResult>;
-  operators(
-    ask: ControlAsk,
+  operatorsApi(
+    ask: ControlRequest,
     metrics: ControlMetricsSource,
   ): { listen(address: string): Promise<number>; close(): void };
 }
@@ -90,9 +93,9 @@
   readonly #log: Logger;
   readonly #runtime: ControlRuntime;
   readonly #store: FileStore;
-  readonly #operators: ReturnType<ControlPorts['operators']>;
+  readonly #operatorsApi: ReturnType<ControlPorts['operatorsApi']>;
   readonly #report = new ControlReport();
-  #isListing = false;
+  #isListPending = false;
   #seeds: readonly string[];
 
   constructor(settings: ControlProcessSettings, ports: ControlPorts, log: Logger) {
@@ -102,12 +105,12 @@
     this.#seeds = settings.seeds;
     const { me, zone } = settings;
     const exchange = new Exchange({ id: me, role: 'mind', zone, listen: me, reach: {} }, (error) =>
-      this.#tell(error),
+      this.#logError(error),
     );
     this.#runtime = new ControlRuntime(exchange, this);
-    this.#store = new FileStore(join(settings.data, 'parts'), (error) => this.#tell(error));
-    this.#operators = ports.operators(
-      (verb, body) => this.#runtime.ask(verb, body),
+    this.#store = new FileStore(join(settings.data, 'parts'), (error) => this.#logError(error));
+    this.#operatorsApi = ports.operatorsApi(
+      (verb, body) => this.#runtime.request(verb, body),
       () => this.#metrics(),
     );
   }
@@ -118,7 +121,7 @@
     const deployed = {
       dialect: this.#ports.dialect,
       isFirstStart,
-      listMs: LIST_MS,
+      listMs: RUNNER_LIST_INTERVAL_MS,
       planner: new Planner(this.#settings.planner),
     };
     const settings = {
@@ -127,7 +130,7 @@
       zone,
       seeds: this.#seeds,
       incarnation: newIncarnation(),
-      silentMs: CONTROL_SILENT_MS,
+      silentMs: SESSION_TIMEOUT_MS,
       foundMs: 0,
       deployed,
     };
@@ -135,7 +138,7 @@
     const vote = { ...VOTE_DEFAULTS, ...DEPLOYED_VOTE, leaseMs };
     const core = new ControlCore(settings, stored, monotonicNow(), vote);
     await this.#runtime.open(core);
-    if (control !== undefined) await this.#operators.listen(control);
+    if (control !== undefined) await this.#operatorsApi.listen(control);
     this.#runtime.startTicks();
     this.#runtime.tick();
     this.#log.info({ standing: core.standing.name }, 'control node started');
@@ -144,7 +147,7 @@
   /** Hands its seat over where a spare is there, then what it leads, if no order is open, and stops. */
   async stop(): Promise<void> {
     await this.#runtime.retire();
-    this.#operators.close();
+    this.#operatorsApi.close();
     this.#runtime.close();
   }
 
@@ -159,8 +162,8 @@
     return core.peers;
   }
 
-  receive(incoming: Incoming): CoreCommand {
-    return (core) => receiveWithZone(incoming, core);
+  onMessage(incoming: Incoming): CoreCommand {
+    return (core) => deliverWithZone(incoming, core);
   }
 
   write({ part, version, body }: StoreEffect): Promise<void> {
@@ -170,13 +173,13 @@
   perform(effect: OutsideEffect, core: ControlCore): void {
     switch (effect.do) {
       case 'askList':
-        void this.#list();
+        void this.#pollRunnerList();
         break;
       case 'askStatus':
-        void this.#status(effect.runner, effect.address);
+        void this.#pollRunnerStatus(effect.runner, effect.address);
         break;
       case 'order':
-        void this.#order(effect, core);
+        void this.#sendOrder(effect, core);
         break;
       case 'note':
         this.#log.info(effect.fields, effect.text);
@@ -187,21 +190,21 @@
   }
 
   /** What somebody else said must not end this process. */
-  failed(thrown: unknown): void {
+  onCommandFailed(thrown: unknown): void {
     this.#log.error(
       { defect: 'core' },
       thrown instanceof Error ? (thrown.stack ?? thrown.message) : reasonOf(thrown),
     );
   }
 
-  #tell(error: HaretrackError): void {
+  #logError(error: HaretrackError): void {
     this.#log.warn({ defect: error.code }, error.message);
   }
 
-  async #list(): Promise<void> {
-    const { list } = this.#ports;
-    if (!list || this.#isListing) return;
-    this.#isListing = true;
+  async #pollRunnerList(): Promise<void> {
+    const { listRunners: list } = this.#ports;
+    if (!list || this.#isListPending) return;
+    this.#isListPending = true;
     try {
       const runners = await list();
       this.#runtime.submit((core: ControlCore) => {
@@ -210,21 +213,21 @@
     } catch (thrown) {
       this.#log.info({ reason: reasonOf(thrown) }, 'no list of runners');
     } finally {
-      this.#isListing = false;
+      this.#isListPending = false;
     }
   }
 
-  async #status(runner: string, address: string): Promise<void> {
+  async #pollRunnerStatus(runner: string, address: string): Promise<void> {
     const askedAt = monotonicNow();
-    const status = await this.#ports.status(address);
+    const status = await this.#ports.runnerStatus(address);
     this.#runtime.submit((core: ControlCore) => {
       core.status(monotonicNow(), runner, askedAt, status);
     });
   }
 
-  async #order(effect: OrderEffect, core: ControlCore): Promise<void> {
+  async #sendOrder(effect: OrderEffect, core: ControlCore): Promise<void> {
     const { intent, address } = effect;
-    const outcome = await this.#ports.order(
+    const outcome = await this.#ports.sendOrder(
       intent,
       address,
       this.#settings.me,
--- a/src/control/control-runtime.ts
+++ b/src/control/control-runtime.ts
@@ -7,9 +7,9 @@
 import type { ControlEffect } from './control-effect.js';
 import type { ControlCore } from './control-core.js';
 
-export const DISK_AGAIN_MS = 500;
+export const DISK_RETRY_MS = 500;
 /** How long a planned stop waits for orders whose outcome is open. */
-export const RETIRE_MS = 1000;
+export const RETIRE_TIMEOUT_MS = 1000;
 
 /** What the runtime uses of an exchange; one that counts what passes has the same members. */
 export type ControlExchange = Pick<
@@ -39,16 +39,16 @@
   /** The nodes to keep a connection to. */
   peers(core: ControlCore): readonly string[];
   /** Looks at a message as it arrives, and returns the command that hands it to the core. */
-  receive(incoming: Incoming): CoreCommand;
+  onMessage(incoming: Incoming): CoreCommand;
   /** Stores a part; fails where it could not be synced. */
   write(effect: StoreEffect): Promise<void>;
   perform(effect: OutsideEffect, core: ControlCore): void;
   /** What a command threw; where this throws in turn, its effects are not carried out. */
-  failed(thrown: unknown): void;
+  onCommandFailed(thrown: unknown): void;
 }
 
 /** Hands a message on with the zone of the control node that sent it. */
-export function receiveWithZone(incoming: Incoming, core: ControlCore): void {
+export function deliverWithZone(incoming: Incoming, core: ControlCore): void {
   const zone = incoming.role === 'mind' ? incoming.zone : '';
   core.receive(monotonicNow(), incoming.from, incoming.message, zone);
 }
@@ -57,9 +57,9 @@
 export class ControlRuntime {
   readonly #exchange: ControlExchange;
   readonly #ports: ControlRuntimePorts;
-  readonly #owner = new SerialQueue();
+  readonly #commands = new SerialQueue();
   readonly #subscription = new Subscription();
-  readonly #replies = new Map<number, (reply: CommandReply) => void>();
+  readonly #pendingReplies = new Map<number, (reply: CommandReply) => void>();
   #core: ControlCore | undefined;
   #commandId = 0;
 
@@ -77,9 +77,9 @@
   async open(core: ControlCore): Promise<void> {
     this.#core = core;
     this.#subscription.add(
-      this.#exchange.incoming$.subscribe((incoming: Incoming) => this.#receive(incoming)),
+      this.#exchange.incoming$.subscribe((incoming: Incoming) => this.#onMessage(incoming)),
     );
-    this.#subscription.add(this.#exchange.gone$.subscribe((id: string) => this.#gone(id)));
+    this.#subscription.add(this.#exchange.gone$.subscribe((id: string) => this.#onDisconnect(id)));
     await this.#exchange.open();
   }
 
@@ -98,12 +98,12 @@
     function afterTick(done: () => void): void {
       setTimeout(done, tickMs);
     }
-    let end = monotonicNow() + RETIRE_MS;
+    let end = monotonicNow() + RETIRE_TIMEOUT_MS;
     for (let isRetired = false; !isRetired && monotonicNow() < end;) {
       this.submit((core: ControlCore) => {
         isRetired = core.retire(monotonicNow());
         // The seat's taking over bounds itself; the time for open orders begins after it.
-        if (waitsForHandover && core.isHandingOver) end = monotonicNow() + RETIRE_MS;
+        if (waitsForHandover && core.isHandingOver) end = monotonicNow() + RETIRE_TIMEOUT_MS;
       });
       if (!isRetired) await new Promise<void>(afterTick);
     }
@@ -119,14 +119,14 @@
   /** Every input is a command of the core's one owner; its effects are carried out before the next. */
   submit(command: CoreCommand): void {
     const core = this.#core;
-    if (core) this.#owner.submit(() => this.#work(core, command));
+    if (core) this.#commands.submit(() => this.#run(core, command));
   }
 
   /** Hands a verb of the core and its JSON body on to it. */
-  ask(verb: string, body: string): Promise<CommandReply> {
+  request(verb: string, body: string): Promise<CommandReply> {
     this.#commandId += 1;
     const id = this.#commandId;
-    const replies = this.#replies;
+    const replies = this.#pendingReplies;
     const reply = new Promise<CommandReply>((done: (reply: CommandReply) => void) => {
       replies.set(id, done);
     });
@@ -136,11 +136,11 @@
     return reply;
   }
 
-  #work(core: ControlCore, command: CoreCommand): void {
+  #run(core: ControlCore, command: CoreCommand): void {
     try {
       command(core);
     } catch (thrown) {
-      this.#ports.failed(thrown);
+      this.#ports.onCommandFailed(thrown);
     }
     for (const effect of core.drain()) this.#carryOut(core, effect);
   }
@@ -150,11 +150,11 @@
     core.tick(monotonicNow());
   }
 
-  #receive(incoming: Incoming): void {
-    this.submit(this.#ports.receive(incoming));
+  #onMessage(incoming: Incoming): void {
+    this.submit(this.#ports.onMessage(incoming));
   }
 
-  #gone(id: string): void {
+  #onDisconnect(id: string): void {
     this.submit((core: ControlCore) => {
       core.gone(monotonicNow(), id);
     });
@@ -169,8 +169,8 @@
         void this.#store(effect);
         break;
       case 'reply':
-        this.#replies.get(effect.id)?.({ status: effect.status, body: effect.body });
-        this.#replies.delete(effect.id);
+        this.#pendingReplies.get(effect.id)?.({ status: effect.status, body: effect.body });
+        this.#pendingReplies.delete(effect.id);
         break;
       default:
         this.#ports.perform(effect, core);
@@ -184,7 +184,7 @@
       await this.#ports.write(effect);
     } catch {
       // Named by the store. It is tried again for as long as we run: until then nobody hears a yes from us.
-      setTimeout(() => this.#store(effect), DISK_AGAIN_MS).unref();
+      setTimeout(() => this.#store(effect), DISK_RETRY_MS).unref();
       return;
     }
     this.submit((core: ControlCore) => {
--- a/src/control/control-snapshot.ts
+++ b/src/control/control-snapshot.ts
@@ -13,7 +13,7 @@
 } from './control-metrics.js';
 import type { FollowedVoters } from './followed-voters.js';
 import type { Leadership } from './leadership.js';
-import type { LeavingWatch } from './leaving-watch.js';
+import type { DrainingRunnersReader } from './draining-runners-reader.js';
 import type { ReplicaRepair } from './replica-repair.js';
 
 /** What the metrics of a control node are read from. */
@@ -26,7 +26,7 @@
   readonly relay: Relay;
   readonly sessions: Sessions;
   readonly voters: FollowedVoters;
-  readonly leavingWatch: LeavingWatch | undefined;
+  readonly drainingRunners: DrainingRunnersReader | undefined;
   readonly leadership: Leadership;
   readonly counters: ControlCounters;
   readonly mayOrder: (now: Moment) => boolean;
@@ -55,7 +55,7 @@
       electionsStarted: elector.electionsStarted,
       votesGranted: elector.votesGranted,
       copiesMended: parts.mends,
-      leaderlessReadings: sources.leavingWatch?.reads ?? 0,
+      leaderlessReadings: sources.drainingRunners?.reads ?? 0,
     }),
     sessions: sessionNumbers(sources.sessions.up(), committed),
   };
--- a/src/control/leaving-watch.ts
+++ b/src/control/draining-runners-reader.ts
@@ -7,7 +7,7 @@
 import type { ListedRunner } from '../placement/fleet.js';
 
 /** What the watch needs of the control node that it belongs to. */
-export interface LeavingWatchHost {
+export interface DrainingRunnersHost {
   readonly me: string;
   readonly elector: Elector;
   readonly relay: Relay;
@@ -18,42 +18,42 @@
   /** Those that get their news from this node. */
   children(): Iterable<string>;
   /** Asks for the platform's list of runners. */
-  askList(): void;
+  pollRunnerList(): void;
   send(to: string, message: Message): void;
 }
 
 /** Without a sign of a serving leader for so long the list is read here: two renewals of its lease have not come. */
-export const QUIET_MS = 600;
+export const LEADERLESS_MS = 600;
 /** By how much later each further voter begins, in the order of the voters, and all of them at most. */
-const TURN_MS = 150;
-const MOST_TURNS_MS = 600;
+const STAGGER_MS = 150;
+const MAX_STAGGER_MS = 600;
 /** How often one reader reads, and how much longer the others wait for what it tells. */
-const READ_MS = 1000;
+const READ_INTERVAL_MS = 1000;
 const PEER_SLACK_MS = 250;
 /** A reading that brought nothing is tried again after twice the time, up to this. */
-const MOST_BACK_OFF_MS = 4000;
+const MAX_BACKOFF_MS = 4000;
 /** Ticks come every 50 ms; after a longer pause what arrived meanwhile is heard before anything is judged by it. */
-const STANDSTILL_MS = 400;
+const EVENT_LOOP_STALL_MS = 400;
 
 /**
  * Reads the platform's list while no leader does, and tells which runners are leaving. In ordinary times it does nothing:
  * the serving leader reads the list and tells it by the fleet.
  */
-export class LeavingWatch {
-  readonly #host: LeavingWatchHost;
+export class DrainingRunnersReader {
+  readonly #host: DrainingRunnersHost;
   readonly #runners = new LeavingRunners();
   /** The last sign that a leader serves. */
-  #servedAt: Moment;
-  #tickedAt: Moment;
-  #readFrom: Moment;
-  #backOffMs = READ_MS;
+  #lastServedAt: Moment;
+  #lastTickAt: Moment;
+  #nextReadAt: Moment;
+  #backoffMs = READ_INTERVAL_MS;
   #reads = 0;
 
-  constructor(host: LeavingWatchHost, now: Moment) {
+  constructor(host: DrainingRunnersHost, now: Moment) {
     this.#host = host;
-    this.#servedAt = now;
-    this.#tickedAt = now;
-    this.#readFrom = now;
+    this.#lastServedAt = now;
+    this.#lastTickAt = now;
+    this.#nextReadAt = now;
   }
 
   /** How often the list was asked for here while no leader read it. */
@@ -63,60 +63,61 @@
 
   tick(now: Moment): void {
     this.#runners.tick(now);
-    const hasStoodStill = now - this.#tickedAt > STANDSTILL_MS;
-    this.#tickedAt = now;
-    this.#noteServed(now);
-    if (hasStoodStill || now < this.#readFrom || !this.#isQuiet(now)) return;
+    const wasStalled = now - this.#lastTickAt > EVENT_LOOP_STALL_MS;
+    this.#lastTickAt = now;
+    this.#updateLastServedAt(now);
+    if (wasStalled || now < this.#nextReadAt || !this.#isReadDue(now)) return;
     this.#reads += 1;
-    this.#readFrom = later(now, this.#backOffMs);
+    this.#nextReadAt = later(now, this.#backoffMs);
     // Until it brings something, this reading counts as one in vain.
-    this.#backOffMs = Math.min(MOST_BACK_OFF_MS, this.#backOffMs * 2);
-    this.#host.askList();
+    this.#backoffMs = Math.min(MAX_BACKOFF_MS, this.#backoffMs * 2);
+    this.#host.pollRunnerList();
   }
 
   /** The list came to this node as the serving leader: what it reads after its term is no sooner than otherwise. */
-  readByLeader(now: Moment): void {
-    this.#backOffMs = READ_MS;
-    this.#readFrom = later(now, READ_MS);
+  onListReadAsLeader(now: Moment): void {
+    this.#backoffMs = READ_INTERVAL_MS;
+    this.#nextReadAt = later(now, READ_INTERVAL_MS);
   }
 
   /** The list as read here while this node serves nobody. */
-  listed(now: Moment, runners: readonly ListedRunner[]): void {
-    this.#backOffMs = READ_MS;
-    this.#readFrom = moment(Math.min(this.#readFrom, later(now, READ_MS)));
+  onRunnerList(now: Moment, runners: readonly ListedRunner[]): void {
+    this.#backoffMs = READ_INTERVAL_MS;
+    this.#nextReadAt = moment(Math.min(this.#nextReadAt, later(now, READ_INTERVAL_MS)));
     const ids: string[] = [];
     for (const runner of runners) if (runner.isLeaving) ids.push(runner.id);
-    this.#take(now, ids);
+    this.#addAndForward(now, ids);
     // Told whole, and also where nobody leaves: the other voters need not read the list as well.
     for (const voter of this.#host.quorum().all)
-      if (voter !== this.#host.me) this.#tell(voter, this.#runners.ids);
+      if (voter !== this.#host.me) this.#notify(voter, this.#runners.ids);
   }
 
   /** Ids that another node told. */
-  receive(now: Moment, from: string, runners: readonly string[]): void {
-    this.#take(now, runners);
+  onDrainingRunners(now: Moment, from: string, runners: readonly string[]): void {
+    this.#addAndForward(now, runners);
     if (!this.#isVoter(from)) return;
     // That voter has just read the list: this node's turn comes if it does not go on.
-    this.#backOffMs = READ_MS;
-    this.#readFrom = later(now, READ_MS + PEER_SLACK_MS + this.#turnMs());
+    this.#backoffMs = READ_INTERVAL_MS;
+    this.#nextReadAt = later(now, READ_INTERVAL_MS + PEER_SLACK_MS + this.#staggerMs());
   }
 
   /** A node below asked for news: ids that were lost on the way to it are told again. */
-  asked(from: string, have: readonly HaveMessage[]): void {
+  onUpdateRequest(from: string, have: readonly HaveMessage[]): void {
     // To a voter it would say that the list was read just now.
     if (this.#isVoter(from)) return;
     const runners = this.#runners.lackedBy(have);
-    if (runners.length > 0) this.#tell(from, runners);
+    if (runners.length > 0) this.#notify(from, runners);
   }
 
-  #take(now: Moment, ids: readonly string[]): void {
+  #addAndForward(now: Moment, ids: readonly string[]): void {
     const fresh = this.#runners.add(now, ids);
     if (fresh.length === 0) return;
     // One that leads without serving yet feeds the voters too: they are told as voters.
-    for (const child of this.#host.children()) if (!this.#isVoter(child)) this.#tell(child, fresh);
+    for (const child of this.#host.children())
+      if (!this.#isVoter(child)) this.#notify(child, fresh);
   }
 
-  #tell(to: string, runners: readonly string[]): void {
+  #notify(to: string, runners: readonly string[]): void {
     this.#host.send(to, { kind: 'leaving', runners: [...runners] });
   }
 
@@ -125,26 +126,28 @@
   }
 
   /** One that leads without serving yet renews its lease, but reads no list: its term's first word on the fleet is the sign. */
-  #noteServed(now: Moment): void {
+  #updateLastServedAt(now: Moment): void {
     const { elector, relay } = this.#host;
     if (this.#host.isServing()) {
-      this.#servedAt = now;
+      this.#lastServedAt = now;
       return;
     }
     const isFollowing = elector.leader !== undefined && elector.leader !== this.#host.me;
     if (!isFollowing || relay.version('fleet').epoch !== elector.epoch) return;
-    if (elector.leaderHeardAt > this.#servedAt) this.#servedAt = elector.leaderHeardAt;
+    if (elector.leaderHeardAt > this.#lastServedAt) this.#lastServedAt = elector.leaderHeardAt;
   }
 
   /** Whether a reading is due here; never where this node is no voter, since it then hears no renewals. */
-  #isQuiet(now: Moment): boolean {
-    return this.#isVoter(this.#host.me) && now - this.#servedAt >= QUIET_MS + this.#turnMs();
+  #isReadDue(now: Moment): boolean {
+    return (
+      this.#isVoter(this.#host.me) && now - this.#lastServedAt >= LEADERLESS_MS + this.#staggerMs()
+    );
   }
 
   /** Voters take turns by their place, so that as a rule one of them reads and the others hear of it. */
-  #turnMs(): number {
+  #staggerMs(): number {
     const { all } = this.#host.quorum();
     const place = Math.max(0, all.indexOf(nodeId(this.#host.me)));
-    return place * Math.min(TURN_MS, MOST_TURNS_MS / all.length);
+    return place * Math.min(STAGGER_MS, MAX_STAGGER_MS / all.length);
   }
 }
--- a/src/control/fleet-manager.test.ts
+++ b/src/control/fleet-manager.test.ts
@@ -56,12 +56,12 @@
   }
   const fleetManager = new FleetManager(
     { dialect: { read: noRouting, amend: noChange }, planner, isFirstStart: true, listMs: 1000 },
-    { effects: ignore, write: ignore, publish, mayOrder: yes, flows: one },
+    { addEffect: ignore, write: ignore, publish, mayOrder: yes, proxyCount: one },
   );
   const doc = firstDoc(['a:1']);
-  fleetManager.begin(moment(0), [], 'a/2');
+  fleetManager.beginLeading(moment(0), [], 'a/2');
   planner.told = fleetOf(3000);
-  fleetManager.list(moment(0), [], doc);
+  fleetManager.onRunnerList(moment(0), [], doc);
   // The planner has nothing new to say; that a span it told has run down meanwhile is none.
   for (let at = 100; at < 5000; at += 100) fleetManager.tick(moment(at), doc);
   expect(bodies).toHaveLength(1);
--- a/src/control/fleet-manager.ts
+++ b/src/control/fleet-manager.ts
@@ -15,44 +15,44 @@
 import type { Deployed, ControlEffect, OrderResult } from './control-effect.js';
 
 /** What the fleet manager needs of the node that leads. */
-export interface ManagedNode {
-  readonly effects: (effect: ControlEffect) => void;
+export interface FleetHost {
+  readonly addEffect: (effect: ControlEffect) => void;
   readonly write: (now: Moment, part: PartName, body: string) => void;
   /** The fleet whole, and what changed of it since the count before. */
   readonly publish: (count: number, body: string, delta: string) => void;
   readonly mayOrder: (now: Moment) => boolean;
-  readonly flows: () => number;
+  readonly proxyCount: () => number;
 }
 
 const NEVER = moment(-1e12);
-const PLAN_MS = 100;
+const PLAN_INTERVAL_MS = 100;
 /** By how much a foretold moment may move before it is news. */
 const MOVED_MS = 300;
 
 /** The leader's placement by a planner: what comes in, what is written down, ordered and told. */
 export class FleetManager {
   readonly #deployed: Deployed;
-  readonly #node: ManagedNode;
+  readonly #host: FleetHost;
   readonly #addresses = new Map<string, string>();
-  readonly #open = new Set<string>();
+  readonly #openOrders = new Set<string>();
   #routingText = '';
   #routing: Routing | undefined;
-  #listAskedAt: Moment = NEVER;
+  #runnerListPolledAt: Moment = NEVER;
   #plannedAt: Moment = NEVER;
-  #hasList = false;
+  #hasRunnerList = false;
   /** What was told last, by runner. */
   readonly #told = new Map<string, { readonly text: string; readonly times: readonly number[] }>();
   #toldFleet: Fleet | undefined;
   #count = 0;
   #ordersSent = 0;
 
-  constructor(deployed: Deployed, node: ManagedNode) {
+  constructor(deployed: Deployed, node: FleetHost) {
     this.#deployed = deployed;
-    this.#node = node;
+    this.#host = node;
   }
 
   get hasOpenOrders(): boolean {
-    return this.#open.size > 0;
+    return this.#openOrders.size > 0;
   }
   get ordersSent(): number {
     return this.#ordersSent;
@@ -63,20 +63,20 @@
   }
 
   /** Begins anew from what the parts hold; nothing is planned before the first list of this reign. */
-  begin(now: Moment, docs: readonly ServiceDoc[], label: string): void {
+  beginLeading(now: Moment, docs: readonly ServiceDoc[], label: string): void {
     this.#deployed.planner.restore(now, docs, label);
     const ids: string[] = [];
     for (const doc of docs) for (const intent of doc.intents) ids.push(intent.id);
     this.#deployed.planner.kept(ids);
-    this.#open.clear();
-    this.#hasList = false;
-    this.#listAskedAt = NEVER;
+    this.#openOrders.clear();
+    this.#hasRunnerList = false;
+    this.#runnerListPolledAt = NEVER;
     this.#told.clear();
     this.#toldFleet = undefined;
     this.#count = 0;
   }
 
-  demand(now: Moment, body: string, doc: ConfigDoc): void {
+  onDemand(now: Moment, body: string, doc: ConfigDoc): void {
     const report = parseAs(FleetDemandShape, body);
     if (!report) return;
     this.#deployed.planner.demand(now, report);
@@ -84,44 +84,49 @@
     if (report.units.some(isWaiting)) this.#plan(now, doc);
   }
 
-  list(now: Moment, runners: readonly ListedRunner[], doc: ConfigDoc): void {
+  onRunnerList(now: Moment, runners: readonly ListedRunner[], doc: ConfigDoc): void {
     this.#addresses.clear();
     for (const runner of runners) this.#addresses.set(runner.id, runner.address);
-    this.#hasList = true;
+    this.#hasRunnerList = true;
     this.#deployed.planner.list(now, runners);
     this.#plan(now, doc);
   }
 
-  status(now: Moment, runner: string, askedAt: Moment, status: RunnerStatus | undefined): void {
+  onRunnerStatus(
+    now: Moment,
+    runner: string,
+    askedAt: Moment,
+    status: RunnerStatus | undefined,
+  ): void {
     this.#deployed.planner.status(now, runner, askedAt, status);
   }
 
-  ordered(now: Moment, intent: string, outcome: OrderResult, doc: ConfigDoc): void {
-    this.#open.delete(intent);
+  onOrderOutcome(now: Moment, intent: string, outcome: OrderResult, doc: ConfigDoc): void {
+    this.#openOrders.delete(intent);
     this.#deployed.planner.ordered(now, intent, outcome);
     this.#plan(now, doc);
   }
 
-  kept(now: Moment, docs: readonly ServiceDoc[]): void {
+  onCommitted(now: Moment, docs: readonly ServiceDoc[]): void {
     const ids: string[] = [];
     for (const doc of docs) for (const intent of doc.intents) ids.push(intent.id);
     if (ids.length === 0) return;
     this.#deployed.planner.kept(ids);
-    this.#order(now);
+    this.#sendOrders(now);
   }
 
   tick(now: Moment, doc: ConfigDoc): void {
-    if (now >= later(this.#listAskedAt, this.#deployed.listMs)) {
-      this.#listAskedAt = now;
-      this.#node.effects({ do: 'askList' });
+    if (now >= later(this.#runnerListPolledAt, this.#deployed.listMs)) {
+      this.#runnerListPolledAt = now;
+      this.#host.addEffect({ do: 'askList' });
     }
-    if (!this.#hasList) return;
+    if (!this.#hasRunnerList) return;
     for (const runner of this.#deployed.planner.asks(now)) {
       const address = this.#addresses.get(runner);
-      if (address !== undefined) this.#node.effects({ do: 'askStatus', runner, address });
+      if (address !== undefined) this.#host.addEffect({ do: 'askStatus', runner, address });
     }
     const next = this.#deployed.planner.nextAt(now);
-    if (now >= later(this.#plannedAt, PLAN_MS) || (next !== undefined && now >= next))
+    if (now >= later(this.#plannedAt, PLAN_INTERVAL_MS) || (next !== undefined && now >= next))
       this.#plan(now, doc);
   }
 
@@ -136,13 +141,13 @@
 
   #plan(now: Moment, doc: ConfigDoc): void {
     // A new leader that has no list yet would take all runners for gone.
-    if (!this.#hasList) return;
+    if (!this.#hasRunnerList) return;
     this.#plannedAt = now;
     const { planner } = this.#deployed;
     const changed = planner.plan(now, {
       routing: this.#routingOf(doc),
       emptied: doc.emptied,
-      flows: this.#node.flows(),
+      flows: this.#host.proxyCount(),
     });
     const parts = new Set<PartName>();
     for (const model of changed) parts.add(servicePart(model));
@@ -150,26 +155,26 @@
       const services = planner
         .docs()
         .filter((doc) => part !== CONFIG_PART && servicePart(doc.model) === part);
-      this.#node.write(now, part, JSON.stringify({ services }));
+      this.#host.write(now, part, JSON.stringify({ services }));
     }
-    this.#order(now);
+    this.#sendOrders(now);
     this.#publish(now);
   }
 
-  #order(now: Moment): void {
-    if (!this.#node.mayOrder(now)) return;
-    for (const intent of this.#deployed.planner.orders(now)) this.#send(now, intent);
+  #sendOrders(now: Moment): void {
+    if (!this.#host.mayOrder(now)) return;
+    for (const intent of this.#deployed.planner.orders(now)) this.#sendOrder(now, intent);
   }
 
-  #send(now: Moment, intent: Intent): void {
+  #sendOrder(now: Moment, intent: Intent): void {
     const address = this.#addresses.get(intent.runner);
     if (address === undefined) {
       this.#deployed.planner.ordered(now, intent.id, 'unsent');
       return;
     }
-    this.#open.add(intent.id);
+    this.#openOrders.add(intent.id);
     this.#ordersSent += 1;
-    this.#node.effects({ do: 'order', intent, address });
+    this.#host.addEffect({ do: 'order', intent, address });
   }
 
   /** Only what changed is told, and times that merely count down are no news. */
@@ -192,7 +197,7 @@
     const isRestNews = this.#isNews(now, REST, { flows, waits });
     if (put.length === 0 && drop.length === 0 && !isRestNews) return;
     this.#count += 1;
-    this.#node.publish(
+    this.#host.publish(
       this.#count,
       JSON.stringify(fleet satisfies Fleet),
       JSON.stringify({ flows, waits, put, drop } satisfies FleetDelta),
--- a/src/control/known-members.test.ts
+++ b/src/control/known-members.test.ts
@@ -27,8 +27,8 @@
 }
 test('members are known by session, by asking and from others, for twice the blind span', () => {
   const members = known();
-  members.noteAsked(SETTLED, ['a', 'b']);
-  members.noteHeard(SETTLED, 'other', [memberOf('b'), memberOf('c')]);
+  members.onRequest(SETTLED, ['a', 'b']);
+  members.onMembersReported(SETTLED, 'other', [memberOf('b'), memberOf('c')]);
   expect(idsOf(members.own())).toEqual(['a', 'b']);
   expect(idsOf(members.all())).toEqual(['a', 'b', 'b', 'c']);
   expect(members.count()).toBe(3);
@@ -47,11 +47,11 @@
   const members = known();
   const version = { epoch: 2, count: 5 };
   const commit = { version, at: SETTLED, members: new Set(['a', 'b']) };
-  members.noteAck('a', version);
-  members.noteAck('b', { epoch: 2, count: 4 });
+  members.onAck('a', version);
+  members.onAck('b', { epoch: 2, count: 4 });
   expect(members.isInForce(SETTLED, commit)).toBe(false);
-  members.noteAck('b', { epoch: 3, count: 1 });
-  members.noteAck('b', { epoch: 2, count: 1 });
+  members.onAck('b', { epoch: 3, count: 1 });
+  members.onAck('b', { epoch: 2, count: 1 });
   expect(members.ackedBy(memberOf('b'))).toEqual({ epoch: 3, count: 1 });
   expect(members.isInForce(SETTLED, commit)).toBe(true);
 });
--- a/src/control/known-members.ts
+++ b/src/control/known-members.ts
@@ -4,53 +4,54 @@
 import type { Sessions } from '../dissemination/sessions.js';
 import type { Commit } from './operator-orders.js';
 
-interface HeardMembers {
+interface ReportedMembers {
   readonly members: readonly MemberMessage[];
   readonly at: Moment;
 }
 
 /** Clocks differ in rate, and a confirmation takes its way: whoever is not fresh by so long after is surely blind. */
-const BLIND_SLACK_MS = 200;
+const FRESHNESS_SLACK_MS = 200;
 /** Stands for all that cannot be known; it acknowledges nothing. */
 const UNKNOWN: MemberMessage = { id: 'unknown', zone: '', address: '', epoch: 0, count: 0 };
 
 /** The members (agents and their proxies) that may still work by an older configuration, and what each acknowledged. */
 export class KnownMembers {
   readonly #sessions: Sessions;
-  readonly #blindMs: number;
+  readonly #freshnessBoundMs: number;
   /** Until then some may be on no list of ours that were confirmed fresh through us before we started. */
   readonly #unknownUntil: Moment;
   /** Members that asked through us, with a session here or not, and when. */
-  readonly #asked = new Map<string, Moment>();
+  readonly #requestedAt = new Map<string, Moment>();
   /** What other control nodes told of theirs, by node. */
-  readonly #heard = new Map<string, HeardMembers>();
+  readonly #reportedByNode = new Map<string, ReportedMembers>();
   readonly #acked = new Map<string, Version>();
 
   /** A member not confirmed fresh within `blindMs` turns new work away. */
   constructor(sessions: Sessions, blindMs: number, now: Moment) {
     this.#sessions = sessions;
-    this.#blindMs = blindMs;
-    this.#unknownUntil = later(now, blindMs + BLIND_SLACK_MS);
+    this.#freshnessBoundMs = blindMs;
+    this.#unknownUntil = later(now, blindMs + FRESHNESS_SLACK_MS);
   }
 
   tick(now: Moment): void {
-    const rememberMs = this.#blindMs * 2;
-    for (const [id, at] of this.#asked) if (now - at > rememberMs) this.#asked.delete(id);
-    for (const [node, heard] of this.#heard)
-      if (now - heard.at > rememberMs) this.#heard.delete(node);
+    const rememberMs = this.#freshnessBoundMs * 2;
+    for (const [id, at] of this.#requestedAt)
+      if (now - at > rememberMs) this.#requestedAt.delete(id);
+    for (const [node, heard] of this.#reportedByNode)
+      if (now - heard.at > rememberMs) this.#reportedByNode.delete(node);
   }
 
   /** These will be fresh by a confirmation that goes through us. */
-  noteAsked(now: Moment, ids: readonly string[]): void {
-    for (const id of ids) this.#asked.set(id, now);
+  onRequest(now: Moment, ids: readonly string[]): void {
+    for (const id of ids) this.#requestedAt.set(id, now);
   }
 
   /** Another control node told its members. */
-  noteHeard(now: Moment, node: string, members: readonly MemberMessage[]): void {
-    this.#heard.set(node, { members, at: now });
+  onMembersReported(now: Moment, node: string, members: readonly MemberMessage[]): void {
+    this.#reportedByNode.set(node, { members, at: now });
   }
 
-  noteAck(id: string, version: Version): void {
+  onAck(id: string, version: Version): void {
     if (isNewer(version, this.#acked.get(id) ?? NO_VERSION))
       this.#acked.set(id, { epoch: version.epoch, count: version.count });
   }
@@ -65,7 +66,7 @@
     const list = [...this.#sessions.recent()];
     const ids = new Set<string>();
     for (const member of list) ids.add(member.id);
-    for (const id of this.#asked.keys())
+    for (const id of this.#requestedAt.keys())
       if (!ids.has(id)) list.push({ id, zone: '', address: id, epoch: 0, count: 0 });
     return list;
   }
@@ -73,7 +74,7 @@
   /** All that this node knows of; one may be named more than once. */
   all(): MemberMessage[] {
     const list = this.own();
-    for (const heard of this.#heard.values()) list.push(...heard.members);
+    for (const heard of this.#reportedByNode.values()) list.push(...heard.members);
     return list;
   }
 
@@ -95,7 +96,7 @@
   isInForce(now: Moment, commit: Commit): boolean {
     // Whoever has not acked by then has not been confirmed fresh since before the write was held: it is blind.
     return (
-      now >= later(commit.at, this.#blindMs + BLIND_SLACK_MS) ||
+      now >= later(commit.at, this.#freshnessBoundMs + FRESHNESS_SLACK_MS) ||
       this.#haveAllAcked(commit.members, commit.version)
     );
   }
--- a/src/control/lease.ts
+++ b/src/control/lease.ts
@@ -12,14 +12,14 @@
  * check that left more than this, and taken within the span that a runner is told, is taken in the lease, however long we
  * were frozen in between.
  */
-export const MARGIN_MS = 350;
+export const LEASE_MARGIN_MS = 350;
 
 /** Looked at right before the write itself. */
 export function mayWrite(lease: Lease, now: Moment): boolean {
-  return lease.mayOrder(now) && lease.leaseEnd() - now > MARGIN_MS;
+  return lease.mayOrder(now) && lease.leaseEnd() - now > LEASE_MARGIN_MS;
 }
 
 /** How long from now an order under way may go on, in ms. */
-export function orderLimitMs(lease: Lease, now: Moment): number {
-  return Math.max(0, lease.leaseEnd() - now - MARGIN_MS);
+export function remainingOrderTimeMs(lease: Lease, now: Moment): number {
+  return Math.max(0, lease.leaseEnd() - now - LEASE_MARGIN_MS);
 }
--- a/src/control/leased-send.ts
+++ b/src/control/leased-send.ts
@@ -2,16 +2,16 @@
 import type { Socket } from 'node:net';
 import { readBody } from '../common/call.js';
 import type { Moment } from '../common/ids.js';
-import { mayWrite, orderLimitMs, type Lease } from './lease.js';
+import { mayWrite, remainingOrderTimeMs, type Lease } from './lease.js';
 
 /** The status that came back, if one did, and whether anything was written. */
-export interface LeasedResult {
+export interface LeasedResponse {
   readonly status: number | undefined;
   readonly isWritten: boolean;
 }
 
-export const CONNECT_MS = 500;
-export const ANSWER_MS = 1000;
+export const CONNECT_TIMEOUT_MS = 500;
+export const RESPONSE_TIMEOUT_MS = 1000;
 
 /**
  * Sends a call that only the holder of the lease may make. The connection is made first, so that the lease is checked
@@ -22,8 +22,8 @@
   body: string,
   lease: Lease,
   now: () => Moment,
-): Promise<LeasedResult> {
-  return new Promise((done: (result: LeasedResult) => void) => {
+): Promise<LeasedResponse> {
+  return new Promise((done: (result: LeasedResponse) => void) => {
     follow(sent, body, lease, now, done);
   });
 }
@@ -33,7 +33,7 @@
   body: string,
   lease: Lease,
   now: () => Moment,
-  done: (result: LeasedResult) => void,
+  done: (result: LeasedResponse) => void,
 ): void {
   let isWritten = false;
   let isOver = false;
@@ -75,7 +75,7 @@
   timers.push(
     setTimeout(() => {
       if (!isWritten) end(undefined);
-    }, CONNECT_MS),
-    setTimeout(giveUp, Math.min(ANSWER_MS, orderLimitMs(lease, now()))),
+    }, CONNECT_TIMEOUT_MS),
+    setTimeout(giveUp, Math.min(RESPONSE_TIMEOUT_MS, remainingOrderTimeMs(lease, now()))),
   );
 }
--- a/src/control/member-messages.ts
+++ b/src/control/member-messages.ts
@@ -8,7 +8,7 @@
 import type { EffectQueue } from './effect-queue.js';
 import type { FollowedVoters } from './followed-voters.js';
 import type { KnownMembers } from './known-members.js';
-import type { LeavingWatch } from './leaving-watch.js';
+import type { DrainingRunnersReader } from './draining-runners-reader.js';
 import type { PlacementControl } from './placement-control.js';
 import type { QuorumReads } from './quorum-reads.js';
 import type { RelayTree } from './relay-tree.js';
@@ -30,7 +30,7 @@
   readonly placement: PlacementControl;
   readonly voters: FollowedVoters;
   readonly zones: ControlNodeZones;
-  readonly leavingWatch: LeavingWatch | undefined;
+  readonly drainingRunners: DrainingRunnersReader | undefined;
   readonly effects: EffectQueue;
 }
 
@@ -79,10 +79,10 @@
         this.#parts.reads.receiveReply(now, nodeId(from), message);
         return true;
       case 'update':
-        this.#parts.updates.receiveUpdate(message);
+        this.#parts.updates.onUpdate(message);
         return true;
       case 'delta':
-        this.#parts.updates.receiveDelta(from, message);
+        this.#parts.updates.onDelta(from, message);
         return true;
       default:
         return false;
@@ -101,7 +101,7 @@
     if (now < later(this.#reportedAt, this.#reportMs)) return;
     this.#reportedAt = now;
     const { tree, sessions, updates, effects } = this.#parts;
-    tree.redraw();
+    tree.reassignParents();
     const leader = this.#otherLeader();
     if (leader === undefined) return;
     effects.send(leader, { kind: 'acked', members: [...sessions.up()] });
@@ -110,9 +110,9 @@
 
   #receiveJoin(now: Moment, from: string, message: JoinMessage): void {
     const { tree, replicaStatus, members, isDeployed } = this.#parts;
-    tree.join(now, from, message);
+    tree.onJoin(now, from, message);
     replicaStatus.noteMember(message.epoch);
-    members.noteAck(from, message);
+    members.onAck(from, message);
     if (isDeployed) this.#tellControlNodes(now, from);
   }
 
@@ -120,7 +120,7 @@
     const { zones, voters, elector, relay, effects } = this.#parts;
     effects.send(to, {
       kind: 'controlNodes',
-      controlNodes: zones.list(now, voters.quorum.all),
+      controlNodes: zones.describe(now, voters.quorum.all),
       leader: elector.leader ?? '',
       ...relay.version('config'),
     });
@@ -128,23 +128,23 @@
 
   #receiveAck(from: string, message: AckMessage): void {
     this.#parts.sessions.ack(from, message);
-    this.#parts.members.noteAck(from, message);
+    this.#parts.members.onAck(from, message);
   }
 
   #receiveAcked(now: Moment, from: string, list: readonly MemberMessage[]): void {
     const { members, isDeployed } = this.#parts;
-    for (const member of list) members.noteAck(member.id, member);
+    for (const member of list) members.onAck(member.id, member);
     // Elsewhere the rounds of confirmation name them.
-    if (isDeployed) members.noteHeard(now, from, list);
+    if (isDeployed) members.onMembersReported(now, from, list);
   }
 
   /** From below: by a link of the tree, by one that cannot reach its parent, or by a peer for updates alone. */
   #receiveFreshnessRequest(now: Moment, from: string, message: FreshnessRequest): void {
-    const { relay, updates, reads, leavingWatch, isDeployed } = this.#parts;
+    const { relay, updates, reads, drainingRunners, isDeployed } = this.#parts;
     const { nonce, members, have } = message;
     relay.heard(from, have);
-    leavingWatch?.asked(from, have);
-    if (nonce < 0) updates.answerOnce(from);
+    drainingRunners?.onUpdateRequest(from, have);
+    if (nonce < 0) updates.onUpdateRequest(from);
     else if (isDeployed) this.#answerUnread(from, nonce);
     else reads.confirmFresh(now, { child: from, nonce, members });
   }
@@ -157,7 +157,7 @@
 
   #receiveDemand(now: Moment, body: string): void {
     const leader = this.#otherLeader();
-    if (leader === undefined) this.#parts.placement.demand(now, body);
+    if (leader === undefined) this.#parts.placement.onDemand(now, body);
     else this.#parts.effects.send(leader, { kind: 'demand', body });
   }
 
--- a/src/control/api.ts
+++ b/src/control/operator-api.ts
@@ -4,10 +4,10 @@
 import type { Exposition } from '../metrics/exposition.js';
 
 /** What the API hands on: a verb of the core and its JSON body. */
-export type Ask = (verb: string, body: string) => Promise<HttpReply>;
+export type ApiRequest = (verb: string, body: string) => Promise<HttpReply>;
 
 /** In bytes. */
-const MAX_EDIT = 32 * 1024 * 1024;
+const MAX_BODY_BYTES = 32 * 1024 * 1024;
 const RETRY_AFTER_S = 2;
 const MALFORMED: HttpReply = {
   status: 400,
@@ -24,18 +24,22 @@
 }
 
 /** The operators' HTTP API of a control node; any node takes any command and passes it to the leader. */
-export class Api {
-  readonly #ask: Ask;
+export class OperatorApi {
+  readonly #request: ApiRequest;
   readonly #counters: () => object;
   readonly #metrics: () => Promise<Exposition | undefined>;
   readonly #server: ReplyServer;
 
-  constructor(ask: Ask, counters: () => object, metrics: () => Promise<Exposition | undefined>) {
-    this.#ask = ask;
+  constructor(
+    ask: ApiRequest,
+    counters: () => object,
+    metrics: () => Promise<Exposition | undefined>,
+  ) {
+    this.#request = ask;
     this.#counters = counters;
     this.#metrics = metrics;
     this.#server = new ReplyServer({
-      serve: (asked) => this.#take(asked),
+      serve: (asked) => this.#onRequest(asked),
       onFailure: MALFORMED,
       retryAfterS: RETRY_AFTER_S,
     });
@@ -49,8 +53,8 @@
     this.#server.close();
   }
 
-  async #take(asked: IncomingMessage): Promise<HttpReply> {
-    const body = await readBody(asked, MAX_EDIT);
+  async #onRequest(asked: IncomingMessage): Promise<HttpReply> {
+    const body = await readBody(asked, MAX_BODY_BYTES);
     return this.#serve(asked.method ?? 'GET', asked.url ?? '/', body);
   }
 
@@ -59,18 +63,18 @@
     const zone = /^\/zones\/([^/]+)\/empty$/.exec(path);
     const edit = /^\/edits\/([^/]+)$/.exec(path);
     if (zone && method === 'PUT')
-      return this.#ask(
+      return this.#request(
         'zone',
         withField(body, { zone: decodeURIComponent(zone[1] ?? ''), empty: true }),
       );
     if (zone && method === 'DELETE')
-      return this.#ask(
+      return this.#request(
         'zone',
         withField(body, { zone: decodeURIComponent(zone[1] ?? ''), empty: false }),
       );
     if (edit && method === 'GET') {
       const base = new URLSearchParams(query).get('base');
-      return this.#ask(
+      return this.#request(
         'edit',
         JSON.stringify({
           id: decodeURIComponent(edit[1] ?? ''),
@@ -80,23 +84,23 @@
     }
     switch (`${method} ${path}`) {
       case 'GET /status':
-        return this.#ask('status', '{}');
+        return this.#request('status', '{}');
       case 'GET /fleet':
-        return this.#ask('fleet', '{}');
+        return this.#request('fleet', '{}');
       case 'GET /live':
-        return this.#ask('live', '{}');
+        return this.#request('live', '{}');
       case 'GET /table':
-        return this.#ask('read', '{}');
+        return this.#request('read', '{}');
       case 'PUT /table':
-        return this.#ask('table', withField(body, {}));
+        return this.#request('table', withField(body, {}));
       case 'PATCH /table/cell':
-        return this.#ask('cell', withField(body, {}));
+        return this.#request('cell', withField(body, {}));
       case 'PATCH /table/rows':
-        return this.#ask('rows', withField(body, {}));
+        return this.#request('rows', withField(body, {}));
       case 'POST /voters/swap':
-        return this.#ask('swap', withField(body, {}));
+        return this.#request('swap', withField(body, {}));
       case 'POST /found':
-        return this.#ask('found', '{}');
+        return this.#request('found', '{}');
       case 'GET /counters':
         return { status: 200, body: JSON.stringify(this.#counters()) };
       case 'GET /metrics':
--- a/src/control/orderer.test.ts
+++ b/src/control/order-sender.test.ts
@@ -2,7 +2,7 @@
 import { readBody } from '../common/call.js';
 import { type Moment, moment } from '../common/ids.js';
 import type { Intent } from '../placement/shapes.js';
-import { Orderer } from './orderer.js';
+import { OrderSender } from './order-sender.js';
 import { type IncomingMessage, createServer } from 'node:http';
 
 const intent: Intent = {
@@ -58,17 +58,17 @@
   return moment(0);
 }
 async function checkTaken(address: string, bodies: string[]): Promise<void> {
-  expect(await new Orderer(new FakeLease(true, 5000), zero).send(intent, address, 'me', 2)).toBe(
-    'taken',
-  );
+  expect(
+    await new OrderSender(new FakeLease(true, 5000), zero).send(intent, address, 'me', 2),
+  ).toBe('taken');
   expect(bodies).toHaveLength(1);
 }
 async function checkLapsed(address: string, bodies: string[]): Promise<void> {
   // The lease is lost between the head and the write: the runner sees no order.
-  expect(await new Orderer(new FakeLease(false, 5000), zero).send(intent, address, 'me', 2)).toBe(
-    'unsent',
-  );
-  expect(await new Orderer(new FakeLease(true, 50), zero).send(intent, address, 'me', 2)).toBe(
+  expect(
+    await new OrderSender(new FakeLease(false, 5000), zero).send(intent, address, 'me', 2),
+  ).toBe('unsent');
+  expect(await new OrderSender(new FakeLease(true, 50), zero).send(intent, address, 'me', 2)).toBe(
     'unsent',
   );
   expect(bodies).toHaveLength(0);
--- a/src/control/orderer.ts
+++ b/src/control/order-sender.ts
@@ -3,19 +3,19 @@
 import type { Moment } from '../common/ids.js';
 import type { Intent } from '../placement/shapes.js';
 import { splitAddress } from '../common/listen.js';
-import { mayWrite, orderLimitMs, type Lease } from './lease.js';
+import { mayWrite, remainingOrderTimeMs, type Lease } from './lease.js';
 
 export type OrderOutcome = 'taken' | 'turnedAway' | 'unsure' | 'unsent';
 
-const CONTINUE_MS = 1000;
+const CONTINUE_TIMEOUT_MS = 1000;
 /** So long after it was told to go on a runner may take the order, on its own clock, in ms. */
-export const TAKE_WITHIN_MS = 300;
+export const ACCEPT_WITHIN_MS = 300;
 
 /**
  * Sends one order. The head goes first and asks to be told to go on, so that a runner that is dark or slow
  * never finds an order waiting in its socket; the lease is checked right before the order itself is written.
  */
-export class Orderer {
+export class OrderSender {
   readonly #lease: Lease;
   readonly #now: () => Moment;
 
@@ -40,7 +40,7 @@
       'content-type': 'application/json',
       'content-length': Buffer.byteLength(body),
       expect: '100-continue',
-      'x-take-within-ms': TAKE_WITHIN_MS,
+      'x-take-within-ms': ACCEPT_WITHIN_MS,
     };
     const sent = request({ host, port, method: 'POST', path: '/orders', headers, agent: false });
     return new Promise((done) => this.#run(sent, body, done));
@@ -87,8 +87,8 @@
     ticks.push(
       setTimeout(() => {
         if (!isWritten) end('unsent');
-      }, CONTINUE_MS),
-      setTimeout(giveUp, orderLimitMs(lease, now())),
+      }, CONTINUE_TIMEOUT_MS),
+      setTimeout(giveUp, remainingOrderTimeMs(lease, now())),
     );
   }
 }
--- a/src/control/placement-control.ts
+++ b/src/control/placement-control.ts
@@ -13,7 +13,7 @@
 import { TableManager } from './table-manager.js';
 
 /** What placement reads, writes and tells by. */
-export interface PlacementParts {
+export interface PlacementDependencies {
   readonly settings: ControlSettings;
   readonly placer: PlacerSettings;
   readonly relay: Relay;
@@ -30,35 +30,35 @@
 
 /** Placement at the leader: by the planner that a deployment brings, or else by the operators' own table. */
 export class PlacementControl {
-  readonly #parts: PlacementParts;
+  readonly #dependencies: PlacementDependencies;
   readonly #table: TableManager;
   /** Set where a deployment brings its own planner. */
   readonly #fleet: FleetManager | undefined;
-  #machinesAskedAt: Moment = NEVER;
+  #machineListPolledAt: Moment = NEVER;
   #writes = 0;
 
-  constructor(parts: PlacementParts) {
+  constructor(parts: PlacementDependencies) {
     const { settings, placer, effects, members, mayOrder } = parts;
-    this.#parts = parts;
+    this.#dependencies = parts;
     const write = (now: Moment, part: PartName, body: string) => this.#write(now, part, body);
     const effect = (added: ControlEffect) => effects.add(added);
     const proxies = () => members.count();
     this.#fleet =
       settings.deployed &&
       new FleetManager(settings.deployed, {
-        effects: effect,
+        addEffect: effect,
         write,
         publish: (count, body, delta) => this.#publishFleet(count, body, delta),
         mayOrder,
-        flows: proxies,
+        proxyCount: proxies,
       });
     this.#table = new TableManager(
       {
-        effect,
+        addEffect: effect,
         write,
         publish: (count, text) => this.#publishPlaces(count, text),
         mayOrder,
-        proxies,
+        proxyCount: proxies,
       },
       placer,
       settings.me,
@@ -80,7 +80,7 @@
   /** Whether the outcome of some order is open: it may still be under way. */
   get hasOpenOrders(): boolean {
     if (this.#table.hasOpenOrders) return true;
-    return this.#parts.leadership.isServing && (this.#fleet?.hasOpenOrders ?? false);
+    return this.#dependencies.leadership.isServing && (this.#fleet?.hasOpenOrders ?? false);
   }
 
   docs(): readonly ServiceDoc[] {
@@ -88,85 +88,95 @@
   }
 
   /** Begins anew from what the parts hold. */
-  begin(now: Moment, docs: readonly ServiceDoc[]): void {
-    const { settings, leadership, document } = this.#parts;
+  beginLeading(now: Moment, docs: readonly ServiceDoc[]): void {
+    const { settings, leadership, document } = this.#dependencies;
     const label = `${settings.me}/${leadership.epoch}`;
     if (this.#fleet) {
-      this.#fleet.begin(now, docs, label);
+      this.#fleet.beginLeading(now, docs, label);
       this.#fleet.tick(now, document.newest());
       return;
     }
-    this.#table.begin(now, docs, label);
+    this.#table.beginLeading(now, docs, label);
   }
 
   /** This node leads no longer. */
-  end(): void {
-    this.#table.end();
+  endLeading(): void {
+    this.#table.endLeading();
   }
 
   /** A part was committed, with these services. */
-  kept(now: Moment, docs: readonly ServiceDoc[]): void {
-    if (!this.#fleet) this.#table.kept(docs);
-    else if (this.#parts.leadership.isServing) this.#fleet.kept(now, docs);
+  onCommitted(now: Moment, docs: readonly ServiceDoc[]): void {
+    if (!this.#fleet) this.#table.onCommitted(docs);
+    else if (this.#dependencies.leadership.isServing) this.#fleet.onCommitted(now, docs);
   }
 
-  demand(now: Moment, body: string): void {
-    if (!this.#fleet) this.#table.demand(now, body);
-    else if (this.#parts.leadership.isServing)
-      this.#fleet.demand(now, body, this.#parts.document.newest());
+  onDemand(now: Moment, body: string): void {
+    if (!this.#fleet) this.#table.onDemand(now, body);
+    else if (this.#dependencies.leadership.isServing)
+      this.#fleet.onDemand(now, body, this.#dependencies.document.newest());
   }
 
   /** While the table is being recovered, nothing is planned. */
   tick(now: Moment, isRecovering: boolean): void {
-    const { leadership, document } = this.#parts;
+    const { leadership, document } = this.#dependencies;
     if (this.#fleet) {
       if (leadership.isServing && !isRecovering) this.#fleet.tick(now, document.newest());
       return;
     }
-    this.#askMachines(now);
+    this.#pollMachineList(now);
     if (leadership.isServing) this.#table.tick(now, document.newest(), !isRecovering);
   }
 
   /** The platform's list of runners. */
-  list(now: Moment, runners: readonly ListedRunner[]): void {
-    const { leadership, document } = this.#parts;
-    if (leadership.isServing) this.#fleet?.list(now, runners, document.newest());
+  onRunnerList(now: Moment, runners: readonly ListedRunner[]): void {
+    const { leadership, document } = this.#dependencies;
+    if (leadership.isServing) this.#fleet?.onRunnerList(now, runners, document.newest());
   }
 
   /** A runner's own report, asked for at that moment; nothing if it gave none. */
-  status(now: Moment, runner: string, askedAt: Moment, status: RunnerStatus | undefined): void {
-    if (this.#parts.leadership.isServing) this.#fleet?.status(now, runner, askedAt, status);
+  onRunnerStatus(
+    now: Moment,
+    runner: string,
+    askedAt: Moment,
+    status: RunnerStatus | undefined,
+  ): void {
+    if (this.#dependencies.leadership.isServing)
+      this.#fleet?.onRunnerStatus(now, runner, askedAt, status);
   }
 
   /** What became of an order: taken, turned away for good, or unsure. */
-  ordered(now: Moment, intent: string, outcome: OrderResult | 'turnedAway'): void {
+  onOrderOutcome(now: Moment, intent: string, outcome: OrderResult | 'turnedAway'): void {
     if (!this.#fleet) {
-      this.#table.ordered(now, intent, outcome);
+      this.#table.onOrderOutcome(now, intent, outcome);
       return;
     }
-    if (!this.#parts.leadership.isServing) return;
+    if (!this.#dependencies.leadership.isServing) return;
     const result = outcome === 'turnedAway' ? 'refused' : outcome;
-    this.#fleet.ordered(now, intent, result, this.#parts.document.newest());
+    this.#fleet.onOrderOutcome(now, intent, result, this.#dependencies.document.newest());
   }
 
-  #askMachines(now: Moment): void {
-    if (now < later(this.#machinesAskedAt, this.#parts.settings.machinesMs)) return;
-    this.#machinesAskedAt = now;
-    this.#parts.effects.add({ do: 'askMachines' });
+  #pollMachineList(now: Moment): void {
+    if (now < later(this.#machineListPolledAt, this.#dependencies.settings.machinesMs)) return;
+    this.#machineListPolledAt = now;
+    this.#dependencies.effects.add({ do: 'askMachines' });
   }
 
   #write(now: Moment, part: PartName, body: string): void {
     this.#writes += 1;
-    this.#parts.writer.write(now, part, body, 0);
+    this.#dependencies.writer.write(now, part, body, 0);
   }
 
   #publishFleet(count: number, body: string, delta: string): void {
-    const version = { epoch: this.#parts.leadership.epoch, count };
-    if (!this.#parts.relay.offerDelta('fleet', version, count - 1, delta))
-      this.#parts.relay.offer('fleet', version, body);
+    const version = { epoch: this.#dependencies.leadership.epoch, count };
+    if (!this.#dependencies.relay.offerDelta('fleet', version, count - 1, delta))
+      this.#dependencies.relay.offer('fleet', version, body);
   }
 
   #publishPlaces(count: number, text: string): void {
-    this.#parts.relay.offer('places', { epoch: this.#parts.leadership.epoch, count }, text);
+    this.#dependencies.relay.offer(
+      'places',
+      { epoch: this.#dependencies.leadership.epoch, count },
+      text,
+    );
   }
 }
--- a/src/control/quorum-reads.test.ts
+++ b/src/control/quorum-reads.test.ts
@@ -16,7 +16,7 @@
 /** A leader that serves, with a configuration that it knows to be committed. */
 function leader(): DutyNode {
   const node = new DutyNode(SOUND_DISK);
-  node.duties.updates.takeMachines(MACHINES);
+  node.duties.updates.onMachineList(MACHINES);
   node.replica.leadership.begin(EPOCH);
   node.replica.leadership.serve();
   node.replica.relay.offer('config', COMMITTED, 'the configuration');
@@ -78,7 +78,7 @@
 test('a node that may have held something newer, or knows no list, tells nothing', () => {
   const message: Message = { kind: 'quorumRead', nonce: 3, members: [] };
   const blank = new DutyNode([]);
-  blank.duties.updates.takeMachines(MACHINES);
+  blank.duties.updates.onMachineList(MACHINES);
   blank.drain();
   blank.duties.reads.receive(NOW, 'b', message);
   expect(blank.sent()).toEqual([]);
--- a/src/control/quorum-reads.ts
+++ b/src/control/quorum-reads.ts
@@ -88,7 +88,7 @@
 
   /** A member, or a node on behalf of many, asks to be confirmed fresh. */
   confirmFresh(now: Moment, ask: Ask): void {
-    this.#parts.members.noteAsked(now, ask.members);
+    this.#parts.members.onRequest(now, ask.members);
     this.#confirmation.add(ask);
     this.tick(now);
   }
@@ -153,7 +153,7 @@
   }
 
   #noteMembers(now: Moment, from: string, members: readonly MemberMessage[]): void {
-    if (from !== this.#parts.me) this.#parts.members.noteHeard(now, from, members);
+    if (from !== this.#parts.me) this.#parts.members.onMembersReported(now, from, members);
   }
 
   #replyToOwn(now: Moment, nonce: number): void {
@@ -170,7 +170,7 @@
     const marks = table.machines.revision;
     // Without any list we cannot tell which machines are leaving, though somebody may have known before we started.
     if (needsMachines && marks === 0) {
-      updates.askMachines(now);
+      updates.requestMachineList(now);
       return undefined;
     }
     return { kind: 'quorumReadReply', nonce, ...parts.versionOf(CONFIG_PART), marks };
--- a/src/control/relay-tree.test.ts
+++ b/src/control/relay-tree.test.ts
@@ -16,12 +16,12 @@
     sessions: this.sessions,
     relay: this.relay,
     effects: this.effects,
-    fedNodes: fedNodes,
+    controlNodeChildren: fedNodes,
   });
 
   join(id: string, lost = ''): void {
     const message = { kind: 'join', zone: 'z', address: `${id}:1`, epoch: 0, count: 0, lost };
-    this.tree.join(NOW, id, { ...message, kind: 'join' });
+    this.tree.onJoin(NOW, id, { ...message, kind: 'join' });
   }
 
   /** What was sent since it was asked last. */
@@ -49,14 +49,14 @@
   for (const id of others) tree.join(id);
   expect(tree.sent().length).toBeGreaterThanOrEqual(others.length);
   for (const id of ['a', ...others])
-    expect(tree.tree.feeds(id)).toBe(tree.tree.parentOf(id) === '');
+    expect(tree.tree.isChild(id)).toBe(tree.tree.parentOf(id) === '');
   expect(others.some((id) => tree.tree.parentOf(id) !== '')).toBe(true);
 });
 test('an unchanged parent is told to whoever joins again alone', () => {
   const tree = new Tree();
   tree.join('a');
   tree.sent();
-  tree.tree.redraw();
+  tree.tree.reassignParents();
   expect(tree.sent()).toEqual([]);
   tree.join('a');
   expect(tree.sent()).toEqual([assigned('a', '')]);
@@ -64,8 +64,8 @@
 test('an agent whose connection closed is fed no more, other control nodes are', () => {
   const tree = new Tree();
   tree.join('a');
-  tree.tree.gone('a');
-  tree.tree.redraw();
-  expect(tree.tree.feeds('a')).toBe(false);
-  expect(tree.tree.feeds('peer')).toBe(true);
+  tree.tree.onDisconnect('a');
+  tree.tree.reassignParents();
+  expect(tree.tree.isChild('a')).toBe(false);
+  expect(tree.tree.isChild('peer')).toBe(true);
 });
--- a/src/control/table-control-process.ts
+++ b/src/control/table-control-process.ts
@@ -13,7 +13,7 @@
 import { Exchange, type Incoming } from '../dissemination/exchange.js';
 import type { Exposition } from '../metrics/exposition.js';
 import { CatalogShape, MachinesShape, RunnerReportShape } from '../placement/shapes.js';
-import { Api } from './api.js';
+import { OperatorApi } from './operator-api.js';
 import { ControlCore } from './control-core.js';
 import { CONTROL_DEFAULTS } from './control-effect.js';
 import { ControlReport } from './control-report.js';
@@ -26,10 +26,10 @@
   type OutsideEffect,
   type StoreEffect,
 } from './control-runtime.js';
-import { Orderer } from './orderer.js';
+import { OrderSender } from './order-sender.js';
 
 const TICK_MS = 25;
-const OUTSIDE_MS = 800;
+const HTTP_TIMEOUT_MS = 800;
 
 /** A control node's process: carries out what its core wants, and tells the core what came of it. */
 export class TableControlProcess implements ControlRuntimePorts {
@@ -40,10 +40,10 @@
   readonly #counters = new Counters();
   readonly #runtime: ControlRuntime;
   readonly #store: FileStore;
-  readonly #api: Api;
+  readonly #api: OperatorApi;
   readonly #report = new ControlReport();
-  #orderer: Orderer | undefined;
-  #wasPlatformUp = true;
+  #orderSender: OrderSender | undefined;
+  #isPlatformReachable = true;
 
   constructor(settings: Infer<typeof TableControlSettingsShape>, log: Logger) {
     this.#settings = settings;
@@ -56,12 +56,12 @@
         listen: settings.listen,
         reach: settings.reach,
       },
-      (error) => this.#tell(error),
+      (error) => this.#logError(error),
     );
     this.#runtime = new ControlRuntime(exchange, this);
-    this.#store = new FileStore(join(settings.data, 'parts'), (error) => this.#tell(error));
-    this.#api = new Api(
-      (verb, body) => this.#ask(verb, body),
+    this.#store = new FileStore(join(settings.data, 'parts'), (error) => this.#logError(error));
+    this.#api = new OperatorApi(
+      (verb, body) => this.#request(verb, body),
       () => this.#counted(),
       () => this.#metrics(),
     );
@@ -75,7 +75,7 @@
       stored,
       monotonicNow(),
     );
-    this.#orderer = new Orderer(core, monotonicNow);
+    this.#orderSender = new OrderSender(core, monotonicNow);
     await this.#runtime.open(core);
     await this.#api.listen(this.#settings.api);
     this.#runtime.startTicks();
@@ -93,7 +93,7 @@
     return core.voters.filter((voter) => this.#isOther(voter));
   }
 
-  receive(incoming: Incoming): CoreCommand {
+  onMessage(incoming: Incoming): CoreCommand {
     this.#counters.add(`messages.${incoming.message.kind}`);
     return (core) => this.#receive(incoming, core);
   }
@@ -106,16 +106,16 @@
   perform(effect: OutsideEffect, core: ControlCore): void {
     switch (effect.do) {
       case 'askMachines':
-        void this.#askMachines();
+        void this.#pollMachineList();
         break;
       case 'askCatalog':
-        void this.#askCatalog();
+        void this.#pollCatalog();
         break;
       case 'askReport':
-        void this.#askReport(effect.runner, effect.address);
+        void this.#pollReport(effect.runner, effect.address);
         break;
       case 'order':
-        void this.#order(effect, core.elector.epoch);
+        void this.#sendOrder(effect, core.elector.epoch);
         break;
       case 'note':
         this.#log.info(effect.fields, effect.text);
@@ -125,7 +125,7 @@
     }
   }
 
-  failed(thrown: unknown): void {
+  onCommandFailed(thrown: unknown): void {
     throw thrown;
   }
 
@@ -138,7 +138,7 @@
     try {
       core.receive(monotonicNow(), incoming.from, incoming.message);
     } catch (thrown) {
-      this.#tell(
+      this.#logError(
         new MalformedFrameError(
           `${incoming.message.kind} from ${incoming.from}: ${reasonOf(thrown)}`,
         ),
@@ -146,7 +146,7 @@
     }
   }
 
-  #tell(error: HaretrackError): void {
+  #logError(error: HaretrackError): void {
     this.#counters.add(`defects.${error.code}`);
     this.#log.warn({ defect: error.code }, error.message);
   }
@@ -166,36 +166,42 @@
     return this.#counters.all();
   }
 
-  async #askMachines(): Promise<void> {
+  async #pollMachineList(): Promise<void> {
     try {
       const returned = await call(
         'GET',
         this.#settings.platform,
         '/machines',
         undefined,
-        OUTSIDE_MS,
+        HTTP_TIMEOUT_MS,
       );
       const machines = parseAs(MachinesShape, returned.body);
       if (!machines) throw new Error('its list of machines is not what it should be');
       this.#runtime.submit((core: ControlCore) => {
         if (machines) core.machines(monotonicNow(), machines);
       });
-      this.#platformUp(true, '');
+      this.#onPlatformReachable(true, '');
     } catch (thrown) {
       this.#counters.add('platform.unreached');
-      this.#platformUp(false, reasonOf(thrown));
+      this.#onPlatformReachable(false, reasonOf(thrown));
     }
   }
 
-  #platformUp(isUp: boolean, reason: string): void {
-    if (isUp === this.#wasPlatformUp) return;
-    this.#wasPlatformUp = isUp;
+  #onPlatformReachable(isUp: boolean, reason: string): void {
+    if (isUp === this.#isPlatformReachable) return;
+    this.#isPlatformReachable = isUp;
     this.#log.info({ up: isUp, reason }, 'platform');
   }
 
-  async #askCatalog(): Promise<void> {
+  async #pollCatalog(): Promise<void> {
     try {
-      const returned = await call('GET', this.#settings.store, '/catalog', undefined, OUTSIDE_MS);
+      const returned = await call(
+        'GET',
+        this.#settings.store,
+        '/catalog',
+        undefined,
+        HTTP_TIMEOUT_MS,
+      );
       const catalog = parseAs(CatalogShape, returned.body);
       if (!catalog) throw new Error('its catalogue is not what it should be');
       this.#runtime.submit((core: ControlCore) => {
@@ -206,13 +212,13 @@
     }
   }
 
-  async #askReport(runner: string, address: string): Promise<void> {
+  async #pollReport(runner: string, address: string): Promise<void> {
     const askedAt: Moment = monotonicNow();
     let report: ReturnType<typeof parseAs<Infer<typeof RunnerReportShape>>>;
     try {
       report = parseAs(
         RunnerReportShape,
-        (await call('GET', address, '/report', undefined, OUTSIDE_MS)).body,
+        (await call('GET', address, '/report', undefined, HTTP_TIMEOUT_MS)).body,
       );
     } catch {
       this.#counters.add('reports.unreached');
@@ -224,10 +230,14 @@
     });
   }
 
-  async #order(effect: OrderEffect, epoch: number): Promise<void> {
+  async #sendOrder(effect: OrderEffect, epoch: number): Promise<void> {
     const outcome =
-      (await this.#orderer?.send(effect.intent, effect.address, this.#settings.listen, epoch)) ??
-      'unsent';
+      (await this.#orderSender?.send(
+        effect.intent,
+        effect.address,
+        this.#settings.listen,
+        epoch,
+      )) ?? 'unsent';
     this.#counters.add(`orders.${outcome}`);
     this.#log.info(
       {
@@ -245,8 +255,8 @@
     });
   }
 
-  #ask(verb: string, body: string): Promise<CommandReply> {
+  #request(verb: string, body: string): Promise<CommandReply> {
     this.#counters.add(`commands.${verb}`);
-    return this.#runtime.ask(verb, body);
+    return this.#runtime.request(verb, body);
   }
 }
--- a/src/control/table-manager.ts
+++ b/src/control/table-manager.ts
@@ -20,13 +20,13 @@
 
 /** What placement by the table needs of the control node that leads. */
 export interface TableHost {
-  effect(effect: ControlEffect): void;
+  addEffect(effect: ControlEffect): void;
   write(now: Moment, part: PartName, body: string): void;
   /** The places as text, by a count within the leader's epoch. */
   publish(count: number, text: string): void;
   mayOrder(now: Moment): boolean;
   /** How many proxies share the takes of rows. */
-  proxies(): number;
+  proxyCount(): number;
 }
 
 interface Runner {
@@ -45,13 +45,13 @@
 }
 
 const EMPTY_CATALOG: Catalog = { limit: 0, models: [], adapters: [] };
-const ORDER_AGAIN_MS = 2000;
-const PLAN_MS = 250;
+const ORDER_RETRY_INTERVAL_MS = 2000;
+const PLAN_INTERVAL_MS = 250;
 /** The catalog is asked for again after so long; sooner while none is known. */
-const CATALOG_MS = 5000;
-const FIRST_CATALOG_MS = 500;
-const SHARES_MS = 1000;
-const LOST_RUNNER_MS = 4000;
+const CATALOG_POLL_INTERVAL_MS = 5000;
+const FIRST_CATALOG_POLL_INTERVAL_MS = 500;
+const SHARES_INTERVAL_MS = 1000;
+const RUNNER_UNREACHABLE_MS = 4000;
 const NEVER = moment(-1e12);
 
 /** The leader's placement by the operators' own table: reports in, plans written down, orders and places out. */
@@ -62,18 +62,18 @@
   readonly #runners = new Map<string, Runner>();
   readonly #shares = new Shares();
   readonly #sent = new Map<string, SentOrder>();
-  readonly #keptIntents = new Set<string>();
+  readonly #committedIntents = new Set<string>();
   #machines: Machines = { revision: 0, machines: [] };
   #catalog: Catalog = EMPTY_CATALOG;
   /** Whether it was told in this reign; else it may be old news. */
   #isCatalogCurrent = false;
-  #shareList: readonly Share[] = [];
-  #sharedAt: Moment = NEVER;
+  #publishedShares: readonly Share[] = [];
+  #sharesPublishedAt: Moment = NEVER;
   #mayOrderSince: Moment = NEVER;
   #servingSince: Moment = NEVER;
   #plannedAt: Moment = NEVER;
-  #catalogAt: Moment = NEVER;
-  #label = '';
+  #catalogPolledAt: Moment = NEVER;
+  #intentLabel = '';
   #placesText = '';
   #placesCount = 0;
   #ordersSent = 0;
@@ -103,7 +103,7 @@
   }
 
   /** Takes a list of machines if it is newer than ours; says whether it was. */
-  takeMachines(machines: Machines): boolean {
+  onMachineList(machines: Machines): boolean {
     if (machines.revision <= this.#machines.revision) return false;
     // A platform that has lost its machines says nothing of ours: only a list that names some replaces one that did.
     if (machines.machines.length === 0 && this.#machines.machines.length > 0) return false;
@@ -119,12 +119,12 @@
     return true;
   }
 
-  catalog(catalog: Catalog): void {
+  onCatalog(catalog: Catalog): void {
     this.#catalog = catalog;
     this.#isCatalogCurrent = true;
   }
 
-  demand(now: Moment, body: string): void {
+  onDemand(now: Moment, body: string): void {
     const report = parseAs(DemandShape, body);
     if (report) this.#shares.add(now, report);
     for (const unit of report?.units ?? []) {
@@ -132,7 +132,7 @@
     }
   }
 
-  reported(now: Moment, id: string, askedAt: Moment, report: RunnerReport | undefined): void {
+  onReport(now: Moment, id: string, askedAt: Moment, report: RunnerReport | undefined): void {
     const runner = this.#runners.get(id);
     if (!runner || askedAt < runner.askedAt) return;
     runner.isKnown = true;
@@ -143,7 +143,7 @@
     runner.seenAt = now;
   }
 
-  ordered(now: Moment, intent: string, outcome: OrderResult | 'turnedAway'): void {
+  onOrderOutcome(now: Moment, intent: string, outcome: OrderResult | 'turnedAway'): void {
     const sent = this.#sent.get(intent);
     if (outcome === 'taken') {
       this.#placer.orderTaken(now, intent);
@@ -161,18 +161,18 @@
   }
 
   /** Intents that are on a majority: they may be ordered. */
-  kept(docs: readonly ServiceDoc[]): void {
-    for (const doc of docs) for (const intent of doc.intents) this.#keptIntents.add(intent.id);
+  onCommitted(docs: readonly ServiceDoc[]): void {
+    for (const doc of docs) for (const intent of doc.intents) this.#committedIntents.add(intent.id);
   }
 
   /** Begins a reign from what the parts hold; `label` marks the intents decided in it. */
-  begin(now: Moment, docs: readonly ServiceDoc[], label: string): void {
-    this.#label = label;
+  beginLeading(now: Moment, docs: readonly ServiceDoc[], label: string): void {
+    this.#intentLabel = label;
     this.#mayOrderSince = NEVER;
-    this.#catalogAt = NEVER;
+    this.#catalogPolledAt = NEVER;
     this.#servingSince = now;
     this.#placer.restore(docs, label);
-    this.kept(docs);
+    this.onCommitted(docs);
     for (const machine of this.#machines.machines) {
       const runner = this.#runners.get(machine.id);
       if (!runner) continue;
@@ -182,33 +182,34 @@
     this.#placesCount = 0;
   }
 
-  end(): void {
+  endLeading(): void {
     this.#isCatalogCurrent = false;
     this.#sent.clear();
-    this.#keptIntents.clear();
+    this.#committedIntents.clear();
     this.#placesText = '';
   }
 
   /** `mayPlan` is unset while the table itself is being recovered. */
   tick(now: Moment, doc: ConfigDoc, mayPlan: boolean): void {
-    const catalogMs = this.#catalog.models.length === 0 ? FIRST_CATALOG_MS : CATALOG_MS;
-    if (now >= later(this.#catalogAt, catalogMs)) {
-      this.#catalogAt = now;
-      this.#host.effect({ do: 'askCatalog' });
+    const catalogMs =
+      this.#catalog.models.length === 0 ? FIRST_CATALOG_POLL_INTERVAL_MS : CATALOG_POLL_INTERVAL_MS;
+    if (now >= later(this.#catalogPolledAt, catalogMs)) {
+      this.#catalogPolledAt = now;
+      this.#host.addEffect({ do: 'askCatalog' });
     }
-    this.#askReports(now);
-    if (now < later(this.#plannedAt, PLAN_MS)) return;
+    this.#pollReports(now);
+    if (now < later(this.#plannedAt, PLAN_INTERVAL_MS)) return;
     this.#plannedAt = now;
     if (mayPlan) this.#plan(now, doc);
   }
 
-  #askReports(now: Moment): void {
+  #pollReports(now: Moment): void {
     for (const machine of this.#machines.machines) {
       const runner = this.#runners.get(machine.id);
       if (!runner || machine.service !== '') continue;
       if (now < later(runner.askSentAt, this.#reportMs)) continue;
       runner.askSentAt = now;
-      this.#host.effect({ do: 'askReport', runner: machine.id, address: machine.address });
+      this.#host.addEffect({ do: 'askReport', runner: machine.id, address: machine.address });
     }
   }
 
@@ -218,7 +219,7 @@
       const runner = this.#runners.get(machine.id);
       if (!runner) continue;
       const { report, askedAt, isReachable, seenAt } = runner;
-      const isLost = !isReachable && now - seenAt > LOST_RUNNER_MS;
+      const isLost = !isReachable && now - seenAt > RUNNER_UNREACHABLE_MS;
       runners.push({ machine, report, askedAt, isReachable, isLost });
     }
     return { table: doc.table, catalog: this.#catalog, runners, emptied: doc.emptied };
@@ -227,7 +228,8 @@
   #plan(now: Moment, doc: ConfigDoc): void {
     // A new leader plans only once it has heard from the runners, or it would take all their seats away.
     const isInformed =
-      [...this.#runners.values()].every(isHeard) || now - this.#servingSince > LOST_RUNNER_MS;
+      [...this.#runners.values()].every(isHeard) ||
+      now - this.#servingSince > RUNNER_UNREACHABLE_MS;
     if (!isInformed || this.#catalog.models.length === 0) return;
     const input = this.#planInput(now, doc);
     const changed = this.#placer.plan(now, input);
@@ -259,20 +261,20 @@
       }
     }
     for (const id of this.#sent.keys()) if (!open.has(id)) this.#sent.delete(id);
-    for (const id of this.#keptIntents) if (!open.has(id)) this.#keptIntents.delete(id);
+    for (const id of this.#committedIntents) if (!open.has(id)) this.#committedIntents.delete(id);
   }
 
   #orderIntent(now: Moment, input: PlanInput, intent: Intent): void {
     const sent = this.#sent.get(intent.id);
     // Only what is kept is ordered, and what was taken is never ordered twice.
-    if (!this.#keptIntents.has(intent.id) || sent?.state === 'taken') return;
-    if (sent && now < later(sent.sentAt, ORDER_AGAIN_MS)) return;
+    if (!this.#committedIntents.has(intent.id) || sent?.state === 'taken') return;
+    if (sent && now < later(sent.sentAt, ORDER_RETRY_INTERVAL_MS)) return;
     const view = input.runners.find((view) => view.machine.id === intent.runner);
     if (!view?.isReachable || view.report?.boot !== intent.boot) return;
     if (!this.#placer.mayStillOrder(intent, input, this.#isSentOrder)) {
       // Not sent by us: decided in this epoch it was sent by nobody; of an older one the runner would have shown it
       // in a report asked for since we may order, which is long after anybody else could.
-      const isOurs = intent.id.startsWith(`${this.#label}.`);
+      const isOurs = intent.id.startsWith(`${this.#intentLabel}.`);
       const wasNeverTaken = isOurs || view.askedAt > this.#mayOrderSince;
       if (!sent && wasNeverTaken) this.#placer.orderTurnedAway(intent.id);
       return;
@@ -282,18 +284,18 @@
     const wasUnsure = sent?.wasUnsure ?? false;
     this.#sent.set(intent.id, { sentAt: now, state: 'sent', wasUnsure });
     this.#ordersSent += 1;
-    this.#host.effect({ do: 'order', intent, address: view.machine.address });
+    this.#host.addEffect({ do: 'order', intent, address: view.machine.address });
   }
 
   #publishPlaces(now: Moment, input: PlanInput): void {
     const places = this.#placer.places(input);
     // Shares follow demand, which is told once a second: more often they would only be more news.
-    if (now >= later(this.#sharedAt, SHARES_MS)) {
-      this.#sharedAt = now;
-      this.#shareList = this.#shares.list(now, input.table.rows.map(takeOf));
+    if (now >= later(this.#sharesPublishedAt, SHARES_INTERVAL_MS)) {
+      this.#sharesPublishedAt = now;
+      this.#publishedShares = this.#shares.list(now, input.table.rows.map(takeOf));
     }
-    const flows = this.#host.proxies();
-    const text = JSON.stringify({ ...places, flows, shares: this.#shareList });
+    const flows = this.#host.proxyCount();
+    const text = JSON.stringify({ ...places, flows, shares: this.#publishedShares });
     if (text === this.#placesText) return;
     this.#placesText = text;
     this.#placesCount += 1;
--- a/src/control/takeover.ts
+++ b/src/control/takeover.ts
@@ -68,7 +68,7 @@
     if (epoch === leadership.epoch) return;
     leadership.begin(epoch);
     // One that leads feeds the other voters as well.
-    tree.redraw();
+    tree.reassignParents();
     this.#standDown();
     if (epoch > 0) parts.lead(now, epoch);
   }
@@ -89,7 +89,7 @@
       if (!isFound) document.write(now, document.newest(), 0);
       membership.begin();
     }
-    placement.begin(now, docs);
+    placement.beginLeading(now, docs);
   }
 
   tick(now: Moment): void {
@@ -110,7 +110,7 @@
     this.#recoverUntil = undefined;
     parts.release();
     voters.forgetRead();
-    placement.end();
+    placement.endLeading();
     writer.clear();
     orders.abandon();
     reads.abandon();
--- a/src/control/update-exchange.test.ts
+++ b/src/control/update-exchange.test.ts
@@ -13,39 +13,39 @@
   const node = new DutyNode([]);
   const body = JSON.stringify(MACHINES);
   const update = { kind: 'update', topic: 'machines', epoch: 0, count: 3, body } as const;
-  node.duties.updates.receiveUpdate(update);
+  node.duties.updates.onUpdate(update);
   expect(node.sent()).toEqual([
     ['b', update],
     ['c', update],
   ]);
-  node.duties.updates.receiveUpdate(update);
+  node.duties.updates.onUpdate(update);
   expect(node.sent()).toEqual([]);
 });
 test('a change that follows on nothing held here is asked for whole', () => {
   const node = new DutyNode([]);
   const delta = { kind: 'delta', topic: 'fleet', epoch: 2, from: 4, count: 5, body: '{}' } as const;
-  node.duties.updates.receiveDelta('b', delta);
+  node.duties.updates.onDelta('b', delta);
   expect(node.sent()).toEqual([
     ['b', { kind: 'freshnessRequest', nonce: -1, have: [], members: [] }],
   ]);
 });
 test('members and voters are asked for the list of machines twice a second', () => {
   const node = new DutyNode([]);
-  node.duties.members.noteHeard(NOW, 'b', [
+  node.duties.members.onMembersReported(NOW, 'b', [
     { id: 'm', zone: 'z', address: 'm:1', epoch: 0, count: 0 },
   ]);
-  node.duties.updates.askMachines(NOW);
+  node.duties.updates.requestMachineList(NOW);
   expect(recipients(node.sent())).toEqual(['m', 'b', 'c']);
-  node.duties.updates.askMachines(moment(NOW + 499));
+  node.duties.updates.requestMachineList(moment(NOW + 499));
   expect(node.sent()).toEqual([]);
-  node.duties.updates.askMachines(moment(NOW + 500));
+  node.duties.updates.requestMachineList(moment(NOW + 500));
   expect(recipients(node.sent())).toEqual(['m', 'b', 'c']);
 });
 test('whoever is fed elsewhere is answered once', () => {
   const node = new DutyNode([]);
   node.replica.relay.offer('config', { epoch: 1, count: 1 }, '{}');
   node.replica.relay.heard('m', []);
-  node.duties.updates.answerOnce('m');
+  node.duties.updates.onUpdateRequest('m');
   expect(recipients(node.sent())).toEqual(['m']);
   node.replica.relay.offer('config', { epoch: 1, count: 2 }, '{}');
   node.duties.updates.flush();
--- a/src/rehearsal/scale-control.ts
+++ b/src/rehearsal/scale-control.ts
@@ -11,7 +11,7 @@
 import { CONTROL_DEFAULTS, type OrderResult } from '../control/control-effect.js';
 import {
   ControlRuntime,
-  receiveWithZone,
+  deliverWithZone,
   type ControlRuntimePorts,
   type CoreCommand,
   type OrderEffect,
@@ -138,7 +138,7 @@
         fleet: relay?.item('fleet')?.body.length ?? 0,
       });
     const { verb: commanded, body: said } = mustParseAs(CommandShape, body, 'the command');
-    return JSON.stringify(await this.#runtime.ask(commanded, said));
+    return JSON.stringify(await this.#runtime.request(commanded, said));
   }
 
   #figures(): object {
@@ -166,9 +166,9 @@
     return core.peers;
   }
 
-  receive(incoming: Incoming): CoreCommand {
+  onMessage(incoming: Incoming): CoreCommand {
     this.#exchange.took(incoming.message);
-    return (core) => receiveWithZone(incoming, core);
+    return (core) => deliverWithZone(incoming, core);
   }
 
   write({ part, version, body }: StoreEffect): Promise<void> {
@@ -193,7 +193,7 @@
     }
   }
 
-  failed(thrown: unknown): void {
+  onCommandFailed(thrown: unknown): void {
     throw thrown;
   }
 
--- a/src/rehearsal/sim-orders.ts
+++ b/src/rehearsal/sim-orders.ts
@@ -1,4 +1,4 @@
-import { TAKE_WITHIN_MS } from '../control/orderer.js';
+import { ACCEPT_WITHIN_MS } from '../control/order-sender.js';
 import type { Catalog, Hold, Intent } from '../placement/shapes.js';
 import type { BackRecord } from './records.js';
 import type { Scheduler } from './scheduler.js';
@@ -91,7 +91,7 @@
     const { intent, continuedAt } = order;
     const runner = this.#runners.find(intent.runner);
     if (!runner || !this.#runners.isAnswering(intent.runner)) return 'unsure';
-    if (this.#scheduler.now - continuedAt > TAKE_WITHIN_MS) return 'turnedAway';
+    if (this.#scheduler.now - continuedAt > ACCEPT_WITHIN_MS) return 'turnedAway';
     this.#watchHolders(order);
     const used = usedWith(runner, intent);
     this.#record(order, this.#isOverRoom(runner, intent, used));
--- a/src/simulation/control-node.ts
+++ b/src/simulation/control-node.ts
@@ -12,11 +12,11 @@
 import type { ListedRunner } from '../placement/fleet.js';
 import { VOTE_DEFAULTS } from '../election/vote-settings.js';
 import {
-  CONTROL_SILENT_MS,
+  SESSION_TIMEOUT_MS,
   CONTROL_TICK_MS,
   DEPLOYED_VOTE,
   DISK_AGAIN_MS,
-  LIST_MS,
+  RUNNER_LIST_INTERVAL_MS,
   RETIRE_MS,
 } from '../control/control-process.js';
 import { GRACE_MS, LEASE_MS } from './contract-bounds.js';
@@ -196,14 +196,14 @@
     const { random } = this.#around;
     const planner = new OrderStub();
     const dialect = new PlainDialect();
-    const deployed = { dialect, planner, isFirstStart, listMs: LIST_MS };
+    const deployed = { dialect, planner, isFirstStart, listMs: RUNNER_LIST_INTERVAL_MS };
     const settings = {
       ...CONTROL_DEFAULTS,
       me: this.id,
       zone: this.zone,
       seeds: this.#seeds,
       incarnation: random.below(LIFE_RANGE),
-      silentMs: CONTROL_SILENT_MS,
+      silentMs: SESSION_TIMEOUT_MS,
       foundMs: 0,
       deployed,
     };
--- a/src/simulation/leased-order.ts
+++ b/src/simulation/leased-order.ts
@@ -1,6 +1,6 @@
 import type { OrderResult } from '../control/control-effect.js';
-import { mayWrite, orderLimitMs, type Lease } from '../control/lease.js';
-import { ANSWER_MS, CONNECT_MS } from '../control/leased-send.js';
+import { mayWrite, remainingOrderTimeMs, type Lease } from '../control/lease.js';
+import { RESPONSE_TIMEOUT_MS, CONNECT_TIMEOUT_MS } from '../control/leased-send.js';
 import { textOf, type Endpoint, type Payload } from './endpoint.js';
 import { ORDER_FENCED, ORDER_TAKEN, type RunnerOrder } from './fake-runner.js';
 import type { Host, SimNetwork } from './sim-network.js';
@@ -39,8 +39,8 @@
   send(): void {
     const { network, host, runner, lease } = this.#settings;
     const { process } = host;
-    const left = Math.min(ANSWER_MS, orderLimitMs(lease, process.now()));
-    process.after(CONNECT_MS, () => this.#giveUpUnwritten());
+    const left = Math.min(RESPONSE_TIMEOUT_MS, remainingOrderTimeMs(lease, process.now()));
+    process.after(CONNECT_TIMEOUT_MS, () => this.#giveUpUnwritten());
     process.after(left, () => this.#giveUp());
     const submit = (run: () => void) => process.submit(`order ${runner}`, run);
     const open = (endpoint: Endpoint) => this.#open(endpoint);
