--- a/src/compatibility/stored-state.test.ts
+++ b/src/compatibility/stored-state.test.ts
@@ -139,7 +139,7 @@
 
     const effects = new EffectQueue();
     const storage = new VoteStorage(effects, votes.count, votes.record.grantEpoch);
-    storage.keep(1, votes.record);
+    storage.persist(1, votes.record);
     const following = { epoch: version.epoch, count: version.count + 1 };
     expect(effects.drain()).toMatchObject([{ part: VOTE_PART, version: following, body }]);
   });
--- a/src/compatibility/table-bodies.test.ts
+++ b/src/compatibility/table-bodies.test.ts
@@ -48,10 +48,10 @@
   perform(now: Moment, effect: ControlEffect, schedule: Schedule): void {
     switch (effect.do) {
       case 'askMachines':
-        schedule(OUTSIDE_MS, (core, at) => core.machines(at, MACHINES));
+        schedule(OUTSIDE_MS, (core, at) => core.onMachines(at, MACHINES));
         break;
       case 'askCatalog':
-        schedule(OUTSIDE_MS, (core, at) => core.catalog(at, CATALOG));
+        schedule(OUTSIDE_MS, (core, at) => core.onCatalog(at, CATALOG));
         break;
       case 'askReport': {
         const holds = [...this.#holdsOf(effect.runner).values()];
@@ -63,7 +63,7 @@
           upMs: now + 9000,
           holds,
         };
-        schedule(OUTSIDE_MS, (core, at) => core.reported(at, effect.runner, now, report));
+        schedule(OUTSIDE_MS, (core, at) => core.onRunnerReport(at, effect.runner, now, report));
         break;
       }
       case 'order': {
@@ -72,7 +72,7 @@
         const key = `${model}/${adapter}`;
         if (verb === 'unload') holds.delete(key);
         else holds.set(key, { model, adapter, size, state: 'loading', running: 0 });
-        schedule(OUTSIDE_MS, (core, at) => core.ordered(at, id, 'taken'));
+        schedule(OUTSIDE_MS, (core, at) => core.onOrderOutcome(at, id, 'taken'));
         schedule(LOAD_MS, () => {
           const hold = holds.get(key);
           if (hold) hold.state = 'ready';
--- a/src/compatibility/testing/recorded-cluster.ts
+++ b/src/compatibility/testing/recorded-cluster.ts
@@ -146,7 +146,7 @@
   command(id: string, verb: string, body: object): Answer {
     this.#commandId += 1;
     const commandId = this.#commandId;
-    this.core(id).command(this.now, commandId, verb, JSON.stringify(body));
+    this.core(id).onCommand(this.now, commandId, verb, JSON.stringify(body));
     this.#drain(id);
     for (const end = this.#now + ANSWER_LIMIT_MS; this.#now < end; this.#step()) {
       const answer = this.#answers.get(commandId);
@@ -206,7 +206,7 @@
       case 'store':
         this.#record(`stored ${effect.part}`, effect.body);
         this.#schedule(DISK_MS, () => {
-          this.core(id).stored(this.now, effect.part, effect.version);
+          this.core(id).onPersisted(this.now, effect.part, effect.version);
           this.#drain(id);
         });
         break;
@@ -253,7 +253,7 @@
       this.#agent.receive(this.now, from, from === PROXY ? 'flow' : 'mind', message);
       this.#drainAgent();
     } else if (this.#cores.has(to)) {
-      this.core(to).receive(this.now, from, message, this.#zones.get(from));
+      this.core(to).onMessage(this.now, from, message, this.#zones.get(from));
       this.#drain(to);
     }
   }
--- a/src/control/order-answers.ts
+++ b/src/control/command-answers.ts
@@ -1,6 +1,6 @@
 import { ERROR_RESPONSES, type ErrorCode, type HaretrackError } from '../common/errors.js';
 import { versionText, type Version } from '../common/version.js';
-import { ConfigError, TableError } from './edits.js';
+import { ConfigError, TableError } from './config-edits.js';
 
 /** Where a command came from, and so where its answer goes: `from` is empty for this node's own API. */
 export interface Origin {
--- a/src/control/command-handler.test.ts
+++ b/src/control/command-handler.test.ts
@@ -12,7 +12,7 @@
 /** The answer to a command at the node's own API. */
 function answerOf(node: DutyNode, verb: string, body = ''): Answer | undefined {
   node.drain();
-  node.duties.commands.take(NOW, 1, verb, body);
+  node.duties.commands.onCommand(NOW, 1, verb, body);
   for (const effect of node.drain())
     if (effect.do === 'reply') return { status: effect.status, body: effect.body };
   return undefined;
@@ -44,7 +44,7 @@
     epoch: 3,
     leaderTime: 0,
   } as const;
-  node.duties.commands.receive(NOW, 'b', message);
+  node.duties.commands.onForwardedCommand(NOW, 'b', message);
   const [answer] = node.sent();
   expect(answer).toMatchObject(['b', { kind: 'commandReply', id: 8, status: 503 }]);
 });
--- a/src/control/command-handler.ts
+++ b/src/control/command-handler.ts
@@ -3,31 +3,31 @@
 import type { Message } from '../common/messages.js';
 import type { Elector } from '../election/elector.js';
 import type { ReplicaStatus } from '../state/replica-status.js';
-import type { ConfigDocument } from './config-document.js';
+import type { ConfigStore } from './config-store.js';
 import type { ControlStatus } from './control-status.js';
 import type { EffectQueue } from './effect-queue.js';
 import type { FollowedVoters } from './followed-voters.js';
 import type { Leadership } from './leadership.js';
-import { errorAnswer, type Origin } from './order-answers.js';
-import type { OperatorOrders } from './operator-orders.js';
-import type { OrderForwarding } from './order-forwarding.js';
+import { errorAnswer, type Origin } from './command-answers.js';
+import type { OperatorEdits } from './operator-edits.js';
+import type { CommandForwarding } from './command-forwarding.js';
 import type { QuorumReads } from './quorum-reads.js';
 import type { ReplicaRepair } from './replica-repair.js';
 import type { TableManager } from './table-manager.js';
 import type { Takeover } from './takeover.js';
 
 /** Who carries out commands. */
-export interface CommandParts {
+export interface CommandDependencies {
   readonly elector: Elector;
   readonly leadership: Leadership;
   readonly replicaStatus: ReplicaStatus;
   readonly repair: ReplicaRepair;
   readonly voters: FollowedVoters;
   readonly takeover: Takeover;
-  readonly forwarding: OrderForwarding;
-  readonly orders: OperatorOrders;
+  readonly forwarding: CommandForwarding;
+  readonly orders: OperatorEdits;
   readonly reads: QuorumReads;
-  readonly document: ConfigDocument;
+  readonly document: ConfigStore;
   readonly table: TableManager;
   readonly effects: EffectQueue;
   readonly status: (now: Moment) => ControlStatus;
@@ -37,51 +37,55 @@
 
 /** Commands of operators, at this node's own API or passed on by another: carried out, passed on, or refused. */
 export class CommandHandler {
-  readonly #parts: CommandParts;
+  readonly #dependencies: CommandDependencies;
 
-  constructor(parts: CommandParts) {
-    this.#parts = parts;
+  constructor(parts: CommandDependencies) {
+    this.#dependencies = parts;
   }
 
   /** A command that another node passed on. */
-  receive(now: Moment, from: string, message: CommandMessage): void {
+  onForwardedCommand(now: Moment, from: string, message: CommandMessage): void {
     const origin = { from, id: message.id };
     try {
-      this.#parts.forwarding.checkForwarded(now, this.#parts.leadership.epoch, message);
-      this.#carryOut(now, origin, message.verb, message.body);
+      this.#dependencies.forwarding.checkForwarded(
+        now,
+        this.#dependencies.leadership.epoch,
+        message,
+      );
+      this.#execute(now, origin, message.verb, message.body);
     } catch (thrown) {
-      this.#refuse(origin, thrown);
+      this.#reject(origin, thrown);
     }
   }
 
   /** A command at this node's own API. */
-  take(now: Moment, id: number, verb: string, body: string): void {
+  onCommand(now: Moment, id: number, verb: string, body: string): void {
     const origin = { from: '', id };
     try {
-      this.#carryOut(now, origin, verb, body);
+      this.#execute(now, origin, verb, body);
     } catch (thrown) {
-      this.#refuse(origin, thrown);
+      this.#reject(origin, thrown);
     }
   }
 
-  #carryOut(now: Moment, origin: Origin, verb: string, body: string): void {
-    if (verb === 'status') this.#answer(origin, this.#parts.status(now));
-    else if (verb === 'found') this.#found(now, origin);
-    else this.#order(now, origin, verb, body);
+  #execute(now: Moment, origin: Origin, verb: string, body: string): void {
+    if (verb === 'status') this.#answer(origin, this.#dependencies.status(now));
+    else if (verb === 'found') this.#forceNewCluster(now, origin);
+    else this.#executeAtLeader(now, origin, verb, body);
   }
 
   /** What the leader alone can do. */
-  #order(now: Moment, origin: Origin, verb: string, body: string): void {
-    const { forwarding, takeover, elector, leadership } = this.#parts;
+  #executeAtLeader(now: Moment, origin: Origin, verb: string, body: string): void {
+    const { forwarding, takeover, elector, leadership } = this.#dependencies;
     forwarding.checkAge(now, verb);
     if (takeover.isRecovering)
       throw new NoLeaderError('the table is being recovered from the members');
-    if (elector.isLeading() && leadership.isServing) this.#lead(now, origin, verb, body);
+    if (elector.isLeading() && leadership.isServing) this.#executeAsLeader(now, origin, verb, body);
     else forwarding.forward(now, origin, verb, body);
   }
 
-  #lead(now: Moment, origin: Origin, verb: string, body: string): void {
-    const { reads, table, document, orders } = this.#parts;
+  #executeAsLeader(now: Moment, origin: Origin, verb: string, body: string): void {
+    const { reads, table, document, orders } = this.#dependencies;
     if (verb === 'read') reads.read(origin);
     else if (verb === 'live') this.#answer(origin, table.live(now, document.newest()));
     else if (verb === 'fleet') this.#answer(origin, table.fleet(now, document.newest()));
@@ -89,23 +93,23 @@
   }
 
   /** An operator's word that nothing better is left than what this node can find. */
-  #found(now: Moment, origin: Origin): void {
-    const { replicaStatus, takeover, repair, voters } = this.#parts;
+  #forceNewCluster(now: Moment, origin: Origin): void {
+    const { replicaStatus, takeover, repair, voters } = this.#dependencies;
     if (replicaStatus.name === 'sound') {
       this.#answer(origin, { outcome: 'already', standing: 'sound' });
       return;
     }
     replicaStatus.force();
-    takeover.expectLoss();
-    repair.settle(now, replicaStatus.outcome(now, voters.quorum));
+    takeover.expectMissingWrites();
+    repair.resolve(now, replicaStatus.outcome(now, voters.quorum));
     this.#answer(origin, { outcome: 'forced', standing: replicaStatus.name });
   }
 
   #answer(origin: Origin, result: object): void {
-    this.#parts.effects.answer(origin, { status: 200, body: JSON.stringify(result) });
+    this.#dependencies.effects.answer(origin, { status: 200, body: JSON.stringify(result) });
   }
 
-  #refuse(origin: Origin, thrown: unknown): void {
-    this.#parts.effects.answer(origin, errorAnswer(toHaretrackError(thrown)));
+  #reject(origin: Origin, thrown: unknown): void {
+    this.#dependencies.effects.answer(origin, errorAnswer(toHaretrackError(thrown)));
   }
 }
--- a/src/control/config-codec.ts
+++ b/src/control/config-codec.ts
@@ -1,7 +1,7 @@
 import { array, assign, number, optional, string, type, type Infer } from 'superstruct';
 import { MalformedRequestError } from '../common/errors.js';
 import { parseAs } from '../common/json.js';
-import { ConfigDocShape, type ConfigDoc } from './config-doc.js';
+import { ConfigDocShape, type ConfigDoc } from './config-shapes.js';
 
 /** The remembered edits by columns: as objects, a thousand of them were most of each write and of each copy sent. */
 const EditColumnsShape = type({
@@ -13,7 +13,7 @@
   versions: optional(array(number())),
 });
 /** In place of a version that an older document did not tell. */
-const UNTOLD_VERSION = -1;
+const UNKNOWN_VERSION = -1;
 type EditColumns = Infer<typeof EditColumnsShape>;
 
 /** The document as it is stored and sent. Documents from before have their edits as objects and no columns. */
@@ -27,7 +27,7 @@
   for (const [place, edit] of edits.entries()) {
     columns.ids.push(edit.id);
     columns.numbers.push(edit.number);
-    versions.push(edit.version ?? UNTOLD_VERSION);
+    versions.push(edit.version ?? UNKNOWN_VERSION);
     if (edit.outcome === 'closed') columns.closed.push(place);
   }
   return columns;
@@ -38,8 +38,8 @@
   const edits: Edits = [];
   for (const [place, id] of columns.ids.entries()) {
     const outcome = closed.has(place) ? 'closed' : 'accepted';
-    const version = columns.versions?.[place] ?? UNTOLD_VERSION;
-    const told = version === UNTOLD_VERSION ? {} : { version };
+    const version = columns.versions?.[place] ?? UNKNOWN_VERSION;
+    const told = version === UNKNOWN_VERSION ? {} : { version };
     edits.push({ id, number: columns.numbers[place] ?? 0, outcome, ...told });
   }
   return edits;
--- a/src/control/edits.test.ts
+++ b/src/control/config-edits.test.ts
@@ -1,7 +1,7 @@
 import { expect, test } from 'vitest';
 import { rowKey } from '../policy/table.js';
-import { type ConfigDoc, firstDoc } from './config-doc.js';
-import { applyEdit } from './edits.js';
+import { type ConfigDoc, initialDoc } from './config-shapes.js';
+import { applyEdit } from './config-edits.js';
 
 const row = {
   type: 'check',
@@ -12,7 +12,7 @@
   repeatable: false,
   stream: true,
 };
-const doc: ConfigDoc = { ...firstDoc(['a']), number: 3, table: { mappings: [], rows: [row] } };
+const doc: ConfigDoc = { ...initialDoc(['a']), number: 3, table: { mappings: [], rows: [row] } };
 function apply(verb: string, edit: object): ConfigDoc {
   return applyEdit(doc, verb, JSON.stringify(edit)).doc;
 }
--- a/src/control/edits.ts
+++ b/src/control/config-edits.ts
@@ -3,7 +3,7 @@
 import { HaretrackError, MalformedRequestError, VersionConflictError } from '../common/errors.js';
 import { mustParseAs } from '../common/json.js';
 import { checkRouting, type ConfigDialect, type RoutingFault } from '../route/routing.js';
-import { EditShapes, MAX_EDITS, type ConfigDoc } from './config-doc.js';
+import { EditShapes, MAX_EDITS, type ConfigDoc } from './config-shapes.js';
 
 /** A policy table that may not be in force, with every fault in it. */
 export class TableError extends HaretrackError {
--- a/src/control/config-doc.ts
+++ b/src/control/config-shapes.ts
@@ -39,14 +39,14 @@
 export type ConfigDoc = Infer<typeof ConfigDocShape>;
 
 /** What of it the data plane is told. */
-export const ConfigNewsShape = type({
+export const ConfigUpdateShape = type({
   number: number(),
   table: TableShape,
   emptied: array(string()),
   voters: array(array(string())),
   routing: optional(RoutingDocShape),
 });
-export type ConfigNews = Infer<typeof ConfigNewsShape>;
+export type ConfigUpdate = Infer<typeof ConfigUpdateShape>;
 
 /** So many edits are remembered by id. */
 export const MAX_EDITS = 1000;
@@ -69,7 +69,7 @@
   return base === undefined || oldestBase === undefined || oldestBase > base;
 }
 
-export function firstDoc(voters: readonly string[]): ConfigDoc {
+export function initialDoc(voters: readonly string[]): ConfigDoc {
   return { number: 0, table: EMPTY_TABLE, emptied: [], edits: [], voters: [[...voters]] };
 }
 
--- a/src/control/config-size.test.ts
+++ b/src/control/config-size.test.ts
@@ -5,8 +5,8 @@
 import { Relay } from '../dissemination/relay.js';
 import { CONFIG_PART } from '../state/part-names.js';
 import { decodeConfigDoc, encodeConfigDoc } from './config-codec.js';
-import { firstDoc, MAX_EDITS, type ConfigDoc } from './config-doc.js';
-import { recordEdit } from './edits.js';
+import { initialDoc, MAX_EDITS, type ConfigDoc } from './config-shapes.js';
+import { recordEdit } from './config-edits.js';
 import { FaultCluster, foundedFaultCluster } from './testing/fault-cluster.js';
 
 const THREE = ['a:1', 'b:1', 'c:1'];
@@ -20,7 +20,7 @@
 }
 
 function withEdits(count: number): ConfigDoc {
-  let doc = firstDoc(THREE);
+  let doc = initialDoc(THREE);
   for (let index = 0; index < count; index += 1) {
     doc = recordEdit(
       { ...doc, number: index + 1 },
@@ -60,7 +60,7 @@
 }
 
 test('a thousand remembered edits are kept compact', () => {
-  const empty = encodeConfigDoc(firstDoc(THREE)).length;
+  const empty = encodeConfigDoc(initialDoc(THREE)).length;
   const doc = withEdits(MAX_EDITS);
   const body = encodeConfigDoc(doc);
   const version = { epoch: 4, count: MAX_EDITS };
--- a/src/control/config-document.test.ts
+++ b/src/control/config-store.test.ts
@@ -5,8 +5,8 @@
 import { Relay } from '../dissemination/relay.js';
 import { allParts, CONFIG_PART } from '../state/part-names.js';
 import { ReplicatedState } from '../state/replicated-state.js';
-import { ConfigDocument } from './config-document.js';
-import { PartWriter } from './part-writer.js';
+import { ConfigStore } from './config-store.js';
+import { PartitionWriter } from './partition-writer.js';
 
 const NOW = moment(0);
 const EPOCH = 2;
@@ -16,10 +16,10 @@
 class Owner {
   readonly relay = new Relay();
   readonly parts = new ReplicatedState(ME, new Quorum([ME]), allParts(), []);
-  readonly document = new ConfigDocument({
+  readonly document = new ConfigStore({
     seeds: ['a'],
     parts: this.parts,
-    writer: new PartWriter(this.parts),
+    writer: new PartitionWriter(this.parts),
     relay: this.relay,
   });
 
@@ -40,7 +40,7 @@
   /** The first writes take over the state; nothing is told of them. */
   #commit(part: PartName, version: Version): void {
     if (part === CONFIG_PART && this.parts.isServing && this.parts.replicaBody(part) !== '')
-      this.document.commit(version);
+      this.document.onCommitted(version);
   }
 
   toldNumber(): unknown {
@@ -68,13 +68,13 @@
   const owner = new Owner();
   const { document } = owner;
   document.load();
-  expect(document.lostNews()).toBeUndefined();
+  expect(document.unstoredUpdate()).toBeUndefined();
   const { table } = document.newest();
   const news = { number: 5, table, emptied: ['east'], voters: [['x']] };
   owner.relay.offer('config', { epoch: 1, count: 9 }, JSON.stringify(news));
-  const lost = document.lostNews();
+  const lost = document.unstoredUpdate();
   expect(lost?.number).toBe(5);
   document.recover(NOW, lost);
   expect(document.newest()).toMatchObject({ number: 5, emptied: ['east'], voters: [['a']] });
-  expect(document.lostNews()).toBeUndefined();
+  expect(document.unstoredUpdate()).toBeUndefined();
 });
--- a/src/control/config-document.ts
+++ b/src/control/config-store.ts
@@ -5,26 +5,31 @@
 import { CONFIG_PART } from '../state/part-names.js';
 import type { ReplicatedState } from '../state/replicated-state.js';
 import { decodeConfigDoc, encodeConfigDoc, mustDecodeConfigDoc } from './config-codec.js';
-import { ConfigNewsShape, firstDoc, type ConfigDoc, type ConfigNews } from './config-doc.js';
-import type { PartWriter } from './part-writer.js';
+import {
+  ConfigUpdateShape,
+  initialDoc,
+  type ConfigDoc,
+  type ConfigUpdate,
+} from './config-shapes.js';
+import type { PartitionWriter } from './partition-writer.js';
 
 /** Where the configuration is kept and told. */
-export interface ConfigDocumentParts {
+export interface ConfigStoreDependencies {
   readonly seeds: readonly string[];
   readonly parts: ReplicatedState;
-  readonly writer: PartWriter;
+  readonly writer: PartitionWriter;
   readonly relay: Relay;
 }
 
 /** The configuration at the leader: as last written, and as last committed. */
-export class ConfigDocument {
-  readonly #parts: ConfigDocumentParts;
+export class ConfigStore {
+  readonly #dependencies: ConfigStoreDependencies;
   #newest: ConfigDoc;
   #committed: ConfigDoc;
 
-  constructor(parts: ConfigDocumentParts) {
-    this.#parts = parts;
-    this.#newest = firstDoc(parts.seeds);
+  constructor(parts: ConfigStoreDependencies) {
+    this.#dependencies = parts;
+    this.#newest = initialDoc(parts.seeds);
     this.#committed = this.#newest;
   }
 
@@ -40,13 +45,13 @@
 
   /** Whether a write of it is still without its majority. */
   get isWriting(): boolean {
-    return this.#parts.parts.isWriting(CONFIG_PART);
+    return this.#dependencies.parts.isWriting(CONFIG_PART);
   }
 
   /** Takes what was read while beginning to lead; says whether there was any. */
   load(): boolean {
-    const body = this.#parts.parts.body(CONFIG_PART);
-    this.#newest = body === '' ? firstDoc(this.#parts.seeds) : mustDecodeConfigDoc(body);
+    const body = this.#dependencies.parts.body(CONFIG_PART);
+    this.#newest = body === '' ? initialDoc(this.#dependencies.seeds) : mustDecodeConfigDoc(body);
     // It was rewritten by a majority in our epoch before we serve.
     this.#committed = this.#newest;
     return body !== '';
@@ -55,12 +60,12 @@
   /** Writes a configuration; `token` comes back with its commit. */
   write(now: Moment, doc: ConfigDoc, token: number): void {
     this.#newest = doc;
-    this.#parts.writer.write(now, CONFIG_PART, encodeConfigDoc(doc), token);
+    this.#dependencies.writer.write(now, CONFIG_PART, encodeConfigDoc(doc), token);
   }
 
   /** A write was committed as this version: it is told to every node. */
-  commit(version: Version): void {
-    const doc = decodeConfigDoc(this.#parts.writer.take(CONFIG_PART, version));
+  onCommitted(version: Version): void {
+    const doc = decodeConfigDoc(this.#dependencies.writer.takeCommitted(CONFIG_PART, version));
     if (!doc) return;
     this.#publish(version, doc);
     this.#committed = this.isWriting ? doc : this.#newest;
@@ -68,29 +73,29 @@
 
   /** Tells every node what was loaded. */
   publishLoaded(): void {
-    this.#publish(this.#parts.parts.versionOf(CONFIG_PART), this.#newest);
+    this.#publish(this.#dependencies.parts.versionOf(CONFIG_PART), this.#newest);
   }
 
   /** A configuration told here that is newer than the one held: no majority has it any more. */
-  lostNews(): ConfigNews | undefined {
-    const told = parseAs(ConfigNewsShape, this.#parts.relay.item('config')?.body ?? '');
+  unstoredUpdate(): ConfigUpdate | undefined {
+    const told = parseAs(ConfigUpdateShape, this.#dependencies.relay.item('config')?.body ?? '');
     return told && told.number > this.#newest.number ? told : undefined;
   }
 
   /** Writes what is held anew, with what was told and lost laid over it. */
-  recover(now: Moment, lost: ConfigNews | undefined): void {
-    this.write(now, lost ? withNews(this.#newest, lost) : this.#newest, 0);
+  recover(now: Moment, lost: ConfigUpdate | undefined): void {
+    this.write(now, lost ? withUpdate(this.#newest, lost) : this.#newest, 0);
   }
 
   #publish(version: Version, doc: ConfigDoc): void {
     const { number: count, table, emptied, voters, routing } = doc;
     const body = JSON.stringify({ number: count, table, emptied, voters, routing });
-    this.#parts.relay.offer('config', version, body);
+    this.#dependencies.relay.offer('config', version, body);
   }
 }
 
 /** The voters stay: who votes is not for members to tell. */
-function withNews(doc: ConfigDoc, news: ConfigNews): ConfigDoc {
+function withUpdate(doc: ConfigDoc, news: ConfigUpdate): ConfigDoc {
   const { number: count, table, emptied, routing } = news;
   return { ...doc, number: count, table, emptied, ...(routing ? { routing } : {}) };
 }
--- a/src/control/control-duties.ts
+++ b/src/control/control-components.ts
@@ -4,8 +4,8 @@
 import { Sessions } from '../dissemination/sessions.js';
 import type { PlacerSettings } from '../placement/placer-types.js';
 import { CommandHandler } from './command-handler.js';
-import { ConfigDocument } from './config-document.js';
-import type { ConfigDoc } from './config-doc.js';
+import { ConfigStore } from './config-store.js';
+import type { ConfigDoc } from './config-shapes.js';
 import type { ControlSettings } from './control-effect.js';
 import { ControlNodeZones } from './control-node-zones.js';
 import type { ControlReplica } from './control-replica.js';
@@ -13,9 +13,10 @@
 import { KnownMembers } from './known-members.js';
 import { DrainingRunnersReader } from './draining-runners-reader.js';
 import { MemberMessages } from './member-messages.js';
-import { OperatorOrders, type Commit } from './operator-orders.js';
-import { OrderForwarding } from './order-forwarding.js';
-import { PartWriter } from './part-writer.js';
+import { OperatorEdits, type Commit } from './operator-edits.js';
+import type { CommandAnswer, Origin } from './command-answers.js';
+import { CommandForwarding } from './command-forwarding.js';
+import { PartitionWriter } from './partition-writer.js';
 import { PlacementControl } from './placement-control.js';
 import { QuorumReads } from './quorum-reads.js';
 import { RelayTree } from './relay-tree.js';
@@ -24,6 +25,7 @@
 import { Takeover } from './takeover.js';
 import { UpdateExchange } from './update-exchange.js';
 import { VoterMembership } from './voter-membership.js';
+import type { VotersChange } from './voter-plan.js';
 import { VoterSetWriter } from './voter-set-writer.js';
 
 /** What the duties need of the core that they belong to. */
@@ -31,23 +33,23 @@
   /** Whether orders may be given to runners at this moment. */
   mayOrder(now: Moment): boolean;
   /** Takes up what the election and the replicated state decided. */
-  collect(now: Moment): void;
+  drainEffects(now: Moment): void;
   /** Everybody to whom this node keeps a connection. */
   peers(): readonly string[];
 }
 
 /** What a control node does, each duty in a class of its own, made here and handed to each other. */
-export class ControlDuties {
+export class ControlComponents {
   readonly sessions: Sessions;
   readonly members: KnownMembers;
   readonly tree: RelayTree;
   readonly zones: ControlNodeZones;
-  readonly writer: PartWriter;
-  readonly document: ConfigDocument;
+  readonly writer: PartitionWriter;
+  readonly document: ConfigStore;
   readonly placement: PlacementControl;
   readonly updates: UpdateExchange;
-  readonly orders: OperatorOrders;
-  readonly forwarding: OrderForwarding;
+  readonly orders: OperatorEdits;
+  readonly forwarding: CommandForwarding;
   readonly reads: QuorumReads;
   readonly voterSet: VoterSetWriter;
   /** Set in a deployment, where voters change by themselves. */
@@ -80,8 +82,8 @@
     this.members = new KnownMembers(this.sessions, settings.blindMs, now);
     this.tree = this.#makeTree();
     this.zones = new ControlNodeZones(me, settings.zone, elector);
-    this.writer = new PartWriter(parts);
-    this.document = new ConfigDocument({
+    this.writer = new PartitionWriter(parts);
+    this.document = new ConfigStore({
       ...replica,
       seeds: settings.seeds,
       writer: this.writer,
@@ -91,7 +93,7 @@
     this.orders = this.#makeOrders();
     this.forwarding = this.#makeForwarding(now);
     this.reads = this.#makeReads();
-    this.voterSet = new VoterSetWriter({ ...replica, ...this.#written() });
+    this.voterSet = new VoterSetWriter({ ...replica, ...this.#writers() });
     this.membership = this.#isDeployed ? this.#makeMembership(now) : undefined;
     this.drainingRunners = this.#isDeployed ? this.#makeDrainingRunnersReader(now) : undefined;
     this.repair = this.#makeRepair();
@@ -115,7 +117,7 @@
   }
 
   /** What the leader writes by. */
-  #written(): { readonly writer: PartWriter; readonly document: ConfigDocument } {
+  #writers(): { readonly writer: PartitionWriter; readonly document: ConfigStore } {
     return { writer: this.writer, document: this.document };
   }
 
@@ -123,12 +125,12 @@
     return new RelayTree({
       ...this.#replica,
       sessions: this.sessions,
-      controlNodeChildren: () => this.#fedNodes(),
+      controlNodeChildren: () => this.#updatedVoters(),
     });
   }
 
   /** While it leads, a node feeds the other voters as well. */
-  #fedNodes(): readonly NodeId[] {
+  #updatedVoters(): readonly NodeId[] {
     const { elector, voters, me } = this.#replica;
     if (!elector.isLeading()) return [];
     return voters.quorum.all.filter((id) => id !== me);
@@ -137,7 +139,7 @@
   #makePlacement(placer: PlacerSettings): PlacementControl {
     return new PlacementControl({
       ...this.#replica,
-      ...this.#written(),
+      ...this.#writers(),
       settings: this.#settings,
       placer,
       members: this.members,
@@ -155,7 +157,7 @@
     });
   }
 
-  #makeOrders(): OperatorOrders {
+  #makeOrders(): OperatorEdits {
     const { document } = this;
     const { counters, effects } = this.#replica;
     const host = {
@@ -163,10 +165,10 @@
       committed: () => document.committed(),
       write: (now: Moment, doc: ConfigDoc, token: number) => document.write(now, doc, token),
       confirm: () => this.#confirmRefusal(),
-      answer: effects.answer.bind(effects),
+      answer: (origin: Origin, answer: CommandAnswer) => effects.answer(origin, answer),
       isInForce: (now: Moment, commit: Commit) => this.#isInForce(now, commit),
     };
-    return new OperatorOrders(host, this.#settings.deployed?.dialect, counters);
+    return new OperatorEdits(host, this.#settings.deployed?.dialect, counters);
   }
 
   #confirmRefusal(): number {
@@ -178,18 +180,18 @@
     return this.#isDeployed || this.members.isInForce(now, commit);
   }
 
-  #makeForwarding(now: Moment): OrderForwarding {
+  #makeForwarding(now: Moment): CommandForwarding {
     const { counters, effects } = this.#replica;
     const host = {
       leader: () => this.#otherLeader(),
-      slowMsOf: (id: string) => this.#slowMsOf(id),
+      extraRoundTripMs: (id: string) => this.#extraRoundTripMs(id),
       send: (to: string, message: Message) => effects.send(to, message),
-      answer: effects.answer.bind(effects),
+      answer: (origin: Origin, answer: CommandAnswer) => effects.answer(origin, answer),
     };
-    return new OrderForwarding(host, counters, this.#settings.incarnation, now);
+    return new CommandForwarding(host, counters, this.#settings.incarnation, now);
   }
 
-  #slowMsOf(id: string): number {
+  #extraRoundTripMs(id: string): number {
     return this.#replica.elector.slowMsOf(nodeId(id));
   }
 
@@ -206,7 +208,7 @@
       table: this.placement.table,
       updates: this.updates,
       needsMachines: !this.#isDeployed,
-      confirmed: (now, id, isNewest) => this.orders.confirmed(now, id, isNewest),
+      onConfirmation: (now, id, isNewest) => this.orders.onConfirmation(now, id, isNewest),
     });
   }
 
@@ -215,15 +217,15 @@
     const { effects, replicaStatus } = this.#replica;
     const host = {
       ...this.#replica,
-      status: replicaStatus,
+      replicaStatus,
       zone: this.#settings.zone,
       isFirstStart: this.#settings.deployed?.isFirstStart ?? false,
       peers: this.#hooks.peers,
       document: () => document.newest(),
       zoneOf: (id: string) => zones.zoneOf(id),
       send: (to: string, message: Message) => effects.send(to, message),
-      rewriteParts: (now: Moment) => voterSet.rewriteParts(now),
-      changeVoters: voterSet.change.bind(voterSet),
+      rewritePartitions: (now: Moment) => voterSet.rewritePartitions(now),
+      writeVoters: (now: Moment, change: VotersChange) => voterSet.writeVoters(now, change),
     };
     return new VoterMembership(host, now);
   }
@@ -253,7 +255,7 @@
     return new ReplicaRepair({
       ...this.#replica,
       hasSpares: this.#isDeployed,
-      collect: this.#hooks.collect,
+      drainEffects: this.#hooks.drainEffects,
     });
   }
 
@@ -261,7 +263,7 @@
     const { placement, orders, reads, updates, membership, tree } = this;
     return new Takeover({
       ...this.#replica,
-      ...this.#written(),
+      ...this.#writers(),
       placement,
       orders,
       reads,
--- a/src/control/control-core.ts
+++ b/src/control/control-core.ts
@@ -18,12 +18,12 @@
 import type { ReplicatedState, ReplicatedStateEffect } from '../state/replicated-state.js';
 import type { ReplicaStatus } from '../state/replica-status.js';
 import type { StoredPart } from '../state/store.js';
-import { ControlDuties } from './control-duties.js';
+import { ControlComponents } from './control-components.js';
 import type { ControlEffect, ControlSettings, OrderResult } from './control-effect.js';
 import type { ControlMetrics } from './control-metrics.js';
 import { makeReplica, type ControlReplica } from './control-replica.js';
 import { metricsOf } from './control-snapshot.js';
-import { leaderTimeOf } from './order-forwarding.js';
+import { leaderClockOf } from './command-forwarding.js';
 
 type CommittedEffect = Extract<ReplicatedStateEffect, { do: 'committed' }>;
 
@@ -34,7 +34,7 @@
  */
 export class ControlCore {
   readonly #replica: ControlReplica;
-  readonly #duties: ControlDuties;
+  readonly #components: ControlComponents;
   readonly #isDeployed: boolean;
   #seeds: readonly string[];
   #isRetiring = false;
@@ -49,13 +49,13 @@
     this.#seeds = settings.seeds;
     this.#isDeployed = settings.deployed !== undefined;
     this.#replica = makeReplica(settings, stored, now, vote);
-    this.#duties = new ControlDuties(settings, placer, this.#replica, now, {
+    this.#components = new ControlComponents(settings, placer, this.#replica, now, {
       mayOrder: (now) => this.mayOrder(now),
-      collect: (now) => this.#collect(now),
+      drainEffects: (now) => this.#drainEffects(now),
       peers: () => this.#listPeers(),
     });
     this.#replica.voters.follow();
-    this.#collect(now);
+    this.#drainEffects(now);
   }
 
   get elector(): Elector {
@@ -68,7 +68,7 @@
     return this.#replica.relay;
   }
   /** Whether this node's replica may count. */
-  get standing(): ReplicaStatus {
+  get replicaStatus(): ReplicaStatus {
     return this.#replica.replicaStatus;
   }
   /** Whether this node leads and has taken over the state. */
@@ -79,15 +79,15 @@
     return this.#replica.voters.quorum.all;
   }
   get ordersSent(): number {
-    return this.#duties.placement.ordersSent;
+    return this.#components.placement.ordersSent;
   }
   get placementWrites(): number {
-    return this.#duties.placement.writes;
+    return this.#components.placement.writes;
   }
 
   /** One look at this node, for its metrics; nothing changes by it. */
   metrics(now: Moment): ControlMetrics {
-    const { repair, sessions, drainingRunners } = this.#duties;
+    const { repair, sessions, drainingRunners } = this.#components;
     const mayOrder = (now: Moment) => this.mayOrder(now);
     return metricsOf(now, {
       ...this.#replica,
@@ -122,20 +122,21 @@
   /** Everybody that this node wants a connection to. */
   get peers(): readonly string[] {
     const ids = new Set<string>(this.voters);
-    if (this.#isLost()) for (const seed of this.#seeds) ids.add(seed);
+    if (this.#isWithoutLeader()) for (const seed of this.#seeds) ids.add(seed);
     ids.delete(this.#replica.me);
     return [...ids];
   }
 
   /** Whether a planned stop waits for this node's seat to be taken over. */
   get isHandingOver(): boolean {
-    return this.#duties.membership?.isHandingOver ?? false;
+    return this.#components.membership?.isHandingOver ?? false;
   }
 
   // ---- inputs
 
   tick(now: Moment): void {
-    const { stateMessages, memberMessages, takeover, forwarding, orders, placement } = this.#duties;
+    const { stateMessages, memberMessages, takeover, forwarding, orders, placement } =
+      this.#components;
     this.#replica.elector.tick(now);
     stateMessages.tick(now);
     this.#replica.parts.tick(now);
@@ -143,88 +144,93 @@
     takeover.tick(now);
     forwarding.tick(now);
     orders.tick(now);
-    this.#endSwap(now);
-    this.#duties.membership?.tick(now);
+    this.#completeReplacement(now);
+    this.#components.membership?.tick(now);
     placement.tick(now, takeover.isRecovering);
-    this.#duties.drainingRunners?.tick(now);
-    this.#collect(now);
+    this.#components.drainingRunners?.tick(now);
+    this.#drainEffects(now);
   }
 
   /** A message of another node; `zone` is where that one is, '' if it did not say. */
-  receive(now: Moment, from: string, message: Message, zone: string = ''): void {
-    const { forwarding, zones, stateMessages, memberMessages } = this.#duties;
-    forwarding.heard(from);
+  onMessage(now: Moment, from: string, message: Message, zone: string = ''): void {
+    const { forwarding, zones, stateMessages, memberMessages } = this.#components;
+    forwarding.onHeard(from);
     if (zone !== '' && this.#isVoter(from)) zones.onZoneReported(from, zone);
     const isTaken =
-      stateMessages.receive(now, nodeId(from), message) ||
-      memberMessages.receive(now, from, message) ||
-      this.#receiveOfVoters(now, from, message) ||
-      this.#receiveCommand(now, from, message);
-    if (!isTaken) this.#receiveElection(now, from, message);
-    this.#collect(now);
+      stateMessages.onMessage(now, nodeId(from), message) ||
+      memberMessages.onMessage(now, from, message) ||
+      this.#onMembershipMessage(now, from, message) ||
+      this.#onCommandMessage(now, from, message);
+    if (!isTaken) this.#onElectionMessage(now, from, message);
+    this.#drainEffects(now);
   }
 
   /** The connection to a node closed. */
-  gone(now: Moment, from: string): void {
-    this.#duties.tree.onDisconnect(from);
-    this.#duties.forwarding.gone(from);
-    this.#duties.tree.reassignParents();
-    this.#collect(now);
+  onDisconnect(now: Moment, from: string): void {
+    this.#components.tree.onDisconnect(from);
+    this.#components.forwarding.onDisconnect(from);
+    this.#components.tree.reassignParents();
+    this.#drainEffects(now);
   }
 
   /** A version of a part is on disk. */
-  stored(now: Moment, part: PartName, version: Version): void {
+  onPersisted(now: Moment, part: PartName, version: Version): void {
     const { votes, elector } = this.#replica;
     if (part === VOTE_PART) {
-      votes.stored(version, (token) => elector.kept(token));
-      this.#duties.repair.voteStored(version);
+      votes.onPersisted(version, (token) => elector.kept(token));
+      this.#components.repair.onVotePersisted(version);
     } else {
-      this.#duties.stateMessages.stored(now, part, version);
+      this.#components.stateMessages.onPersisted(now, part, version);
     }
-    this.#collect(now);
+    this.#drainEffects(now);
   }
 
   /** The platform's list of machines. */
-  machines(now: Moment, machines: Machines): void {
-    this.#duties.updates.onMachineList(machines);
-    this.#collect(now);
+  onMachines(now: Moment, machines: Machines): void {
+    this.#components.updates.onMachineList(machines);
+    this.#drainEffects(now);
   }
 
   /** The platform's list of runners. */
-  list(now: Moment, runners: readonly ListedRunner[]): void {
-    const { placement, drainingRunners } = this.#duties;
+  onRunnerList(now: Moment, runners: readonly ListedRunner[]): void {
+    const { placement, drainingRunners } = this.#components;
     placement.onRunnerList(now, runners);
     if (this.isServing) drainingRunners?.onListReadAsLeader(now);
     else drainingRunners?.onRunnerList(now, runners);
-    this.#collect(now);
+    this.#drainEffects(now);
   }
 
   /** A runner's own report, asked for at that moment; nothing if it gave none. */
-  status(now: Moment, runner: string, askedAt: Moment, status: RunnerStatus | undefined): void {
-    this.#duties.placement.onRunnerStatus(now, runner, askedAt, status);
-    this.#collect(now);
+  onRunnerStatus(
+    now: Moment,
+    runner: string,
+    askedAt: Moment,
+    status: RunnerStatus | undefined,
+  ): void {
+    this.#components.placement.onRunnerStatus(now, runner, askedAt, status);
+    this.#drainEffects(now);
   }
 
   /** What the weight store holds. */
-  catalog(_now: Moment, catalog: Catalog): void {
-    this.#duties.placement.table.onCatalog(catalog);
+  onCatalog(_now: Moment, catalog: Catalog): void {
+    this.#components.placement.table.onCatalog(catalog);
   }
 
   /** What a runner returned to an ask sent at that moment; nothing if it did not. */
-  reported(now: Moment, id: string, askedAt: Moment, report: RunnerReport | undefined): void {
-    this.#duties.placement.table.onReport(now, id, askedAt, report);
+  onRunnerReport(now: Moment, id: string, askedAt: Moment, report: RunnerReport | undefined): void {
+    this.#components.placement.table.onReport(now, id, askedAt, report);
   }
 
   /** What became of an order: taken, turned away for good, or unsure. */
-  ordered(now: Moment, intent: string, outcome: OrderResult | 'turnedAway'): void {
-    this.#duties.placement.onOrderOutcome(now, intent, outcome);
-    if (this.#isDeployed) this.#collect(now);
+  onOrderOutcome(now: Moment, intent: string, outcome: OrderResult | 'turnedAway'): void {
+    this.#components.placement.onOrderOutcome(now, intent, outcome);
+    if (this.#isDeployed) this.#drainEffects(now);
   }
 
   /** A command at this node's own API. */
-  command(now: Moment, id: number, verb: string, body: string): void {
-    this.#duties.commands.take(now, id, verb, body);
-    this.#collect(now);
+  onCommand(now: Moment, id: number, verb: string, body: string): void {
+    this.#components.commands.onCommand(now, id, verb, body);
+    this.#drainEffects(now);
   }
 
   /**
@@ -232,30 +238,30 @@
    * An order that may still be under way keeps the lease bound until it runs out by itself.
    */
   retire(now: Moment): boolean {
-    const { membership, placement } = this.#duties;
+    const { membership, placement } = this.#components;
     this.#isRetiring = true;
-    const mustStay = membership?.mustKeepSeat(now) ?? false;
-    this.#collect(now);
+    const mustStay = membership?.mustStayVoter(now) ?? false;
+    this.#drainEffects(now);
     if (mustStay || placement.hasOpenOrders) return false;
     this.#replica.elector.retire(now);
-    this.#collect(now);
+    this.#drainEffects(now);
     return true;
   }
 
   // ---- messages by family
 
   /** Voters of a deployment announce themselves, say when they leave, and who leaves while nobody leads. */
-  #receiveOfVoters(now: Moment, from: string, message: Message): boolean {
-    const { membership, drainingRunners } = this.#duties;
+  #onMembershipMessage(now: Moment, from: string, message: Message): boolean {
+    const { membership, drainingRunners } = this.#components;
     switch (message.kind) {
       case 'announce':
-        membership?.receiveAnnounce(now, from, message);
+        membership?.onAnnounce(now, from, message);
         return true;
       case 'leave':
-        membership?.receiveLeave(now, from, message);
+        membership?.onLeave(now, from, message);
         return true;
       case 'leaveReply':
-        membership?.receiveLeaveReply(message);
+        membership?.onLeaveReply(message);
         return true;
       case 'leaving':
         drainingRunners?.onDrainingRunners(now, from, message.runners);
@@ -265,89 +271,89 @@
     }
   }
 
-  #receiveCommand(now: Moment, from: string, message: Message): boolean {
+  #onCommandMessage(now: Moment, from: string, message: Message): boolean {
     switch (message.kind) {
       case 'command':
-        this.#duties.commands.receive(now, from, message);
+        this.#components.commands.onForwardedCommand(now, from, message);
         return true;
       case 'commandReply':
-        this.#duties.forwarding.answered(from, message);
+        this.#components.forwarding.onReply(from, message);
         return true;
       default:
         return false;
     }
   }
 
-  #receiveElection(now: Moment, from: string, message: Message): void {
+  #onElectionMessage(now: Moment, from: string, message: Message): void {
     const { elector } = this.#replica;
-    this.#noteCandidate(from, message);
+    this.#onCandidate(from, message);
     elector.receive(now, nodeId(from), message);
     if (message.kind !== 'victory' && message.kind !== 'renew') return;
     // A renewal tells the leader's clock; what is known of it bounds the age of the orders passed on.
     if (elector.leader === from && elector.epoch === message.epoch)
-      this.#duties.forwarding.noteLeaderTime(leaderTimeOf(message));
+      this.#components.forwarding.onLeaderClock(leaderClockOf(message));
   }
 
   /** One that is not among the voters known here stands for election: there may be a newer configuration. */
-  #noteCandidate(from: string, { kind }: Message): void {
+  #onCandidate(from: string, { kind }: Message): void {
     const isOfCandidate = kind === 'propose' || kind === 'victory' || kind === 'renew';
     if (this.#isDeployed && isOfCandidate && !this.#isVoter(from))
-      this.#duties.updates.request(from);
+      this.#components.updates.request(from);
   }
 
   // ---- what the election and the replicated state decide
 
-  #collect(now: Moment): void {
+  #drainEffects(now: Moment): void {
     const { elector, parts, voters } = this.#replica;
-    const { takeover, updates } = this.#duties;
-    takeover.watch(now);
+    const { takeover, updates } = this.#components;
+    takeover.update(now);
     for (let isBusy = true; isBusy;) {
       const decided = elector.drain();
-      for (const effect of decided) this.#obeyElection(effect);
+      for (const effect of decided) this.#applyVoteEffect(effect);
       const changed = parts.drain();
-      for (const effect of changed) this.#obeyState(now, effect);
+      for (const effect of changed) this.#applyStateEffect(now, effect);
       isBusy = decided.length + changed.length > 0;
       voters.follow();
-      takeover.watch(now);
+      takeover.update(now);
     }
     updates.flush();
   }
 
-  #obeyElection(effect: VoteEffect): void {
+  #applyVoteEffect(effect: VoteEffect): void {
     if (effect.do === 'send') this.#replica.effects.send(effect.to, effect.message);
-    else if (this.#duties.repair.mayKeepVotes)
-      this.#replica.votes.keep(effect.token, effect.record);
+    else if (this.#components.repair.mayPersistVotes)
+      this.#replica.votes.persist(effect.token, effect.record);
   }
 
-  #obeyState(now: Moment, effect: ReplicatedStateEffect): void {
+  #applyStateEffect(now: Moment, effect: ReplicatedStateEffect): void {
     const { effects, voters } = this.#replica;
     if (effect.do === 'send') effects.send(effect.to, effect.message);
     else if (effect.do === 'store') effects.add(effect);
-    else if (effect.do === 'serving') this.#duties.takeover.serve(now);
-    else if (effect.do === 'voters') voters.noteRead(effect);
-    else if (effect.part === CONFIG_PART) this.#commitConfig(now, effect);
-    else this.#commitServices(now, effect);
+    else if (effect.do === 'serving') this.#components.takeover.beginServing(now);
+    else if (effect.do === 'voters') voters.onConfigRead(effect);
+    else if (effect.part === CONFIG_PART) this.#onConfigCommitted(now, effect);
+    else this.#onServicesCommitted(now, effect);
   }
 
-  #commitServices(now: Moment, { part, version }: CommittedEffect): void {
-    const { placement, writer } = this.#duties;
-    const body = parseAs(ServicePartShape, writer.take(part, version));
+  #onServicesCommitted(now: Moment, { part, version }: CommittedEffect): void {
+    const { placement, writer } = this.#components;
+    const body = parseAs(ServicePartShape, writer.takeCommitted(part, version));
     placement.onCommitted(now, body?.services ?? []);
   }
 
-  #commitConfig(now: Moment, { version, tokens, members: named }: CommittedEffect): void {
-    const { document, orders, members } = this.#duties;
+  #onConfigCommitted(now: Moment, { version, tokens, members: named }: CommittedEffect): void {
+    const { document, orders, members } = this.#components;
     const { voters, elector, me } = this.#replica;
-    document.commit(version);
+    document.onCommitted(version);
     voters.follow();
-    orders.committed(now, version, tokens, [...named, ...members.possible(now)]);
+    orders.onCommitted(now, version, tokens, [...named, ...members.possible(now)]);
     // Let go by the voters: a seat that is handed over as planned gives the lease back itself, any other leader steps down.
     if (!this.#isRetiring && !voters.quorum.holds(me)) elector.stepDown();
   }
 
   /** Where an operator exchanges voters, their change is ended here; in a deployment by the membership. */
-  #endSwap(now: Moment): void {
-    if (!this.#isDeployed && this.isServing) this.#duties.voterSet.endSwap(now);
+  #completeReplacement(now: Moment): void {
+    if (!this.#isDeployed && this.isServing) this.#components.voterSet.completeReplacement(now);
   }
 
   // ---- who votes
@@ -361,7 +367,7 @@
   }
 
   /** No voter as far as we know, or without a leader. */
-  #isLost(): boolean {
+  #isWithoutLeader(): boolean {
     const { me, elector } = this.#replica;
     return !this.#isVoter(me) || elector.leader === undefined;
   }
--- a/src/control/control-process.ts
+++ b/src/control/control-process.ts
@@ -141,7 +141,7 @@
     if (control !== undefined) await this.#operatorsApi.listen(control);
     this.#runtime.startTicks();
     this.#runtime.tick();
-    this.#log.info({ standing: core.standing.name }, 'control node started');
+    this.#log.info({ standing: core.replicaStatus.name }, 'control node started');
   }
 
   /** Hands its seat over where a spare is there, then what it leads, if no order is open, and stops. */
@@ -208,7 +208,7 @@
     try {
       const runners = await list();
       this.#runtime.submit((core: ControlCore) => {
-        core.list(monotonicNow(), runners);
+        core.onRunnerList(monotonicNow(), runners);
       });
     } catch (thrown) {
       this.#log.info({ reason: reasonOf(thrown) }, 'no list of runners');
@@ -221,7 +221,7 @@
     const askedAt = monotonicNow();
     const status = await this.#ports.runnerStatus(address);
     this.#runtime.submit((core: ControlCore) => {
-      core.status(monotonicNow(), runner, askedAt, status);
+      core.onRunnerStatus(monotonicNow(), runner, askedAt, status);
     });
   }
 
@@ -246,7 +246,7 @@
       'order',
     );
     this.#runtime.submit((owner: ControlCore) => {
-      owner.ordered(monotonicNow(), intent.id, outcome);
+      owner.onOrderOutcome(monotonicNow(), intent.id, outcome);
     });
   }
 
--- a/src/control/control-runtime.ts
+++ b/src/control/control-runtime.ts
@@ -50,7 +50,7 @@
 /** Hands a message on with the zone of the control node that sent it. */
 export function deliverWithZone(incoming: Incoming, core: ControlCore): void {
   const zone = incoming.role === 'mind' ? incoming.zone : '';
-  core.receive(monotonicNow(), incoming.from, incoming.message, zone);
+  core.onMessage(monotonicNow(), incoming.from, incoming.message, zone);
 }
 
 /** Feeds a control node's core from its exchange, its callers and a timer, one command at a time, and carries out its effects. */
@@ -131,7 +131,7 @@
       replies.set(id, done);
     });
     this.submit((core: ControlCore) => {
-      core.command(monotonicNow(), id, verb, body);
+      core.onCommand(monotonicNow(), id, verb, body);
     });
     return reply;
   }
@@ -156,7 +156,7 @@
 
   #onDisconnect(id: string): void {
     this.submit((core: ControlCore) => {
-      core.gone(monotonicNow(), id);
+      core.onDisconnect(monotonicNow(), id);
     });
   }
 
@@ -188,7 +188,7 @@
       return;
     }
     this.submit((core: ControlCore) => {
-      core.stored(monotonicNow(), part, version);
+      core.onPersisted(monotonicNow(), part, version);
     });
   }
 }
--- a/src/control/control-snapshot.ts
+++ b/src/control/control-snapshot.ts
@@ -46,7 +46,7 @@
     leaseLeftMs: Math.max(0, elector.leaseEnd - now),
     majorityContactAgeMs: contact === undefined ? undefined : now - contact,
     voters: voterNumbers(now, sources),
-    replica: repair.isUnderWay ? 'repairing' : sources.replicaStatus.name,
+    replica: repair.isInProgress ? 'repairing' : sources.replicaStatus.name,
     unsoundParts: parts.unsoundParts().length,
     configHeld: parts.versionOf(CONFIG_PART),
     configCommitted: committed,
--- a/src/control/control-updates.test.ts
+++ b/src/control/control-updates.test.ts
@@ -18,7 +18,7 @@
   return effect.do === 'send' && effect.to === id && effect.message.kind === 'assignParent';
 }
 function tell(core: ControlCore, count: number): void {
-  core.receive(moment(10 + count), 'b:1', {
+  core.onMessage(moment(10 + count), 'b:1', {
     kind: 'update',
     topic: 'config',
     epoch: 2,
@@ -31,7 +31,7 @@
   const core = makeCore();
   tell(core, 1);
   core.drain();
-  core.receive(moment(20), 'l:9', { kind: 'freshnessRequest', nonce: -1, have: [], members: [] });
+  core.onMessage(moment(20), 'l:9', { kind: 'freshnessRequest', nonce: -1, have: [], members: [] });
   expect(core.drain().filter((effect) => isNewsTo('l:9', effect))).toHaveLength(1);
   tell(core, 2);
   expect(core.drain().filter((effect) => isNewsTo('l:9', effect))).toHaveLength(0);
@@ -39,7 +39,7 @@
 /** Those that hang here go on being fed when they ask across as well. */
 test('a child that asks across is fed on', () => {
   const core = makeCore();
-  core.receive(moment(5), 'l:1', {
+  core.onMessage(moment(5), 'l:1', {
     kind: 'join',
     zone: 'z',
     address: 'l:1',
@@ -47,7 +47,7 @@
     count: 0,
     lost: '',
   });
-  core.receive(moment(20), 'l:1', { kind: 'freshnessRequest', nonce: -1, have: [], members: [] });
+  core.onMessage(moment(20), 'l:1', { kind: 'freshnessRequest', nonce: -1, have: [], members: [] });
   core.drain();
   tell(core, 1);
   expect(core.drain().filter((effect) => isNewsTo('l:1', effect))).toHaveLength(1);
@@ -58,7 +58,7 @@
   const chosen = vi.spyOn(Sessions.prototype, 'tree');
   function joinAll(at: number): void {
     for (let index = 0; index < 50; index += 1)
-      core.receive(moment(at + index), `l:${100 + index}`, {
+      core.onMessage(moment(at + index), `l:${100 + index}`, {
         kind: 'join',
         zone: 'z',
         address: `l:${100 + index}`,
@@ -76,7 +76,7 @@
     { do: 'send', to: 'l:149', message: { kind: 'assignParent', parent: 'l:111' } },
   ]);
   // One that a child could not reach hangs under the control node itself at once.
-  core.receive(moment(200), 'l:149', {
+  core.onMessage(moment(200), 'l:149', {
     kind: 'join',
     zone: 'z',
     address: 'l:149',
--- a/src/control/effect-queue.test.ts
+++ b/src/control/effect-queue.test.ts
@@ -2,7 +2,7 @@
 import { EffectQueue } from './effect-queue.js';
 test('effects are drained once, in the order in which they came', () => {
   const effects = new EffectQueue();
-  effects.note('leader', { leader: 'a' });
+  effects.log('leader', { leader: 'a' });
   effects.send('b', { kind: 'demand', body: '' });
   effects.add({ do: 'askList' });
   expect(effects.drain()).toEqual([
--- a/src/control/effect-queue.ts
+++ b/src/control/effect-queue.ts
@@ -1,13 +1,13 @@
 import type { Message } from '../common/messages.js';
 import type { ControlEffect } from './control-effect.js';
-import type { CommandAnswer, Origin } from './order-answers.js';
+import type { CommandAnswer, Origin } from './command-answers.js';
 
 /** The effects of a control node's core that are still to be carried out, in the order in which they were decided. */
 export class EffectQueue {
-  #waiting: ControlEffect[] = [];
+  #pending: ControlEffect[] = [];
 
   add(effect: ControlEffect): void {
-    this.#waiting.push(effect);
+    this.#pending.push(effect);
   }
 
   send(to: string, message: Message): void {
@@ -15,7 +15,7 @@
   }
 
   /** A line for the log. */
-  note(text: string, fields: Readonly<Record<string, string | number>>): void {
+  log(text: string, fields: Readonly<Record<string, string | number>>): void {
     this.add({ do: 'note', text, fields });
   }
 
@@ -27,8 +27,8 @@
 
   /** Takes all that wait. */
   drain(): ControlEffect[] {
-    const effects = this.#waiting;
-    this.#waiting = [];
+    const effects = this.#pending;
+    this.#pending = [];
     return effects;
   }
 }
--- a/src/control/fleet-manager.test.ts
+++ b/src/control/fleet-manager.test.ts
@@ -1,7 +1,7 @@
 import { expect, test } from 'vitest';
 import { moment } from '../common/ids.js';
 import type { Fleet } from '../placement/fleet.js';
-import { firstDoc } from './config-doc.js';
+import { initialDoc } from './config-shapes.js';
 import { FleetManager } from './fleet-manager.js';
 import { IdlePlanner } from './testing/idle-planner.js';
 
@@ -58,7 +58,7 @@
     { dialect: { read: noRouting, amend: noChange }, planner, isFirstStart: true, listMs: 1000 },
     { addEffect: ignore, write: ignore, publish, mayOrder: yes, proxyCount: one },
   );
-  const doc = firstDoc(['a:1']);
+  const doc = initialDoc(['a:1']);
   fleetManager.beginLeading(moment(0), [], 'a/2');
   planner.told = fleetOf(3000);
   fleetManager.onRunnerList(moment(0), [], doc);
--- a/src/control/fleet-manager.ts
+++ b/src/control/fleet-manager.ts
@@ -11,7 +11,7 @@
 } from '../placement/fleet.js';
 import type { Intent, ServiceDoc } from '../placement/shapes.js';
 import type { Routing } from '../route/routing.js';
-import type { ConfigDoc } from './config-doc.js';
+import type { ConfigDoc } from './config-shapes.js';
 import type { Deployed, ControlEffect, OrderResult } from './control-effect.js';
 
 /** What the fleet manager needs of the node that leads. */
--- a/src/control/followed-voters.test.ts
+++ b/src/control/followed-voters.test.ts
@@ -44,17 +44,17 @@
   relay.offer('config', { epoch: 2, count: 2 }, bodyOf(['a', 'd', 'e']));
   voters.follow();
   expect(voters.quorum.all).toEqual(['a', 'd', 'e']);
-  voters.noteRead({ version: { epoch: 3, count: 1 }, body: bodyOf(['f']) });
+  voters.onConfigRead({ version: { epoch: 3, count: 1 }, body: bodyOf(['f']) });
   voters.follow();
   expect(voters.quorum.all).toEqual(['f']);
-  voters.forgetRead();
+  voters.clearConfigRead();
   voters.follow();
   expect(voters.quorum.all).toEqual(['a', 'd', 'e']);
 });
 test('an older configuration changes nothing', () => {
   const voters = follower(['a', 'b', 'd'], undefined);
   voters.follow();
-  voters.noteRead({ version: { epoch: 1, count: 9 }, body: bodyOf(['f']) });
+  voters.onConfigRead({ version: { epoch: 1, count: 9 }, body: bodyOf(['f']) });
   voters.follow();
   expect(voters.quorum.all).toEqual(['a', 'b', 'd']);
 });
@@ -63,7 +63,7 @@
   const voters = new FollowedVoters(new Quorum(SEEDS), sources);
   voters.follow();
   voters.follow();
-  voters.set(new Quorum(['a', 'b', 'd'].map(nodeId)));
+  voters.useQuorum(new Quorum(['a', 'b', 'd'].map(nodeId)));
   const own = { electionsStarted: 0, votesGranted: 0, copiesMended: 0, leaderlessReadings: 0 };
   expect(sources.counters.eventsWith(own).voterChanges).toBe(1);
 });
--- a/src/control/followed-voters.ts
+++ b/src/control/followed-voters.ts
@@ -46,11 +46,11 @@
     if (body === this.#followed) return;
     this.#followed = body;
     const quorum = quorumOf(body);
-    if (quorum) this.set(quorum);
+    if (quorum) this.useQuorum(quorum);
   }
 
   /** From here on these decide. */
-  set(quorum: Quorum): void {
+  useQuorum(quorum: Quorum): void {
     if (quorum.text === this.#quorum.text) return;
     this.#quorum = quorum;
     this.#sources.counters.countVoterChange();
@@ -59,12 +59,12 @@
   }
 
   /** A configuration was read from a majority while beginning to lead. */
-  noteRead(config: VersionedConfig): void {
+  onConfigRead(config: VersionedConfig): void {
     this.#read = config;
   }
 
   /** This node no longer begins to lead. */
-  forgetRead(): void {
+  clearConfigRead(): void {
     this.#read = undefined;
   }
 
--- a/src/control/forwarded-order-age.test.ts
+++ b/src/control/forwarded-order-age.test.ts
@@ -3,7 +3,7 @@
 import { moment } from '../common/ids.js';
 import type { Message } from '../common/messages.js';
 import { ControlCounters } from './control-metrics.js';
-import { OrderForwarding } from './order-forwarding.js';
+import { CommandForwarding } from './command-forwarding.js';
 
 type CommandMessage = Extract<Message, { kind: 'command' }>;
 
@@ -15,7 +15,7 @@
 
 const HOST = {
   leader: () => undefined,
-  slowMsOf: () => 0,
+  extraRoundTripMs: () => 0,
   send: () => undefined,
   answer: () => undefined,
 };
@@ -28,7 +28,7 @@
 /** What the leader makes of a forwarded command, and how many orders it counted as rejected for their age. */
 function verdictOn(message: CommandMessage): readonly [string, number] {
   const counters = new ControlCounters();
-  const forwarding = new OrderForwarding(HOST, counters, 1, NOW);
+  const forwarding = new CommandForwarding(HOST, counters, 1, NOW);
   try {
     forwarding.checkForwarded(NOW, EPOCH, message);
     return ['taken', counters.orders.refused['too-old']];
--- a/src/control/joining-node.test.ts
+++ b/src/control/joining-node.test.ts
@@ -45,5 +45,5 @@
   // All seats are held again: the new one is a spare, which knows the newest and leaves answers to the voters.
   const newest = cluster.node(cluster.leader()).core.relay.version('config');
   expect(cluster.node('n:1').core.relay.version('config')).toEqual(newest);
-  expect(cluster.node('n:1').core.standing.name).toBe('sound');
+  expect(cluster.node('n:1').core.replicaStatus.name).toBe('sound');
 });
--- a/src/control/known-members.ts
+++ b/src/control/known-members.ts
@@ -2,7 +2,7 @@
 import type { MemberMessage } from '../common/messages.js';
 import { compareVersions, isNewer, NO_VERSION, type Version } from '../common/version.js';
 import type { Sessions } from '../dissemination/sessions.js';
-import type { Commit } from './operator-orders.js';
+import type { Commit } from './operator-edits.js';
 
 interface ReportedMembers {
   readonly members: readonly MemberMessage[];
--- a/src/control/member-messages.ts
+++ b/src/control/member-messages.ts
@@ -15,7 +15,7 @@
 import type { UpdateExchange } from './update-exchange.js';
 
 /** Who is told what members say, and what other nodes say of theirs. */
-export interface MemberMessageParts {
+export interface MemberMessageDependencies {
   readonly me: NodeId;
   /** Whether this is a deployment: nobody works by being confirmed fresh there, and agents are told of all voters. */
   readonly isDeployed: boolean;
@@ -39,50 +39,50 @@
 type FreshnessRequest = Extract<Message, { kind: 'freshnessRequest' }>;
 
 /** How often the leader is told of our members, and asked for updates. */
-const REPORT_MS = 250;
-const DEPLOYED_REPORT_MS = 500;
+const REPORT_INTERVAL_MS = 250;
+const DEPLOYED_REPORT_INTERVAL_MS = 500;
 const NEVER = moment(-1e12);
 
 /** Messages of agents, and of control nodes on what agents are told and do. */
 export class MemberMessages {
-  readonly #parts: MemberMessageParts;
+  readonly #dependencies: MemberMessageDependencies;
   readonly #reportMs: number;
   #reportedAt: Moment = NEVER;
 
-  constructor(parts: MemberMessageParts) {
-    this.#parts = parts;
-    this.#reportMs = parts.isDeployed ? DEPLOYED_REPORT_MS : REPORT_MS;
+  constructor(parts: MemberMessageDependencies) {
+    this.#dependencies = parts;
+    this.#reportMs = parts.isDeployed ? DEPLOYED_REPORT_INTERVAL_MS : REPORT_INTERVAL_MS;
   }
 
   /** Says whether the message was of this family. */
-  receive(now: Moment, from: string, message: Message): boolean {
+  onMessage(now: Moment, from: string, message: Message): boolean {
     switch (message.kind) {
       case 'join':
-        this.#receiveJoin(now, from, message);
+        this.#onJoin(now, from, message);
         return true;
       case 'ack':
-        this.#receiveAck(from, message);
+        this.#onAck(from, message);
         return true;
       case 'acked':
-        this.#receiveAcked(now, from, message.members);
+        this.#onAcked(now, from, message.members);
         return true;
       case 'demand':
-        this.#receiveDemand(now, message.body);
+        this.#onDemand(now, message.body);
         return true;
       case 'freshnessRequest':
-        this.#receiveFreshnessRequest(now, from, message);
+        this.#onFreshnessRequest(now, from, message);
         return true;
       case 'quorumRead':
-        this.#parts.reads.receive(now, from, message);
+        this.#dependencies.reads.onQuorumRead(now, from, message);
         return true;
       case 'quorumReadReply':
-        this.#parts.reads.receiveReply(now, nodeId(from), message);
+        this.#dependencies.reads.onQuorumReadReply(now, nodeId(from), message);
         return true;
       case 'update':
-        this.#parts.updates.onUpdate(message);
+        this.#dependencies.updates.onUpdate(message);
         return true;
       case 'delta':
-        this.#parts.updates.onDelta(from, message);
+        this.#dependencies.updates.onDelta(from, message);
         return true;
       default:
         return false;
@@ -90,7 +90,7 @@
   }
 
   tick(now: Moment): void {
-    const { sessions, members, reads } = this.#parts;
+    const { sessions, members, reads } = this.#dependencies;
     sessions.tick(now);
     members.tick(now);
     reads.tick(now);
@@ -100,7 +100,7 @@
   #report(now: Moment): void {
     if (now < later(this.#reportedAt, this.#reportMs)) return;
     this.#reportedAt = now;
-    const { tree, sessions, updates, effects } = this.#parts;
+    const { tree, sessions, updates, effects } = this.#dependencies;
     tree.reassignParents();
     const leader = this.#otherLeader();
     if (leader === undefined) return;
@@ -108,16 +108,16 @@
     updates.request(leader);
   }
 
-  #receiveJoin(now: Moment, from: string, message: JoinMessage): void {
-    const { tree, replicaStatus, members, isDeployed } = this.#parts;
+  #onJoin(now: Moment, from: string, message: JoinMessage): void {
+    const { tree, replicaStatus, members, isDeployed } = this.#dependencies;
     tree.onJoin(now, from, message);
     replicaStatus.noteMember(message.epoch);
     members.onAck(from, message);
-    if (isDeployed) this.#tellControlNodes(now, from);
+    if (isDeployed) this.#sendControlNodes(now, from);
   }
 
-  #tellControlNodes(now: Moment, to: string): void {
-    const { zones, voters, elector, relay, effects } = this.#parts;
+  #sendControlNodes(now: Moment, to: string): void {
+    const { zones, voters, elector, relay, effects } = this.#dependencies;
     effects.send(to, {
       kind: 'controlNodes',
       controlNodes: zones.describe(now, voters.quorum.all),
@@ -126,43 +126,43 @@
     });
   }
 
-  #receiveAck(from: string, message: AckMessage): void {
-    this.#parts.sessions.ack(from, message);
-    this.#parts.members.onAck(from, message);
+  #onAck(from: string, message: AckMessage): void {
+    this.#dependencies.sessions.ack(from, message);
+    this.#dependencies.members.onAck(from, message);
   }
 
-  #receiveAcked(now: Moment, from: string, list: readonly MemberMessage[]): void {
-    const { members, isDeployed } = this.#parts;
+  #onAcked(now: Moment, from: string, list: readonly MemberMessage[]): void {
+    const { members, isDeployed } = this.#dependencies;
     for (const member of list) members.onAck(member.id, member);
     // Elsewhere the rounds of confirmation name them.
     if (isDeployed) members.onMembersReported(now, from, list);
   }
 
   /** From below: by a link of the tree, by one that cannot reach its parent, or by a peer for updates alone. */
-  #receiveFreshnessRequest(now: Moment, from: string, message: FreshnessRequest): void {
-    const { relay, updates, reads, drainingRunners, isDeployed } = this.#parts;
+  #onFreshnessRequest(now: Moment, from: string, message: FreshnessRequest): void {
+    const { relay, updates, reads, drainingRunners, isDeployed } = this.#dependencies;
     const { nonce, members, have } = message;
     relay.heard(from, have);
     drainingRunners?.onUpdateRequest(from, have);
     if (nonce < 0) updates.onUpdateRequest(from);
-    else if (isDeployed) this.#answerUnread(from, nonce);
-    else reads.confirmFresh(now, { child: from, nonce, members });
+    else if (isDeployed) this.#replyUnconfirmed(from, nonce);
+    else reads.confirmFreshness(now, { child: from, nonce, members });
   }
 
   /** Nobody here works by being confirmed fresh: the ask was for updates, and its return says that we are there. */
-  #answerUnread(to: string, nonce: number): void {
-    const version = this.#parts.relay.version('config');
-    this.#parts.effects.send(to, { kind: 'freshnessReply', nonce, ...version, marks: 0 });
+  #replyUnconfirmed(to: string, nonce: number): void {
+    const version = this.#dependencies.relay.version('config');
+    this.#dependencies.effects.send(to, { kind: 'freshnessReply', nonce, ...version, marks: 0 });
   }
 
-  #receiveDemand(now: Moment, body: string): void {
+  #onDemand(now: Moment, body: string): void {
     const leader = this.#otherLeader();
-    if (leader === undefined) this.#parts.placement.onDemand(now, body);
-    else this.#parts.effects.send(leader, { kind: 'demand', body });
+    if (leader === undefined) this.#dependencies.placement.onDemand(now, body);
+    else this.#dependencies.effects.send(leader, { kind: 'demand', body });
   }
 
   #otherLeader(): string | undefined {
-    const { leader } = this.#parts.elector;
-    return leader === this.#parts.me ? undefined : leader;
+    const { leader } = this.#dependencies.elector;
+    return leader === this.#dependencies.me ? undefined : leader;
   }
 }
--- a/src/control/operator-orders.test.ts
+++ b/src/control/operator-edits.test.ts
@@ -1,5 +1,5 @@
 import { expect, test } from 'vitest';
-import { MAX_EDITS } from './config-doc.js';
+import { MAX_EDITS } from './config-shapes.js';
 import {
   ControlCluster,
   documentOf,
--- a/src/control/operator-orders.ts
+++ b/src/control/operator-edits.ts
@@ -11,9 +11,9 @@
 import type { MemberMessage } from '../common/messages.js';
 import type { Version } from '../common/version.js';
 import type { ConfigDialect } from '../route/routing.js';
-import { EditShapes, MAX_EDITS, mayBeForgotten, type ConfigDoc } from './config-doc.js';
+import { EditShapes, MAX_EDITS, mayBeForgotten, type ConfigDoc } from './config-shapes.js';
 import { refusalReason, type ControlCounters, type UnclearReason } from './control-metrics.js';
-import { applyEdit, recordEdit } from './edits.js';
+import { applyEdit, recordEdit } from './config-edits.js';
 import {
   acceptedAnswer,
   closedAnswer,
@@ -21,10 +21,10 @@
   leaderLostAnswer,
   type CommandAnswer,
   type Origin,
-} from './order-answers.js';
+} from './command-answers.js';
 
 /** What the orders of operators need of the control node that leads. */
-export interface OrderHost {
+export interface EditHost {
   /** The configuration as last written here, committed or not. */
   newest(): ConfigDoc;
   /** The newest configuration that this leader knows to be on a majority of the voters. */
@@ -45,7 +45,7 @@
   readonly members: ReadonlySet<string>;
 }
 
-interface WrittenOrder {
+interface WrittenEdit {
   readonly origin: Origin;
   readonly id: string;
   readonly number: number;
@@ -56,7 +56,7 @@
 }
 
 /** An order that looks wrong by what this node holds; nothing is said of it before that is proved to be the newest. */
-interface UnprovedRefusal {
+interface UnconfirmedRefusal {
   readonly origin: Origin;
   readonly verb: string;
   readonly body: string;
@@ -64,7 +64,7 @@
 }
 
 /** How long proof is waited for; callers have moved on to another node by then. */
-const PROOF_MS = 3000;
+const CONFIRMATION_TIMEOUT_MS = 3000;
 const NO_MAJORITY = 'no majority was reached; nothing was done';
 
 /**
@@ -74,18 +74,18 @@
  * a successor took the very order) or not committed (a loser would be refused for a winner that never was). A refusal
  * therefore rests on a committed configuration, confirmed by a quorum read that began after the order had come.
  */
-export class OperatorOrders {
-  readonly #host: OrderHost;
+export class OperatorEdits {
+  readonly #host: EditHost;
   readonly #dialect: ConfigDialect | undefined;
   readonly #counters: ControlCounters;
-  readonly #written = new Map<number, WrittenOrder>();
+  readonly #written = new Map<number, WrittenEdit>();
   /** By the id of the quorum read that is to prove them. */
-  readonly #unproved = new Map<number, UnprovedRefusal>();
+  readonly #unconfirmed = new Map<number, UnconfirmedRefusal>();
   /** Refused by what is written here but not committed: judged again after the commit. */
-  #awaitingCommit: UnprovedRefusal[] = [];
+  #awaitingCommit: UnconfirmedRefusal[] = [];
   #token = 0;
 
-  constructor(host: OrderHost, dialect: ConfigDialect | undefined, counters: ControlCounters) {
+  constructor(host: EditHost, dialect: ConfigDialect | undefined, counters: ControlCounters) {
     this.#host = host;
     this.#dialect = dialect;
     this.#counters = counters;
@@ -94,32 +94,32 @@
   submit(now: Moment, origin: Origin, verb: string, body: string): void {
     try {
       if (verb === 'edit')
-        this.#askOutcome(now, origin, mustParseAs(EditShapes.edit, body, 'the ask'));
-      else this.#take(now, origin, verb, body);
+        this.#queryOutcome(now, origin, mustParseAs(EditShapes.edit, body, 'the ask'));
+      else this.#applyAndWrite(now, origin, verb, body);
     } catch (thrown) {
       const error = toHaretrackError(thrown);
       // What is already unsure, or does not depend on what we hold, needs no proof.
       if (error.response.isOutcomeUnknown || error instanceof MalformedRequestError)
         this.#refuse(origin, error);
-      else this.#prove({ origin, verb, body, arrivedAt: now });
+      else this.#requestConfirmation({ origin, verb, body, arrivedAt: now });
     }
   }
 
   /** The quorum read with this id ended; `isNewest` says that no later leader has written anything. */
-  confirmed(now: Moment, id: number, isNewest: boolean): void {
-    const refusal = this.#unproved.get(id);
+  onConfirmation(now: Moment, id: number, isNewest: boolean): void {
+    const refusal = this.#unconfirmed.get(id);
     if (!refusal) return;
-    this.#unproved.delete(id);
-    if (isNewest) this.#judge(now, refusal);
+    this.#unconfirmed.delete(id);
+    if (isNewest) this.#decide(now, refusal);
     else
-      this.#leaveUnclear(
+      this.#answerUnclear(
         refusal,
         'leader-lost',
         'another leader has written since; nothing was done',
       );
   }
 
-  committed(
+  onCommitted(
     now: Moment,
     version: Version,
     tokens: readonly number[],
@@ -140,10 +140,10 @@
 
   tick(now: Moment): void {
     this.#acknowledge(now);
-    for (const [id, refusal] of this.#unproved) {
-      if (now < later(refusal.arrivedAt, PROOF_MS)) continue;
-      this.#unproved.delete(id);
-      this.#leaveUnclear(refusal, 'no-majority', NO_MAJORITY);
+    for (const [id, refusal] of this.#unconfirmed) {
+      if (now < later(refusal.arrivedAt, CONFIRMATION_TIMEOUT_MS)) continue;
+      this.#unconfirmed.delete(id);
+      this.#answerUnclear(refusal, 'no-majority', NO_MAJORITY);
     }
   }
 
@@ -154,13 +154,13 @@
       this.#host.answer(order.origin, leaderLostAnswer(order.id));
     }
     this.#written.clear();
-    for (const refusal of [...this.#unproved.values(), ...this.#awaitingCommit])
-      this.#leaveUnclear(refusal, 'leader-lost', NO_MAJORITY);
-    this.#unproved.clear();
+    for (const refusal of [...this.#unconfirmed.values(), ...this.#awaitingCommit])
+      this.#answerUnclear(refusal, 'leader-lost', NO_MAJORITY);
+    this.#unconfirmed.clear();
     this.#awaitingCommit = [];
   }
 
-  #leaveUnclear(refusal: UnprovedRefusal, reason: UnclearReason, text: string): void {
+  #answerUnclear(refusal: UnconfirmedRefusal, reason: UnclearReason, text: string): void {
     this.#counters.countUnclear(reason);
     this.#host.answer(refusal.origin, errorAnswer(new NoLeaderError(text)));
   }
@@ -172,21 +172,21 @@
     this.#host.answer(origin, errorAnswer(error));
   }
 
-  #prove(refusal: UnprovedRefusal): void {
-    this.#unproved.set(this.#host.confirm(), refusal);
+  #requestConfirmation(refusal: UnconfirmedRefusal): void {
+    this.#unconfirmed.set(this.#host.confirm(), refusal);
   }
 
-  #retry(now: Moment, refusal: UnprovedRefusal): void {
-    if (now >= later(refusal.arrivedAt, PROOF_MS))
-      this.#leaveUnclear(refusal, 'no-majority', NO_MAJORITY);
-    else this.#prove(refusal);
+  #retry(now: Moment, refusal: UnconfirmedRefusal): void {
+    if (now >= later(refusal.arrivedAt, CONFIRMATION_TIMEOUT_MS))
+      this.#answerUnclear(refusal, 'no-majority', NO_MAJORITY);
+    else this.#requestConfirmation(refusal);
   }
 
   /** The committed configuration is proved to be the newest: the order is judged anew by it. */
-  #judge(now: Moment, refusal: UnprovedRefusal): void {
+  #decide(now: Moment, refusal: UnconfirmedRefusal): void {
     const { origin, verb, body } = refusal;
     try {
-      this.#take(now, origin, verb, body);
+      this.#applyAndWrite(now, origin, verb, body);
     } catch (thrown) {
       const error = toHaretrackError(thrown);
       // By what is written but not committed it may only lose once that holds.
@@ -211,7 +211,7 @@
     }
   }
 
-  #take(now: Moment, origin: Origin, verb: string, body: string): void {
+  #applyAndWrite(now: Moment, origin: Origin, verb: string, body: string): void {
     const doc = this.#host.newest();
     const { id } = mustParseAs(EditShapes.edit, body, 'the edit');
     const before = doc.edits.find((edit) => hasId(id, edit));
@@ -249,7 +249,7 @@
     }
   }
 
-  #askOutcome(
+  #queryOutcome(
     now: Moment,
     origin: Origin,
     { id, base }: { readonly id: string; readonly base?: number | undefined },
@@ -267,7 +267,7 @@
       this.#write(now, { origin, id, outcome: 'closed', occasion }, recordEdit(doc, id, 'closed'));
   }
 
-  #write(now: Moment, order: Omit<WrittenOrder, 'number' | 'commit'>, doc: ConfigDoc): void {
+  #write(now: Moment, order: Omit<WrittenEdit, 'number' | 'commit'>, doc: ConfigDoc): void {
     this.#token += 1;
     this.#written.set(this.#token, { ...order, number: doc.number, commit: undefined });
     this.#host.write(now, doc, this.#token);
--- a/src/control/part-writer.test.ts
+++ b/src/control/partition-writer.test.ts
@@ -1,7 +1,7 @@
 import { expect, test } from 'vitest';
 import { moment, type Moment, type PartName } from '../common/ids.js';
 import { CONFIG_PART } from '../state/part-names.js';
-import { PartWriter, type WritableState } from './part-writer.js';
+import { PartitionWriter, type WritableState } from './partition-writer.js';
 
 const NOW = moment(0);
 
@@ -19,17 +19,17 @@
 }
 test('a commit takes the body written as its version, the last of those that waited', () => {
   const state = new State();
-  const writer = new PartWriter(state);
+  const writer = new PartitionWriter(state);
   writer.write(NOW, CONFIG_PART, 'first', 0);
   state.count = 1;
   writer.write(NOW, CONFIG_PART, 'second', 0);
   writer.write(NOW, CONFIG_PART, 'third', 0);
-  expect(writer.take(CONFIG_PART, { epoch: 1, count: 1 })).toBe('first');
-  expect(writer.take(CONFIG_PART, { epoch: 1, count: 2 })).toBe('third');
+  expect(writer.takeCommitted(CONFIG_PART, { epoch: 1, count: 1 })).toBe('first');
+  expect(writer.takeCommitted(CONFIG_PART, { epoch: 1, count: 2 })).toBe('third');
 });
 test('what was not written here is read from the replica', () => {
-  const writer = new PartWriter(new State());
+  const writer = new PartitionWriter(new State());
   writer.write(NOW, CONFIG_PART, 'first', 0);
   writer.clear();
-  expect(writer.take(CONFIG_PART, { epoch: 1, count: 1 })).toBe('replica');
+  expect(writer.takeCommitted(CONFIG_PART, { epoch: 1, count: 1 })).toBe('replica');
 });
--- a/src/control/part-writer.ts
+++ b/src/control/partition-writer.ts
@@ -9,16 +9,16 @@
   replicaBody(part: PartName): string;
 }
 
-interface WrittenBody {
+interface PendingBody {
   readonly count: number;
   readonly body: string;
 }
 
 /** Writes parts of the replicated state, and remembers what was written until it is committed. */
-export class PartWriter {
+export class PartitionWriter {
   readonly #state: WritableState;
   /** By part; what comes while a write is under way replaces what waits for its end. */
-  readonly #written = new Map<PartName, readonly WrittenBody[]>();
+  readonly #written = new Map<PartName, readonly PendingBody[]>();
 
   constructor(state: WritableState) {
     this.#state = state;
@@ -34,7 +34,7 @@
   }
 
   /** The body that was committed as this version; it and earlier ones are forgotten. */
-  take(part: PartName, version: Version): string {
+  takeCommitted(part: PartName, version: Version): string {
     // The replica here was written with this version first; a later one may already be under way.
     const bodies = this.#bodiesOf(part);
     const found = bodies.find((written) => written.count === version.count);
@@ -50,10 +50,10 @@
     this.#written.clear();
   }
 
-  #bodiesOf(part: PartName): readonly WrittenBody[] {
+  #bodiesOf(part: PartName): readonly PendingBody[] {
     return this.#written.get(part) ?? [];
   }
 }
-function isAfter(count: number, written: WrittenBody): boolean {
+function isAfter(count: number, written: PendingBody): boolean {
   return written.count > count;
 }
--- a/src/control/placement-control.ts
+++ b/src/control/placement-control.ts
@@ -3,13 +3,13 @@
 import type { ListedRunner, RunnerStatus } from '../placement/fleet.js';
 import type { PlacerSettings } from '../placement/placer-types.js';
 import type { ServiceDoc } from '../placement/shapes.js';
-import type { ConfigDocument } from './config-document.js';
+import type { ConfigStore } from './config-store.js';
 import type { ControlEffect, ControlSettings, OrderResult } from './control-effect.js';
 import type { EffectQueue } from './effect-queue.js';
 import { FleetManager } from './fleet-manager.js';
 import type { KnownMembers } from './known-members.js';
 import type { Leadership } from './leadership.js';
-import type { PartWriter } from './part-writer.js';
+import type { PartitionWriter } from './partition-writer.js';
 import { TableManager } from './table-manager.js';
 
 /** What placement reads, writes and tells by. */
@@ -19,8 +19,8 @@
   readonly relay: Relay;
   readonly members: KnownMembers;
   readonly leadership: Leadership;
-  readonly writer: PartWriter;
-  readonly document: ConfigDocument;
+  readonly writer: PartitionWriter;
+  readonly document: ConfigStore;
   readonly effects: EffectQueue;
   /** Whether orders may be given to runners at this moment. */
   readonly mayOrder: (now: Moment) => boolean;
--- a/src/control/quorum-reads.test.ts
+++ b/src/control/quorum-reads.test.ts
@@ -26,7 +26,7 @@
 
 function reply(node: DutyNode, version: Version): void {
   const message = { kind: 'quorumReadReply', nonce: NONCE, ...version, marks: 2 } as const;
-  node.duties.reads.receiveReply(NOW, OTHER, message);
+  node.duties.reads.onQuorumReadReply(NOW, OTHER, message);
 }
 
 function statusOf(effects: readonly ControlEffect[]): number | undefined {
@@ -69,7 +69,7 @@
 });
 test('a member is confirmed by the newest configuration and list that a majority holds', () => {
   const node = leader();
-  node.duties.reads.confirmFresh(NOW, { child: 'm', nonce: 9, members: ['m'] });
+  node.duties.reads.confirmFreshness(NOW, { child: 'm', nonce: 9, members: ['m'] });
   expect(node.sent()).toHaveLength(2);
   reply(node, COMMITTED);
   const { revision: marks } = MACHINES;
@@ -80,9 +80,9 @@
   const blank = new DutyNode([]);
   blank.duties.updates.onMachineList(MACHINES);
   blank.drain();
-  blank.duties.reads.receive(NOW, 'b', message);
+  blank.duties.reads.onQuorumRead(NOW, 'b', message);
   expect(blank.sent()).toEqual([]);
   const unlisted = new DutyNode(SOUND_DISK);
-  unlisted.duties.reads.receive(NOW, 'b', message);
+  unlisted.duties.reads.onQuorumRead(NOW, 'b', message);
   for (const [, sent] of unlisted.sent()) expect(sent.kind).toBe('freshnessRequest');
 });
--- a/src/control/quorum-reads.ts
+++ b/src/control/quorum-reads.ts
@@ -13,12 +13,12 @@
 import type { FollowedVoters } from './followed-voters.js';
 import type { KnownMembers } from './known-members.js';
 import type { Leadership } from './leadership.js';
-import { errorAnswer, type Origin } from './order-answers.js';
+import { errorAnswer, type Origin } from './command-answers.js';
 import type { TableManager } from './table-manager.js';
 import type { UpdateExchange } from './update-exchange.js';
 
 /** What a quorum read is made of, and what it reads here. */
-export interface QuorumReadParts {
+export interface QuorumReadDependencies {
   readonly me: NodeId;
   readonly incarnation: number;
   readonly elector: Elector;
@@ -34,23 +34,23 @@
   /** Whether a node without any list of machines says nothing, as where the table is placed by. */
   readonly needsMachines: boolean;
   /** A quorum read for the refusal of an order ended; `isNewest` says that no later leader has written anything. */
-  readonly confirmed: (now: Moment, id: number, isNewest: boolean) => void;
+  readonly onConfirmation: (now: Moment, id: number, isNewest: boolean) => void;
 }
 
 /** What a quorum read that this node asked for itself is to prove. */
 type Purpose = { readonly do: 'read'; readonly origin: Origin } | { readonly do: 'refusal' };
 
-interface Reply {
+interface ReadReply {
   readonly version: Version;
   /** The revision of the list of machines. */
-  readonly marks: number;
+  readonly evacuations: number;
 }
 
-interface Round {
+interface PendingRead {
   readonly nonce: number;
   /** Who is asked. */
   readonly quorum: Quorum;
-  readonly replies: Map<NodeId, Reply>;
+  readonly replies: Map<NodeId, ReadReply>;
 }
 
 type QuorumReadMessage = Extract<Message, { kind: 'quorumRead' }>;
@@ -65,14 +65,14 @@
  * only what was asked for before it began.
  */
 export class QuorumReads {
-  readonly #parts: QuorumReadParts;
+  readonly #dependencies: QuorumReadDependencies;
   readonly #confirmation: FreshnessConfirmation;
   readonly #purposes = new Map<number, Purpose>();
   #lastId = 0;
-  #round: Round | undefined;
+  #inFlight: PendingRead | undefined;
 
-  constructor(parts: QuorumReadParts) {
-    this.#parts = parts;
+  constructor(parts: QuorumReadDependencies) {
+    this.#dependencies = parts;
     this.#confirmation = new FreshnessConfirmation(parts.incarnation);
   }
 
@@ -87,33 +87,33 @@
   }
 
   /** A member, or a node on behalf of many, asks to be confirmed fresh. */
-  confirmFresh(now: Moment, ask: Ask): void {
-    this.#parts.members.onRequest(now, ask.members);
+  confirmFreshness(now: Moment, ask: Ask): void {
+    this.#dependencies.members.onRequest(now, ask.members);
     this.#confirmation.add(ask);
     this.tick(now);
   }
 
   /** Begins a round, if something waits for one, or asks those again that have not answered. */
   tick(now: Moment): void {
-    const { quorum } = this.#parts.voters;
+    const { quorum } = this.#dependencies.voters;
     const nonce = this.#nextNonce(now, quorum);
     if (nonce === undefined) return;
     const round =
-      this.#round?.nonce === nonce ? this.#round : { nonce, quorum, replies: new Map() };
-    this.#round = round;
-    this.#ask(now, round);
+      this.#inFlight?.nonce === nonce ? this.#inFlight : { nonce, quorum, replies: new Map() };
+    this.#inFlight = round;
+    this.#sendRequests(now, round);
   }
 
   #nextNonce(now: Moment, quorum: Quorum): number | undefined {
     // Where answers take longer than we wait to ask again, those to a new nonce would never be in time: what is open goes
     // on with the answers that it has. Other voters are asked anew.
-    if (this.#round?.quorum.text === quorum.text) return this.#confirmation.repeat(now);
-    return this.#confirmation.begin(now, this.#parts.elector.slowMs);
+    if (this.#inFlight?.quorum.text === quorum.text) return this.#confirmation.repeat(now);
+    return this.#confirmation.begin(now, this.#dependencies.elector.slowMs);
   }
 
-  #ask(now: Moment, { nonce, quorum, replies }: Round): void {
-    const { me, effects } = this.#parts;
-    const members = this.#parts.members.own();
+  #sendRequests(now: Moment, { nonce, quorum, replies }: PendingRead): void {
+    const { me, effects } = this.#dependencies;
+    const members = this.#dependencies.members.own();
     for (const voter of quorum.all) {
       if (replies.has(voter)) continue;
       if (voter === me) this.#replyToOwn(now, nonce);
@@ -121,20 +121,20 @@
     }
   }
 
-  receive(now: Moment, from: string, message: QuorumReadMessage): void {
-    this.#noteMembers(now, from, message.members);
+  onQuorumRead(now: Moment, from: string, message: QuorumReadMessage): void {
+    this.#onMembers(now, from, message.members);
     const reply = this.#reply(now, message.nonce);
-    if (reply) this.#parts.effects.send(from, reply);
+    if (reply) this.#dependencies.effects.send(from, reply);
   }
 
-  receiveReply(now: Moment, from: NodeId, message: QuorumReadReply): void {
-    const round = this.#round;
+  onQuorumReadReply(now: Moment, from: NodeId, message: QuorumReadReply): void {
+    const round = this.#inFlight;
     if (!round || round.nonce !== message.nonce) return;
     const version = { epoch: message.epoch, count: message.count };
-    round.replies.set(from, { version, marks: message.marks });
-    if (!this.#parts.voters.quorum.isMajority(new Set(round.replies.keys()))) return;
-    this.#round = undefined;
-    this.#end(now, round.nonce, newestOf(round.replies.values()));
+    round.replies.set(from, { version, evacuations: message.marks });
+    if (!this.#dependencies.voters.quorum.isMajority(new Set(round.replies.keys()))) return;
+    this.#inFlight = undefined;
+    this.#complete(now, round.nonce, newestOf(round.replies.values()));
     this.tick(now);
   }
 
@@ -152,18 +152,19 @@
     return this.#lastId;
   }
 
-  #noteMembers(now: Moment, from: string, members: readonly MemberMessage[]): void {
-    if (from !== this.#parts.me) this.#parts.members.onMembersReported(now, from, members);
+  #onMembers(now: Moment, from: string, members: readonly MemberMessage[]): void {
+    if (from !== this.#dependencies.me)
+      this.#dependencies.members.onMembersReported(now, from, members);
   }
 
   #replyToOwn(now: Moment, nonce: number): void {
     const reply = this.#reply(now, nonce);
-    if (reply) this.receiveReply(now, this.#parts.me, reply);
+    if (reply) this.onQuorumReadReply(now, this.#dependencies.me, reply);
   }
 
   /** What this node holds; nothing while it cannot tell. */
   #reply(now: Moment, nonce: number): QuorumReadReply | undefined {
-    const { replicaStatus, parts, table, updates, needsMachines } = this.#parts;
+    const { replicaStatus, parts, table, updates, needsMachines } = this.#dependencies;
     // A node whose disk is lost, or whose copy is bad, may have held something newer than it can tell.
     if (replicaStatus.name !== 'sound' || parts.unsoundParts().includes(CONFIG_PART))
       return undefined;
@@ -176,12 +177,12 @@
     return { kind: 'quorumReadReply', nonce, ...parts.versionOf(CONFIG_PART), marks };
   }
 
-  #end(now: Moment, nonce: number, newest: Reply): void {
-    const { version, marks } = newest;
+  #complete(now: Moment, nonce: number, newest: ReadReply): void {
+    const { version, evacuations: marks } = newest;
     for (const ask of this.#confirmation.end(nonce)) {
       if (ask.child === OWN) this.#fulfil(now, ask.nonce, version);
       else
-        this.#parts.effects.send(ask.child, {
+        this.#dependencies.effects.send(ask.child, {
           kind: 'freshnessReply',
           nonce: ask.nonce,
           ...version,
@@ -195,15 +196,15 @@
     const purpose = this.#purposes.get(id);
     if (!purpose) return;
     this.#purposes.delete(id);
-    const { leadership } = this.#parts;
+    const { leadership } = this.#dependencies;
     // Of our own epoch nobody but us commits anything: with nothing later around, what we know to be committed is the newest.
     const isNewest = leadership.isServing && newest.epoch <= leadership.epoch;
-    if (purpose.do === 'refusal') this.#parts.confirmed(now, id, isNewest);
+    if (purpose.do === 'refusal') this.#dependencies.onConfirmation(now, id, isNewest);
     else this.#answerRead(purpose.origin, newest, isNewest);
   }
 
   #answerRead(origin: Origin, newest: Version, isNewest: boolean): void {
-    const { leadership, relay, effects } = this.#parts;
+    const { leadership, relay, effects } = this.#dependencies;
     const item = relay.item('config');
     const isOurs = isNewest && item?.version.epoch === leadership.epoch;
     if (!leadership.isServing || !item || (!isOurs && isNewer(newest, item.version)))
@@ -212,16 +213,16 @@
   }
 
   #refuse(origin: Origin, text: string): void {
-    this.#parts.effects.answer(origin, errorAnswer(new NoLeaderError(text)));
+    this.#dependencies.effects.answer(origin, errorAnswer(new NoLeaderError(text)));
   }
 }
 
-function newestOf(replies: Iterable<Reply>): Reply {
+function newestOf(replies: Iterable<ReadReply>): ReadReply {
   let version = NO_VERSION;
   let marks = 0;
   for (const reply of replies) {
     if (isNewer(reply.version, version)) version = reply.version;
-    marks = Math.max(marks, reply.marks);
+    marks = Math.max(marks, reply.evacuations);
   }
-  return { version, marks };
+  return { version, evacuations: marks };
 }
--- a/src/control/replica-repair.ts
+++ b/src/control/replica-repair.ts
@@ -9,7 +9,7 @@
 import type { VoteStorage } from './vote-storage.js';
 
 /** What takes part in a repair. */
-export interface RepairParts {
+export interface RepairDependencies {
   readonly me: NodeId;
   readonly elector: Elector;
   readonly parts: ReplicatedState;
@@ -21,13 +21,13 @@
   /** Whether a node that is no voter may be repaired as well, as in a deployment. */
   readonly hasSpares: boolean;
   /** Takes up what the election decided meanwhile. */
-  readonly collect: (now: Moment) => void;
+  readonly drainEffects: (now: Moment) => void;
 }
 
 /** Copies read for a repair that are not on disk yet. */
-interface Repair {
+interface PendingRepair {
   readonly epoch: number;
-  readonly waiting: Set<PartName>;
+  readonly pending: Set<PartName>;
 }
 
 /**
@@ -35,67 +35,69 @@
  * record of its votes is on disk, which is written after all copies.
  */
 export class ReplicaRepair {
-  readonly #parts: RepairParts;
-  #repair: Repair | undefined;
+  readonly #dependencies: RepairDependencies;
+  #repair: PendingRepair | undefined;
   /** The count of the record of votes after which this node counts. */
-  #soundAfter: number | undefined;
+  #healthyOnceStored: number | undefined;
 
-  constructor(parts: RepairParts) {
-    this.#parts = parts;
+  constructor(parts: RepairDependencies) {
+    this.#dependencies = parts;
   }
 
   /** Whether it was decided how this node comes to count, and it does not yet. */
-  get isUnderWay(): boolean {
-    return this.#repair !== undefined || this.#soundAfter !== undefined;
+  get isInProgress(): boolean {
+    return this.#repair !== undefined || this.#healthyOnceStored !== undefined;
   }
 
   /** Whether votes are kept: not before every copy is on disk. */
-  get mayKeepVotes(): boolean {
-    return this.#parts.replicaStatus.name === 'sound' || this.#soundAfter !== undefined;
+  get mayPersistVotes(): boolean {
+    return (
+      this.#dependencies.replicaStatus.name === 'sound' || this.#healthyOnceStored !== undefined
+    );
   }
 
   /** Founds or begins to repair, where that was decided and is not under way. */
-  settle(now: Moment, outcome: ReplicaStatusOutcome | undefined): void {
-    if (!outcome || this.isUnderWay) return;
+  resolve(now: Moment, outcome: ReplicaStatusOutcome | undefined): void {
+    if (!outcome || this.isInProgress) return;
     if (outcome.become === 'founded') {
-      this.#parts.effects.note('founding', {});
+      this.#dependencies.effects.log('founding', {});
       this.#beginToVote(now, outcome.epoch);
     } else {
-      this.#parts.effects.note('repaired from peers', { epoch: outcome.epoch });
+      this.#dependencies.effects.log('repaired from peers', { epoch: outcome.epoch });
       // Only what is newer than ours is stored anew, and only that is waited for.
-      const waiting = new Set(this.#parts.parts.adopt(outcome.copies));
-      this.#parts.voters.follow();
-      this.#repair = { epoch: outcome.epoch, waiting };
-      this.#endIfStored(now);
+      const waiting = new Set(this.#dependencies.parts.adopt(outcome.copies));
+      this.#dependencies.voters.follow();
+      this.#repair = { epoch: outcome.epoch, pending: waiting };
+      this.#completeIfStored(now);
     }
-    this.#parts.collect(now);
+    this.#dependencies.drainEffects(now);
   }
 
   /** A copy is on disk. */
-  stored(now: Moment, part: PartName): void {
-    if (this.#repair?.waiting.delete(part)) this.#endIfStored(now);
+  onPersisted(now: Moment, part: PartName): void {
+    if (this.#repair?.pending.delete(part)) this.#completeIfStored(now);
   }
 
   /** A record of votes is on disk. */
-  voteStored(version: Version): void {
-    if (this.#soundAfter === undefined || version.count < this.#soundAfter) return;
-    this.#soundAfter = undefined;
-    this.#parts.replicaStatus.settle();
-    this.#parts.effects.note('standing is sound', {});
+  onVotePersisted(version: Version): void {
+    if (this.#healthyOnceStored === undefined || version.count < this.#healthyOnceStored) return;
+    this.#healthyOnceStored = undefined;
+    this.#dependencies.replicaStatus.settle();
+    this.#dependencies.effects.log('standing is sound', {});
   }
 
-  #endIfStored(now: Moment): void {
+  #completeIfStored(now: Moment): void {
     const repair = this.#repair;
-    if (!repair || repair.waiting.size > 0) return;
+    if (!repair || repair.pending.size > 0) return;
     this.#repair = undefined;
-    this.#parts.counters.countRepair();
-    const { hasSpares, voters, me } = this.#parts;
+    this.#dependencies.counters.countRepair();
+    const { hasSpares, voters, me } = this.#dependencies;
     // One that is no voter has granted nothing that binds here: it joins the epoch that stands, and no election is due for it.
     this.#beginToVote(now, hasSpares && !voters.quorum.holds(me) ? 0 : repair.epoch);
   }
 
   #beginToVote(now: Moment, epoch: number): void {
-    this.#soundAfter = this.#parts.votes.nextCount;
-    this.#parts.elector.setMayVote(true, { epoch, grantEpoch: 0, grantLeader: '' }, now);
+    this.#healthyOnceStored = this.#dependencies.votes.nextCount;
+    this.#dependencies.elector.setMayVote(true, { epoch, grantEpoch: 0, grantLeader: '' }, now);
   }
 }
--- a/src/control/state-messages.ts
+++ b/src/control/state-messages.ts
@@ -11,7 +11,7 @@
 import type { VoteStorage } from './vote-storage.js';
 
 /** Who is told what concerns the replicated state. */
-export interface StateMessageParts {
+export interface StateMessageDependencies {
   readonly elector: Elector;
   readonly parts: ReplicatedState;
   readonly replicaStatus: ReplicaStatus;
@@ -24,33 +24,33 @@
 
 type ReadMessage = Extract<Message, { kind: 'read' }>;
 type ReadReply = Extract<Message, { kind: 'readReply' }>;
-type PartMessage = Extract<
+type PartitionMessage = Extract<
   Message,
   { kind: 'read' | 'readReply' | 'write' | 'writeReply' | 'digest' | 'digestReply' }
 >;
 
 /** Messages between control nodes on the replicated state, and what reached the disk of it. */
 export class StateMessages {
-  readonly #parts: StateMessageParts;
+  readonly #dependencies: StateMessageDependencies;
 
-  constructor(parts: StateMessageParts) {
-    this.#parts = parts;
+  constructor(parts: StateMessageDependencies) {
+    this.#dependencies = parts;
   }
 
   /** Says whether the message was of this family. */
-  receive(now: Moment, from: NodeId, message: Message): boolean {
+  onMessage(now: Moment, from: NodeId, message: Message): boolean {
     switch (message.kind) {
       case 'read':
-        this.#receiveRead(now, from, message);
+        this.#onRead(now, from, message);
         return true;
       case 'readReply':
-        this.#receiveReadReply(now, from, message);
+        this.#onReadReply(now, from, message);
         return true;
       case 'write':
       case 'writeReply':
       case 'digest':
       case 'digestReply':
-        this.#receiveState(now, from, message);
+        this.#onStateMessage(now, from, message);
         return true;
       default:
         return false;
@@ -59,24 +59,24 @@
 
   /** Asks whoever this node must have read before it counts. */
   tick(now: Moment): void {
-    const { replicaStatus, repair, voters, effects } = this.#parts;
+    const { replicaStatus, repair, voters, effects } = this.#dependencies;
     for (const { to, message } of replicaStatus.tick(now, voters.quorum)) effects.send(to, message);
-    repair.settle(now, replicaStatus.outcome(now, voters.quorum));
+    repair.resolve(now, replicaStatus.outcome(now, voters.quorum));
   }
 
   /** A copy reached the disk. */
-  stored(now: Moment, part: PartName, version: Version): void {
-    this.#parts.parts.stored(part, version, this.#grantedEpoch(), now);
-    this.#parts.repair.stored(now, part);
+  onPersisted(now: Moment, part: PartName, version: Version): void {
+    this.#dependencies.parts.stored(part, version, this.#grantedEpoch(), now);
+    this.#dependencies.repair.onPersisted(now, part);
   }
 
   /** Without an epoch it is asked for a repair, by one that does not count yet. */
-  #receiveRead(now: Moment, from: NodeId, message: ReadMessage): void {
+  #onRead(now: Moment, from: NodeId, message: ReadMessage): void {
     if (message.epoch !== 0) {
-      this.#receiveState(now, from, message);
+      this.#onStateMessage(now, from, message);
       return;
     }
-    const { replicaStatus, elector, parts, effects } = this.#parts;
+    const { replicaStatus, elector, parts, effects } = this.#dependencies;
     const hasGranted = elector.record.grantEpoch > 0;
     effects.send(
       from,
@@ -84,17 +84,17 @@
     );
   }
 
-  #receiveReadReply(now: Moment, from: NodeId, message: ReadReply): void {
+  #onReadReply(now: Moment, from: NodeId, message: ReadReply): void {
     if (message.sound) {
-      this.#receiveState(now, from, message);
+      this.#onStateMessage(now, from, message);
       return;
     }
-    const { replicaStatus, repair, voters } = this.#parts;
-    repair.settle(now, replicaStatus.receive(now, from, message, voters.quorum));
+    const { replicaStatus, repair, voters } = this.#dependencies;
+    repair.resolve(now, replicaStatus.receive(now, from, message, voters.quorum));
   }
 
-  #receiveState(now: Moment, from: NodeId, message: PartMessage): void {
-    const { parts, members, replicaStatus } = this.#parts;
+  #onStateMessage(now: Moment, from: NodeId, message: PartitionMessage): void {
+    const { parts, members, replicaStatus } = this.#dependencies;
     // Only a write's return names members.
     const named = message.kind === 'write' ? members.possible(now) : [];
     parts.receive(now, from, message, this.#grantedEpoch(), named, replicaStatus.name);
@@ -102,8 +102,8 @@
 
   /** The epoch granted here, on disk, and not moved on from; 0 if none is. */
   #grantedEpoch(): number {
-    const { replicaStatus, elector, votes } = this.#parts;
-    const isBinding = replicaStatus.name === 'sound' && votes.keptGrant === elector.epoch;
-    return isBinding ? votes.keptGrant : 0;
+    const { replicaStatus, elector, votes } = this.#dependencies;
+    const isBinding = replicaStatus.name === 'sound' && votes.persistedGrant === elector.epoch;
+    return isBinding ? votes.persistedGrant : 0;
   }
 }
--- a/src/control/table-control-process.ts
+++ b/src/control/table-control-process.ts
@@ -79,7 +79,7 @@
     await this.#runtime.open(core);
     await this.#api.listen(this.#settings.api);
     this.#runtime.startTicks();
-    this.#log.info({ standing: core.standing.name }, 'control node started');
+    this.#log.info({ standing: core.replicaStatus.name }, 'control node started');
   }
 
   /** Hands over what it leads, if no order is open, and stops. */
@@ -136,7 +136,7 @@
   #receive(incoming: Incoming, core: ControlCore): void {
     // What a node of another build may say must not end this one.
     try {
-      core.receive(monotonicNow(), incoming.from, incoming.message);
+      core.onMessage(monotonicNow(), incoming.from, incoming.message);
     } catch (thrown) {
       this.#logError(
         new MalformedFrameError(
@@ -178,7 +178,7 @@
       const machines = parseAs(MachinesShape, returned.body);
       if (!machines) throw new Error('its list of machines is not what it should be');
       this.#runtime.submit((core: ControlCore) => {
-        if (machines) core.machines(monotonicNow(), machines);
+        if (machines) core.onMachines(monotonicNow(), machines);
       });
       this.#onPlatformReachable(true, '');
     } catch (thrown) {
@@ -205,7 +205,7 @@
       const catalog = parseAs(CatalogShape, returned.body);
       if (!catalog) throw new Error('its catalogue is not what it should be');
       this.#runtime.submit((core: ControlCore) => {
-        if (catalog) core.catalog(monotonicNow(), catalog);
+        if (catalog) core.onCatalog(monotonicNow(), catalog);
       });
     } catch {
       this.#counters.add('store.unreached');
@@ -226,7 +226,7 @@
     // A report under another name is some other runner's, at an address that changed hands.
     const own = report?.id === runner ? report : undefined;
     this.#runtime.submit((core: ControlCore) => {
-      core.reported(monotonicNow(), runner, askedAt, own);
+      core.onRunnerReport(monotonicNow(), runner, askedAt, own);
     });
   }
 
@@ -251,7 +251,7 @@
       'order',
     );
     this.#runtime.submit((core: ControlCore) => {
-      core.ordered(monotonicNow(), effect.intent.id, outcome);
+      core.onOrderOutcome(monotonicNow(), effect.intent.id, outcome);
     });
   }
 
--- a/src/control/table-manager.ts
+++ b/src/control/table-manager.ts
@@ -15,7 +15,7 @@
 } from '../placement/shapes.js';
 import { Shares } from '../placement/shares.js';
 import { servicePart } from '../state/part-names.js';
-import type { ConfigDoc } from './config-doc.js';
+import type { ConfigDoc } from './config-shapes.js';
 import type { ControlEffect, OrderResult } from './control-effect.js';
 
 /** What placement by the table needs of the control node that leads. */
--- a/src/control/takeover.ts
+++ b/src/control/takeover.ts
@@ -4,13 +4,13 @@
 import { ServicePartShape, type ServiceDoc } from '../placement/shapes.js';
 import { allParts, CONFIG_PART } from '../state/part-names.js';
 import type { ReplicatedState } from '../state/replicated-state.js';
-import type { ConfigDocument } from './config-document.js';
+import type { ConfigStore } from './config-store.js';
 import type { ControlCounters } from './control-metrics.js';
 import type { EffectQueue } from './effect-queue.js';
 import type { FollowedVoters } from './followed-voters.js';
 import type { Leadership } from './leadership.js';
-import type { OperatorOrders } from './operator-orders.js';
-import type { PartWriter } from './part-writer.js';
+import type { OperatorEdits } from './operator-edits.js';
+import type { PartitionWriter } from './partition-writer.js';
 import type { PlacementControl } from './placement-control.js';
 import type { QuorumReads } from './quorum-reads.js';
 import type { RelayTree } from './relay-tree.js';
@@ -18,15 +18,15 @@
 import type { VoterMembership } from './voter-membership.js';
 
 /** What begins and ends with the lead. */
-export interface TakeoverParts {
+export interface TakeoverDependencies {
   readonly elector: Elector;
   readonly leadership: Leadership;
   readonly parts: ReplicatedState;
-  readonly writer: PartWriter;
-  readonly document: ConfigDocument;
+  readonly writer: PartitionWriter;
+  readonly document: ConfigStore;
   readonly voters: FollowedVoters;
   readonly placement: PlacementControl;
-  readonly orders: OperatorOrders;
+  readonly orders: OperatorEdits;
   readonly reads: QuorumReads;
   readonly updates: UpdateExchange;
   readonly membership: VoterMembership | undefined;
@@ -36,18 +36,18 @@
 }
 
 /** How long members are waited for when the table is recovered from them. */
-const RECOVER_MS = 2000;
+const RECOVERY_MS = 2000;
 
 /** Follows who leads: takes over the state when this node does, and stands down when it does no longer. */
 export class Takeover {
-  readonly #parts: TakeoverParts;
+  readonly #dependencies: TakeoverDependencies;
   #leader = '';
   /** Whether a majority's copies may be older than what members hold. */
-  #hasLost = false;
+  #hasMissingWrites = false;
   #recoverUntil: Moment | undefined;
 
-  constructor(parts: TakeoverParts) {
-    this.#parts = parts;
+  constructor(parts: TakeoverDependencies) {
+    this.#dependencies = parts;
   }
 
   /** Whether the table is being recovered from the members; nothing is ordered or placed meanwhile. */
@@ -56,60 +56,60 @@
   }
 
   /** An operator's word that copies were lost: members are asked for newer ones before this node serves. */
-  expectLoss(): void {
-    this.#hasLost = true;
+  expectMissingWrites(): void {
+    this.#hasMissingWrites = true;
   }
 
   /** Acts upon a change of the leader, if there was one. */
-  watch(now: Moment): void {
-    const { elector, leadership, parts, tree } = this.#parts;
-    this.#noteLeader(elector.leader ?? '');
+  update(now: Moment): void {
+    const { elector, leadership, parts, tree } = this.#dependencies;
+    this.#onLeader(elector.leader ?? '');
     const epoch = elector.isLeading() ? elector.epoch : 0;
     if (epoch === leadership.epoch) return;
     leadership.begin(epoch);
     // One that leads feeds the other voters as well.
     tree.reassignParents();
-    this.#standDown();
+    this.#stepDown();
     if (epoch > 0) parts.lead(now, epoch);
   }
 
   /** The whole state was read from a majority and rewritten. */
-  serve(now: Moment): void {
-    const { leadership, document, membership, placement, effects } = this.#parts;
+  beginServing(now: Moment): void {
+    const { leadership, document, membership, placement, effects } = this.#dependencies;
     leadership.serve();
-    effects.note('serving', { epoch: leadership.epoch });
+    effects.log('serving', { epoch: leadership.epoch });
     const isFound = document.load();
     // Only committed tables are ever told: one told here that no majority holds any more was lost with their disks.
-    if (document.lostNews()) this.#hasLost = true;
-    if (this.#hasLost) this.#recover(now);
+    if (document.unstoredUpdate()) this.#hasMissingWrites = true;
+    if (this.#hasMissingWrites) this.#beginRecovery(now);
     else document.publishLoaded();
     const docs = this.#readServices();
     if (membership) {
       // Whoever comes later must find the voters written down, whatever seeds it is told.
       if (!isFound) document.write(now, document.newest(), 0);
-      membership.begin();
+      membership.onTakeover();
     }
     placement.beginLeading(now, docs);
   }
 
   tick(now: Moment): void {
     if (this.#recoverUntil === undefined || now < this.#recoverUntil) return;
-    if (this.#parts.leadership.isServing) this.#endRecovery(now);
+    if (this.#dependencies.leadership.isServing) this.#endRecovery(now);
   }
 
-  #noteLeader(leader: string): void {
+  #onLeader(leader: string): void {
     if (leader === this.#leader) return;
     this.#leader = leader;
-    const { elector, counters, effects } = this.#parts;
+    const { elector, counters, effects } = this.#dependencies;
     counters.countLeaderChange();
-    effects.note('leader', { leader: leader === '' ? 'none' : leader, epoch: elector.epoch });
+    effects.log('leader', { leader: leader === '' ? 'none' : leader, epoch: elector.epoch });
   }
 
-  #standDown(): void {
-    const { parts, voters, placement, writer, orders, reads } = this.#parts;
+  #stepDown(): void {
+    const { parts, voters, placement, writer, orders, reads } = this.#dependencies;
     this.#recoverUntil = undefined;
     parts.release();
-    voters.forgetRead();
+    voters.clearConfigRead();
     placement.endLeading();
     writer.clear();
     orders.abandon();
@@ -119,23 +119,23 @@
   #readServices(): ServiceDoc[] {
     const docs: ServiceDoc[] = [];
     for (const part of allParts()) {
-      const text = part === CONFIG_PART ? '' : this.#parts.parts.body(part);
+      const text = part === CONFIG_PART ? '' : this.#dependencies.parts.body(part);
       if (text !== '') docs.push(...mustParseAs(ServicePartShape, text, part).services);
     }
     return docs;
   }
 
-  #recover(now: Moment): void {
-    this.#recoverUntil = later(now, RECOVER_MS);
-    this.#parts.updates.requestAll();
+  #beginRecovery(now: Moment): void {
+    this.#recoverUntil = later(now, RECOVERY_MS);
+    this.#dependencies.updates.requestAll();
   }
 
   #endRecovery(now: Moment): void {
-    const { document, effects } = this.#parts;
-    this.#hasLost = false;
+    const { document, effects } = this.#dependencies;
+    this.#hasMissingWrites = false;
     this.#recoverUntil = undefined;
-    const lost = document.lostNews();
-    if (lost) effects.note('table recovered from members', { table: lost.number });
+    const lost = document.unstoredUpdate();
+    if (lost) effects.log('table recovered from members', { table: lost.number });
     document.recover(now, lost);
   }
 }
--- a/src/control/testing/control-cluster.ts
+++ b/src/control/testing/control-cluster.ts
@@ -142,7 +142,7 @@
 
   #receive(to: string, from: string, message: Message): void {
     const node = this.node(to);
-    node.core.receive(moment(this.#now), from, message, `zone-${from}`);
+    node.core.onMessage(moment(this.#now), from, message, `zone-${from}`);
     this.#drain(to, node);
   }
 
@@ -161,7 +161,7 @@
           node.answers.set(effect.id, { status: effect.status, body: effect.body });
         else if (effect.do === 'store' && node.disk === 'sound') {
           node.store.keep(effect.part, effect.version, effect.body);
-          node.core.stored(moment(this.#now), effect.part, effect.version);
+          node.core.onPersisted(moment(this.#now), effect.part, effect.version);
         }
       }
     }
@@ -181,7 +181,7 @@
 
   #command(id: string, number: number, verb: string, body: string): void {
     const node = this.node(id);
-    node.core.command(moment(this.#now), number, verb, body);
+    node.core.onCommand(moment(this.#now), number, verb, body);
     this.#drain(id, node);
   }
 
--- a/src/control/testing/duty-node.ts
+++ b/src/control/testing/duty-node.ts
@@ -6,7 +6,7 @@
 import { VOTE_PART } from '../../state/part-names.js';
 import type { StoredPart } from '../../state/store.js';
 import { CONTROL_DEFAULTS, type ControlEffect } from '../control-effect.js';
-import { ControlDuties } from '../control-duties.js';
+import { ControlComponents } from '../control-components.js';
 import { makeReplica, type ControlReplica } from '../control-replica.js';
 
 /** A message and to whom it goes. */
@@ -32,7 +32,7 @@
 /** The duties of node `a` of three, without the core that ties them together. */
 export class DutyNode {
   readonly replica: ControlReplica;
-  readonly duties: ControlDuties;
+  readonly duties: ControlComponents;
 
   constructor(stored: readonly StoredPart[]) {
     const settings = {
@@ -43,9 +43,9 @@
       seeds: ['a', 'b', 'c'],
     };
     this.replica = makeReplica(settings, stored, START, VOTE_DEFAULTS);
-    this.duties = new ControlDuties(settings, PLACER_DEFAULTS, this.replica, START, {
+    this.duties = new ControlComponents(settings, PLACER_DEFAULTS, this.replica, START, {
       mayOrder: never,
-      collect: doNothing,
+      drainEffects: doNothing,
       peers: nobody,
     });
   }
--- a/src/control/testing/fault-cluster.ts
+++ b/src/control/testing/fault-cluster.ts
@@ -379,7 +379,7 @@
   ask(id: string, verb: string, body: object): number {
     this.#asked += 1;
     const node = this.node(id);
-    node.core.command(moment(this.#now), this.#asked, verb, JSON.stringify(body));
+    node.core.onCommand(moment(this.#now), this.#asked, verb, JSON.stringify(body));
     this.#drain(id, node);
     return this.#asked;
   }
@@ -406,7 +406,7 @@
     if (leader === '') return false;
     const { core } = this.node(id);
     const { core: leading } = this.node(leader);
-    if (core.standing.name !== 'sound' || core.elector.epoch !== leading.elector.epoch)
+    if (core.replicaStatus.name !== 'sound' || core.elector.epoch !== leading.elector.epoch)
       return false;
     if (id !== leader && core.elector.leader !== leader) return false;
     for (const part of allParts()) {
@@ -421,7 +421,7 @@
   place(model: string): void {
     const node = this.node(this.leader());
     node.planner.place(model);
-    node.core.list(moment(this.#now), []);
+    node.core.onRunnerList(moment(this.#now), []);
     this.#drain(this.leader(), node);
   }
 
@@ -478,7 +478,7 @@
 
   #hearGone(at: string, id: string): void {
     const node = this.node(at);
-    node.core.gone(moment(this.#now), id);
+    node.core.onDisconnect(moment(this.#now), id);
     this.#drain(at, node);
   }
 
@@ -518,7 +518,7 @@
 
   #receive(to: string, from: string, message: Message): void {
     const node = this.node(to);
-    node.core.receive(moment(this.#now), from, message, `zone-${from}`);
+    node.core.onMessage(moment(this.#now), from, message, `zone-${from}`);
     this.#drain(to, node);
   }
 
@@ -567,7 +567,7 @@
 
   #takeList(id: string, listed: readonly ListedRunner[]): void {
     const node = this.node(id);
-    node.core.list(moment(this.#now), listed);
+    node.core.onRunnerList(moment(this.#now), listed);
     this.#drain(id, node);
   }
 
@@ -584,7 +584,7 @@
 
   #hearStored(id: string, effect: Extract<ControlEffect, { do: 'store' }>): void {
     const node = this.node(id);
-    node.core.stored(moment(this.#now), effect.part, effect.version);
+    node.core.onPersisted(moment(this.#now), effect.part, effect.version);
     this.#drain(id, node);
   }
 }
--- a/src/control/unserved-quorum-read.test.ts
+++ b/src/control/unserved-quorum-read.test.ts
@@ -23,14 +23,14 @@
     table: node.duties.placement.table,
     updates: node.duties.updates,
     needsMachines: false,
-    confirmed: (_now: Moment, _id: number, isNewest: boolean) => proofs.push(isNewest),
+    onConfirmation: (_now: Moment, _id: number, isNewest: boolean) => proofs.push(isNewest),
   });
   node.replica.leadership.begin(EPOCH);
   if (lead === 'serving') node.replica.leadership.serve();
   reads.confirmRefusal();
   reads.tick(NOW);
   const message = { kind: 'quorumReadReply', nonce: INCARNATION + 1, ...newest, marks: 0 } as const;
-  reads.receiveReply(NOW, nodeId('b'), message);
+  reads.onQuorumReadReply(NOW, nodeId('b'), message);
   return proofs;
 }
 
--- a/src/control/update-exchange.test.ts
+++ b/src/control/update-exchange.test.ts
@@ -53,12 +53,12 @@
 });
 test('messages of another family are left to it', () => {
   const node = new DutyNode([]);
-  const isTaken = node.duties.memberMessages.receive(NOW, 'b', {
+  const isTaken = node.duties.memberMessages.onMessage(NOW, 'b', {
     kind: 'renewed',
     epoch: 1,
     nonce: 1,
   });
   expect(isTaken).toBe(false);
   const state = node.duties.stateMessages;
-  expect(state.receive(NOW, nodeId('b'), { kind: 'renewed', epoch: 1, nonce: 1 })).toBe(false);
+  expect(state.onMessage(NOW, nodeId('b'), { kind: 'renewed', epoch: 1, nonce: 1 })).toBe(false);
 });
--- a/src/control/vote-storage.test.ts
+++ b/src/control/vote-storage.test.ts
@@ -27,9 +27,9 @@
 test('a record on disk keeps all before it', () => {
   const effects = new EffectQueue();
   const votes = new VoteStorage(effects, 7, 2);
-  votes.keep(1, { ...RECORD, grantEpoch: 3 });
-  votes.keep(2, { ...RECORD, grantEpoch: 4 });
-  votes.keep(3, { ...RECORD, grantEpoch: 5 });
+  votes.persist(1, { ...RECORD, grantEpoch: 3 });
+  votes.persist(2, { ...RECORD, grantEpoch: 4 });
+  votes.persist(3, { ...RECORD, grantEpoch: 5 });
   const [first] = effects.drain();
   expect(first).toEqual({
     do: 'store',
@@ -38,8 +38,8 @@
     body: JSON.stringify(RECORD),
   });
   const kept: number[] = [];
-  votes.stored({ epoch: 4, count: 9 }, kept.push.bind(kept));
+  votes.onPersisted({ epoch: 4, count: 9 }, kept.push.bind(kept));
   expect(kept).toEqual([1, 2]);
-  expect(votes.keptGrant).toBe(4);
+  expect(votes.persistedGrant).toBe(4);
   expect(votes.nextCount).toBe(11);
 });
--- a/src/control/vote-storage.ts
+++ b/src/control/vote-storage.ts
@@ -38,7 +38,7 @@
 }
 
 /** A record on its way to the disk. */
-interface WaitingVote {
+interface PendingVote {
   readonly token: number;
   readonly grantEpoch: number;
 }
@@ -47,20 +47,20 @@
 export class VoteStorage {
   readonly #effects: EffectQueue;
   /** By the count of the record. */
-  readonly #waiting = new Map<number, WaitingVote>();
+  readonly #pendingVotes = new Map<number, PendingVote>();
   #count: number;
-  #keptGrant: number;
+  #persistedGrant: number;
 
   /** `count` is that of the record on disk, `keptGrant` the epoch granted by it. */
   constructor(effects: EffectQueue, count: number, keptGrant: number) {
     this.#effects = effects;
     this.#count = count;
-    this.#keptGrant = keptGrant;
+    this.#persistedGrant = keptGrant;
   }
 
   /** The epoch granted by the newest record on disk; 0 if none is. */
-  get keptGrant(): number {
-    return this.#keptGrant;
+  get persistedGrant(): number {
+    return this.#persistedGrant;
   }
 
   /** The count of the record that comes next. */
@@ -69,9 +69,9 @@
   }
 
   /** Stores a record; its token is returned once it is on disk. */
-  keep(token: number, record: VoteRecord): void {
+  persist(token: number, record: VoteRecord): void {
     this.#count += 1;
-    this.#waiting.set(this.#count, { token, grantEpoch: record.grantEpoch });
+    this.#pendingVotes.set(this.#count, { token, grantEpoch: record.grantEpoch });
     this.#effects.add({
       do: 'store',
       part: VOTE_PART,
@@ -81,11 +81,11 @@
   }
 
   /** This record is on disk, and with it all before it; `kept` is told the token of each. */
-  stored(version: Version, kept: (token: number) => void): void {
-    for (const [count, waiting] of this.#waiting) {
+  onPersisted(version: Version, kept: (token: number) => void): void {
+    for (const [count, waiting] of this.#pendingVotes) {
       if (count > version.count) continue;
-      this.#waiting.delete(count);
-      if (count === version.count) this.#keptGrant = waiting.grantEpoch;
+      this.#pendingVotes.delete(count);
+      if (count === version.count) this.#persistedGrant = waiting.grantEpoch;
       kept(waiting.token);
     }
   }
--- a/src/control/voter-membership.test.ts
+++ b/src/control/voter-membership.test.ts
@@ -2,7 +2,7 @@
 import { moment, nodeId, type Moment, type PartName } from '../common/ids.js';
 import type { Message } from '../common/messages.js';
 import { allParts, CONFIG_PART } from '../state/part-names.js';
-import { firstDoc, type ConfigDoc } from './config-doc.js';
+import { initialDoc, type ConfigDoc } from './config-shapes.js';
 import type { ControlReplica } from './control-replica.js';
 import { DutyNode, SOUND_DISK } from './testing/duty-node.js';
 import { VoterMembership } from './voter-membership.js';
@@ -24,7 +24,7 @@
   /** The voters that were written, in their order. */
   readonly changes: Voters[] = [];
   rewrites = 0;
-  #document: ConfigDoc = firstDoc(THREE);
+  #document: ConfigDoc = initialDoc(THREE);
   #now = moment(0);
   #sent: Message[] = [];
 
@@ -37,15 +37,15 @@
     leadership.serve();
     const host = {
       ...this.replica,
-      status: replicaStatus,
+      replicaStatus,
       zone: 'zone-a',
       isFirstStart: false,
       peers: () => FOLLOWERS,
       document: () => this.#document,
       zoneOf: (id: string) => `zone-${id}`,
       send: (_to: string, message: Message) => this.#sent.push(message),
-      rewriteParts: (now: Moment) => this.#rewriteParts(now),
-      changeVoters: (_now: Moment, change: { readonly voters: Voters }) => {
+      rewritePartitions: (now: Moment) => this.#rewriteParts(now),
+      writeVoters: (_now: Moment, change: { readonly voters: Voters }) => {
         this.changes.push(change.voters);
         this.setVoters(change.voters);
       },
@@ -66,20 +66,20 @@
   /** A node that is no voter announces itself. */
   announce(id: string, isSound: boolean): void {
     const message = { id, zone: `zone-${id}`, isFirst: false, isSound, epoch: 0, count: 0 };
-    this.membership.receiveAnnounce(this.#now, id, { kind: 'announce', ...message });
+    this.membership.onAnnounce(this.#now, id, { kind: 'announce', ...message });
   }
 
   /** A node says that it is told to stop; returns whether the leader lets it. */
   leave(id: string): boolean | undefined {
     this.#sent = [];
-    this.membership.receiveLeave(this.#now, id, { kind: 'leave', id });
+    this.membership.onLeave(this.#now, id, { kind: 'leave', id });
     for (const message of this.#sent) if (message.kind === 'leaveReply') return message.mayStop;
     return undefined;
   }
 
   /** Whether the leader itself, which is told to stop, has to stay. */
   mustKeepSeat(): boolean {
-    return this.membership.mustKeepSeat(this.#now);
+    return this.membership.mustStayVoter(this.#now);
   }
 
   /** Begins to write the configuration, without any answer of the followers. */
--- a/src/control/voter-membership.ts
+++ b/src/control/voter-membership.ts
@@ -7,11 +7,11 @@
 import { allParts, CONFIG_PART } from '../state/part-names.js';
 import type { ReplicatedState } from '../state/replicated-state.js';
 import type { ReplicaStatus } from '../state/replica-status.js';
-import type { ConfigDoc } from './config-doc.js';
-import { LeavingVoters } from './leaving-voters.js';
-import { SeatHandover } from './seat-handover.js';
-import { SilenceWatch } from './silence-watch.js';
-import { VoterPlan, type Announced, type VotersChange, type VoterView } from './voter-plan.js';
+import type { ConfigDoc } from './config-shapes.js';
+import { DepartingVoters } from './departing-voters.js';
+import { VoterHandover } from './voter-handover.js';
+import { PeerIdleClock } from './peer-idle-clock.js';
+import { VoterPlan, type AnnouncedNode, type VotersChange, type VoterView } from './voter-plan.js';
 
 /** What membership needs of the control node that it belongs to. */
 export interface MembershipHost {
@@ -21,7 +21,7 @@
   readonly elector: Elector;
   readonly parts: ReplicatedState;
   readonly relay: Relay;
-  readonly status: ReplicaStatus;
+  readonly replicaStatus: ReplicaStatus;
   /** Who votes, by the newest configuration known here. */
   readonly voters: { readonly quorum: Quorum };
   /** Everybody to whom this node keeps a connection. */
@@ -33,8 +33,8 @@
   zoneOf(id: string): string;
   send(to: string, message: Message): void;
   /** Writes all parts but the configuration anew, so that a majority of each set holds them. */
-  rewriteParts(now: Moment): void;
-  changeVoters(now: Moment, change: VotersChange): void;
+  rewritePartitions(now: Moment): void;
+  writeVoters(now: Moment, change: VotersChange): void;
 }
 
 type AnnounceMessage = Extract<Message, { kind: 'announce' }>;
@@ -42,8 +42,8 @@
 type LeaveReply = Extract<Message, { kind: 'leaveReply' }>;
 
 /** How often a node that is no voter announces itself, and for how long that is remembered. */
-const ANNOUNCE_MS = 500;
-const ANNOUNCED_MS = 1500;
+const ANNOUNCE_INTERVAL_MS = 500;
+const ANNOUNCEMENT_TIMEOUT_MS = 1500;
 /** A voter without a leader for so long announces itself as well: it may be one no longer. */
 const LEADERLESS_MS = 1000;
 const NEVER = moment(-1e12);
@@ -55,10 +55,10 @@
 export class VoterMembership implements VoterView {
   readonly #host: MembershipHost;
   readonly #plan = new VoterPlan();
-  readonly #announced = new Map<string, Announced>();
-  readonly #leaving = new LeavingVoters();
-  readonly #silence: SilenceWatch;
-  #handover: SeatHandover | undefined;
+  readonly #announced = new Map<string, AnnouncedNode>();
+  readonly #departing = new DepartingVoters();
+  readonly #idleClock: PeerIdleClock;
+  #handover: VoterHandover | undefined;
   #announcedAt: Moment = NEVER;
   #leaderSeenAt: Moment;
   #hasVoted = false;
@@ -66,7 +66,7 @@
 
   constructor(host: MembershipHost, now: Moment) {
     this.#host = host;
-    this.#silence = new SilenceWatch(now);
+    this.#idleClock = new PeerIdleClock(now);
     this.#leaderSeenAt = now;
     this.#now = now;
   }
@@ -79,19 +79,19 @@
   get voters(): readonly (readonly string[])[] {
     return this.#host.document().voters;
   }
-  get seats(): number | undefined {
+  get voterCount(): number | undefined {
     return this.#host.document().seats;
   }
-  get announced(): readonly Announced[] {
+  get announced(): readonly AnnouncedNode[] {
     return [...this.#announced.values()];
   }
 
-  silentMs(voter: string): number {
-    return this.#silence.silentMs(this.#now, this.#host.elector.heardAt(nodeId(voter)));
+  idleMs(voter: string): number {
+    return this.#idleClock.idleMs(this.#now, this.#host.elector.heardAt(nodeId(voter)));
   }
 
   isLeaving(id: string): boolean {
-    return this.#leaving.has(id) || (id === this.me && this.#handover !== undefined);
+    return this.#departing.has(id) || (id === this.me && this.#handover !== undefined);
   }
 
   zoneOf(voter: string): string {
@@ -101,26 +101,26 @@
   // ---- inputs
 
   /** A new leader knows nothing of how far the former one came with a change. */
-  begin(): void {
-    this.#plan.begin();
+  onTakeover(): void {
+    this.#plan.reset();
   }
 
   tick(now: Moment): void {
     this.#now = now;
-    this.#silence.tick(now);
-    this.#leaving.tick(now);
-    if (!this.#isLost()) this.#leaderSeenAt = now;
+    this.#idleClock.tick(now);
+    this.#departing.tick(now);
+    if (!this.#isWithoutLeader()) this.#leaderSeenAt = now;
     this.#announce(now);
     for (const [id, announced] of this.#announced)
-      if (now - announced.at > ANNOUNCED_MS) this.#announced.delete(id);
-    this.#change(now);
+      if (now - announced.at > ANNOUNCEMENT_TIMEOUT_MS) this.#announced.delete(id);
+    this.#changeVoters(now);
   }
 
-  receiveAnnounce(now: Moment, from: string, message: AnnounceMessage): void {
+  onAnnounce(now: Moment, from: string, message: AnnounceMessage): void {
     const { id, zone, isFirst, isSound } = message;
     const host = this.#host;
     if (id === host.me) return;
-    this.#announced.set(id, { id, zone, isFirst, isSound, at: now });
+    this.#announced.set(id, { id, zone, isFirst, isHealthy: isSound, at: now });
     const config = host.relay.item('config');
     if (config && from === id && isNewer(config.version, message))
       host.send(id, { kind: 'update', topic: 'config', ...config.version, body: config.body });
@@ -129,16 +129,16 @@
     if (leader !== undefined && leader !== host.me && from === id) host.send(leader, message);
   }
 
-  receiveLeave(now: Moment, from: string, message: LeaveMessage): void {
+  onLeave(now: Moment, from: string, message: LeaveMessage): void {
     if (!this.#host.leadership.isServing) return;
-    this.#leaving.add(now, message.id);
+    this.#departing.add(now, message.id);
     this.#now = now;
-    this.#change(now);
+    this.#changeVoters(now);
     this.#host.send(from, { kind: 'leaveReply', mayStop: this.#mayStop(message.id) });
   }
 
-  receiveLeaveReply(message: LeaveReply): void {
-    this.#handover?.answered(message.mayStop);
+  onLeaveReply(message: LeaveReply): void {
+    this.#handover?.onReply(message.mayStop);
   }
 
   get isHandingOver(): boolean {
@@ -146,20 +146,20 @@
   }
 
   /** For a planned stop: whether this node has to stay, since its seat is being taken over. */
-  mustKeepSeat(now: Moment): boolean {
+  mustStayVoter(now: Moment): boolean {
     const host = this.#host;
     if (!this.#handover) {
-      if (!this.#isSound() || !host.voters.quorum.holds(nodeId(host.me))) return false;
-      this.#handover = new SeatHandover(now);
+      if (!this.#isHealthy() || !host.voters.quorum.holds(nodeId(host.me))) return false;
+      this.#handover = new VoterHandover(now);
     }
     const handover = this.#handover;
     if (host.leadership.isServing) {
       this.#now = now;
-      this.#change(now);
-      handover.answered(this.#mayStop(host.me));
+      this.#changeVoters(now);
+      handover.onReply(this.#mayStop(host.me));
     } else {
       const leader = host.elector.leader;
-      if (leader !== undefined && leader !== host.me && handover.isTellDue(now))
+      if (leader !== undefined && leader !== host.me && handover.isNotifyDue(now))
         host.send(leader, { kind: 'leave', id: host.me });
     }
     handover.tick(now, this.#hasSpare(host.voters.quorum.all));
@@ -169,13 +169,13 @@
   // ---- parts
 
   /** No voter as far as we know, or without a leader. */
-  #isLost(): boolean {
+  #isWithoutLeader(): boolean {
     const { me } = this.#host;
     return !this.#host.voters.quorum.holds(nodeId(me)) || this.#host.elector.leader === undefined;
   }
 
-  #isSound(): boolean {
-    return this.#host.status.name === 'sound';
+  #isHealthy(): boolean {
+    return this.#host.replicaStatus.name === 'sound';
   }
 
   #announce(now: Moment): void {
@@ -183,7 +183,7 @@
     const isVoter = host.voters.quorum.holds(nodeId(host.me));
     if (isVoter) this.#hasVoted = true;
     // One that is told to stop must not be taken in again.
-    if (this.#handover || now < later(this.#announcedAt, ANNOUNCE_MS)) return;
+    if (this.#handover || now < later(this.#announcedAt, ANNOUNCE_INTERVAL_MS)) return;
     if (isVoter && now < later(this.#leaderSeenAt, LEADERLESS_MS)) return;
     this.#announcedAt = now;
     const { epoch, count } = host.relay.version('config');
@@ -195,20 +195,20 @@
       count,
       // One that voted before has had its seat: while it was away somebody else may have taken that.
       isFirst: host.isFirstStart && !this.#hasVoted,
-      isSound: this.#isSound(),
+      isSound: this.#isHealthy(),
     } as const;
     for (const peer of host.peers()) host.send(peer, message);
   }
 
-  #change(now: Moment): void {
+  #changeVoters(now: Moment): void {
     const host = this.#host;
     if (!host.leadership.isServing || host.parts.isWriting(CONFIG_PART)) return;
     // What the old voters hold must be on a majority of the new ones too before those stand alone.
     const isRewriting =
       this.voters.length === 2 && allParts().some(host.parts.isWriting, host.parts);
     const change = this.#plan.next(this);
-    if (change.do === 'rewrite') host.rewriteParts(now);
-    else if (change.do === 'voters' && !isRewriting) host.changeVoters(now, change);
+    if (change.do === 'rewrite') host.rewritePartitions(now);
+    else if (change.do === 'voters' && !isRewriting) host.writeVoters(now, change);
   }
 
   /** Whether the seat of a voter that leaves is taken over, or nobody is there to take it. */
--- a/src/control/voter-plan.ts
+++ b/src/control/voter-plan.ts
@@ -1,11 +1,11 @@
 import type { Moment } from '../common/ids.js';
 
 /** A control node that announced itself lately and is heard of as no voter, or as one without a leader. */
-export interface Announced {
+export interface AnnouncedNode {
   readonly id: string;
   readonly zone: string;
   readonly isFirst: boolean;
-  readonly isSound: boolean;
+  readonly isHealthy: boolean;
   readonly at: Moment;
 }
 
@@ -15,10 +15,10 @@
   /** One set, or two while a change is under way. */
   readonly voters: readonly (readonly string[])[];
   /** How many voters are wanted, where some had to be left out. */
-  readonly seats: number | undefined;
-  readonly announced: readonly Announced[];
+  readonly voterCount: number | undefined;
+  readonly announced: readonly AnnouncedNode[];
   /** For how long a voter has been silent. */
-  silentMs(voter: string): number;
+  idleMs(voter: string): number;
   /** Whether a node is told to stop. */
   isLeaving(id: string): boolean;
   zoneOf(voter: string): string;
@@ -27,7 +27,7 @@
 export interface VotersChange {
   readonly do: 'voters';
   readonly voters: readonly (readonly string[])[];
-  readonly seats: number | undefined;
+  readonly voterCount: number | undefined;
 }
 
 export type VoterChange =
@@ -37,17 +37,17 @@
   | VotersChange;
 
 /** A voter silent for so long is replaced where a spare is there: a seat held by nobody alive is worth less. */
-const SILENT_MS = 2000;
+const UNREACHABLE_MS = 2000;
 /**
  * A voter silent for so long counts as gone for good, and the others may go on without it. Restarts, freezes and repairs
  * end sooner, and a return costs a change of voters. Waiting longer would leave the ones that are left without a majority
  * at the next loss for longer: losses that may come one after the other do so no faster than this.
  */
-const GONE_MS = 10_000;
+const DEPARTED_MS = 10_000;
 const NOTHING: VoterChange = { do: 'nothing' };
 
 /** How many more of so many alive may be lost until they are no majority of so many voters. */
-function lossesBorne(voters: number, alive: number): number {
+function toleratedFailures(voters: number, alive: number): number {
   return alive - (Math.floor(voters / 2) + 1);
 }
 
@@ -59,24 +59,25 @@
   #rewritten = '';
 
   /** A new leader knows nothing of how far the former one came with a change, and does it again. */
-  begin(): void {
+  reset(): void {
     this.#rewritten = '';
   }
 
   next(view: VoterView): VoterChange {
     const [current, following] = view.voters;
     if (!current) return NOTHING;
-    if (following) return this.#goOn(view, following);
-    const next = exchanged(view, current) ?? extended(view, current) ?? reduced(view, current);
+    if (following) return this.#continueChange(view, following);
+    const next =
+      withReplacement(view, current) ?? withAddition(view, current) ?? withRemoval(view, current);
     if (!next) return NOTHING;
-    return { do: 'voters', voters: [[...current], next.voters], seats: next.seats };
+    return { do: 'voters', voters: [[...current], next.voters], voterCount: next.voterCount };
   }
 
   /** A change that is under way: all parts reach a majority of both sets before the old one is let go. */
-  #goOn(view: VoterView, following: readonly string[]): VoterChange {
+  #continueChange(view: VoterView, following: readonly string[]): VoterChange {
     const change = view.voters.join(' | ');
     if (this.#rewritten === change) {
-      return { do: 'voters', voters: [following], seats: view.seats };
+      return { do: 'voters', voters: [following], voterCount: view.voterCount };
     }
     this.#rewritten = change;
     return { do: 'rewrite' };
@@ -85,58 +86,62 @@
 
 interface NextVoters {
   readonly voters: readonly string[];
-  readonly seats: number | undefined;
+  readonly voterCount: number | undefined;
 }
 
 /** Those that could vote: one that must still be repaired can hold nothing for us, and one that leaves is no gain. */
-function sparesFor(view: VoterView, current: readonly string[]): readonly Announced[] {
+function sparesFor(view: VoterView, current: readonly string[]): readonly AnnouncedNode[] {
   return view.announced.filter(
-    (node) => node.isSound && !current.includes(node.id) && !view.isLeaving(node.id),
+    (node) => node.isHealthy && !current.includes(node.id) && !view.isLeaving(node.id),
   );
 }
 
 /** A spare takes the seat of a voter that leaves, or of one that fell silent; one of its zone, if there is any. */
-function exchanged(view: VoterView, current: readonly string[]): NextVoters | undefined {
+function withReplacement(view: VoterView, current: readonly string[]): NextVoters | undefined {
   const spares = sparesFor(view, current);
   const old =
     current.find(view.isLeaving, view) ??
-    current.find((voter) => voter !== view.me && view.silentMs(voter) > SILENT_MS);
+    current.find((voter) => voter !== view.me && view.idleMs(voter) > UNREACHABLE_MS);
   if (old === undefined) return undefined;
   const spare = spares.find((node) => node.zone === view.zoneOf(old ?? '')) ?? spares[0];
   if (!spare) return undefined;
-  return { voters: current.map((voter) => (voter === old ? spare.id : voter)), seats: view.seats };
+  return {
+    voters: current.map((voter) => (voter === old ? spare.id : voter)),
+    voterCount: view.voterCount,
+  };
 }
 
 /** Seats that stand empty are filled; one more is opened for a node of the first start, or to make the number odd. */
-function extended(view: VoterView, current: readonly string[]): NextVoters | undefined {
+function withAddition(view: VoterView, current: readonly string[]): NextVoters | undefined {
   // An even number bears no more losses than the odd one below it, so that it is filled up whoever comes.
-  const isWanted = current.length % 2 === 0 || current.length < (view.seats ?? 0);
-  function votersBeside(node: Announced): number {
+  const isWanted = current.length % 2 === 0 || current.length < (view.voterCount ?? 0);
+  function votersBeside(node: AnnouncedNode): number {
     return current.filter((voter) => view.zoneOf(voter) === node.zone).length;
   }
-  let spare: Announced | undefined;
+  let spare: AnnouncedNode | undefined;
   for (const node of sparesFor(view, current).filter((node) => isWanted || node.isFirst)) {
     // The zone with the fewest voters goes first, so that the loss of a zone takes as few as possible.
     if (!spare || votersBeside(node) < votersBeside(spare)) spare = node;
   }
-  return spare && { voters: [...current, spare.id], seats: view.seats };
+  return spare && { voters: [...current, spare.id], voterCount: view.voterCount };
 }
 
 /** Those alive alone, if they then bear more losses than as a part of all; the number wanted stays what it was. */
-function reduced(view: VoterView, current: readonly string[]): NextVoters | undefined {
-  const staying = current.filter((voter) => silentMs(voter) <= GONE_MS);
+function withRemoval(view: VoterView, current: readonly string[]): NextVoters | undefined {
+  const staying = current.filter((voter) => silentMs(voter) <= DEPARTED_MS);
   const gain =
-    lossesBorne(staying.length, staying.length) - lossesBorne(current.length, staying.length);
+    toleratedFailures(staying.length, staying.length) -
+    toleratedFailures(current.length, staying.length);
   // One that is silent, though not for long, may be lost as well: then the count would be wrong.
   if (
     staying.length === current.length ||
     gain <= 0 ||
-    !staying.every((voter) => silentMs(voter) <= SILENT_MS)
+    !staying.every((voter) => silentMs(voter) <= UNREACHABLE_MS)
   )
     return undefined;
-  return { voters: staying, seats: Math.max(view.seats ?? 0, current.length) };
+  return { voters: staying, voterCount: Math.max(view.voterCount ?? 0, current.length) };
 
   function silentMs(voter: string): number {
-    return voter === view.me ? 0 : view.silentMs(voter);
+    return voter === view.me ? 0 : view.idleMs(voter);
   }
 }
--- a/src/control/voters.test.ts
+++ b/src/control/voters.test.ts
@@ -135,7 +135,7 @@
   cluster.wipe(leader);
   cluster.start(leader, false);
   cluster.run(9000);
-  expect(cluster.node(leader).core.standing.name).toBe('sound');
+  expect(cluster.node(leader).core.replicaStatus.name).toBe('sound');
   expect(JSON.parse(cluster.asked(leader, 'read', {}).body).routing.version).toBe(7);
 });
 test('blank nodes found at the first start alone', () => {
--- a/src/proxy/proxy-process.ts
+++ b/src/proxy/proxy-process.ts
@@ -9,7 +9,7 @@
 import { listenOn, splitAddress } from '../common/listen.js';
 import type { HaveMessage, Message } from '../common/messages.js';
 import { compareVersions, NO_VERSION, versionText, type Version } from '../common/version.js';
-import { ConfigNewsShape } from '../control/config-doc.js';
+import { ConfigUpdateShape } from '../control/config-shapes.js';
 import { Exchange, type Incoming } from '../dissemination/exchange.js';
 import { LeavingRunners } from '../dissemination/leaving-runners.js';
 import { applyFleetDelta, FleetDeltaShape, FleetShape, type Fleet } from '../placement/fleet.js';
@@ -238,7 +238,7 @@
   }
 
   #takeConfig(now: Moment, body: string): void {
-    const news = parseAs(ConfigNewsShape, body);
+    const news = parseAs(ConfigUpdateShape, body);
     const text = news?.routing?.text ?? '';
     if (!news || text === '') return;
     const known = this.#dispatcher.routing;
--- a/src/proxy/table-view.ts
+++ b/src/proxy/table-view.ts
@@ -1,7 +1,7 @@
 import { later, type Moment } from '../common/ids.js';
 import { parseAs } from '../common/json.js';
 import { compareVersions, NO_VERSION, type Version } from '../common/version.js';
-import { ConfigNewsShape, type ConfigNews } from '../control/config-doc.js';
+import { ConfigUpdateShape, type ConfigUpdate } from '../control/config-shapes.js';
 import {
   MachinesShape,
   PlacesShape,
@@ -43,7 +43,7 @@
 /** What a proxy was told: the table, where models are placed, and which machines leave. Nothing steps back a version. */
 export class TableView {
   readonly #me: string;
-  #config: { readonly version: Version; readonly news: ConfigNews } | undefined;
+  #config: { readonly version: Version; readonly news: ConfigUpdate } | undefined;
   #places: { readonly version: Version; readonly news: Places } | undefined;
   #machines: Machines = { revision: 0, machines: [] };
   /** Runners that get no new work: marked as leaving, or in an evacuated zone. */
@@ -157,7 +157,7 @@
 
   #take(now: Moment, topic: string, version: Version, body: string): TableChange {
     if (topic === 'config' && compareVersions(version, this.configVersion) > 0) {
-      const news = parseAs(ConfigNewsShape, body);
+      const news = parseAs(ConfigUpdateShape, body);
       if (news) this.#config = { version, news };
       return 'table';
     }
--- a/src/rehearsal/control-troubles.ts
+++ b/src/rehearsal/control-troubles.ts
@@ -115,7 +115,7 @@
 }
 
 function isWhole({ isUp, core }: SimControl): boolean {
-  return isUp && core?.standing.name === 'sound' && core.parts.unsoundParts().length === 0;
+  return isUp && core?.replicaStatus.name === 'sound' && core.parts.unsoundParts().length === 0;
 }
 
 function quicken(controlNode: SimControl): void {
--- a/src/rehearsal/final-checks.ts
+++ b/src/rehearsal/final-checks.ts
@@ -1,6 +1,6 @@
 import { CONFIG_PART } from '../state/part-names.js';
 import { decodeConfigDoc } from '../control/config-codec.js';
-import type { ConfigDoc } from '../control/config-doc.js';
+import type { ConfigDoc } from '../control/config-shapes.js';
 import type { ProxyWatch } from './proxy-watch.js';
 import type { RunFindings } from './run-findings.js';
 import type { SimControl } from './sim-control.js';
@@ -51,7 +51,7 @@
 
 function checkControlNodes({ controlNodes, findings }: HealedFleet): void {
   for (const controlNode of controlNodes) {
-    if (controlNode.core?.standing.name !== 'sound')
+    if (controlNode.core?.replicaStatus.name !== 'sound')
       findings.find(`${controlNode.id} does not count again`);
     const unsound = controlNode.core?.parts.unsoundParts() ?? [];
     if (unsound.length > 0)
--- a/src/rehearsal/scale-control.ts
+++ b/src/rehearsal/scale-control.ts
@@ -220,7 +220,7 @@
         page = read.next;
       }
       this.#runtime.submit((core: ControlCore) => {
-        core.list(monotonicNow(), runners);
+        core.onRunnerList(monotonicNow(), runners);
       });
       this.#lists += 1;
       this.#listMs += performance.now() - start;
@@ -243,7 +243,7 @@
       status = undefined;
     }
     this.#runtime.submit((core: ControlCore) => {
-      core.status(monotonicNow(), runner, askedAt, status);
+      core.onRunnerStatus(monotonicNow(), runner, askedAt, status);
     });
   }
 
@@ -264,7 +264,7 @@
       /* it may have come through */
     }
     this.#runtime.submit((owner: ControlCore) => {
-      owner.ordered(monotonicNow(), intent.id, outcome);
+      owner.onOrderOutcome(monotonicNow(), intent.id, outcome);
     });
   }
 }
--- a/src/rehearsal/sim-control.ts
+++ b/src/rehearsal/sim-control.ts
@@ -115,7 +115,7 @@
       const members = [];
       for (const id of this.#network.linkIds)
         members.push({ id, zone: '', address: id, epoch: 1e9, count: 0 });
-      core.receive(this.now(), this.id, { kind: 'acked', members });
+      core.onMessage(this.now(), this.id, { kind: 'acked', members });
     }
     core.tick(this.now());
   }
@@ -123,14 +123,14 @@
   receive(from: string, message: Message): void {
     const now = () => this.now();
     this.#do((core: ControlCore) => {
-      core.receive(now(), from, message);
+      core.onMessage(now(), from, message);
     });
   }
 
   gone(from: string): void {
     const now = () => this.now();
     this.#do((core: ControlCore) => {
-      core.gone(now(), from);
+      core.onDisconnect(now(), from);
     });
   }
 
@@ -155,7 +155,7 @@
     this.#replies.set(id, returned);
     const now = () => this.now();
     function command(core: ControlCore): void {
-      core.command(now(), id, verb, body);
+      core.onCommand(now(), id, verb, body);
     }
     this.perform(() => this.#do(command));
   }
@@ -192,7 +192,7 @@
         this.#trace.record('machines', []);
         const machines = this.#outside.platform.machines();
         function take(inner: ControlCore): void {
-          if (machines) inner.machines(now(), machines);
+          if (machines) inner.onMachines(now(), machines);
         }
         if (machines) this.later(this.#network.delay(), () => perform(take));
         break;
@@ -202,7 +202,7 @@
         const outside = this.#outside;
         const more = this.#wrong === 'slots-forgotten' ? 3 : 0;
         function take(inner: ControlCore): void {
-          inner.catalog(now(), {
+          inner.onCatalog(now(), {
             ...outside.orders.catalog,
             limit: outside.orders.catalog.limit + more,
           });
@@ -236,7 +236,7 @@
       const told = isCut() ? undefined : outside.report(runner);
       const report = told && more > 0 ? { ...told, room: told.room + more } : told;
       function take(core: ControlCore): void {
-        core.reported(now(), runner, askedAt, report);
+        core.onRunnerReport(now(), runner, askedAt, report);
       }
       later(report ? delay : 800, () => perform(take));
     });
@@ -254,7 +254,7 @@
     const { intent } = effect;
     this.#trace.order(intent);
     function told(outcome: 'taken' | 'turnedAway' | 'unsure' | 'unsent', inner: ControlCore): void {
-      inner.ordered(now(), intent.id, outcome);
+      inner.onOrderOutcome(now(), intent.id, outcome);
     }
     const epoch = core.elector.epoch;
     const wrong = this.#wrong;
@@ -296,7 +296,7 @@
     const store = this.#store;
     const now = () => this.now();
     function stored(core: ControlCore): void {
-      core.stored(now(), part, version);
+      core.onPersisted(now(), part, version);
     }
     const perform = () => this.perform(() => this.#do(stored));
     const late =
--- a/src/rehearsal/sim-operators.ts
+++ b/src/rehearsal/sim-operators.ts
@@ -1,7 +1,7 @@
 import { number, optional, string, type } from 'superstruct';
 import { parseAs } from '../common/json.js';
 import { compareVersions, NO_VERSION, versionText, type Version } from '../common/version.js';
-import { ConfigNewsShape } from '../control/config-doc.js';
+import { ConfigUpdateShape } from '../control/config-shapes.js';
 import { compile } from '../policy/language.js';
 import type { RunFindings } from './run-findings.js';
 import type { Scheduler } from './scheduler.js';
@@ -135,7 +135,7 @@
   }
 
   #editAsRead(editors: number, status: number, body: string): void {
-    const news = status === 200 ? parseAs(ConfigNewsShape, body) : undefined;
+    const news = status === 200 ? parseAs(ConfigUpdateShape, body) : undefined;
     if (!news) return;
     // Two operators who read the same table race each other, at different nodes.
     for (let index = 0; index < editors; index += 1)
--- a/src/rehearsal/simulation.test.ts
+++ b/src/rehearsal/simulation.test.ts
@@ -85,11 +85,11 @@
       voters.includes(fresh.id) &&
       !voters.includes(old.id) &&
       end?.core?.voters.length === 3 &&
-      fresh.core?.standing.name === 'sound' &&
+      fresh.core?.replicaStatus.name === 'sound' &&
       simulation.areProxiesFresh();
     if (!isDone || replies[replies.length - 1] !== 200)
       wrong.push(
-        `seed ${seed}, ${kind}: ${replies.join(' ')}; ${voters}; ${fresh.core?.standing.name}`,
+        `seed ${seed}, ${kind}: ${replies.join(' ')}; ${voters}; ${fresh.core?.replicaStatus.name}`,
       );
   }
   expect(wrong).toEqual([]);
@@ -158,7 +158,7 @@
     scheduler.runUntil(scheduler.now + 10_000);
     expect(simulation.leader()).toBeUndefined();
     for (const controlNode of victims) {
-      expect(controlNode.core?.standing.name).toBe('blank');
+      expect(controlNode.core?.replicaStatus.name).toBe('blank');
       controlNode.command('found', '{}', returned);
     }
     scheduler.runUntil(scheduler.now + 15_000);
@@ -237,7 +237,7 @@
     expect(replies).toEqual([200, 200, 200]);
     expect(simulation.leader()?.core?.voters).toEqual(names);
     for (const controlNode of simulation.controlNodes.slice(3))
-      expect(controlNode.core?.standing.name).toBe('sound');
+      expect(controlNode.core?.replicaStatus.name).toBe('sound');
     expect(simulation.areProxiesFresh()).toBe(true);
   }
 }, 600_000);
--- a/src/simulation/control-node.ts
+++ b/src/simulation/control-node.ts
@@ -267,14 +267,14 @@
     const now = this.process.now();
     const knownZone = role === 'mind' ? zone : '';
     this.#work((core: ControlCore) => {
-      core.receive(now, from, message, knownZone);
+      core.onMessage(now, from, message, knownZone);
     });
   }
 
   #gone(id: string): void {
     const now = this.process.now();
     this.#work((core: ControlCore) => {
-      core.gone(now, id);
+      core.onDisconnect(now, id);
     });
   }
 
@@ -322,7 +322,7 @@
     const { part, version, body } = effect;
     const now = () => this.now();
     function stored(inner: ControlCore): void {
-      inner.stored(now(), part, version);
+      inner.onPersisted(now(), part, version);
     }
     const stream = `disk ${part}`;
     const again = this.process.inThisLife(() => this.#keep(core, effect));
@@ -342,7 +342,7 @@
     const { intent, address } = effect;
     const now = () => this.now();
     function ordered(result: OrderResult, inner: ControlCore): void {
-      inner.ordered(now(), intent.id, result);
+      inner.onOrderOutcome(now(), intent.id, result);
     }
     const input = (input: (core: ControlCore) => void) =>
       this.#input(core, `order ${address}`, input);
@@ -370,7 +370,7 @@
   #command(id: number, { verb, body }: CoreCommand): void {
     const now = this.process.now();
     this.#work((core: ControlCore) => {
-      core.command(now, id, verb, body);
+      core.onCommand(now, id, verb, body);
     });
   }
 
@@ -380,5 +380,5 @@
 }
 
 function listAt(now: Moment, runners: readonly ListedRunner[], core: ControlCore): void {
-  core.list(now, runners);
+  core.onRunnerList(now, runners);
 }
--- a/src/simulation/control-simulation.ts
+++ b/src/simulation/control-simulation.ts
@@ -337,7 +337,7 @@
   }
 
   #isMadeGood(node: string, isForGood: boolean): boolean {
-    if (!isForGood) return this.#fleet.controls.get(node)?.core?.standing.name === 'sound';
+    if (!isForGood) return this.#fleet.controls.get(node)?.core?.replicaStatus.name === 'sound';
     const votes = this.#stateRules.voters.flat().includes(node);
     return this.#fleet.isGone(node) && !votes;
   }
--- a/src/simulation/exhaustive/control-node.ts
+++ b/src/simulation/exhaustive/control-node.ts
@@ -134,7 +134,7 @@
   }
 
   facts(): ControlFacts {
-    const { elector, isServing, standing, parts } = this.#core;
+    const { elector, isServing, replicaStatus: standing, parts } = this.#core;
     const doc = docOf(isServing ? parts.body(CONFIG_PART) : parts.replicaBody(CONFIG_PART));
     return {
       voters: this.#voters(),
@@ -162,17 +162,17 @@
         break;
       case 'receive':
         for (const message of input.messages) {
-          this.#core.receive(now, input.from, message, input.from);
+          this.#core.onMessage(now, input.from, message, input.from);
         }
         break;
       case 'stored':
-        this.#core.stored(now, partName(input.write.slot), input.write);
+        this.#core.onPersisted(now, partName(input.write.slot), input.write);
         break;
       case 'command': {
         const { call, order } = input.command;
         const { id, base, version } = order;
         const body = JSON.stringify({ id, base, text: documentOf(version) });
-        this.#core.command(now, call, 'configure', body);
+        this.#core.onCommand(now, call, 'configure', body);
         break;
       }
     }
--- a/src/simulation/mutants/election-mutants.ts
+++ b/src/simulation/mutants/election-mutants.ts
@@ -105,20 +105,20 @@
     super.tick(this.#read(now));
   }
 
-  override receive(now: Moment, from: string, message: Message, zone: string = ''): void {
-    super.receive(this.#read(now), from, message, zone);
+  override onMessage(now: Moment, from: string, message: Message, zone: string = ''): void {
+    super.onMessage(this.#read(now), from, message, zone);
   }
 
-  override gone(now: Moment, from: string): void {
-    super.gone(this.#read(now), from);
+  override onDisconnect(now: Moment, from: string): void {
+    super.onDisconnect(this.#read(now), from);
   }
 
-  override stored(now: Moment, part: PartName, version: Version): void {
-    super.stored(this.#read(now), part, version);
+  override onPersisted(now: Moment, part: PartName, version: Version): void {
+    super.onPersisted(this.#read(now), part, version);
   }
 
-  override command(now: Moment, id: number, verb: string, body: string): void {
-    super.command(this.#read(now), id, verb, body);
+  override onCommand(now: Moment, id: number, verb: string, body: string): void {
+    super.onCommand(this.#read(now), id, verb, body);
   }
 
   override retire(now: Moment): boolean {
--- a/src/simulation/mutants/exchanged-parts.ts
+++ b/src/simulation/mutants/exchanged-parts.ts
@@ -1,6 +1,6 @@
 import type { NodeId } from '../../common/ids.js';
 import { Quorum } from '../../common/quorum.js';
-import { OrderForwarding } from '../../control/order-forwarding.js';
+import { CommandForwarding } from '../../control/command-forwarding.js';
 import { VoterPlan, type VoterChange } from '../../control/voter-plan.js';
 
 /**
@@ -98,24 +98,24 @@
 
 /** A node that stood still takes whatever waited for it meanwhile. */
 function ageAtNodeUnjudged(): Restore {
-  const before = OrderForwarding.prototype.checkAge;
-  OrderForwarding.prototype.checkAge = judgeNothing;
+  const before = CommandForwarding.prototype.checkAge;
+  CommandForwarding.prototype.checkAge = judgeNothing;
   return () => restoreCheckAge(before);
 }
 
-function restoreCheckAge(checkAge: OrderForwarding['checkAge']): void {
-  OrderForwarding.prototype.checkAge = checkAge;
+function restoreCheckAge(checkAge: CommandForwarding['checkAge']): void {
+  CommandForwarding.prototype.checkAge = checkAge;
 }
 
 /** A leader takes orders that were passed on to it however long ago, and in whatever epoch. */
 function ageOnTheWayUnjudged(): Restore {
-  const before = OrderForwarding.prototype.checkForwarded;
-  OrderForwarding.prototype.checkForwarded = judgeNothing;
+  const before = CommandForwarding.prototype.checkForwarded;
+  CommandForwarding.prototype.checkForwarded = judgeNothing;
   return () => restoreCheckForwarded(before);
 }
 
-function restoreCheckForwarded(checkForwarded: OrderForwarding['checkForwarded']): void {
-  OrderForwarding.prototype.checkForwarded = checkForwarded;
+function restoreCheckForwarded(checkForwarded: CommandForwarding['checkForwarded']): void {
+  CommandForwarding.prototype.checkForwarded = checkForwarded;
 }
 
 /** Orders that name no version are taken however old they are, wherever they waited. */
--- a/src/simulation/mutants/intercepted-control.ts
+++ b/src/simulation/mutants/intercepted-control.ts
@@ -3,7 +3,7 @@
 import type { Version } from '../../common/version.js';
 import { ControlCore } from '../../control/control-core.js';
 import type { ControlEffect } from '../../control/control-effect.js';
-import type { CommandAnswer } from '../../control/order-answers.js';
+import type { CommandAnswer } from '../../control/command-answers.js';
 import type { ControlInputs } from '../core-build.js';
 
 /** A message as the core is to hear it. */
@@ -36,32 +36,32 @@
     super.tick(now);
   }
 
-  override receive(now: Moment, from: string, message: Message, zone: string = ''): void {
+  override onMessage(now: Moment, from: string, message: Message, zone: string = ''): void {
     this.#now = now;
     for (const heard of this.hear(from, message)) {
       if (heard.message.kind !== 'command') {
-        super.receive(now, heard.from, heard.message, zone);
+        super.onMessage(now, heard.from, heard.message, zone);
         continue;
       }
       const { id } = heard.message;
       const command = this.take(heard.message);
       const answer = this.answerOf(command);
       if (answer) this.say(heard.from, { kind: 'commandReply', id, ...answer });
-      else super.receive(now, heard.from, { ...heard.message, ...command }, zone);
+      else super.onMessage(now, heard.from, { ...heard.message, ...command }, zone);
     }
   }
 
-  override command(now: Moment, id: number, verb: string, body: string): void {
+  override onCommand(now: Moment, id: number, verb: string, body: string): void {
     this.#now = now;
     const command = this.take({ verb, body });
     const answer = this.answerOf(command);
     if (answer) this.#own.push({ do: 'reply', id, ...answer });
-    else super.command(now, id, command.verb, command.body);
+    else super.onCommand(now, id, command.verb, command.body);
   }
 
-  override stored(now: Moment, part: PartName, version: Version): void {
+  override onPersisted(now: Moment, part: PartName, version: Version): void {
     this.#now = now;
-    super.stored(now, part, version);
+    super.onPersisted(now, part, version);
   }
 
   override drain(): ControlEffect[] {
@@ -105,12 +105,12 @@
 
   /** Makes the core hear what nobody said. */
   protected pretend(from: string, message: Message): void {
-    super.receive(this.#now, from, message);
+    super.onMessage(this.#now, from, message);
   }
 
   /** Tells the core at once that a write is on disk. */
   protected pretendStored(part: PartName, version: Version): void {
-    super.stored(this.#now, part, version);
+    super.onPersisted(this.#now, part, version);
   }
 
   protected say(to: string, message: Message): void {
--- a/src/simulation/mutants/order-mutants.ts
+++ b/src/simulation/mutants/order-mutants.ts
@@ -1,10 +1,10 @@
 import { VersionConflictError } from '../../common/errors.js';
 import { parseAs } from '../../common/json.js';
 import { NO_VERSION } from '../../common/version.js';
-import { ConfigNewsShape, EditShapes, type ConfigDoc } from '../../control/config-doc.js';
+import { ConfigUpdateShape, EditShapes, type ConfigDoc } from '../../control/config-shapes.js';
 import { decodeConfigDoc } from '../../control/config-codec.js';
 import type { ControlEffect } from '../../control/control-effect.js';
-import { acceptedAnswer, errorAnswer, type CommandAnswer } from '../../control/order-answers.js';
+import { acceptedAnswer, errorAnswer, type CommandAnswer } from '../../control/command-answers.js';
 import { CONFIG_PART } from '../../state/part-names.js';
 import { InterceptedControl, type Command } from './intercepted-control.js';
 
@@ -37,7 +37,7 @@
 
 /** The version of the newest configuration that this node knows to be committed. */
 function committedVersion(core: InterceptedControl): number {
-  const update = parseAs(ConfigNewsShape, core.relay.item('config')?.body ?? '');
+  const update = parseAs(ConfigUpdateShape, core.relay.item('config')?.body ?? '');
   return update?.routing?.version ?? 0;
 }
 
--- a/src/simulation/mutants/state-mutants.ts
+++ b/src/simulation/mutants/state-mutants.ts
@@ -2,7 +2,7 @@
 import type { Message } from '../../common/messages.js';
 import { isNewer } from '../../common/version.js';
 import { decodeConfigDoc, encodeConfigDoc } from '../../control/config-codec.js';
-import type { ConfigDoc } from '../../control/config-doc.js';
+import type { ConfigDoc } from '../../control/config-shapes.js';
 import type { ControlEffect } from '../../control/control-effect.js';
 import { allParts, CONFIG_PART, VOTE_PART } from '../../state/part-names.js';
 import type { StoredPart } from '../../state/store.js';
--- a/src/simulation/node-watch.ts
+++ b/src/simulation/node-watch.ts
@@ -50,7 +50,7 @@
     this.#noteServing(node, known, core?.isServing === true);
     if (!core) return;
     this.#noteEpoch(node, known, core.elector.epoch);
-    const isSound = core.standing.name === 'sound';
+    const isSound = core.replicaStatus.name === 'sound';
     if (isSound && !known.isSound) this.#noteSound(node, known);
     known.isSound = isSound;
     if (known.isServing) this.#noteVoters(node, known, core.voters);
