--- a/src/common/ids.ts
+++ b/src/common/ids.ts
@@ -1,7 +1,6 @@
 /** Ids, epochs and moments are types of their own, so that one is never passed for another. */
 export type NodeId = string & { readonly kindOfId: 'node' };
 export type PartName = string & { readonly kindOfId: 'part' };
-export type EditId = string & { readonly kindOfId: 'edit' };
 export type Epoch = number & { readonly kindOfNumber: 'epoch' };
 /** Milliseconds on this process's monotonic clock; never compared between machines. */
 export type Moment = number & { readonly kindOfNumber: 'moment' };
@@ -12,9 +11,6 @@
 function isPartName(text: string): text is PartName {
   return /^[a-z0-9-]+$/.test(text);
 }
-function isEditId(text: string): text is EditId {
-  return /^[A-Za-z0-9._:-]{1,100}$/.test(text);
-}
 function isEpoch(value: number): value is Epoch {
   return Number.isSafeInteger(value) && value >= 0;
 }
@@ -34,10 +30,6 @@
   if (!isPartName(text)) throw wrong('part name', text);
   return text;
 }
-export function editId(text: string): EditId {
-  if (!isEditId(text)) throw wrong('edit id', text);
-  return text;
-}
 export function epochOf(value: number): Epoch {
   if (!isEpoch(value)) throw wrong('epoch', value);
   return value;
--- a/src/simulation/faults.ts
+++ b/src/simulation/faults.ts
@@ -1,4 +1,4 @@
-import { array, boolean, enums, literal, number, object, union, type Infer } from 'superstruct';
+import { boolean, enums, literal, number, object, union, type Infer } from 'superstruct';
 
 /** When a fault strikes: at a moment, or so long after the first such event from a moment on. */
 export const EVENTS = [
@@ -91,5 +91,4 @@
 export type Fault = Infer<typeof FaultShape>;
 export type FaultKind = Fault['kind'];
 
-export const ScheduleShape = array(FaultShape);
 export type Schedule = readonly Fault[];
--- a/src/simulation/same-runs/dispatcher-run.ts
+++ b/src/simulation/same-runs/dispatcher-run.ts
@@ -61,8 +61,8 @@
     this.#fleetAt = random.below(MOST_START_MS);
     this.#dispatcher = new Dispatcher({
       ...SETTINGS,
-      hasIdle: this.#idle.has.bind(this.#idle),
-      random: inner.next.bind(inner),
+      hasIdle: (id) => this.#idle.has(id),
+      random: () => inner.next(),
     });
     this.#attempts = new DrawnAttempts(random, this.#dispatcher, digest);
   }
--- a/src/simulation/seed-run.ts
+++ b/src/simulation/seed-run.ts
@@ -1,4 +1,4 @@
-import { array, boolean, enums, number, object, record, string, type Infer } from 'superstruct';
+import { array, boolean, enums, number, object, record, string } from 'superstruct';
 import { simulate, type RunLog } from './control-simulation.js';
 import { ORDER_KINDS, type RunFigures } from './run-figures.js';
 import { optionsOf, SHAPE_NAMES, type RunShape } from './run-shape.js';
@@ -43,8 +43,6 @@
   readonly figures: RunFigures;
 }
 
-export type SeedResultMessage = Infer<typeof SeedResultShape>;
-
 /** Runs the options and the schedule that a seed draws for a shape. */
 export function runSeed(seed: number, shape: RunShape, log?: RunLog): SeedResult {
   const options = optionsOf(seed, shape);
