--- a/src/agent/agent-core.ts
+++ b/src/agent/agent-core.ts
@@ -5,7 +5,7 @@
 import { compareVersions, NO_VERSION, versionsBetween, type Version } from '../common/version.js';
 import { Relay } from '../dissemination/relay.js';
 import { FreshnessConfirmation } from '../dissemination/freshness-confirmation.js';
-import { LeavingRunners } from '../dissemination/leaving-runners.js';
+import { DrainingRunnerIds } from '../dissemination/draining-runner-ids.js';
 import type { AgentMetrics } from './agent-metrics.js';
 
 export interface AgentSettings {
@@ -56,7 +56,7 @@
 export class AgentCore {
   readonly #settings: AgentSettings;
   readonly #relay = new Relay();
-  readonly #leaving = new LeavingRunners();
+  readonly #leaving = new DrainingRunnerIds();
   readonly #confirmation: FreshnessConfirmation;
   readonly #proxies = new Map<string, ProxyState>();
   /** When each of those that we feed asked last. */
@@ -217,7 +217,7 @@
           this.#proxies.delete(from);
         if (role === 'flow' && !this.#proxies.has(from))
           this.#proxies.set(from, { acked: NO_VERSION, goneAt: undefined });
-        this.#relay.heard(from, message.have);
+        this.#relay.onKnownVersions(from, message.have);
         // A control node that lost what it held asks for news alone.
         if (message.nonce < 0) {
           this.#flush();
@@ -235,14 +235,14 @@
           });
           break;
         }
-        this.#confirmation.add({ child: from, nonce: message.nonce, members: message.members });
+        this.#confirmation.enqueue({ child: from, nonce: message.nonce, members: message.members });
         this.#ask(now);
         break;
       case 'freshnessReply':
         if (from !== this.#upstream()) break;
         this.#askedAt = undefined;
         if (this.#settings.isDeployed) break;
-        for (const ask of this.#confirmation.end(message.nonce))
+        for (const ask of this.#confirmation.complete(message.nonce))
           this.#send(ask.child, { ...message, nonce: ask.nonce });
         this.#ask(now);
         break;
@@ -274,12 +274,12 @@
 
   /** Leaving runners that one below has not heard of, since a line dropped them or it came later. */
   #tellLacked(to: string, have: readonly HaveMessage[]): void {
-    const runners = this.#leaving.lackedBy(have);
+    const runners = this.#leaving.missingFrom(have);
     if (runners.length > 0) this.#send(to, { kind: 'leaving', runners: [...runners] });
   }
 
   #have(): HaveMessage[] {
-    return [...this.#relay.have(), ...this.#leaving.have()];
+    return [...this.#relay.knownVersions(), ...this.#leaving.summary()];
   }
 
   /** What a proxy holds is in force there: it applies news as it takes it. */
@@ -444,14 +444,14 @@
   #assignParent(now: Moment, parent: string): void {
     this.#parent = parent;
     this.#askedAt = undefined;
-    const asks = this.#confirmation.takeAll();
+    const asks = this.#confirmation.abort();
     if (this.#settings.isDeployed) {
       this.#newsAskedAt = moment(now - DEPLOYED.askMs);
       this.#askNews(now);
       return;
     }
     // Those who wait below are asked for anew at the new place.
-    for (const ask of asks) this.#confirmation.add(ask);
+    for (const ask of asks) this.#confirmation.enqueue(ask);
     this.#ask(now);
   }
 
--- a/src/agent/agent-join.test.ts
+++ b/src/agent/agent-join.test.ts
@@ -72,7 +72,7 @@
         });
       }
       if (effect.message.kind !== 'freshnessRequest') continue;
-      node.relay.heard('agent', effect.message.have);
+      node.relay.onKnownVersions('agent', effect.message.have);
       for (const { message } of node.relay.flush())
         this.core.receive(moment(this.#now), effect.to, 'mind', message);
     }
--- a/src/agent/agent-runtime.ts
+++ b/src/agent/agent-runtime.ts
@@ -11,7 +11,7 @@
 /** What the runtime uses of an exchange; one that counts what passes has the same members. */
 export type AgentExchange = Pick<
   Exchange,
-  'incoming$' | 'gone$' | 'open' | 'close' | 'dial' | 'send'
+  'incoming$' | 'disconnected$' | 'open' | 'close' | 'dial' | 'send'
 >;
 
 export type AgentNote = Extract<AgentEffect, { do: 'note' }>;
@@ -50,7 +50,9 @@
       ),
     );
     this.#subscription.add(
-      merge(this.#nodes.gone$, this.#feed.gone$).subscribe((id: string) => this.#gone(id)),
+      merge(this.#nodes.disconnected$, this.#feed.disconnected$).subscribe((id: string) =>
+        this.#gone(id),
+      ),
     );
     await this.#nodes.open();
     await this.#feed.open();
--- a/src/agent/table-agent-process.ts
+++ b/src/agent/table-agent-process.ts
@@ -52,7 +52,7 @@
 
   counters(): object {
     this.#counters.set('session.turns', this.#core.turns);
-    this.#counters.set('news.sent', this.#core.relay.sent);
+    this.#counters.set('news.sent', this.#core.relay.sentCount);
     return {
       ...this.#counters.all(),
       controlNode: this.#core.controlNode,
--- a/src/control/config-size.test.ts
+++ b/src/control/config-size.test.ts
@@ -103,7 +103,7 @@
   const old = new Relay();
   old.offer('config', { epoch: 4, count: 10 }, 'old');
   old.setChildren(['child']);
-  old.heard('child', [{ topic: 'config', epoch: 4, count: 710 }]);
+  old.onKnownVersions('child', [{ topic: 'config', epoch: 4, count: 710 }]);
   expect(old.flush()).toEqual([]);
   expect(old.offer('config', { epoch: 4, count: 710 }, 'new')).toBe(true);
   expect(old.offer('config', { epoch: 4, count: 11 }, 'late')).toBe(false);
--- a/src/control/config-store.test.ts
+++ b/src/control/config-store.test.ts
@@ -44,7 +44,7 @@
   }
 
   toldNumber(): unknown {
-    return JSON.parse(this.relay.item('config')?.body ?? '{}').number;
+    return JSON.parse(this.relay.latest('config')?.body ?? '{}').number;
   }
 }
 test('what is written is told once it is committed', () => {
--- a/src/control/config-store.ts
+++ b/src/control/config-store.ts
@@ -78,7 +78,7 @@
 
   /** A configuration told here that is newer than the one held: no majority has it any more. */
   unstoredUpdate(): ConfigUpdate | undefined {
-    const told = parseAs(ConfigUpdateShape, this.#dependencies.relay.item('config')?.body ?? '');
+    const told = parseAs(ConfigUpdateShape, this.#dependencies.relay.latest('config')?.body ?? '');
     return told && told.number > this.#newest.number ? told : undefined;
   }
 
--- a/src/control/control-runtime.ts
+++ b/src/control/control-runtime.ts
@@ -14,7 +14,7 @@
 /** What the runtime uses of an exchange; one that counts what passes has the same members. */
 export type ControlExchange = Pick<
   Exchange,
-  'incoming$' | 'gone$' | 'open' | 'close' | 'dial' | 'send'
+  'incoming$' | 'disconnected$' | 'open' | 'close' | 'dial' | 'send'
 >;
 
 /** One input of the core, run in its turn. */
@@ -79,7 +79,9 @@
     this.#subscription.add(
       this.#exchange.incoming$.subscribe((incoming: Incoming) => this.#onMessage(incoming)),
     );
-    this.#subscription.add(this.#exchange.gone$.subscribe((id: string) => this.#onDisconnect(id)));
+    this.#subscription.add(
+      this.#exchange.disconnected$.subscribe((id: string) => this.#onDisconnect(id)),
+    );
     await this.#exchange.open();
   }
 
--- a/src/control/control-snapshot.ts
+++ b/src/control/control-snapshot.ts
@@ -57,7 +57,7 @@
       copiesMended: parts.mends,
       leaderlessReadings: sources.drainingRunners?.reads ?? 0,
     }),
-    sessions: sessionNumbers(sources.sessions.up(), committed),
+    sessions: sessionNumbers(sources.sessions.connectedMembers(), committed),
   };
 }
 
--- a/src/control/control-status.ts
+++ b/src/control/control-status.ts
@@ -70,7 +70,7 @@
 /** One look at a node for its operators; nothing changes by it. */
 export function statusOf(now: Moment, sources: StatusSources): ControlStatus {
   const { elector, parts, replicaStatus, relay, leadership, placement } = sources;
-  const places = relay.item('places');
+  const places = relay.latest('places');
   return {
     me: sources.me,
     zone: sources.zone,
@@ -114,7 +114,7 @@
 }
 
 function versionOfTopic(relay: Relay, topic: string): string {
-  const item = relay.item(topic);
+  const item = relay.latest(topic);
   return item ? versionText(item.version) : 'none';
 }
 
--- a/src/control/control-updates.test.ts
+++ b/src/control/control-updates.test.ts
@@ -55,7 +55,7 @@
 /** Drawing the tree takes time with its size: words that change nothing must not draw it, or cost grows with the square of the links. */
 test('the tree is drawn where a join may change it, and not for every join', () => {
   const core = makeCore();
-  const chosen = vi.spyOn(Sessions.prototype, 'tree');
+  const chosen = vi.spyOn(Sessions.prototype, 'relayParents');
   function joinAll(at: number): void {
     for (let index = 0; index < 50; index += 1)
       core.onMessage(moment(at + index), `l:${100 + index}`, {
--- a/src/control/draining-runners-reader.ts
+++ b/src/control/draining-runners-reader.ts
@@ -2,7 +2,7 @@
 import type { HaveMessage, Message } from '../common/messages.js';
 import type { Quorum } from '../common/quorum.js';
 import type { Relay } from '../dissemination/relay.js';
-import { LeavingRunners } from '../dissemination/leaving-runners.js';
+import { DrainingRunnerIds } from '../dissemination/draining-runner-ids.js';
 import type { Elector } from '../election/elector.js';
 import type { ListedRunner } from '../placement/fleet.js';
 
@@ -41,7 +41,7 @@
  */
 export class DrainingRunnersReader {
   readonly #host: DrainingRunnersHost;
-  readonly #runners = new LeavingRunners();
+  readonly #runners = new DrainingRunnerIds();
   /** The last sign that a leader serves. */
   #lastServedAt: Moment;
   #lastTickAt: Moment;
@@ -105,7 +105,7 @@
   onUpdateRequest(from: string, have: readonly HaveMessage[]): void {
     // To a voter it would say that the list was read just now.
     if (this.#isVoter(from)) return;
-    const runners = this.#runners.lackedBy(have);
+    const runners = this.#runners.missingFrom(have);
     if (runners.length > 0) this.#notify(from, runners);
   }
 
--- a/src/control/followed-voters.ts
+++ b/src/control/followed-voters.ts
@@ -72,7 +72,7 @@
   #newestConfig(): string {
     let version = this.#sources.parts.versionOf(CONFIG_PART);
     let body = this.#sources.parts.replicaBody(CONFIG_PART);
-    for (const other of [this.#sources.relay?.item('config'), this.#read]) {
+    for (const other of [this.#sources.relay?.latest('config'), this.#read]) {
       if (!other || !isNewer(other.version, version)) continue;
       version = other.version;
       body = other.body;
--- a/src/control/known-members.test.ts
+++ b/src/control/known-members.test.ts
@@ -22,7 +22,7 @@
 /** With a session of member `a`. */
 function known(): KnownMembers {
   const sessions = new Sessions(500, BLIND_MS * 2);
-  sessions.join(SETTLED, 'a', 'z', 'a:1', NO_VERSION);
+  sessions.onJoin(SETTLED, 'a', 'z', 'a:1', NO_VERSION);
   return new KnownMembers(sessions, BLIND_MS, STARTED);
 }
 test('members are known by session, by asking and from others, for twice the blind span', () => {
--- a/src/control/known-members.ts
+++ b/src/control/known-members.ts
@@ -63,7 +63,7 @@
 
   /** Those with a session here now or lately, and those confirmed fresh through us lately, wherever their session is. */
   own(): MemberMessage[] {
-    const list = [...this.#sessions.recent()];
+    const list = [...this.#sessions.recentMembers()];
     const ids = new Set<string>();
     for (const member of list) ids.add(member.id);
     for (const id of this.#requestedAt.keys())
--- a/src/control/member-messages.ts
+++ b/src/control/member-messages.ts
@@ -104,7 +104,7 @@
     tree.reassignParents();
     const leader = this.#otherLeader();
     if (leader === undefined) return;
-    effects.send(leader, { kind: 'acked', members: [...sessions.up()] });
+    effects.send(leader, { kind: 'acked', members: [...sessions.connectedMembers()] });
     updates.request(leader);
   }
 
@@ -127,7 +127,7 @@
   }
 
   #onAck(from: string, message: AckMessage): void {
-    this.#dependencies.sessions.ack(from, message);
+    this.#dependencies.sessions.onAck(from, message);
     this.#dependencies.members.onAck(from, message);
   }
 
@@ -142,7 +142,7 @@
   #onFreshnessRequest(now: Moment, from: string, message: FreshnessRequest): void {
     const { relay, updates, reads, drainingRunners, isDeployed } = this.#dependencies;
     const { nonce, members, have } = message;
-    relay.heard(from, have);
+    relay.onKnownVersions(from, have);
     drainingRunners?.onUpdateRequest(from, have);
     if (nonce < 0) updates.onUpdateRequest(from);
     else if (isDeployed) this.#replyUnconfirmed(from, nonce);
--- a/src/control/quorum-reads.ts
+++ b/src/control/quorum-reads.ts
@@ -3,7 +3,10 @@
 import type { MemberMessage, Message } from '../common/messages.js';
 import type { Quorum } from '../common/quorum.js';
 import { isNewer, NO_VERSION, type Version } from '../common/version.js';
-import { FreshnessConfirmation, type Ask } from '../dissemination/freshness-confirmation.js';
+import {
+  FreshnessConfirmation,
+  type ChildRequest,
+} from '../dissemination/freshness-confirmation.js';
 import type { Relay } from '../dissemination/relay.js';
 import type { Elector } from '../election/elector.js';
 import { CONFIG_PART } from '../state/part-names.js';
@@ -87,9 +90,9 @@
   }
 
   /** A member, or a node on behalf of many, asks to be confirmed fresh. */
-  confirmFreshness(now: Moment, ask: Ask): void {
+  confirmFreshness(now: Moment, ask: ChildRequest): void {
     this.#dependencies.members.onRequest(now, ask.members);
-    this.#confirmation.add(ask);
+    this.#confirmation.enqueue(ask);
     this.tick(now);
   }
 
@@ -107,7 +110,7 @@
   #nextNonce(now: Moment, quorum: Quorum): number | undefined {
     // Where answers take longer than we wait to ask again, those to a new nonce would never be in time: what is open goes
     // on with the answers that it has. Other voters are asked anew.
-    if (this.#inFlight?.quorum.text === quorum.text) return this.#confirmation.repeat(now);
+    if (this.#inFlight?.quorum.text === quorum.text) return this.#confirmation.retry(now);
     return this.#confirmation.begin(now, this.#dependencies.elector.slowMs);
   }
 
@@ -148,7 +151,7 @@
   #request(purpose: Purpose): number {
     this.#lastId += 1;
     this.#purposes.set(this.#lastId, purpose);
-    this.#confirmation.add({ child: OWN, nonce: this.#lastId, members: [] });
+    this.#confirmation.enqueue({ child: OWN, nonce: this.#lastId, members: [] });
     return this.#lastId;
   }
 
@@ -179,7 +182,7 @@
 
   #complete(now: Moment, nonce: number, newest: ReadReply): void {
     const { version, evacuations: marks } = newest;
-    for (const ask of this.#confirmation.end(nonce)) {
+    for (const ask of this.#confirmation.complete(nonce)) {
       if (ask.child === OWN) this.#fulfil(now, ask.nonce, version);
       else
         this.#dependencies.effects.send(ask.child, {
@@ -205,7 +208,7 @@
 
   #answerRead(origin: Origin, newest: Version, isNewest: boolean): void {
     const { leadership, relay, effects } = this.#dependencies;
-    const item = relay.item('config');
+    const item = relay.latest('config');
     const isOurs = isNewest && item?.version.epoch === leadership.epoch;
     if (!leadership.isServing || !item || (!isOurs && isNewer(newest, item.version)))
       this.#refuse(origin, 'a newer configuration is being written; ask again');
--- a/src/control/relay-tree.ts
+++ b/src/control/relay-tree.ts
@@ -43,8 +43,8 @@
   /** An agent joined, or joins anew since it lost its parent. */
   onJoin(now: Moment, from: string, message: JoinMessage): void {
     const { sessions, effects } = this.#dependencies;
-    sessions.join(now, from, message.zone, message.address, message);
-    if (message.lost !== '') sessions.upset(now, message.lost);
+    sessions.onJoin(now, from, message.zone, message.address, message);
+    if (message.lost !== '') sessions.onUnreachable(now, message.lost);
     // The tree takes its time with many sessions: it is drawn anew where a word may change it, and else at the tick.
     if (!this.#parentOf.has(from) || message.lost !== '') this.reassignParents();
     effects.send(from, { kind: 'assignParent', parent: this.parentOf(from) });
@@ -52,13 +52,13 @@
 
   /** The connection to a node closed. */
   onDisconnect(id: string): void {
-    this.#dependencies.sessions.gone(id);
+    this.#dependencies.sessions.onDisconnect(id);
     this.#dependencies.relay.removeChild(id);
   }
 
   /** Tells those whose parent changed, and keeps feeding those that hang under us. */
   reassignParents(): void {
-    const tree = this.#dependencies.sessions.tree();
+    const tree = this.#dependencies.sessions.relayParents();
     const children: string[] = [];
     for (const [id, parent] of tree) {
       const before = this.#parentOf.get(id);
--- a/src/control/table-control-process.ts
+++ b/src/control/table-control-process.ts
@@ -159,7 +159,7 @@
     const { core } = this.#runtime;
     if (core) {
       this.#counters.set('epoch', core.elector.epoch);
-      this.#counters.set('news.sent', core.relay.sent);
+      this.#counters.set('news.sent', core.relay.sentCount);
       this.#counters.set('parts.mended', core.parts.mends);
       this.#counters.set('placement.writes', core.placementWrites);
     }
--- a/src/control/testing/attached-proxy.ts
+++ b/src/control/testing/attached-proxy.ts
@@ -2,7 +2,7 @@
 import { moment, type Moment } from '../../common/ids.js';
 import { parseAs } from '../../common/json.js';
 import type { HaveMessage, Message } from '../../common/messages.js';
-import { LeavingRunners } from '../../dissemination/leaving-runners.js';
+import { DrainingRunnerIds } from '../../dissemination/draining-runner-ids.js';
 import { FleetDeltaShape, FleetShape, type FleetRunner } from '../../placement/fleet.js';
 import type { FaultCluster, Neighbour } from './fault-cluster.js';
 
@@ -15,7 +15,7 @@
   readonly #cluster: FaultCluster;
   readonly #agent: AgentCore;
   readonly #held = new Map<string, HaveMessage>();
-  readonly #leaving = new LeavingRunners();
+  readonly #leaving = new DrainingRunnerIds();
   /** When the proxy heard first that a runner leaves. */
   readonly #heardAt = new Map<string, Moment>();
   #askedAt = moment(-ASK_MS);
@@ -43,7 +43,7 @@
     if (now - this.#askedAt >= ASK_MS) {
       this.#askedAt = now;
       this.#nonce += 1;
-      const have = [...this.#held.values(), ...this.#leaving.have()];
+      const have = [...this.#held.values(), ...this.#leaving.summary()];
       const ask = { kind: 'freshnessRequest', nonce: this.#nonce, have, members: [] } as const;
       this.#agent.receive(now, PROXY, 'flow', { ...ask, members: [] });
     }
--- a/src/control/update-exchange.test.ts
+++ b/src/control/update-exchange.test.ts
@@ -44,7 +44,7 @@
 test('whoever is fed elsewhere is answered once', () => {
   const node = new DutyNode([]);
   node.replica.relay.offer('config', { epoch: 1, count: 1 }, '{}');
-  node.replica.relay.heard('m', []);
+  node.replica.relay.onKnownVersions('m', []);
   node.duties.updates.onUpdateRequest('m');
   expect(recipients(node.sent())).toEqual(['m']);
   node.replica.relay.offer('config', { epoch: 1, count: 2 }, '{}');
--- a/src/control/update-exchange.ts
+++ b/src/control/update-exchange.ts
@@ -49,7 +49,7 @@
 
   /** Asks a node for whatever it has that is newer than ours. */
   request(from: string): void {
-    this.#request(from, this.#dependencies.relay.have());
+    this.#request(from, this.#dependencies.relay.knownVersions());
   }
 
   /** Asks every known member for all that it has, as if nothing were held here. */
--- a/src/control/voter-membership.ts
+++ b/src/control/voter-membership.ts
@@ -121,7 +121,7 @@
     const host = this.#host;
     if (id === host.me) return;
     this.#announced.set(id, { id, zone, isFirst, isHealthy: isSound, at: now });
-    const config = host.relay.item('config');
+    const config = host.relay.latest('config');
     if (config && from === id && isNewer(config.version, message))
       host.send(id, { kind: 'update', topic: 'config', ...config.version, body: config.body });
     // Passed on once: whoever came to us by another is not passed on again.
--- a/src/dissemination/exchange.test.ts
+++ b/src/dissemination/exchange.test.ts
@@ -40,7 +40,7 @@
     client.send(id, { kind: 'assignParent', parent: 'c' });
   }
   for (let isUp = false; !isUp;) {
-    isUp = client.isUp(id);
+    isUp = client.isConnected(id);
     if (!isUp) await new Promise(setImmediate);
   }
   sendAll();
@@ -49,7 +49,7 @@
   expect(messages[0]?.message.kind === 'update' && messages[0].message.body.length).toBe(3_000_000);
   server.send('client', { kind: 'assignParent', parent: 'p' });
   expect((await heard).message).toEqual({ kind: 'assignParent', parent: 'p' });
-  const gone = firstValueFrom(server.gone$);
+  const gone = firstValueFrom(server.disconnected$);
   client.close();
   expect(await gone).toBe('client');
   server.close();
@@ -96,7 +96,7 @@
   const client = make('client', '');
   const id = `127.0.0.1:${port}`;
   const began = monotonicNow();
-  const gone = firstValueFrom(client.gone$);
+  const gone = firstValueFrom(client.disconnected$);
   client.dial(id);
   await gone;
   expect(monotonicNow() - began).toBeGreaterThan(1400);
@@ -113,11 +113,11 @@
   const port = await server.open();
   const client = make('client', '');
   const lost: string[] = [];
-  client.gone$.subscribe(lost.push.bind(lost));
+  client.disconnected$.subscribe(lost.push.bind(lost));
   client.dial(`127.0.0.1:${port}`);
   await wait(2500);
   expect(lost).toEqual([]);
-  expect(client.isUp(`127.0.0.1:${port}`)).toBe(true);
+  expect(client.isConnected(`127.0.0.1:${port}`)).toBe(true);
   client.close();
   server.close();
 });
--- a/src/dissemination/exchange.ts
+++ b/src/dissemination/exchange.ts
@@ -16,7 +16,7 @@
 /** How the processes reach each other. Messages may be lost, never altered; those on one line keep their order. */
 export interface Transport {
   readonly incoming$: Observable<Incoming>;
-  readonly gone$: Observable<string>;
+  readonly disconnected$: Observable<string>;
   send(to: string, message: Message): void;
 }
 
@@ -30,19 +30,19 @@
   readonly reach: Readonly<Record<string, string>>;
 }
 
-const MAX_FRAME = 64 * 1024 * 1024;
-const MAX_UNSENT = 32 * 1024 * 1024;
-export const REDIAL_MS = 100;
-export const CONNECT_MS = 500;
+const MAX_FRAME_BYTES = 64 * 1024 * 1024;
+const MAX_UNSENT_BYTES = 32 * 1024 * 1024;
+export const REDIAL_DELAY_MS = 100;
+export const CONNECT_TIMEOUT_MS = 500;
 /** A line on which nothing was written for so long carries an empty frame; one from which nothing came for longer is dead. */
-export const KEEPALIVE_MS = 500;
-export const SILENT_MS = 1500;
-export const CHECK_MS = 250;
-export const MOST_QUEUED = 32;
+export const KEEPALIVE_INTERVAL_MS = 500;
+export const PEER_TIMEOUT_MS = 1500;
+export const CHECK_INTERVAL_MS = 250;
+export const MAX_QUEUED_MESSAGES = 32;
 const EMPTY_FRAME = Buffer.alloc(4);
 
 /** One TCP connection: frames of a length and a message, a hello first each way. */
-class Line {
+class Connection {
   readonly #socket: Socket;
   #parts: Buffer[] = [];
   #size = 0;
@@ -67,7 +67,7 @@
     const head = Buffer.allocUnsafe(4);
     head.writeUInt32BE(body.length);
     // A peer that no longer reads must not make us hold ever more for it: what it misses it asks for again.
-    if (this.#socket.writableLength > MAX_UNSENT) {
+    if (this.#socket.writableLength > MAX_UNSENT_BYTES) {
       this.#socket.destroy();
       return;
     }
@@ -78,7 +78,7 @@
   keepAlive(now: Moment): void {
     // What is still unsent says as much.
     if (
-      now - this.wroteAt < KEEPALIVE_MS ||
+      now - this.wroteAt < KEEPALIVE_INTERVAL_MS ||
       this.#socket.connecting ||
       this.#socket.writableLength > 0
     )
@@ -98,7 +98,7 @@
     let all = this.#parts.length === 1 ? chunk : Buffer.concat(this.#parts);
     while (all.length >= 4) {
       const length = all.readUInt32BE(0);
-      if (length > MAX_FRAME) throw new MalformedFrameError(`a frame of ${length} bytes`);
+      if (length > MAX_FRAME_BYTES) throw new MalformedFrameError(`a frame of ${length} bytes`);
       if (all.length < 4 + length) break;
       if (length > 0) messages.push(decodeMessage(all.subarray(4, 4 + length)));
       all = all.subarray(4 + length);
@@ -114,64 +114,64 @@
 export class Exchange implements Transport {
   readonly #settings: ExchangeSettings;
   readonly #incoming = new Subject<Incoming>();
-  readonly #gone = new Subject<string>();
-  readonly #lines = new Map<string, Line[]>();
-  readonly #all = new Set<Line>();
+  readonly #disconnected = new Subject<string>();
+  readonly #connectionsByNode = new Map<string, Connection[]>();
+  readonly #connections = new Set<Connection>();
   readonly #dialing = new Set<string>();
   /** The newest messages for a node that is being dialled; they are lost with a dial that fails. */
   readonly #queued = new Map<string, Message[]>();
-  readonly #tell: (defect: HaretrackError) => void;
+  readonly #onError: (defect: HaretrackError) => void;
   #server: Server | undefined;
   #isClosed = false;
   #checkedAt: Moment = monotonicNow();
-  readonly #checks: NodeJS.Timeout;
+  readonly #checkTimer: NodeJS.Timeout;
 
   constructor(settings: ExchangeSettings, tell: (defect: HaretrackError) => void) {
     this.#settings = settings;
-    this.#tell = tell;
-    this.#checks = setInterval(() => this.#check(), CHECK_MS).unref();
+    this.#onError = tell;
+    this.#checkTimer = setInterval(() => this.#checkConnections(), CHECK_INTERVAL_MS).unref();
   }
 
   get incoming$(): Observable<Incoming> {
     return this.#incoming;
   }
-  get gone$(): Observable<string> {
-    return this.#gone;
+  get disconnected$(): Observable<string> {
+    return this.#disconnected;
   }
 
   /** Listens, if this node does; returns the port. */
   async open(): Promise<number> {
     if (this.#settings.listen === '') return 0;
-    this.#server = createServer((socket) => this.#accept(socket));
+    this.#server = createServer((socket) => this.#onConnection(socket));
     return listenOn(this.#server, this.#settings.listen);
   }
 
   close(): void {
     this.#isClosed = true;
-    clearInterval(this.#checks);
+    clearInterval(this.#checkTimer);
     this.#server?.close();
-    for (const line of this.#all) line.socket.destroy();
+    for (const line of this.#connections) line.socket.destroy();
   }
 
   /** After a cut TCP sends again with growing pauses: a silent line is given up, to be dialled anew. */
-  #check(): void {
+  #checkConnections(): void {
     const now = monotonicNow();
     // Frozen or starved ourselves, we have heard nobody: what waits in the sockets is read first.
-    const own = now - this.#checkedAt - CHECK_MS;
+    const own = now - this.#checkedAt - CHECK_INTERVAL_MS;
     this.#checkedAt = now;
-    for (const line of this.#all) {
-      if (own > CHECK_MS) line.heardAt = now;
-      if (now - line.heardAt > SILENT_MS) line.socket.destroy();
+    for (const line of this.#connections) {
+      if (own > CHECK_INTERVAL_MS) line.heardAt = now;
+      if (now - line.heardAt > PEER_TIMEOUT_MS) line.socket.destroy();
       else line.keepAlive(now);
     }
   }
 
-  isUp(id: string): boolean {
-    return this.#lines.has(id);
+  isConnected(id: string): boolean {
+    return this.#connectionsByNode.has(id);
   }
 
   send(to: string, message: Message): void {
-    const lines = this.#lines.get(to);
+    const lines = this.#connectionsByNode.get(to);
     const line = lines?.[lines.length - 1];
     if (line) {
       line.write(message);
@@ -182,47 +182,53 @@
     // The first words of a session would else wait for its next tick.
     const queued = this.#queued.get(to) ?? [];
     queued.push(message);
-    if (queued.length > MOST_QUEUED) queued.shift();
+    if (queued.length > MAX_QUEUED_MESSAGES) queued.shift();
     this.#queued.set(to, queued);
   }
 
   /** Opens a line to a node that listens. */
   dial(id: string): void {
-    if (this.#isClosed || this.#dialing.has(id) || this.#lines.has(id) || !id.includes(':')) return;
+    if (
+      this.#isClosed ||
+      this.#dialing.has(id) ||
+      this.#connectionsByNode.has(id) ||
+      !id.includes(':')
+    )
+      return;
     this.#dialing.add(id);
     const { host, port } = splitAddress(this.#settings.reach[id] ?? id);
     const socket = connect({ host, port });
-    socket.setTimeout(CONNECT_MS, () => socket.destroy(undefined));
-    const line = new Line(socket);
+    socket.setTimeout(CONNECT_TIMEOUT_MS, () => socket.destroy(undefined));
+    const line = new Connection(socket);
     line.nodeId = id;
-    socket.once('connect', () => this.#dialed(line, id));
-    this.#serve(line);
-    socket.once('close', () => this.#redialable(id));
+    socket.once('connect', () => this.#onConnected(line, id));
+    this.#attach(line);
+    socket.once('close', () => this.#allowRedial(id));
   }
 
-  #dialed(line: Line, id: string): void {
+  #onConnected(line: Connection, id: string): void {
     line.socket.setTimeout(0);
     this.#dialing.delete(id);
-    this.#hello(line);
+    this.#sendHello(line);
     this.#register(line, id);
     for (const message of this.#queued.get(id) ?? []) line.write(message);
     this.#queued.delete(id);
   }
 
-  #redialable(id: string): void {
+  #allowRedial(id: string): void {
     if (!this.#dialing.has(id)) return;
     this.#queued.delete(id);
     // A short pause, so that a node that is down is not dialled in a tight loop.
-    setTimeout(() => this.#dialing.delete(id), REDIAL_MS).unref();
+    setTimeout(() => this.#dialing.delete(id), REDIAL_DELAY_MS).unref();
   }
 
-  #accept(socket: Socket): void {
-    const line = new Line(socket);
-    this.#serve(line);
-    this.#hello(line);
+  #onConnection(socket: Socket): void {
+    const line = new Connection(socket);
+    this.#attach(line);
+    this.#sendHello(line);
   }
 
-  #hello(line: Line): void {
+  #sendHello(line: Connection): void {
     line.write({
       kind: 'hello',
       id: this.#settings.id,
@@ -231,26 +237,26 @@
     });
   }
 
-  #serve(line: Line): void {
-    this.#all.add(line);
-    line.socket.on('data', (chunk) => this.#take(line, chunk));
+  #attach(line: Connection): void {
+    this.#connections.add(line);
+    line.socket.on('data', (chunk) => this.#onData(line, chunk));
     // The close that follows says all there is to know.
     line.socket.on('error', ignore);
-    line.socket.on('close', () => this.#closed(line));
+    line.socket.on('close', () => this.#onClose(line));
   }
 
-  #register(line: Line, id: string): void {
+  #register(line: Connection, id: string): void {
     line.nodeId = id;
-    const lines = this.#lines.get(id) ?? [];
-    if (!lines.includes(line)) this.#lines.set(id, [...lines, line]);
+    const lines = this.#connectionsByNode.get(id) ?? [];
+    if (!lines.includes(line)) this.#connectionsByNode.set(id, [...lines, line]);
   }
 
-  #take(line: Line, chunk: Buffer): void {
+  #onData(line: Connection, chunk: Buffer): void {
     let messages: Message[];
     try {
       messages = line.take(chunk);
     } catch (thrown) {
-      this.#tell(
+      this.#onError(
         thrown instanceof HaretrackError ? thrown : new MalformedFrameError(reasonOf(thrown)),
       );
       line.socket.destroy();
@@ -267,16 +273,16 @@
     }
   }
 
-  #closed(line: Line): void {
-    this.#all.delete(line);
-    const left = (this.#lines.get(line.nodeId) ?? []).filter((other) => line !== other);
-    if (!this.#lines.has(line.nodeId)) return;
+  #onClose(line: Connection): void {
+    this.#connections.delete(line);
+    const left = (this.#connectionsByNode.get(line.nodeId) ?? []).filter((other) => line !== other);
+    if (!this.#connectionsByNode.has(line.nodeId)) return;
     if (left.length > 0) {
-      this.#lines.set(line.nodeId, left);
+      this.#connectionsByNode.set(line.nodeId, left);
       return;
     }
-    this.#lines.delete(line.nodeId);
-    this.#gone.next(line.nodeId);
+    this.#connectionsByNode.delete(line.nodeId);
+    this.#disconnected.next(line.nodeId);
   }
 }
 function ignore(): void {
--- a/src/dissemination/relay.test.ts
+++ b/src/dissemination/relay.test.ts
@@ -4,7 +4,7 @@
   const relay = new Relay();
   expect(relay.offer('config', { epoch: 4, count: 1 }, 'new')).toBe(true);
   expect(relay.offer('config', { epoch: 2, count: 9 }, 'old')).toBe(false);
-  expect(relay.item('config')?.body).toBe('new');
+  expect(relay.latest('config')?.body).toBe('new');
 });
 test('a burst goes down as its newest, and what got lost goes again', () => {
   const relay = new Relay();
@@ -15,7 +15,7 @@
     { to: 'x', message: { kind: 'update', topic: 'config', epoch: 2, count: 50, body: 'body 50' } },
   ]);
   expect(relay.flush()).toEqual([]);
-  relay.heard('x', [{ topic: 'config', epoch: 2, count: 3 }]);
+  relay.onKnownVersions('x', [{ topic: 'config', epoch: 2, count: 3 }]);
   expect(relay.flush()).toHaveLength(1);
 });
 /** A large fleet takes long to read: changes are laid over it together, or each would cost as much as the whole. */
@@ -33,7 +33,7 @@
         JSON.stringify({ flows: count, waits: [], put: [], drop: [] }),
       ),
     ).toBe(true);
-  expect(JSON.parse(relay.item('fleet')?.body ?? '')).toEqual({
+  expect(JSON.parse(relay.latest('fleet')?.body ?? '')).toEqual({
     flows: 60,
     runners: [],
     waits: [],
--- a/src/dissemination/relay.ts
+++ b/src/dissemination/relay.ts
@@ -2,7 +2,7 @@
 import { mergeFleetText } from '../placement/fleet.js';
 import { compareVersions, isNewer, NO_VERSION, type Version } from '../common/version.js';
 
-export interface NewsItem {
+export interface Update {
   readonly topic: string;
   readonly version: Version;
   readonly body: string;
@@ -15,13 +15,13 @@
   readonly body: string;
 }
 
-interface Held {
+interface TopicState {
   version: Version;
   /** The whole as of some version, and the changes since. */
-  whole: string;
+  snapshot: string;
   deltas: Delta[];
   /** How many of the changes the whole has in it. */
-  folded: number;
+  foldedDeltas: number;
 }
 
 /** Topics that travel by changes, with how a change is laid over the whole. */
@@ -29,9 +29,9 @@
   Record<string, (whole: string, deltas: readonly string[]) => string | undefined>
 > = { fleet: mergeFleetText };
 /** Changes that are kept for those who lack a few; who lacks more gets the whole. */
-const MOST_DELTAS = 40;
+const MAX_DELTAS = 40;
 
-export interface NewsSend {
+export interface UpdateSend {
   readonly to: string;
   readonly message: Message;
 }
@@ -44,34 +44,34 @@
  * its last item, or by its changes to whoever has the version before them; nothing ever steps back a version.
  */
 export class Relay {
-  readonly #items = new Map<string, Held>();
+  readonly #topics = new Map<string, TopicState>();
   /** What each child is known to have, or to have been sent. */
   readonly #children = new Map<string, Map<string, Version>>();
-  #sent = 0;
+  #sentCount = 0;
 
-  get sent(): number {
-    return this.#sent;
+  get sentCount(): number {
+    return this.#sentCount;
   }
 
-  item(topic: string): NewsItem | undefined {
-    const held = this.#items.get(topic);
-    return held && { topic, version: held.version, body: wholeOf(topic, held) };
+  latest(topic: string): Update | undefined {
+    const held = this.#topics.get(topic);
+    return held && { topic, version: held.version, body: snapshotOf(topic, held) };
   }
 
   version(topic: string): Version {
-    return this.#items.get(topic)?.version ?? NO_VERSION;
+    return this.#topics.get(topic)?.version ?? NO_VERSION;
   }
 
-  have(): HaveMessage[] {
+  knownVersions(): HaveMessage[] {
     const list: HaveMessage[] = [];
-    for (const [topic, { version }] of this.#items) list.push({ topic, ...version });
+    for (const [topic, { version }] of this.#topics) list.push({ topic, ...version });
     return list;
   }
 
   /** Takes news if it is newer than what is held; says whether it was. */
   offer(topic: string, version: Version, body: string): boolean {
     if (!isNewer(version, this.version(topic))) return false;
-    this.#items.set(topic, { version, whole: body, deltas: [], folded: 0 });
+    this.#topics.set(topic, { version, snapshot: body, deltas: [], foldedDeltas: 0 });
     return true;
   }
 
@@ -80,7 +80,7 @@
    * held, as anything that got lost.
    */
   offerDelta(topic: string, version: Version, from: number, body: string): boolean {
-    const held = this.#items.get(topic);
+    const held = this.#topics.get(topic);
     if (
       !held ||
       MERGERS[topic] === undefined ||
@@ -91,10 +91,10 @@
       return false;
     held.deltas.push({ from, version, body });
     held.version = version;
-    if (held.deltas.length > MOST_DELTAS) {
-      wholeOf(topic, held);
-      held.deltas.splice(0, held.deltas.length - MOST_DELTAS / 2);
-      held.folded = held.deltas.length;
+    if (held.deltas.length > MAX_DELTAS) {
+      snapshotOf(topic, held);
+      held.deltas.splice(0, held.deltas.length - MAX_DELTAS / 2);
+      held.foldedDeltas = held.deltas.length;
     }
     return true;
   }
@@ -115,17 +115,17 @@
   }
 
   /** What a child says it has is truer than what we remember sending: the line may have dropped it. */
-  heard(child: string, have: readonly HaveMessage[]): void {
+  onKnownVersions(child: string, have: readonly HaveMessage[]): void {
     const known = new Map<string, Version>();
     for (const item of have) known.set(item.topic, item);
     this.#children.set(child, known);
   }
 
   /** The news that children lack, each marked as sent. */
-  flush(): NewsSend[] {
-    const sends: NewsSend[] = [];
+  flush(): UpdateSend[] {
+    const sends: UpdateSend[] = [];
     for (const topic of TOPICS) {
-      const item = this.#items.get(topic);
+      const item = this.#topics.get(topic);
       if (!item) continue;
       for (const [child, known] of this.#children) {
         if (compareVersions(item.version, known.get(topic) ?? NO_VERSION) <= 0) continue;
@@ -136,15 +136,15 @@
             ? item.deltas.findIndex((delta) => delta.from === had.count)
             : -1;
         if (at < 0) {
-          this.#sent += 1;
+          this.#sentCount += 1;
           sends.push({
             to: child,
-            message: { kind: 'update', topic, ...item.version, body: wholeOf(topic, item) },
+            message: { kind: 'update', topic, ...item.version, body: snapshotOf(topic, item) },
           });
           continue;
         }
         for (const { from, version, body } of item.deltas.slice(at)) {
-          this.#sent += 1;
+          this.#sentCount += 1;
           sends.push({ to: child, message: { kind: 'delta', topic, from, ...version, body } });
         }
       }
@@ -158,9 +158,9 @@
 }
 
 /** Changes are laid over the whole only when somebody needs it whole. */
-function wholeOf(topic: string, held: Held): string {
-  const deltas = held.deltas.slice(held.folded).map(bodyOf);
-  if (deltas.length > 0) held.whole = MERGERS[topic]?.(held.whole, deltas) ?? held.whole;
-  held.folded = held.deltas.length;
-  return held.whole;
+function snapshotOf(topic: string, held: TopicState): string {
+  const deltas = held.deltas.slice(held.foldedDeltas).map(bodyOf);
+  if (deltas.length > 0) held.snapshot = MERGERS[topic]?.(held.snapshot, deltas) ?? held.snapshot;
+  held.foldedDeltas = held.deltas.length;
+  return held.snapshot;
 }
--- a/src/dissemination/sessions.test.ts
+++ b/src/dissemination/sessions.test.ts
@@ -5,11 +5,14 @@
 function fill(count: number): Sessions {
   const sessions = new Sessions(1000, 5000);
   for (let index = 0; index < count; index += 1)
-    sessions.join(moment(0), `n${String(index).padStart(3, '0')}`, 'z', '', { epoch: 0, count: 0 });
+    sessions.onJoin(moment(0), `n${String(index).padStart(3, '0')}`, 'z', '', {
+      epoch: 0,
+      count: 0,
+    });
   return sessions;
 }
 test('the tree reaches 200 nodes in few steps with bounded fan-out', () => {
-  const tree = fill(200).tree();
+  const tree = fill(200).relayParents();
   const children = new Map<string, number>();
   for (const [id, parent] of tree) {
     children.set(parent, (children.get(parent) ?? 0) + 1);
@@ -21,11 +24,11 @@
 });
 test('nobody hangs under a node that was lost or not reached', () => {
   const sessions = fill(10);
-  sessions.upset(moment(0), 'n000');
-  expect([...sessions.tree().values()]).not.toContain('n000');
-  sessions.gone('n001');
-  expect([...sessions.tree().values()]).not.toContain('n001');
+  sessions.onUnreachable(moment(0), 'n000');
+  expect([...sessions.relayParents().values()]).not.toContain('n000');
+  sessions.onDisconnect('n001');
+  expect([...sessions.relayParents().values()]).not.toContain('n001');
   sessions.tick(moment(4000));
-  expect(sessions.recent()).toHaveLength(10);
-  expect(sessions.up()).toHaveLength(0);
+  expect(sessions.recentMembers()).toHaveLength(10);
+  expect(sessions.connectedMembers()).toHaveLength(0);
 });
--- a/src/dissemination/sessions.ts
+++ b/src/dissemination/sessions.ts
@@ -7,8 +7,8 @@
   readonly zone: string;
   readonly address: string;
   acked: Version;
-  heardAt: Moment;
-  isUp: boolean;
+  lastHeardAt: Moment;
+  isConnected: boolean;
 }
 
 export const FAN_OUT = 4;
@@ -16,70 +16,70 @@
 /** The sessions that stand with this control node, and the relay tree of their links. */
 export class Sessions {
   readonly #sessions = new Map<string, Session>();
-  readonly #upset = new Map<string, Moment>();
-  readonly #silentMs: number;
-  readonly #rememberMs: number;
+  readonly #unreachable = new Map<string, Moment>();
+  readonly #idleTimeoutMs: number;
+  readonly #retentionMs: number;
 
   constructor(silentMs: number, rememberMs: number) {
-    this.#silentMs = silentMs;
-    this.#rememberMs = rememberMs;
+    this.#idleTimeoutMs = silentMs;
+    this.#retentionMs = rememberMs;
   }
 
-  join(now: Moment, id: string, zone: string, address: string, acked: Version): void {
-    this.#sessions.set(id, { id, zone, address, acked, heardAt: now, isUp: true });
+  onJoin(now: Moment, id: string, zone: string, address: string, acked: Version): void {
+    this.#sessions.set(id, { id, zone, address, acked, lastHeardAt: now, isConnected: true });
   }
 
-  ack(id: string, version: Version): void {
+  onAck(id: string, version: Version): void {
     const session = this.#sessions.get(id);
     if (session && compareVersions(version, session.acked) > 0) session.acked = version;
   }
 
   /** A child could not reach this node: nobody is hung under it for a while. */
-  upset(now: Moment, id: string): void {
-    if (this.#sessions.has(id)) this.#upset.set(id, later(now, 3000));
+  onUnreachable(now: Moment, id: string): void {
+    if (this.#sessions.has(id)) this.#unreachable.set(id, later(now, 3000));
   }
 
-  gone(id: string): void {
+  onDisconnect(id: string): void {
     const session = this.#sessions.get(id);
-    if (session) session.isUp = false;
+    if (session) session.isConnected = false;
   }
 
   tick(now: Moment): void {
     for (const session of [...this.#sessions.values()]) {
-      if (now - session.heardAt > this.#silentMs) session.isUp = false;
+      if (now - session.lastHeardAt > this.#idleTimeoutMs) session.isConnected = false;
       // A lost member is remembered until it has surely gone blind, since a confirmation may still be on its way to it.
-      if (now - session.heardAt > this.#rememberMs) this.#sessions.delete(session.id);
+      if (now - session.lastHeardAt > this.#retentionMs) this.#sessions.delete(session.id);
     }
-    for (const [id, until] of this.#upset) if (now >= until) this.#upset.delete(id);
+    for (const [id, until] of this.#unreachable) if (now >= until) this.#unreachable.delete(id);
   }
 
   /** Members whose sessions stand. */
-  up(): readonly MemberMessage[] {
+  connectedMembers(): readonly MemberMessage[] {
     return this.#list(true);
   }
 
   /** Members that may still be fresh: those up and those lost a short while ago. */
-  recent(): readonly MemberMessage[] {
+  recentMembers(): readonly MemberMessage[] {
     return this.#list(false);
   }
 
   #list(onlyUp: boolean): MemberMessage[] {
     const list: MemberMessage[] = [];
-    for (const { id, zone, address, acked, isUp } of this.#sessions.values())
+    for (const { id, zone, address, acked, isConnected: isUp } of this.#sessions.values())
       if (isUp || !onlyUp) list.push({ id, zone, address, ...acked });
     return list;
   }
 
   /** Each member's parent: '' for those that hang under the control node itself. */
-  tree(): ReadonlyMap<string, string> {
+  relayParents(): ReadonlyMap<string, string> {
     const parents = new Map<string, string>();
     const byZone = new Map<string, string[]>();
     const ids: string[] = [];
-    for (const session of this.#sessions.values()) if (session.isUp) ids.push(session.id);
+    for (const session of this.#sessions.values()) if (session.isConnected) ids.push(session.id);
     ids.sort();
     // Each zone is a tree of its own, so that news crosses into it at its roots alone.
     for (const id of ids) {
-      if (this.#upset.has(id)) continue;
+      if (this.#unreachable.has(id)) continue;
       const zone = this.#sessions.get(id)?.zone ?? '';
       byZone.set(zone, [...(byZone.get(zone) ?? []), id]);
     }
@@ -88,7 +88,7 @@
         parents.set(id, index < FAN_OUT ? '' : (sound[Math.floor(index / FAN_OUT) - 1] ?? ''));
     }
     // Those that somebody could not reach carry nobody; they hang under the control node until they are trusted again.
-    for (const id of ids) if (this.#upset.has(id)) parents.set(id, '');
+    for (const id of ids) if (this.#unreachable.has(id)) parents.set(id, '');
     return parents;
   }
 }
--- a/src/placement/fleet.test.ts
+++ b/src/placement/fleet.test.ts
@@ -34,7 +34,7 @@
     { epoch: 2, count: 1 },
     JSON.stringify({ flows: 1, waits: [], runners: [runner('a', 'm')] } satisfies Fleet),
   );
-  relay.heard('old', [{ topic: 'fleet', epoch: 2, count: 1 }]);
+  relay.onKnownVersions('old', [{ topic: 'fleet', epoch: 2, count: 1 }]);
   expect(relay.offerDelta('fleet', { epoch: 2, count: 2 }, 1, deltaOf(1, [runner('a', 'n')]))).toBe(
     true,
   );
@@ -94,17 +94,17 @@
       pass(top, middle, 0.2);
       pass(middle, low, 0.2);
       if (random() < 0.2) {
-        top.heard('middle', middle.have());
-        middle.heard('low', low.have());
+        top.onKnownVersions('middle', middle.knownVersions());
+        middle.onKnownVersions('low', low.knownVersions());
       }
     }
     for (let round = 0; round < 3; round += 1) {
-      top.heard('middle', middle.have());
+      top.onKnownVersions('middle', middle.knownVersions());
       pass(top, middle, 0);
-      middle.heard('low', low.have());
+      middle.onKnownVersions('low', low.knownVersions());
       pass(middle, low, 0);
     }
-    expect(sorted(low.item('fleet')?.body ?? '')).toEqual(sorted(JSON.stringify(fleet)));
+    expect(sorted(low.latest('fleet')?.body ?? '')).toEqual(sorted(JSON.stringify(fleet)));
   }
   expect(mergeFleetText('not json', ['{}'])).toBeUndefined();
 });
--- a/src/proxy/proxy-process.ts
+++ b/src/proxy/proxy-process.ts
@@ -11,7 +11,7 @@
 import { compareVersions, NO_VERSION, versionText, type Version } from '../common/version.js';
 import { ConfigUpdateShape } from '../control/config-shapes.js';
 import { Exchange, type Incoming } from '../dissemination/exchange.js';
-import { LeavingRunners } from '../dissemination/leaving-runners.js';
+import { DrainingRunnerIds } from '../dissemination/draining-runner-ids.js';
 import { applyFleetDelta, FleetDeltaShape, FleetShape, type Fleet } from '../placement/fleet.js';
 import type { ConfigDialect } from '../route/routing.js';
 import { Dispatcher, type DispatcherSettings } from './dispatcher.js';
@@ -51,7 +51,7 @@
   readonly #readiness: Server;
   readonly #subscription = new Subscription();
   readonly #versions = new Map<string, Version>();
-  readonly #leaving = new LeavingRunners();
+  readonly #leaving = new DrainingRunnerIds();
   #routingText = '';
   #fleet: Fleet | undefined;
   #ticks = 0;
@@ -167,7 +167,7 @@
 
   #ask(): void {
     this.#leaving.tick(monotonicNow());
-    const have: HaveMessage[] = [...this.#leaving.have()];
+    const have: HaveMessage[] = [...this.#leaving.summary()];
     for (const [topic, version] of this.#versions) have.push({ topic, ...version });
     this.#nonce += 1;
     this.#exchange.send(this.#settings.link, {
--- a/src/rehearsal/final-checks.ts
+++ b/src/rehearsal/final-checks.ts
@@ -74,7 +74,7 @@
 }
 
 function checkService({ now, watch, findings }: HealedFleet, leader: SimControl): void {
-  const places = leader.core?.relay.item('places')?.body ?? '';
+  const places = leader.core?.relay.latest('places')?.body ?? '';
   const primaries = [...places.matchAll(/"primary":true/g)].length;
   if (primaries < FEWEST_PRIMARIES)
     findings.find(`only ${primaries} of 8 models have a primary after everything healed`);
--- a/src/rehearsal/scale-control.ts
+++ b/src/rehearsal/scale-control.ts
@@ -134,8 +134,8 @@
     const relay = this.#runtime.core?.relay;
     if (verb === 'bodies')
       return JSON.stringify({
-        config: relay?.item('config')?.body.length ?? 0,
-        fleet: relay?.item('fleet')?.body.length ?? 0,
+        config: relay?.latest('config')?.body.length ?? 0,
+        fleet: relay?.latest('fleet')?.body.length ?? 0,
       });
     const { verb: commanded, body: said } = mustParseAs(CommandShape, body, 'the command');
     return JSON.stringify(await this.#runtime.request(commanded, said));
--- a/src/rehearsal/simulation.ts
+++ b/src/rehearsal/simulation.ts
@@ -217,7 +217,7 @@
   /** The models whose primary a runner is. */
   modelsAt(runner: string): ReadonlySet<string> {
     const models = new Set<string>();
-    const places = parseAs(PlacesShape, this.leader()?.core?.relay.item('places')?.body ?? '');
+    const places = parseAs(PlacesShape, this.leader()?.core?.relay.latest('places')?.body ?? '');
     for (const place of places?.places ?? [])
       if (place.seats.some((seat) => seat.primary && seat.runner === runner))
         models.add(place.model);
--- a/src/rehearsal/tally.ts
+++ b/src/rehearsal/tally.ts
@@ -75,8 +75,8 @@
   get incoming$(): Observable<Incoming> {
     return this.#exchange.incoming$;
   }
-  get gone$(): Observable<string> {
-    return this.#exchange.gone$;
+  get disconnected$(): Observable<string> {
+    return this.#exchange.disconnected$;
   }
 
   /** Called by whoever takes what came in, once for each message. */
--- a/src/simulation/exhaustive/control-node.ts
+++ b/src/simulation/exhaustive/control-node.ts
@@ -149,7 +149,7 @@
   /** By its own copy, or by one that was told as committed and is newer. */
   #voters(): readonly (readonly string[])[] {
     const { parts, relay } = this.#core;
-    const news = relay.item('config');
+    const news = relay.latest('config');
     const isNews = news !== undefined && isNewer(news.version, parts.versionOf(CONFIG_PART));
     const doc = docOf(isNews ? news.body : parts.replicaBody(CONFIG_PART));
     return doc?.voters ?? [this.#seeds];
--- a/src/simulation/mutants/order-mutants.ts
+++ b/src/simulation/mutants/order-mutants.ts
@@ -37,7 +37,7 @@
 
 /** The version of the newest configuration that this node knows to be committed. */
 function committedVersion(core: InterceptedControl): number {
-  const update = parseAs(ConfigUpdateShape, core.relay.item('config')?.body ?? '');
+  const update = parseAs(ConfigUpdateShape, core.relay.latest('config')?.body ?? '');
   return update?.routing?.version ?? 0;
 }
 
@@ -115,7 +115,7 @@
 /** A leader answers reads by what it holds, without asking a majority. */
 export class ReadsUnproved extends InterceptedControl {
   protected override answerOf({ verb }: Command): CommandAnswer | undefined {
-    const body = this.relay.item('config')?.body;
+    const body = this.relay.latest('config')?.body;
     return verb === 'read' && this.isServing && body !== undefined
       ? { status: 200, body }
       : undefined;
@@ -125,7 +125,7 @@
 /** Any node answers reads by what it was told last. */
 export class FollowerReads extends InterceptedControl {
   protected override answerOf({ verb }: Command): CommandAnswer | undefined {
-    const body = this.relay.item('config')?.body;
+    const body = this.relay.latest('config')?.body;
     return verb === 'read' && body !== undefined ? { status: 200, body } : undefined;
   }
 }
--- a/src/simulation/sim-exchange.ts
+++ b/src/simulation/sim-exchange.ts
@@ -1,12 +1,12 @@
 import type { Message } from '../common/messages.js';
 import type { Moment } from '../common/ids.js';
 import {
-  CHECK_MS,
-  CONNECT_MS,
-  KEEPALIVE_MS,
-  MOST_QUEUED,
-  REDIAL_MS,
-  SILENT_MS,
+  CHECK_INTERVAL_MS,
+  CONNECT_TIMEOUT_MS,
+  KEEPALIVE_INTERVAL_MS,
+  MAX_QUEUED_MESSAGES,
+  REDIAL_DELAY_MS,
+  PEER_TIMEOUT_MS,
 } from '../dissemination/exchange.js';
 import type { Endpoint, Payload } from './endpoint.js';
 import { copyMessage } from './message-copy.js';
@@ -79,7 +79,7 @@
     this.#dialing = new Map();
     this.#queued = new Map();
     this.#checkedAt = this.#host.process.now();
-    this.#host.process.every(CHECK_MS, () => this.#check());
+    this.#host.process.every(CHECK_INTERVAL_MS, () => this.#check());
   }
 
   /** Closes all lines, as a process that stops in order does. */
@@ -101,7 +101,7 @@
     if (!this.#dialing.has(to)) return;
     const queued = this.#queued.get(to) ?? [];
     queued.push(message);
-    if (queued.length > MOST_QUEUED) queued.shift();
+    if (queued.length > MAX_QUEUED_MESSAGES) queued.shift();
     this.#queued.set(to, queued);
   }
 
@@ -126,7 +126,7 @@
       ),
       refused,
     });
-    process.after(CONNECT_MS, failed);
+    process.after(CONNECT_TIMEOUT_MS, failed);
   }
 
   accept(endpoint: Endpoint): void {
@@ -153,7 +153,7 @@
     this.#queued.delete(id);
     // A short pause, in which the node still counts as being dialled, by nobody.
     this.#dialing.set(id, -dial);
-    this.#host.process.after(REDIAL_MS, this.#allowDial.bind(this, id, -dial));
+    this.#host.process.after(REDIAL_DELAY_MS, this.#allowDial.bind(this, id, -dial));
   }
 
   #allowDial(id: string, dial: number): void {
@@ -215,11 +215,11 @@
   #check(): void {
     const now = this.#host.process.now();
     // Frozen ourselves, we have heard nobody: what waits in the sockets is read first.
-    const late = now - this.#checkedAt - CHECK_MS;
+    const late = now - this.#checkedAt - CHECK_INTERVAL_MS;
     this.#checkedAt = now;
     for (const line of [...this.#all]) {
-      if (late > CHECK_MS) line.heardAt = now;
-      if (now - line.heardAt > SILENT_MS) {
+      if (late > CHECK_INTERVAL_MS) line.heardAt = now;
+      if (now - line.heardAt > PEER_TIMEOUT_MS) {
         line.endpoint.close();
         this.#closed(line);
       } else {
@@ -229,7 +229,7 @@
   }
 
   #keepAlive(line: Line, now: Moment): void {
-    if (now - line.wroteAt < KEEPALIVE_MS || line.endpoint.isHeldUp) return;
+    if (now - line.wroteAt < KEEPALIVE_INTERVAL_MS || line.endpoint.isHeldUp) return;
     line.wroteAt = now;
     line.endpoint.send(KEEPALIVE);
   }
--- a/src/simulation/state-rules.ts
+++ b/src/simulation/state-rules.ts
@@ -8,7 +8,7 @@
   versionText,
   type Version,
 } from '../common/version.js';
-import type { NewsItem, Relay } from '../dissemination/relay.js';
+import type { Update, Relay } from '../dissemination/relay.js';
 import type { ControlNode } from './control-node.js';
 import type { OperatorAnswer } from './operator-call.js';
 import type { Report } from './violation.js';
@@ -86,7 +86,7 @@
     const version = relay.version('config');
     const shown = this.#shown.get(key);
     if (shown && compareVersions(version, shown.version) === 0) return;
-    const item = relay.item('config');
+    const item = relay.latest('config');
     if (!item) return;
     const config = this.#know(item);
     if (!config) return;
@@ -123,7 +123,7 @@
     return stored?.body.includes(editId) === true;
   }
 
-  #know(item: NewsItem): KnownConfig | undefined {
+  #know(item: Update): KnownConfig | undefined {
     const key = versionText(item.version);
     const known = this.#configs.get(key);
     if (known) {
