--- a/src/common/ids.ts
+++ b/src/common/ids.ts
@@ -1,6 +1,6 @@
 /** Ids, epochs and moments are types of their own, so that one is never passed for another. */
 export type NodeId = string & { readonly kindOfId: 'node' };
-export type PartName = string & { readonly kindOfId: 'part' };
+export type PartitionName = string & { readonly kindOfId: 'partition' };
 export type Epoch = number & { readonly kindOfNumber: 'epoch' };
 /** Milliseconds on this process's monotonic clock; never compared between machines. */
 export type Moment = number & { readonly kindOfNumber: 'moment' };
@@ -8,7 +8,7 @@
 function isNodeId(text: string): text is NodeId {
   return text !== '';
 }
-function isPartName(text: string): text is PartName {
+function isPartitionName(text: string): text is PartitionName {
   return /^[a-z0-9-]+$/.test(text);
 }
 function isEpoch(value: number): value is Epoch {
@@ -26,8 +26,8 @@
   if (!isNodeId(text)) throw wrong('peer id', text);
   return text;
 }
-export function partName(text: string): PartName {
-  if (!isPartName(text)) throw wrong('part name', text);
+export function partitionName(text: string): PartitionName {
+  if (!isPartitionName(text)) throw wrong('partition name', text);
   return text;
 }
 export function epochOf(value: number): Epoch {
--- a/src/compatibility/metrics.test.ts
+++ b/src/compatibility/metrics.test.ts
@@ -17,7 +17,7 @@
   majorityContactAgeMs: 270,
   voters: { members: 4, reachable: 3, isVoter: true, isJoint: false },
   replica: 'repairing',
-  unsoundParts: 2,
+  corruptPartitions: 2,
   configHeld: { epoch: 16, count: 41 },
   configCommitted: { epoch: 18, count: 40 },
   orders: {
--- a/src/compatibility/stored-state.test.ts
+++ b/src/compatibility/stored-state.test.ts
@@ -9,10 +9,10 @@
 import { quorumOf } from '../control/config-voters.js';
 import { EffectQueue } from '../control/effect-queue.js';
 import { readVotes, VoteStorage } from '../control/vote-storage.js';
-import { ServicePartShape } from '../placement/shapes.js';
+import { ServicePartitionShape } from '../placement/shapes.js';
 import { FileStore } from '../state/file-store.js';
-import { allParts, CONFIG_PART, VOTE_PART } from '../state/part-names.js';
-import type { StoredPart } from '../state/store.js';
+import { allPartitions, CONFIG_PARTITION, VOTE_RECORD } from '../state/partition-names.js';
+import type { StoredPartition } from '../state/store.js';
 import { expectGolden, TEST_DATA } from './testing/golden.js';
 
 /** Data folders that control nodes left when they were killed, after some hundred orders and a change of the voters. */
@@ -50,47 +50,49 @@
   return new FileStore(path, (fault) => faults.push(fault));
 }
 
-async function readFolder(folder: string): Promise<readonly StoredPart[]> {
+async function readFolder(folder: string): Promise<readonly StoredPartition[]> {
   return storeAt(await copyOf(folder)).readAll();
 }
 
-function byPart(a: StoredPart, b: StoredPart): number {
-  return a.part < b.part ? -1 : 1;
+function byPartition(a: StoredPartition, b: StoredPartition): number {
+  return a.partition < b.partition ? -1 : 1;
 }
 
-function partOf(stored: readonly StoredPart[], name: string): StoredPart {
-  const found = stored.find(({ part }) => part === name);
+function partitionOf(stored: readonly StoredPartition[], name: string): StoredPartition {
+  const found = stored.find(({ partition }) => partition === name);
   if (!found) throw new Error(`no part ${name}`);
   return found;
 }
 
 /** The files of a part's versions, the newest first. */
-async function versionsOf(path: string, part: string): Promise<string[]> {
-  const names = await readdir(join(path, part));
+async function versionsOf(path: string, partition: string): Promise<string[]> {
+  const names = await readdir(join(path, partition));
   const numbered = names.map((name) => ({ name, numbers: name.split('.').map(Number) }));
   numbered.sort(({ numbers: [epochA = 0, countA = 0] }, { numbers: [epochB = 0, countB = 0] }) =>
     epochA === epochB ? countB - countA : epochB - epochA,
   );
-  return numbered.map(({ name }) => join(path, part, name));
+  return numbered.map(({ name }) => join(path, partition, name));
 }
 
-async function newestOf(path: string, part: string): Promise<string> {
-  const [newest] = await versionsOf(path, part);
-  if (newest === undefined) throw new Error(`no file of ${part}`);
+async function newestOf(path: string, partition: string): Promise<string> {
+  const [newest] = await versionsOf(path, partition);
+  if (newest === undefined) throw new Error(`no file of ${partition}`);
   return newest;
 }
 
 describe.each(FOLDERS)('the data folder %s of an earlier build', (folder) => {
   test('opens with the same parts, versions and bodies', async () => {
-    const stored = [...(await readFolder(folder))].sort(byPart);
-    const seen = stored.map(({ part, version, body, isSound }) => {
+    const stored = [...(await readFolder(folder))].sort(byPartition);
+    const seen = stored.map(({ partition, version, body, isSound }) => {
       const { epoch, count } = version;
       // A part that nothing was written to yet is stored empty.
       const content: unknown = body === '' ? null : JSON.parse(body);
-      return { part, epoch, count, intact: isSound, content };
+      return { part: partition, epoch, count, intact: isSound, content };
     });
     expect(faults).toEqual([]);
-    expect(stored.map(({ part }) => part)).toEqual([...allParts(), VOTE_PART].sort());
+    expect(stored.map(({ partition }) => partition)).toEqual(
+      [...allPartitions(), VOTE_RECORD].sort(),
+    );
     expectGolden(`stored/${folder}.json`, seen);
   });
 
@@ -98,10 +100,11 @@
     const source = await copyOf(folder);
     const target = await temporaryFolder();
     const stored = await storeAt(source).readAll();
-    for (const { part, version, body } of stored) await storeAt(target).write(part, version, body);
-    for (const { part } of stored) {
-      const [written, ...more] = await versionsOf(target, part);
-      const original = await newestOf(source, part);
+    for (const { partition, version, body } of stored)
+      await storeAt(target).write(partition, version, body);
+    for (const { partition } of stored) {
+      const [written, ...more] = await versionsOf(target, partition);
+      const original = await newestOf(source, partition);
       expect(more).toEqual([]);
       expect(written?.replace(target, '')).toBe(original.replace(source, ''));
       expect(await readFile(written ?? '', 'utf8')).toBe(await readFile(original, 'utf8'));
@@ -109,7 +112,7 @@
   });
 
   test('has a configuration that is decoded and encoded without loss', async () => {
-    const { body } = partOf(await readFolder(folder), CONFIG_PART);
+    const { body } = partitionOf(await readFolder(folder), CONFIG_PARTITION);
     const document = decodeConfigDoc(body);
     expect(document?.edits.length).toBeGreaterThan(100);
     expect(document && encodeConfigDoc(document)).toBe(body);
@@ -118,11 +121,11 @@
   test('has placements that can be read', async () => {
     const stored = await readFolder(folder);
     const models = new Set<string>();
-    for (const part of allParts()) {
-      if (part === CONFIG_PART) continue;
-      const { body } = partOf(stored, part);
+    for (const partition of allPartitions()) {
+      if (partition === CONFIG_PARTITION) continue;
+      const { body } = partitionOf(stored, partition);
       if (body === '') continue;
-      const services = parseAs(ServicePartShape, body)?.services;
+      const services = parseAs(ServicePartitionShape, body)?.services;
       expect(services).toBeDefined();
       for (const { model } of services ?? []) models.add(model);
     }
@@ -131,7 +134,7 @@
 
   test('has a record of votes that counts, and is stored again as it was', async () => {
     const stored = await readFolder(folder);
-    const { version, body } = partOf(stored, VOTE_PART);
+    const { version, body } = partitionOf(stored, VOTE_RECORD);
     const votes = readVotes(stored);
     expect(votes.status).toBe('sound');
     expect(votes.count).toBe(version.count);
@@ -141,14 +144,14 @@
     const storage = new VoteStorage(effects, votes.count, votes.record.grantEpoch);
     storage.persist(1, votes.record);
     const following = { epoch: version.epoch, count: version.count + 1 };
-    expect(effects.drain()).toMatchObject([{ part: VOTE_PART, version: following, body }]);
+    expect(effects.drain()).toMatchObject([{ partition: VOTE_RECORD, version: following, body }]);
   });
 });
 
 test('a configuration with two sets of voters is read while they change', async () => {
   const path = await copyOf('deployed/follower');
-  await rm(await newestOf(path, CONFIG_PART));
-  const { version, body } = partOf(await storeAt(path).readAll(), CONFIG_PART);
+  await rm(await newestOf(path, CONFIG_PARTITION));
+  const { version, body } = partitionOf(await storeAt(path).readAll(), CONFIG_PARTITION);
   const quorum = quorumOf(body);
   expect(version).toEqual({ epoch: 2, count: 108 });
   expect(quorum?.sets).toBe(2);
@@ -193,9 +196,9 @@
     '%s: the version before it is shown, and does not count',
     async (_name, damage) => {
       const path = await copyOf('deployed/leader');
-      const before = partOf(await storeAt(path).readAll(), CONFIG_PART);
-      await damage(path, await newestOf(path, CONFIG_PART));
-      const after = partOf(await storeAt(path).readAll(), CONFIG_PART);
+      const before = partitionOf(await storeAt(path).readAll(), CONFIG_PARTITION);
+      await damage(path, await newestOf(path, CONFIG_PARTITION));
+      const after = partitionOf(await storeAt(path).readAll(), CONFIG_PARTITION);
       expect(before.isSound).toBe(true);
       expect(after.isSound).toBe(false);
       expect(after.version).toEqual({ epoch: 2, count: 108 });
@@ -205,8 +208,8 @@
 
   test('a part without any intact version is empty and does not count', async () => {
     const path = await copyOf('deployed/leader');
-    for (const file of await versionsOf(path, CONFIG_PART)) await writeFile(file, '{}');
-    const { version, body, isSound } = partOf(await storeAt(path).readAll(), CONFIG_PART);
+    for (const file of await versionsOf(path, CONFIG_PARTITION)) await writeFile(file, '{}');
+    const { version, body, isSound } = partitionOf(await storeAt(path).readAll(), CONFIG_PARTITION);
     expect({ version, body, isSound }).toEqual({
       version: { epoch: 0, count: 0 },
       body: '',
@@ -216,7 +219,7 @@
 
   test('a damaged record of votes makes the replica a lost one', async () => {
     const path = await copyOf('deployed/leader');
-    await writeFile(await newestOf(path, VOTE_PART), '{}');
+    await writeFile(await newestOf(path, VOTE_RECORD), '{}');
     expect(readVotes(await storeAt(path).readAll())).toMatchObject({
       status: 'lost',
       record: undefined,
@@ -227,7 +230,7 @@
     'a record of votes whose %s is of another type makes the replica a lost one',
     async (field) => {
       const stored = await readFolder('deployed/leader');
-      const { body, ...file } = partOf(stored, VOTE_PART);
+      const { body, ...file } = partitionOf(stored, VOTE_RECORD);
       const record: unknown = JSON.parse(body);
       expect(record).toHaveProperty(field);
       const spoiled = body.replace(new RegExp(`"${field}":[^,}]+`), `"${field}":[]`);
@@ -239,7 +242,7 @@
   test.each(['number', 'table', 'emptied', 'edits', 'voters', 'routing', 'editColumns'])(
     'a configuration whose %s is of another type is not decoded',
     async (field) => {
-      const { body } = partOf(await readFolder('deployed/leader'), CONFIG_PART);
+      const { body } = partitionOf(await readFolder('deployed/leader'), CONFIG_PARTITION);
       const content: object = JSON.parse(body);
       expect(content).toHaveProperty(field);
       expect(decodeConfigDoc(JSON.stringify({ ...content, [field]: 'wrong' }))).toBeUndefined();
@@ -249,15 +252,15 @@
 
   test('a missing record of votes beside other parts makes the replica a lost one', async () => {
     const path = await copyOf('deployed/leader');
-    await rm(join(path, VOTE_PART), { recursive: true });
+    await rm(join(path, VOTE_RECORD), { recursive: true });
     expect(readVotes(await storeAt(path).readAll())).toMatchObject({ status: 'lost', count: 0 });
   });
 
   test('a file that was being written aside is ignored', async () => {
     const path = await copyOf('deployed/leader');
-    const file = await newestOf(path, CONFIG_PART);
+    const file = await newestOf(path, CONFIG_PARTITION);
     await writeFile(file.replace(/\d+\.json$/, '9999.json.aside'), '{"part":"con');
-    expect(partOf(await storeAt(path).readAll(), CONFIG_PART)).toMatchObject({
+    expect(partitionOf(await storeAt(path).readAll(), CONFIG_PARTITION)).toMatchObject({
       version: { epoch: 2, count: 109 },
       isSound: true,
     });
--- a/src/compatibility/testing/recorded-cluster.ts
+++ b/src/compatibility/testing/recorded-cluster.ts
@@ -4,14 +4,14 @@
 import { ControlCore } from '../../control/control-core.js';
 import type { ControlEffect, ControlSettings } from '../../control/control-effect.js';
 import type { VoteSettings } from '../../election/vote-settings.js';
-import type { StoredPart } from '../../state/store.js';
+import type { StoredPartition } from '../../state/store.js';
 
 /** A control node at its start. */
 export interface RecordedNode {
   readonly id: string;
   readonly zone: string;
   /** What it finds on its disk. */
-  readonly stored: readonly StoredPart[];
+  readonly stored: readonly StoredPartition[];
 }
 
 /** An input that reaches a control node after a delay, in milliseconds. */
@@ -204,9 +204,9 @@
         this.#send(id, effect.to, effect.message);
         break;
       case 'store':
-        this.#record(`stored ${effect.part}`, effect.body);
+        this.#record(`stored ${effect.partition}`, effect.body);
         this.#schedule(DISK_MS, () => {
-          this.core(id).onPersisted(this.now, effect.part, effect.version);
+          this.core(id).onPersisted(this.now, effect.partition, effect.version);
           this.#drain(id);
         });
         break;
--- a/src/compatibility/testing/stored-folder.ts
+++ b/src/compatibility/testing/stored-folder.ts
@@ -2,11 +2,11 @@
 import { tmpdir } from 'node:os';
 import { join } from 'node:path';
 import { FileStore } from '../../state/file-store.js';
-import type { StoredPart } from '../../state/store.js';
+import type { StoredPartition } from '../../state/store.js';
 import { TEST_DATA } from './golden.js';
 
 /** Reads a committed data folder by way of a temporary copy; throws if any of its files is damaged. */
-export async function readStoredFolder(folder: string): Promise<readonly StoredPart[]> {
+export async function readStoredFolder(folder: string): Promise<readonly StoredPartition[]> {
   const path = await mkdtemp(join(tmpdir(), 'stored-folder-'));
   try {
     await cp(join(TEST_DATA, 'stored', folder, 'parts'), path, { recursive: true });
--- a/src/control/config-size.test.ts
+++ b/src/control/config-size.test.ts
@@ -3,7 +3,7 @@
 import { encodeMessage } from '../common/messages.js';
 import { compareVersions } from '../common/version.js';
 import { Relay } from '../dissemination/relay.js';
-import { CONFIG_PART } from '../state/part-names.js';
+import { CONFIG_PARTITION } from '../state/partition-names.js';
 import { decodeConfigDoc, encodeConfigDoc } from './config-codec.js';
 import { initialDoc, MAX_EDITS, type ConfigDoc } from './config-shapes.js';
 import { recordEdit } from './config-edits.js';
@@ -64,8 +64,8 @@
   const doc = withEdits(MAX_EDITS);
   const body = encodeConfigDoc(doc);
   const version = { epoch: 4, count: MAX_EDITS };
-  const stored = JSON.stringify({ part: CONFIG_PART, ...version, digest: idOf(0), body });
-  const message = encodeMessage({ kind: 'write', part: CONFIG_PART, ...version, body });
+  const stored = JSON.stringify({ part: CONFIG_PARTITION, ...version, digest: idOf(0), body });
+  const message = encodeMessage({ kind: 'write', part: CONFIG_PARTITION, ...version, body });
   const before = JSON.stringify(doc);
   process.stdout.write(
     `${MAX_EDITS} edits remembered: ${body.length} bytes, as objects ${before.length}; without any ${empty}; ` +
@@ -90,7 +90,7 @@
   cluster.configure(0, 1);
   cluster.kill(behind);
   const version = changed(cluster, 1, 300);
-  cluster.node(behind).store.rot(CONFIG_PART);
+  cluster.node(behind).store.rot(CONFIG_PARTITION);
   cluster.start(behind, THREE);
   cluster.runUntil(() => cluster.isCounting(behind), CATCH_UP_MS, 'it is mended');
   const [third = ''] = THREE.filter(isNeither.bind(undefined, behind, cluster.leader()));
--- a/src/control/config-store.test.ts
+++ b/src/control/config-store.test.ts
@@ -1,9 +1,9 @@
 import { expect, test } from 'vitest';
 import { Quorum } from '../common/quorum.js';
-import { moment, nodeId, type PartName } from '../common/ids.js';
+import { moment, nodeId, type PartitionName } from '../common/ids.js';
 import type { Version } from '../common/version.js';
 import { Relay } from '../dissemination/relay.js';
-import { allParts, CONFIG_PART } from '../state/part-names.js';
+import { allPartitions, CONFIG_PARTITION } from '../state/partition-names.js';
 import { ReplicatedState } from '../state/replicated-state.js';
 import { ConfigStore } from './config-store.js';
 import { PartitionWriter } from './partition-writer.js';
@@ -15,31 +15,35 @@
 /** The only voter, which owns all parts once its first writes are on disk. */
 class Owner {
   readonly relay = new Relay();
-  readonly parts = new ReplicatedState(ME, new Quorum([ME]), allParts(), []);
+  readonly state = new ReplicatedState(ME, new Quorum([ME]), allPartitions(), []);
   readonly document = new ConfigStore({
     seeds: ['a'],
-    parts: this.parts,
-    writer: new PartitionWriter(this.parts),
+    state: this.state,
+    writer: new PartitionWriter(this.state),
     relay: this.relay,
   });
 
   constructor() {
-    this.parts.lead(NOW, EPOCH);
+    this.state.lead(NOW, EPOCH);
     this.step();
     this.step();
   }
 
   /** Lets what is being written reach the disk, and takes up what was committed by then. */
   step(): void {
-    for (const effect of this.parts.drain()) {
-      if (effect.do === 'store') this.parts.stored(effect.part, effect.version, EPOCH, NOW);
-      else if (effect.do === 'committed') this.#commit(effect.part, effect.version);
+    for (const effect of this.state.drain()) {
+      if (effect.do === 'store') this.state.stored(effect.partition, effect.version, EPOCH, NOW);
+      else if (effect.do === 'committed') this.#commit(effect.partition, effect.version);
     }
   }
 
   /** The first writes take over the state; nothing is told of them. */
-  #commit(part: PartName, version: Version): void {
-    if (part === CONFIG_PART && this.parts.isServing && this.parts.replicaBody(part) !== '')
+  #commit(partition: PartitionName, version: Version): void {
+    if (
+      partition === CONFIG_PARTITION &&
+      this.state.isServing &&
+      this.state.replicaBody(partition) !== ''
+    )
       this.document.onCommitted(version);
   }
 
--- a/src/control/config-store.ts
+++ b/src/control/config-store.ts
@@ -2,7 +2,7 @@
 import { parseAs } from '../common/json.js';
 import type { Version } from '../common/version.js';
 import type { Relay } from '../dissemination/relay.js';
-import { CONFIG_PART } from '../state/part-names.js';
+import { CONFIG_PARTITION } from '../state/partition-names.js';
 import type { ReplicatedState } from '../state/replicated-state.js';
 import { decodeConfigDoc, encodeConfigDoc, mustDecodeConfigDoc } from './config-codec.js';
 import {
@@ -16,7 +16,7 @@
 /** Where the configuration is kept and told. */
 export interface ConfigStoreDependencies {
   readonly seeds: readonly string[];
-  readonly parts: ReplicatedState;
+  readonly state: ReplicatedState;
   readonly writer: PartitionWriter;
   readonly relay: Relay;
 }
@@ -45,12 +45,12 @@
 
   /** Whether a write of it is still without its majority. */
   get isWriting(): boolean {
-    return this.#dependencies.parts.isWriting(CONFIG_PART);
+    return this.#dependencies.state.isWriting(CONFIG_PARTITION);
   }
 
   /** Takes what was read while beginning to lead; says whether there was any. */
   load(): boolean {
-    const body = this.#dependencies.parts.body(CONFIG_PART);
+    const body = this.#dependencies.state.body(CONFIG_PARTITION);
     this.#newest = body === '' ? initialDoc(this.#dependencies.seeds) : mustDecodeConfigDoc(body);
     // It was rewritten by a majority in our epoch before we serve.
     this.#committed = this.#newest;
@@ -60,12 +60,12 @@
   /** Writes a configuration; `token` comes back with its commit. */
   write(now: Moment, doc: ConfigDoc, token: number): void {
     this.#newest = doc;
-    this.#dependencies.writer.write(now, CONFIG_PART, encodeConfigDoc(doc), token);
+    this.#dependencies.writer.write(now, CONFIG_PARTITION, encodeConfigDoc(doc), token);
   }
 
   /** A write was committed as this version: it is told to every node. */
   onCommitted(version: Version): void {
-    const doc = decodeConfigDoc(this.#dependencies.writer.takeCommitted(CONFIG_PART, version));
+    const doc = decodeConfigDoc(this.#dependencies.writer.takeCommitted(CONFIG_PARTITION, version));
     if (!doc) return;
     this.#publish(version, doc);
     this.#committed = this.isWriting ? doc : this.#newest;
@@ -73,7 +73,7 @@
 
   /** Tells every node what was loaded. */
   publishLoaded(): void {
-    this.#publish(this.#dependencies.parts.versionOf(CONFIG_PART), this.#newest);
+    this.#publish(this.#dependencies.state.versionOf(CONFIG_PARTITION), this.#newest);
   }
 
   /** A configuration told here that is newer than the one held: no majority has it any more. */
--- a/src/control/control-components.ts
+++ b/src/control/control-components.ts
@@ -73,7 +73,7 @@
     now: Moment,
     hooks: CoreHooks,
   ) {
-    const { me, elector, parts } = replica;
+    const { me, elector, state } = replica;
     this.#settings = settings;
     this.#replica = replica;
     this.#hooks = hooks;
@@ -82,7 +82,7 @@
     this.members = new KnownMembers(this.sessions, settings.blindMs, now);
     this.tree = this.#makeTree();
     this.zones = new ControlNodeZones(me, settings.zone, elector);
-    this.writer = new PartitionWriter(parts);
+    this.writer = new PartitionWriter(state);
     this.document = new ConfigStore({
       ...replica,
       seeds: settings.seeds,
--- a/src/control/control-core-metrics.test.ts
+++ b/src/control/control-core-metrics.test.ts
@@ -30,7 +30,7 @@
     isLeading: true,
     isServing: true,
     replica: 'sound',
-    unsoundParts: 0,
+    corruptPartitions: 0,
     voters: { members: 3, reachable: 3, isVoter: true, isJoint: false },
   });
   expect(leader.leaseLeftMs).toBeGreaterThan(0);
--- a/src/control/control-core.ts
+++ b/src/control/control-core.ts
@@ -1,5 +1,5 @@
 import { parseAs } from '../common/json.js';
-import { nodeId, type NodeId, type Moment, type PartName } from '../common/ids.js';
+import { nodeId, type NodeId, type Moment, type PartitionName } from '../common/ids.js';
 import type { Message } from '../common/messages.js';
 import type { Version } from '../common/version.js';
 import type { Relay } from '../dissemination/relay.js';
@@ -9,15 +9,15 @@
 import type { ListedRunner, RunnerStatus } from '../placement/fleet.js';
 import { PLACER_DEFAULTS, type PlacerSettings } from '../placement/placer-types.js';
 import {
-  ServicePartShape,
+  ServicePartitionShape,
   type Catalog,
   type Machines,
   type RunnerReport,
 } from '../placement/shapes.js';
-import { CONFIG_PART, VOTE_PART } from '../state/part-names.js';
+import { CONFIG_PARTITION, VOTE_RECORD } from '../state/partition-names.js';
 import type { ReplicatedState, ReplicatedStateEffect } from '../state/replicated-state.js';
 import type { ReplicaStatus } from '../state/replica-status.js';
-import type { StoredPart } from '../state/store.js';
+import type { StoredPartition } from '../state/store.js';
 import { ControlComponents } from './control-components.js';
 import type { ControlEffect, ControlSettings, OrderResult } from './control-effect.js';
 import type { ControlMetrics } from './control-metrics.js';
@@ -41,7 +41,7 @@
 
   constructor(
     settings: ControlSettings,
-    stored: readonly StoredPart[],
+    stored: readonly StoredPartition[],
     now: Moment,
     vote: VoteSettings = VOTE_DEFAULTS,
     placer: PlacerSettings = PLACER_DEFAULTS,
@@ -61,8 +61,8 @@
   get elector(): Elector {
     return this.#replica.elector;
   }
-  get parts(): ReplicatedState {
-    return this.#replica.parts;
+  get state(): ReplicatedState {
+    return this.#replica.state;
   }
   get relay(): Relay {
     return this.#replica.relay;
@@ -139,7 +139,7 @@
       this.#components;
     this.#replica.elector.tick(now);
     stateMessages.tick(now);
-    this.#replica.parts.tick(now);
+    this.#replica.state.tick(now);
     memberMessages.tick(now);
     takeover.tick(now);
     forwarding.tick(now);
@@ -174,13 +174,13 @@
   }
 
   /** A version of a part is on disk. */
-  onPersisted(now: Moment, part: PartName, version: Version): void {
+  onPersisted(now: Moment, partition: PartitionName, version: Version): void {
     const { votes, elector } = this.#replica;
-    if (part === VOTE_PART) {
+    if (partition === VOTE_RECORD) {
       votes.onPersisted(version, (token) => elector.kept(token));
       this.#components.repair.onVotePersisted(version);
     } else {
-      this.#components.stateMessages.onPersisted(now, part, version);
+      this.#components.stateMessages.onPersisted(now, partition, version);
     }
     this.#drainEffects(now);
   }
@@ -304,13 +304,13 @@
   // ---- what the election and the replicated state decide
 
   #drainEffects(now: Moment): void {
-    const { elector, parts, voters } = this.#replica;
+    const { elector, state, voters } = this.#replica;
     const { takeover, updates } = this.#components;
     takeover.update(now);
     for (let isBusy = true; isBusy;) {
       const decided = elector.drain();
       for (const effect of decided) this.#applyVoteEffect(effect);
-      const changed = parts.drain();
+      const changed = state.drain();
       for (const effect of changed) this.#applyStateEffect(now, effect);
       isBusy = decided.length + changed.length > 0;
       voters.follow();
@@ -331,13 +331,13 @@
     else if (effect.do === 'store') effects.add(effect);
     else if (effect.do === 'serving') this.#components.takeover.beginServing(now);
     else if (effect.do === 'voters') voters.onConfigRead(effect);
-    else if (effect.part === CONFIG_PART) this.#onConfigCommitted(now, effect);
+    else if (effect.partition === CONFIG_PARTITION) this.#onConfigCommitted(now, effect);
     else this.#onServicesCommitted(now, effect);
   }
 
-  #onServicesCommitted(now: Moment, { part, version }: CommittedEffect): void {
+  #onServicesCommitted(now: Moment, { partition, version }: CommittedEffect): void {
     const { placement, writer } = this.#components;
-    const body = parseAs(ServicePartShape, writer.takeCommitted(part, version));
+    const body = parseAs(ServicePartitionShape, writer.takeCommitted(partition, version));
     placement.onCommitted(now, body?.services ?? []);
   }
 
--- a/src/control/control-effect.ts
+++ b/src/control/control-effect.ts
@@ -1,4 +1,4 @@
-import type { PartName } from '../common/ids.js';
+import type { PartitionName } from '../common/ids.js';
 import type { Message } from '../common/messages.js';
 import type { Version } from '../common/version.js';
 import type { Fleet, FleetDemand, ListedRunner, RunnerStatus } from '../placement/fleet.js';
@@ -11,7 +11,7 @@
   | { readonly do: 'send'; readonly to: string; readonly message: Message }
   | {
       readonly do: 'store';
-      readonly part: PartName;
+      readonly partition: PartitionName;
       readonly version: Version;
       readonly body: string;
     }
--- a/src/control/control-families.test.ts
+++ b/src/control/control-families.test.ts
@@ -17,7 +17,7 @@
     majorityContactAgeMs: 250,
     voters: { members: 3, reachable: 3, isVoter: true, isJoint: false },
     replica: 'repairing',
-    unsoundParts: 0,
+    corruptPartitions: 0,
     configHeld: { epoch: 8, count: 41 },
     configCommitted: { epoch: 8, count: 40 },
     orders: counters.orders,
--- a/src/control/control-families.ts
+++ b/src/control/control-families.ts
@@ -69,7 +69,7 @@
       REPLICA_STATES,
       (state: ReplicaState): number => Number(state === node.replica),
     ),
-    gauge('unsound_parts', 'Parts whose copy here cannot be trusted.', node.unsoundParts),
+    gauge('unsound_parts', 'Parts whose copy here cannot be trusted.', node.corruptPartitions),
     gauge('config_held_epoch', 'Term of the configuration in this replica.', configHeld.epoch),
     gauge('config_held_count', 'Count of the configuration in this replica.', configHeld.count),
     gauge(
--- a/src/control/control-metrics.ts
+++ b/src/control/control-metrics.ts
@@ -93,7 +93,7 @@
   readonly voters: VoterNumbers;
   readonly replica: ReplicaState;
   /** Parts of the state whose copy here cannot be trusted. */
-  readonly unsoundParts: number;
+  readonly corruptPartitions: number;
   /** The configuration in this node's own replica, committed or not. */
   readonly configHeld: Version;
   /** The newest configuration that this node knows to be committed. */
--- a/src/control/control-process.ts
+++ b/src/control/control-process.ts
@@ -166,8 +166,8 @@
     return (core) => deliverWithZone(incoming, core);
   }
 
-  write({ part, version, body }: StoreEffect): Promise<void> {
-    return this.#report.measure(this.#store.write(part, version, body));
+  write({ partition, version, body }: StoreEffect): Promise<void> {
+    return this.#report.measure(this.#store.write(partition, version, body));
   }
 
   perform(effect: OutsideEffect, core: ControlCore): void {
--- a/src/control/control-replica.ts
+++ b/src/control/control-replica.ts
@@ -3,10 +3,10 @@
 import { Relay } from '../dissemination/relay.js';
 import { Elector } from '../election/elector.js';
 import type { VoteSettings } from '../election/vote-settings.js';
-import { allParts } from '../state/part-names.js';
+import { allPartitions } from '../state/partition-names.js';
 import { ReplicatedState } from '../state/replicated-state.js';
 import { ReplicaStatus } from '../state/replica-status.js';
-import type { StoredPart } from '../state/store.js';
+import type { StoredPartition } from '../state/store.js';
 import type { ControlSettings } from './control-effect.js';
 import { ControlCounters } from './control-metrics.js';
 import { quorumOf } from './config-voters.js';
@@ -20,7 +20,7 @@
   readonly me: NodeId;
   readonly elector: Elector;
   readonly votes: VoteStorage;
-  readonly parts: ReplicatedState;
+  readonly state: ReplicatedState;
   readonly replicaStatus: ReplicaStatus;
   readonly relay: Relay;
   readonly voters: FollowedVoters;
@@ -32,7 +32,7 @@
 /** Makes them of what a disk holds. */
 export function makeReplica(
   settings: ControlSettings,
-  stored: readonly StoredPart[],
+  stored: readonly StoredPartition[],
   now: Moment,
   vote: VoteSettings,
 ): ControlReplica {
@@ -45,12 +45,12 @@
   const elector = new Elector(me, seeds, vote, now, record);
   if (status !== 'sound')
     elector.setMayVote(false, { epoch: 0, grantEpoch: 0, grantLeader: '' }, now);
-  const parts = new ReplicatedState(me, seeds, allParts(), stored, quorumOf);
+  const state = new ReplicatedState(me, seeds, allPartitions(), stored, quorumOf);
   return {
     me,
     elector,
     votes: new VoteStorage(effects, count, record?.grantEpoch ?? 0),
-    parts,
+    state,
     replicaStatus: new ReplicaStatus(
       me,
       status,
@@ -64,7 +64,7 @@
     // What the leader tells is followed in a deployment alone, where voters change by themselves.
     voters: new FollowedVoters(seeds, {
       elector,
-      parts,
+      state,
       relay: settings.deployed && relay,
       counters,
     }),
--- a/src/control/control-runtime.ts
+++ b/src/control/control-runtime.ts
@@ -181,7 +181,7 @@
   }
 
   async #store(effect: StoreEffect): Promise<void> {
-    const { part, version } = effect;
+    const { partition, version } = effect;
     try {
       await this.#ports.write(effect);
     } catch {
@@ -190,7 +190,7 @@
       return;
     }
     this.submit((core: ControlCore) => {
-      core.onPersisted(monotonicNow(), part, version);
+      core.onPersisted(monotonicNow(), partition, version);
     });
   }
 }
--- a/src/control/control-snapshot.ts
+++ b/src/control/control-snapshot.ts
@@ -2,7 +2,7 @@
 import type { Relay } from '../dissemination/relay.js';
 import type { Sessions } from '../dissemination/sessions.js';
 import type { Elector } from '../election/elector.js';
-import { CONFIG_PART } from '../state/part-names.js';
+import { CONFIG_PARTITION } from '../state/partition-names.js';
 import type { ReplicatedState } from '../state/replicated-state.js';
 import type { ReplicaStatus } from '../state/replica-status.js';
 import {
@@ -20,7 +20,7 @@
 export interface MetricsSources {
   readonly me: NodeId;
   readonly elector: Elector;
-  readonly parts: ReplicatedState;
+  readonly state: ReplicatedState;
   readonly replicaStatus: ReplicaStatus;
   readonly repair: ReplicaRepair;
   readonly relay: Relay;
@@ -34,7 +34,7 @@
 
 /** One look at a node, for its metrics; nothing changes by it. */
 export function metricsOf(now: Moment, sources: MetricsSources): ControlMetrics {
-  const { elector, parts, leadership, counters, repair } = sources;
+  const { elector, state, leadership, counters, repair } = sources;
   const contact = elector.majorityContact(now);
   const committed = sources.relay.version('config');
   return {
@@ -47,14 +47,14 @@
     majorityContactAgeMs: contact === undefined ? undefined : now - contact,
     voters: voterNumbers(now, sources),
     replica: repair.isInProgress ? 'repairing' : sources.replicaStatus.name,
-    unsoundParts: parts.unsoundParts().length,
-    configHeld: parts.versionOf(CONFIG_PART),
+    corruptPartitions: state.corruptPartitions().length,
+    configHeld: state.versionOf(CONFIG_PARTITION),
     configCommitted: committed,
     orders: counters.orders,
     events: counters.eventsWith({
       electionsStarted: elector.electionsStarted,
       votesGranted: elector.votesGranted,
-      copiesMended: parts.mends,
+      copiesMended: state.mends,
       leaderlessReadings: sources.drainingRunners?.reads ?? 0,
     }),
     sessions: sessionNumbers(sources.sessions.connectedMembers(), committed),
--- a/src/control/control-status.ts
+++ b/src/control/control-status.ts
@@ -5,7 +5,7 @@
 import type { Relay } from '../dissemination/relay.js';
 import type { Elector } from '../election/elector.js';
 import type { Intent, ServiceDoc } from '../placement/shapes.js';
-import { allParts } from '../state/part-names.js';
+import { allPartitions } from '../state/partition-names.js';
 import type { ReplicatedState } from '../state/replicated-state.js';
 import type { ReplicaStatus, ReplicaStatusName } from '../state/replica-status.js';
 import type { FollowedVoters } from './followed-voters.js';
@@ -19,7 +19,7 @@
   readonly me: NodeId;
   readonly zone: string;
   readonly elector: Elector;
-  readonly parts: ReplicatedState;
+  readonly state: ReplicatedState;
   readonly replicaStatus: ReplicaStatus;
   readonly relay: Relay;
   readonly tree: RelayTree;
@@ -69,7 +69,7 @@
 
 /** One look at a node for its operators; nothing changes by it. */
 export function statusOf(now: Moment, sources: StatusSources): ControlStatus {
-  const { elector, parts, replicaStatus, relay, leadership, placement } = sources;
+  const { elector, state, replicaStatus, relay, leadership, placement } = sources;
   const places = relay.latest('places');
   return {
     me: sources.me,
@@ -84,9 +84,9 @@
     leaseLeftMs: Math.max(0, Math.round(elector.leaseEnd - now)),
     voters: sources.voters.quorum.all,
     scores: scoresOf(sources),
-    parts: versionsOf(parts),
-    unsound: parts.unsoundParts(),
-    mended: parts.mends,
+    parts: versionsOf(state),
+    unsound: state.corruptPartitions(),
+    mended: state.mends,
     config: versionOfTopic(relay, 'config'),
     placesVersion: versionOfTopic(relay, 'places'),
     machines: placement.table.machines.revision,
@@ -107,9 +107,10 @@
   return Math.round(score * 1000) / 1000;
 }
 
-function versionsOf(parts: ReplicatedState): Record<string, string> {
+function versionsOf(state: ReplicatedState): Record<string, string> {
   const versions: Record<string, string> = {};
-  for (const part of allParts()) versions[part] = versionText(parts.versionOf(part));
+  for (const partition of allPartitions())
+    versions[partition] = versionText(state.versionOf(partition));
   return versions;
 }
 
--- a/src/control/fleet-manager.ts
+++ b/src/control/fleet-manager.ts
@@ -1,5 +1,5 @@
-import { CONFIG_PART, servicePart } from '../state/part-names.js';
-import { later, moment, type Moment, type PartName } from '../common/ids.js';
+import { CONFIG_PARTITION, servicePartition } from '../state/partition-names.js';
+import { later, moment, type Moment, type PartitionName } from '../common/ids.js';
 import { parseAs } from '../common/json.js';
 import {
   FleetDemandShape,
@@ -17,7 +17,7 @@
 /** What the fleet manager needs of the node that leads. */
 export interface FleetHost {
   readonly addEffect: (effect: ControlEffect) => void;
-  readonly write: (now: Moment, part: PartName, body: string) => void;
+  readonly write: (now: Moment, partition: PartitionName, body: string) => void;
   /** The fleet whole, and what changed of it since the count before. */
   readonly publish: (count: number, body: string, delta: string) => void;
   readonly mayOrder: (now: Moment) => boolean;
@@ -149,13 +149,15 @@
       emptied: doc.emptied,
       flows: this.#host.proxyCount(),
     });
-    const parts = new Set<PartName>();
-    for (const model of changed) parts.add(servicePart(model));
-    for (const part of parts) {
+    const partitions = new Set<PartitionName>();
+    for (const model of changed) partitions.add(servicePartition(model));
+    for (const partition of partitions) {
       const services = planner
         .docs()
-        .filter((doc) => part !== CONFIG_PART && servicePart(doc.model) === part);
-      this.#host.write(now, part, JSON.stringify({ services }));
+        .filter(
+          (doc) => partition !== CONFIG_PARTITION && servicePartition(doc.model) === partition,
+        );
+      this.#host.write(now, partition, JSON.stringify({ services }));
     }
     this.#sendOrders(now);
     this.#publish(now);
--- a/src/control/followed-voters.test.ts
+++ b/src/control/followed-voters.test.ts
@@ -4,7 +4,7 @@
 import { Relay } from '../dissemination/relay.js';
 import { Elector } from '../election/elector.js';
 import { VOTE_DEFAULTS } from '../election/vote-settings.js';
-import { allParts, CONFIG_PART } from '../state/part-names.js';
+import { allPartitions, CONFIG_PARTITION } from '../state/partition-names.js';
 import { ReplicatedState } from '../state/replicated-state.js';
 import { ControlCounters } from './control-metrics.js';
 import { FollowedVoters, type VoterSources } from './followed-voters.js';
@@ -19,14 +19,14 @@
 function sourcesOf(held: readonly string[], relay: Relay | undefined): VoterSources {
   const quorum = new Quorum(SEEDS);
   const stored = {
-    part: CONFIG_PART,
+    partition: CONFIG_PARTITION,
     version: { epoch: 2, count: 1 },
     body: bodyOf(held),
     isSound: true,
   };
   return {
     elector: new Elector(nodeId('a'), quorum, VOTE_DEFAULTS, moment(0), undefined),
-    parts: new ReplicatedState(nodeId('a'), quorum, allParts(), [stored]),
+    state: new ReplicatedState(nodeId('a'), quorum, allPartitions(), [stored]),
     relay,
     counters: new ControlCounters(),
   };
--- a/src/control/followed-voters.ts
+++ b/src/control/followed-voters.ts
@@ -2,7 +2,7 @@
 import { isNewer, type Version } from '../common/version.js';
 import type { Relay } from '../dissemination/relay.js';
 import type { Elector } from '../election/elector.js';
-import { CONFIG_PART } from '../state/part-names.js';
+import { CONFIG_PARTITION } from '../state/partition-names.js';
 import type { ReplicatedState } from '../state/replicated-state.js';
 import { quorumOf } from './config-voters.js';
 import type { ControlCounters } from './control-metrics.js';
@@ -16,7 +16,7 @@
 /** Where configurations are found, and who has to know the voters that they name. */
 export interface VoterSources {
   readonly elector: Elector;
-  readonly parts: ReplicatedState;
+  readonly state: ReplicatedState;
   /** What the leader told as committed; nothing where a node follows the voters of its own copy alone. */
   readonly relay: Relay | undefined;
   readonly counters: ControlCounters;
@@ -55,7 +55,7 @@
     this.#quorum = quorum;
     this.#sources.counters.countVoterChange();
     this.#sources.elector.setQuorum(quorum);
-    this.#sources.parts.setQuorum(quorum);
+    this.#sources.state.setQuorum(quorum);
   }
 
   /** A configuration was read from a majority while beginning to lead. */
@@ -70,8 +70,8 @@
 
   /** Our own copy, one told as committed, or one read while beginning to lead. */
   #newestConfig(): string {
-    let version = this.#sources.parts.versionOf(CONFIG_PART);
-    let body = this.#sources.parts.replicaBody(CONFIG_PART);
+    let version = this.#sources.state.versionOf(CONFIG_PARTITION);
+    let body = this.#sources.state.replicaBody(CONFIG_PARTITION);
     for (const other of [this.#sources.relay?.latest('config'), this.#read]) {
       if (!other || !isNewer(other.version, version)) continue;
       version = other.version;
--- a/src/control/placement-control.ts
+++ b/src/control/placement-control.ts
@@ -1,4 +1,4 @@
-import { later, moment, type Moment, type PartName } from '../common/ids.js';
+import { later, moment, type Moment, type PartitionName } from '../common/ids.js';
 import type { Relay } from '../dissemination/relay.js';
 import type { ListedRunner, RunnerStatus } from '../placement/fleet.js';
 import type { PlacerSettings } from '../placement/placer-types.js';
@@ -40,7 +40,8 @@
   constructor(parts: PlacementDependencies) {
     const { settings, placer, effects, members, mayOrder } = parts;
     this.#dependencies = parts;
-    const write = (now: Moment, part: PartName, body: string) => this.#write(now, part, body);
+    const write = (now: Moment, partition: PartitionName, body: string) =>
+      this.#write(now, partition, body);
     const effect = (added: ControlEffect) => effects.add(added);
     const proxies = () => members.count();
     this.#fleet =
@@ -161,9 +162,9 @@
     this.#dependencies.effects.add({ do: 'askMachines' });
   }
 
-  #write(now: Moment, part: PartName, body: string): void {
+  #write(now: Moment, partition: PartitionName, body: string): void {
     this.#writes += 1;
-    this.#dependencies.writer.write(now, part, body, 0);
+    this.#dependencies.writer.write(now, partition, body, 0);
   }
 
   #publishFleet(count: number, body: string, delta: string): void {
--- a/src/control/quorum-reads.ts
+++ b/src/control/quorum-reads.ts
@@ -9,7 +9,7 @@
 } from '../dissemination/freshness-confirmation.js';
 import type { Relay } from '../dissemination/relay.js';
 import type { Elector } from '../election/elector.js';
-import { CONFIG_PART } from '../state/part-names.js';
+import { CONFIG_PARTITION } from '../state/partition-names.js';
 import type { ReplicatedState } from '../state/replicated-state.js';
 import type { ReplicaStatus } from '../state/replica-status.js';
 import type { EffectQueue } from './effect-queue.js';
@@ -25,7 +25,7 @@
   readonly me: NodeId;
   readonly incarnation: number;
   readonly elector: Elector;
-  readonly parts: ReplicatedState;
+  readonly state: ReplicatedState;
   readonly replicaStatus: ReplicaStatus;
   readonly relay: Relay;
   readonly voters: FollowedVoters;
@@ -167,9 +167,9 @@
 
   /** What this node holds; nothing while it cannot tell. */
   #reply(now: Moment, nonce: number): QuorumReadReply | undefined {
-    const { replicaStatus, parts, table, updates, needsMachines } = this.#dependencies;
+    const { replicaStatus, state, table, updates, needsMachines } = this.#dependencies;
     // A node whose disk is lost, or whose copy is bad, may have held something newer than it can tell.
-    if (replicaStatus.name !== 'sound' || parts.unsoundParts().includes(CONFIG_PART))
+    if (replicaStatus.name !== 'sound' || state.corruptPartitions().includes(CONFIG_PARTITION))
       return undefined;
     const marks = table.machines.revision;
     // Without any list we cannot tell which machines are leaving, though somebody may have known before we started.
@@ -177,7 +177,7 @@
       updates.requestMachineList(now);
       return undefined;
     }
-    return { kind: 'quorumReadReply', nonce, ...parts.versionOf(CONFIG_PART), marks };
+    return { kind: 'quorumReadReply', nonce, ...state.versionOf(CONFIG_PARTITION), marks };
   }
 
   #complete(now: Moment, nonce: number, newest: ReadReply): void {
--- a/src/control/replica-repair.test.ts
+++ b/src/control/replica-repair.test.ts
@@ -1,6 +1,6 @@
 import { expect, test } from 'vitest';
 import { moment } from '../common/ids.js';
-import { CONFIG_PART } from '../state/part-names.js';
+import { CONFIG_PARTITION } from '../state/partition-names.js';
 import type { ReplicaStatusOutcome } from '../state/replica-status.js';
 import { DutyNode } from './testing/duty-node.js';
 
@@ -9,7 +9,7 @@
 const REPAIRED: ReplicaStatusOutcome = {
   become: 'repaired',
   epoch: 3,
-  copies: [{ part: CONFIG_PART, ...VERSION, body: '{}', sound: true }],
+  copies: [{ part: CONFIG_PARTITION, ...VERSION, body: '{}', sound: true }],
 };
 test('a repaired node counts once its copies and then its vote are on disk', () => {
   const node = new DutyNode([]);
@@ -19,7 +19,7 @@
   repair.resolve(NOW, REPAIRED);
   expect(repair.isInProgress).toBe(true);
   expect(repair.mayPersistVotes).toBe(false);
-  stateMessages.onPersisted(NOW, CONFIG_PART, VERSION);
+  stateMessages.onPersisted(NOW, CONFIG_PARTITION, VERSION);
   expect(repair.mayPersistVotes).toBe(true);
   expect(replicaStatus.name).toBe('blank');
   repair.onVotePersisted({ epoch: 3, count: 1 });
--- a/src/control/replica-repair.ts
+++ b/src/control/replica-repair.ts
@@ -1,4 +1,4 @@
-import type { Moment, NodeId, PartName } from '../common/ids.js';
+import type { Moment, NodeId, PartitionName } from '../common/ids.js';
 import type { Version } from '../common/version.js';
 import type { Elector } from '../election/elector.js';
 import type { ReplicatedState } from '../state/replicated-state.js';
@@ -12,7 +12,7 @@
 export interface RepairDependencies {
   readonly me: NodeId;
   readonly elector: Elector;
-  readonly parts: ReplicatedState;
+  readonly state: ReplicatedState;
   readonly replicaStatus: ReplicaStatus;
   readonly votes: VoteStorage;
   readonly voters: FollowedVoters;
@@ -27,7 +27,7 @@
 /** Copies read for a repair that are not on disk yet. */
 interface PendingRepair {
   readonly epoch: number;
-  readonly pending: Set<PartName>;
+  readonly pending: Set<PartitionName>;
 }
 
 /**
@@ -65,7 +65,7 @@
     } else {
       this.#dependencies.effects.log('repaired from peers', { epoch: outcome.epoch });
       // Only what is newer than ours is stored anew, and only that is waited for.
-      const waiting = new Set(this.#dependencies.parts.adopt(outcome.copies));
+      const waiting = new Set(this.#dependencies.state.adopt(outcome.copies));
       this.#dependencies.voters.follow();
       this.#repair = { epoch: outcome.epoch, pending: waiting };
       this.#completeIfStored(now);
@@ -74,8 +74,8 @@
   }
 
   /** A copy is on disk. */
-  onPersisted(now: Moment, part: PartName): void {
-    if (this.#repair?.pending.delete(part)) this.#completeIfStored(now);
+  onPersisted(now: Moment, partition: PartitionName): void {
+    if (this.#repair?.pending.delete(partition)) this.#completeIfStored(now);
   }
 
   /** A record of votes is on disk. */
--- a/src/control/state-messages.ts
+++ b/src/control/state-messages.ts
@@ -1,4 +1,4 @@
-import type { Moment, NodeId, PartName } from '../common/ids.js';
+import type { Moment, NodeId, PartitionName } from '../common/ids.js';
 import type { Message } from '../common/messages.js';
 import type { Version } from '../common/version.js';
 import type { Elector } from '../election/elector.js';
@@ -13,7 +13,7 @@
 /** Who is told what concerns the replicated state. */
 export interface StateMessageDependencies {
   readonly elector: Elector;
-  readonly parts: ReplicatedState;
+  readonly state: ReplicatedState;
   readonly replicaStatus: ReplicaStatus;
   readonly repair: ReplicaRepair;
   readonly votes: VoteStorage;
@@ -65,9 +65,9 @@
   }
 
   /** A copy reached the disk. */
-  onPersisted(now: Moment, part: PartName, version: Version): void {
-    this.#dependencies.parts.stored(part, version, this.#grantedEpoch(), now);
-    this.#dependencies.repair.onPersisted(now, part);
+  onPersisted(now: Moment, partition: PartitionName, version: Version): void {
+    this.#dependencies.state.stored(partition, version, this.#grantedEpoch(), now);
+    this.#dependencies.repair.onPersisted(now, partition);
   }
 
   /** Without an epoch it is asked for a repair, by one that does not count yet. */
@@ -76,11 +76,11 @@
       this.#onStateMessage(now, from, message);
       return;
     }
-    const { replicaStatus, elector, parts, effects } = this.#dependencies;
+    const { replicaStatus, elector, state, effects } = this.#dependencies;
     const hasGranted = elector.record.grantEpoch > 0;
     effects.send(
       from,
-      replicaStatus.replyTo(message.nonce, elector.epoch, parts.copies(), hasGranted),
+      replicaStatus.replyTo(message.nonce, elector.epoch, state.copies(), hasGranted),
     );
   }
 
@@ -94,10 +94,10 @@
   }
 
   #onStateMessage(now: Moment, from: NodeId, message: PartitionMessage): void {
-    const { parts, members, replicaStatus } = this.#dependencies;
+    const { state, members, replicaStatus } = this.#dependencies;
     // Only a write's return names members.
     const named = message.kind === 'write' ? members.possible(now) : [];
-    parts.receive(now, from, message, this.#grantedEpoch(), named, replicaStatus.name);
+    state.receive(now, from, message, this.#grantedEpoch(), named, replicaStatus.name);
   }
 
   /** The epoch granted here, on disk, and not moved on from; 0 if none is. */
--- a/src/control/table-control-process.ts
+++ b/src/control/table-control-process.ts
@@ -98,8 +98,8 @@
     return (core) => this.#receive(incoming, core);
   }
 
-  async write({ part, version, body }: StoreEffect): Promise<void> {
-    await this.#report.measure(this.#store.write(part, version, body));
+  async write({ partition, version, body }: StoreEffect): Promise<void> {
+    await this.#report.measure(this.#store.write(partition, version, body));
     this.#counters.add('disk.writes');
   }
 
@@ -160,7 +160,7 @@
     if (core) {
       this.#counters.set('epoch', core.elector.epoch);
       this.#counters.set('news.sent', core.relay.sentCount);
-      this.#counters.set('parts.mended', core.parts.mends);
+      this.#counters.set('parts.mended', core.state.mends);
       this.#counters.set('placement.writes', core.placementWrites);
     }
     return this.#counters.all();
--- a/src/control/table-manager.ts
+++ b/src/control/table-manager.ts
@@ -1,5 +1,5 @@
 import { rowKey, type Row } from '../policy/table.js';
-import { later, moment, type Moment, type PartName } from '../common/ids.js';
+import { later, moment, type Moment, type PartitionName } from '../common/ids.js';
 import { parseAs } from '../common/json.js';
 import type { Live } from '../placement/live.js';
 import { Placer } from '../placement/placer.js';
@@ -14,14 +14,14 @@
   type Share,
 } from '../placement/shapes.js';
 import { Shares } from '../placement/shares.js';
-import { servicePart } from '../state/part-names.js';
+import { servicePartition } from '../state/partition-names.js';
 import type { ConfigDoc } from './config-shapes.js';
 import type { ControlEffect, OrderResult } from './control-effect.js';
 
 /** What placement by the table needs of the control node that leads. */
 export interface TableHost {
   addEffect(effect: ControlEffect): void;
-  write(now: Moment, part: PartName, body: string): void;
+  write(now: Moment, partition: PartitionName, body: string): void;
   /** The places as text, by a count within the leader's epoch. */
   publish(count: number, text: string): void;
   mayOrder(now: Moment): boolean;
@@ -233,11 +233,13 @@
     if (!isInformed || this.#catalog.models.length === 0) return;
     const input = this.#planInput(now, doc);
     const changed = this.#placer.plan(now, input);
-    const parts = new Set<PartName>();
-    for (const model of changed) parts.add(servicePart(model));
-    for (const part of parts) {
-      const services = this.#placer.docs().filter((doc) => servicePart(doc.model) === part);
-      this.#host.write(now, part, JSON.stringify({ services }));
+    const partitions = new Set<PartitionName>();
+    for (const model of changed) partitions.add(servicePartition(model));
+    for (const partition of partitions) {
+      const services = this.#placer
+        .docs()
+        .filter((doc) => servicePartition(doc.model) === partition);
+      this.#host.write(now, partition, JSON.stringify({ services }));
     }
     this.#orderIntents(now, input);
     this.#publishPlaces(now, input);
--- a/src/control/takeover.ts
+++ b/src/control/takeover.ts
@@ -1,8 +1,8 @@
 import { later, type Moment } from '../common/ids.js';
 import { mustParseAs } from '../common/json.js';
 import type { Elector } from '../election/elector.js';
-import { ServicePartShape, type ServiceDoc } from '../placement/shapes.js';
-import { allParts, CONFIG_PART } from '../state/part-names.js';
+import { ServicePartitionShape, type ServiceDoc } from '../placement/shapes.js';
+import { allPartitions, CONFIG_PARTITION } from '../state/partition-names.js';
 import type { ReplicatedState } from '../state/replicated-state.js';
 import type { ConfigStore } from './config-store.js';
 import type { ControlCounters } from './control-metrics.js';
@@ -21,7 +21,7 @@
 export interface TakeoverDependencies {
   readonly elector: Elector;
   readonly leadership: Leadership;
-  readonly parts: ReplicatedState;
+  readonly state: ReplicatedState;
   readonly writer: PartitionWriter;
   readonly document: ConfigStore;
   readonly voters: FollowedVoters;
@@ -62,7 +62,7 @@
 
   /** Acts upon a change of the leader, if there was one. */
   update(now: Moment): void {
-    const { elector, leadership, parts, tree } = this.#dependencies;
+    const { elector, leadership, state, tree } = this.#dependencies;
     this.#onLeader(elector.leader ?? '');
     const epoch = elector.isLeading() ? elector.epoch : 0;
     if (epoch === leadership.epoch) return;
@@ -70,7 +70,7 @@
     // One that leads feeds the other voters as well.
     tree.reassignParents();
     this.#stepDown();
-    if (epoch > 0) parts.lead(now, epoch);
+    if (epoch > 0) state.lead(now, epoch);
   }
 
   /** The whole state was read from a majority and rewritten. */
@@ -106,9 +106,9 @@
   }
 
   #stepDown(): void {
-    const { parts, voters, placement, writer, orders, reads } = this.#dependencies;
+    const { state, voters, placement, writer, orders, reads } = this.#dependencies;
     this.#recoverUntil = undefined;
-    parts.release();
+    state.release();
     voters.clearConfigRead();
     placement.endLeading();
     writer.clear();
@@ -118,9 +118,9 @@
 
   #readServices(): ServiceDoc[] {
     const docs: ServiceDoc[] = [];
-    for (const part of allParts()) {
-      const text = part === CONFIG_PART ? '' : this.#dependencies.parts.body(part);
-      if (text !== '') docs.push(...mustParseAs(ServicePartShape, text, part).services);
+    for (const partition of allPartitions()) {
+      const text = partition === CONFIG_PARTITION ? '' : this.#dependencies.state.body(partition);
+      if (text !== '') docs.push(...mustParseAs(ServicePartitionShape, text, partition).services);
     }
     return docs;
   }
--- a/src/control/testing/control-cluster.ts
+++ b/src/control/testing/control-cluster.ts
@@ -160,8 +160,8 @@
         else if (effect.do === 'reply')
           node.answers.set(effect.id, { status: effect.status, body: effect.body });
         else if (effect.do === 'store' && node.disk === 'sound') {
-          node.store.keep(effect.part, effect.version, effect.body);
-          node.core.onPersisted(moment(this.#now), effect.part, effect.version);
+          node.store.keep(effect.partition, effect.version, effect.body);
+          node.core.onPersisted(moment(this.#now), effect.partition, effect.version);
         }
       }
     }
--- a/src/control/testing/duty-node.ts
+++ b/src/control/testing/duty-node.ts
@@ -3,8 +3,8 @@
 import { VOTE_DEFAULTS } from '../../election/vote-settings.js';
 import { PLACER_DEFAULTS } from '../../placement/placer-types.js';
 import type { Machines } from '../../placement/shapes.js';
-import { VOTE_PART } from '../../state/part-names.js';
-import type { StoredPart } from '../../state/store.js';
+import { VOTE_RECORD } from '../../state/partition-names.js';
+import type { StoredPartition } from '../../state/store.js';
 import { CONTROL_DEFAULTS, type ControlEffect } from '../control-effect.js';
 import { ControlComponents } from '../control-components.js';
 import { makeReplica, type ControlReplica } from '../control-replica.js';
@@ -20,9 +20,9 @@
 const START = moment(0);
 
 /** What is on the disk of a node that may vote and has granted nothing. */
-export const SOUND_DISK: readonly StoredPart[] = [
+export const SOUND_DISK: readonly StoredPartition[] = [
   {
-    part: VOTE_PART,
+    partition: VOTE_RECORD,
     version: { epoch: 0, count: 1 },
     body: JSON.stringify({ epoch: 0, grantEpoch: 0, grantLeader: '' }),
     isSound: true,
@@ -34,7 +34,7 @@
   readonly replica: ControlReplica;
   readonly duties: ControlComponents;
 
-  constructor(stored: readonly StoredPart[]) {
+  constructor(stored: readonly StoredPartition[]) {
     const settings = {
       ...CONTROL_DEFAULTS,
       me: 'a',
--- a/src/control/testing/fault-cluster.ts
+++ b/src/control/testing/fault-cluster.ts
@@ -1,7 +1,7 @@
 import { IdlePlanner } from './idle-planner.js';
-import { allParts } from '../../state/part-names.js';
+import { allPartitions } from '../../state/partition-names.js';
 import { MemoryStore } from '../../state/memory-store.js';
-import type { StoredPart } from '../../state/store.js';
+import type { StoredPartition } from '../../state/store.js';
 import { moment, type Moment } from '../../common/ids.js';
 import type { Message } from '../../common/messages.js';
 import type { Fleet, FleetRunner, ListedRunner } from '../../placement/fleet.js';
@@ -255,14 +255,14 @@
     this.node(id).store = new MemoryStore();
   }
 
-  disk(id: string): readonly StoredPart[] {
+  disk(id: string): readonly StoredPartition[] {
     return this.node(id).store.list();
   }
 
   /** Brings back what was on a disk earlier; only for a node that is down. */
-  restoreDisk(id: string, stored: readonly StoredPart[]): void {
+  restoreDisk(id: string, stored: readonly StoredPartition[]): void {
     const store = new MemoryStore();
-    for (const item of stored) store.keep(item.part, item.version, item.body);
+    for (const item of stored) store.keep(item.partition, item.version, item.body);
     this.node(id).store = store;
   }
 
@@ -409,9 +409,9 @@
     if (core.replicaStatus.name !== 'sound' || core.elector.epoch !== leading.elector.epoch)
       return false;
     if (id !== leader && core.elector.leader !== leader) return false;
-    for (const part of allParts()) {
-      const own = core.parts.versionOf(part);
-      const newest = leading.parts.versionOf(part);
+    for (const partition of allPartitions()) {
+      const own = core.state.versionOf(partition);
+      const newest = leading.state.versionOf(partition);
       if (own.epoch !== newest.epoch || own.count !== newest.count) return false;
     }
     return true;
@@ -541,7 +541,7 @@
       node.answers.set(effect.id, { status: effect.status, body: effect.body });
     else if (effect.do === 'store') {
       // Versions of one part reach the disk in order.
-      const queue = `${id} ${effect.part}`;
+      const queue = `${id} ${effect.partition}`;
       const millis = this.#numbers.between(this.#options.leastDiskMs, this.#options.mostDiskMs);
       const at = Math.max(this.#links.get(queue) ?? 0, this.#now + millis);
       this.#links.set(queue, at);
@@ -578,13 +578,13 @@
       node.stalled.push(() => this.#synced(id, incarnation, effect));
       return;
     }
-    node.store.keep(effect.part, effect.version, effect.body);
+    node.store.keep(effect.partition, effect.version, effect.body);
     this.#input(id, () => this.#hearStored(id, effect));
   }
 
   #hearStored(id: string, effect: Extract<ControlEffect, { do: 'store' }>): void {
     const node = this.node(id);
-    node.core.onPersisted(moment(this.#now), effect.part, effect.version);
+    node.core.onPersisted(moment(this.#now), effect.partition, effect.version);
     this.#drain(id, node);
   }
 }
--- a/src/control/vote-storage.test.ts
+++ b/src/control/vote-storage.test.ts
@@ -1,18 +1,23 @@
 import { expect, test } from 'vitest';
 import type { VoteRecord } from '../election/vote-effect.js';
-import { CONFIG_PART, VOTE_PART } from '../state/part-names.js';
-import type { StoredPart } from '../state/store.js';
+import { CONFIG_PARTITION, VOTE_RECORD } from '../state/partition-names.js';
+import type { StoredPartition } from '../state/store.js';
 import { EffectQueue } from './effect-queue.js';
 import { readVotes, VoteStorage } from './vote-storage.js';
 
 const RECORD: VoteRecord = { epoch: 4, grantEpoch: 3, grantLeader: 'b' };
 
-function file(body: string, isSound: boolean): StoredPart {
-  return { part: VOTE_PART, version: { epoch: 4, count: 7 }, body, isSound };
+function file(body: string, isSound: boolean): StoredPartition {
+  return { partition: VOTE_RECORD, version: { epoch: 4, count: 7 }, body, isSound };
 }
 test('only an empty folder is blank; a record that cannot be trusted is a lost one', () => {
   const sound = JSON.stringify(RECORD);
-  const other = { part: CONFIG_PART, version: { epoch: 1, count: 1 }, body: '', isSound: true };
+  const other = {
+    partition: CONFIG_PARTITION,
+    version: { epoch: 1, count: 1 },
+    body: '',
+    isSound: true,
+  };
   const lost = { status: 'lost', count: 7, record: undefined };
   expect(readVotes([])).toEqual({ status: 'blank', count: 0, record: undefined });
   expect(readVotes([other])).toEqual({ status: 'lost', count: 0, record: undefined });
@@ -33,7 +38,7 @@
   const [first] = effects.drain();
   expect(first).toEqual({
     do: 'store',
-    part: VOTE_PART,
+    partition: VOTE_RECORD,
     version: { epoch: 4, count: 8 },
     body: JSON.stringify(RECORD),
   });
--- a/src/control/vote-storage.ts
+++ b/src/control/vote-storage.ts
@@ -2,9 +2,9 @@
 import { parseAs } from '../common/json.js';
 import type { Version } from '../common/version.js';
 import type { VoteRecord } from '../election/vote-effect.js';
-import { VOTE_PART } from '../state/part-names.js';
+import { VOTE_RECORD } from '../state/partition-names.js';
 import type { ReplicaStatusName } from '../state/replica-status.js';
-import type { StoredPart } from '../state/store.js';
+import type { StoredPartition } from '../state/store.js';
 import type { EffectQueue } from './effect-queue.js';
 
 const VoteRecordShape = type({
@@ -25,7 +25,7 @@
 }
 
 /** No record of votes at all is an empty folder; one that cannot be trusted is a lost disk. */
-export function readVotes(stored: readonly StoredPart[]): StoredVotes {
+export function readVotes(stored: readonly StoredPartition[]): StoredVotes {
   const file = stored.find(isVote);
   if (!file) return { status: stored.length === 0 ? 'blank' : 'lost', count: 0, record: undefined };
   const { count } = file.version;
@@ -33,8 +33,8 @@
   return record ? { status: 'sound', count, record } : { status: 'lost', count, record: undefined };
 }
 
-function isVote(item: StoredPart): boolean {
-  return item.part === VOTE_PART;
+function isVote(item: StoredPartition): boolean {
+  return item.partition === VOTE_RECORD;
 }
 
 /** A record on its way to the disk. */
@@ -74,7 +74,7 @@
     this.#pendingVotes.set(this.#count, { token, grantEpoch: record.grantEpoch });
     this.#effects.add({
       do: 'store',
-      part: VOTE_PART,
+      partition: VOTE_RECORD,
       version: { epoch: record.epoch, count: this.#count },
       body: JSON.stringify(record),
     });
--- a/src/control/voter-membership.test.ts
+++ b/src/control/voter-membership.test.ts
@@ -1,7 +1,7 @@
 import { expect, test } from 'vitest';
-import { moment, nodeId, type Moment, type PartName } from '../common/ids.js';
+import { moment, nodeId, type Moment, type PartitionName } from '../common/ids.js';
 import type { Message } from '../common/messages.js';
-import { allParts, CONFIG_PART } from '../state/part-names.js';
+import { allPartitions, CONFIG_PARTITION } from '../state/partition-names.js';
 import { initialDoc, type ConfigDoc } from './config-shapes.js';
 import type { ControlReplica } from './control-replica.js';
 import { DutyNode, SOUND_DISK } from './testing/duty-node.js';
@@ -15,7 +15,7 @@
 /** Spare `d` in the place of voter `b`. */
 const SWAPPED = ['a', 'd', 'c'];
 const FOLLOWERS = ['b', 'c'].map(nodeId);
-const SERVICE_PARTS = allParts().filter((part) => part !== CONFIG_PART);
+const SERVICE_PARTITIONS = allPartitions().filter((partition) => partition !== CONFIG_PARTITION);
 
 /** The membership of node `a`, which leads voters `a`, `b` and `c` and has taken over the state. */
 class LeadingMembership {
@@ -29,10 +29,10 @@
   #sent: Message[] = [];
 
   constructor() {
-    const { parts, leadership, replicaStatus } = this.replica;
-    parts.lead(this.#now, EPOCH);
+    const { state, leadership, replicaStatus } = this.replica;
+    state.lead(this.#now, EPOCH);
     this.#readFollowers();
-    for (const part of allParts()) this.commit(part);
+    for (const partition of allPartitions()) this.commit(partition);
     leadership.begin(EPOCH);
     leadership.serve();
     const host = {
@@ -44,7 +44,7 @@
       document: () => this.#document,
       zoneOf: (id: string) => `zone-${id}`,
       send: (_to: string, message: Message) => this.#sent.push(message),
-      rewritePartitions: (now: Moment) => this.#rewriteParts(now),
+      rewritePartitions: (now: Moment) => this.#rewritePartitions(now),
       writeVoters: (_now: Moment, change: { readonly voters: Voters }) => {
         this.changes.push(change.voters);
         this.setVoters(change.voters);
@@ -83,36 +83,37 @@
   }
 
   /** Begins to write the configuration, without any answer of the followers. */
-  beginWriting(part: PartName): void {
-    this.replica.parts.write(this.#now, part, 'body', 0);
+  beginWriting(partition: PartitionName): void {
+    this.replica.state.write(this.#now, partition, 'body', 0);
   }
 
   /** The write of a part that is under way reaches the disks of all voters. */
-  commit(part: PartName): void {
-    const { parts } = this.replica;
-    const version = parts.versionOf(part);
-    parts.stored(part, version, EPOCH, this.#now);
+  commit(partition: PartitionName): void {
+    const { state } = this.replica;
+    const version = state.versionOf(partition);
+    state.stored(partition, version, EPOCH, this.#now);
     for (const from of FOLLOWERS) {
-      const message = { part, ...version, good: true, members: [] };
-      parts.receive(this.#now, from, { kind: 'writeReply', ...message }, EPOCH, [], 'sound');
+      const message = { part: partition, ...version, good: true, members: [] };
+      state.receive(this.#now, from, { kind: 'writeReply', ...message }, EPOCH, [], 'sound');
     }
-    parts.drain();
-    if (parts.isWriting(part)) throw new Error(`${part} is still being written`);
+    state.drain();
+    if (state.isWriting(partition)) throw new Error(`${partition} is still being written`);
   }
 
   #readFollowers(): void {
-    const { parts } = this.replica;
+    const { state } = this.replica;
     for (const from of FOLLOWERS) {
-      const copies = parts.copies();
+      const copies = state.copies();
       const message = { epoch: EPOCH, nonce: 1, sound: true, copies, standing: 'sound' };
-      parts.receive(this.#now, from, { kind: 'readReply', ...message }, EPOCH, [], 'sound');
+      state.receive(this.#now, from, { kind: 'readReply', ...message }, EPOCH, [], 'sound');
     }
   }
 
-  #rewriteParts(now: Moment): void {
+  #rewritePartitions(now: Moment): void {
     this.rewrites += 1;
-    const { parts } = this.replica;
-    for (const part of SERVICE_PARTS) parts.write(now, part, parts.body(part), 0);
+    const { state } = this.replica;
+    for (const partition of SERVICE_PARTITIONS)
+      state.write(now, partition, state.body(partition), 0);
   }
 }
 
@@ -121,11 +122,11 @@
   leader.setVoters([THREE, SWAPPED]);
   leader.tick();
   expect(leader.rewrites).toBe(1);
-  for (const part of SERVICE_PARTS) {
+  for (const partition of SERVICE_PARTITIONS) {
     leader.tick();
     leader.tick();
-    expect(leader.changes, `${part} is still being written`).toEqual([]);
-    leader.commit(part);
+    expect(leader.changes, `${partition} is still being written`).toEqual([]);
+    leader.commit(partition);
   }
   leader.tick();
   expect(leader.changes).toEqual([[SWAPPED]]);
@@ -134,7 +135,7 @@
 
 test('voters are changed while parts other than the configuration are being written', () => {
   const leader = new LeadingMembership();
-  for (const part of SERVICE_PARTS) leader.beginWriting(part);
+  for (const partition of SERVICE_PARTITIONS) leader.beginWriting(partition);
   leader.announce('d', true);
   expect(leader.leave('b')).toBe(false);
   expect(leader.changes).toEqual([[THREE, SWAPPED]]);
@@ -142,12 +143,12 @@
 
 test('no voters are changed while the configuration is being written', () => {
   const leader = new LeadingMembership();
-  leader.beginWriting(CONFIG_PART);
+  leader.beginWriting(CONFIG_PARTITION);
   leader.announce('d', true);
   expect(leader.leave('b')).toBe(false);
   leader.tick();
   expect(leader.changes).toEqual([]);
-  leader.commit(CONFIG_PART);
+  leader.commit(CONFIG_PARTITION);
   leader.tick();
   expect(leader.changes).toEqual([[THREE, SWAPPED]]);
 });
@@ -187,11 +188,11 @@
   expect(leader.leave('b')).toBe(false);
   expect(leader.changes).toEqual([[THREE, SWAPPED]]);
   leader.tick();
-  for (const part of SERVICE_PARTS) leader.commit(part);
+  for (const partition of SERVICE_PARTITIONS) leader.commit(partition);
   // The change to the new set alone is written now, and its configuration is not yet on a majority.
-  leader.beginWriting(CONFIG_PART);
+  leader.beginWriting(CONFIG_PARTITION);
   expect(leader.leave('b')).toBe(false);
-  leader.commit(CONFIG_PART);
+  leader.commit(CONFIG_PARTITION);
   leader.tick();
   expect(leader.changes).toEqual([[THREE, SWAPPED], [SWAPPED]]);
   expect(leader.leave('b')).toBe(true);
--- a/src/control/voter-membership.ts
+++ b/src/control/voter-membership.ts
@@ -4,7 +4,7 @@
 import { isNewer } from '../common/version.js';
 import type { Relay } from '../dissemination/relay.js';
 import type { Elector } from '../election/elector.js';
-import { allParts, CONFIG_PART } from '../state/part-names.js';
+import { allPartitions, CONFIG_PARTITION } from '../state/partition-names.js';
 import type { ReplicatedState } from '../state/replicated-state.js';
 import type { ReplicaStatus } from '../state/replica-status.js';
 import type { ConfigDoc } from './config-shapes.js';
@@ -19,7 +19,7 @@
   readonly zone: string;
   readonly isFirstStart: boolean;
   readonly elector: Elector;
-  readonly parts: ReplicatedState;
+  readonly state: ReplicatedState;
   readonly relay: Relay;
   readonly replicaStatus: ReplicaStatus;
   /** Who votes, by the newest configuration known here. */
@@ -202,10 +202,10 @@
 
   #changeVoters(now: Moment): void {
     const host = this.#host;
-    if (!host.leadership.isServing || host.parts.isWriting(CONFIG_PART)) return;
+    if (!host.leadership.isServing || host.state.isWriting(CONFIG_PARTITION)) return;
     // What the old voters hold must be on a majority of the new ones too before those stand alone.
     const isRewriting =
-      this.voters.length === 2 && allParts().some(host.parts.isWriting, host.parts);
+      this.voters.length === 2 && allPartitions().some(host.state.isWriting, host.state);
     const change = this.#plan.next(this);
     if (change.do === 'rewrite') host.rewritePartitions(now);
     else if (change.do === 'voters' && !isRewriting) host.writeVoters(now, change);
@@ -214,7 +214,7 @@
   /** Whether the seat of a voter that leaves is taken over, or nobody is there to take it. */
   #mayStop(id: string): boolean {
     const [current, following] = this.voters;
-    if (!current || following || this.#host.parts.isWriting(CONFIG_PART)) return false;
+    if (!current || following || this.#host.state.isWriting(CONFIG_PARTITION)) return false;
     return !current.includes(id) || !this.#hasSpare(current);
   }
 
--- a/src/control/voter-set-writer.ts
+++ b/src/control/voter-set-writer.ts
@@ -1,6 +1,6 @@
 import { nodeId, type Moment, type NodeId } from '../common/ids.js';
 import type { Elector } from '../election/elector.js';
-import { allParts, CONFIG_PART } from '../state/part-names.js';
+import { allPartitions, CONFIG_PARTITION } from '../state/partition-names.js';
 import type { ReplicatedState } from '../state/replicated-state.js';
 import { encodeConfigDoc } from './config-codec.js';
 import { quorumOf } from './config-voters.js';
@@ -13,7 +13,7 @@
 /** What a change of the voters is written by. */
 export interface VoterSetDependencies {
   readonly elector: Elector;
-  readonly parts: ReplicatedState;
+  readonly state: ReplicatedState;
   readonly writer: PartitionWriter;
   readonly document: ConfigStore;
   readonly voters: FollowedVoters;
@@ -43,9 +43,9 @@
 
   /** Writes all parts but the configuration anew, so that a majority of each set holds them. */
   rewritePartitions(now: Moment): void {
-    const { writer, parts } = this.#dependencies;
-    for (const part of allParts())
-      if (part !== CONFIG_PART) writer.write(now, part, parts.body(part), 0);
+    const { writer, state } = this.#dependencies;
+    for (const partition of allPartitions())
+      if (partition !== CONFIG_PARTITION) writer.write(now, partition, state.body(partition), 0);
   }
 
   /** A spare that an operator put in a voter's place is taken in once it holds everything; then the old set is let go. */
--- a/src/placement/shapes.ts
+++ b/src/placement/shapes.ts
@@ -85,7 +85,7 @@
 export type ServiceDoc = Infer<typeof ServiceDocShape>;
 
 /** What a part of the replicated state holds: the documents of its models. Stored. */
-export const ServicePartShape = type({ services: array(ServiceDocShape) });
+export const ServicePartitionShape = type({ services: array(ServiceDocShape) });
 
 /** A runner that serves a model now, with the adapters it holds ready. */
 export const SeatShape = type({ runner: string(), primary: boolean(), adapters: array(string()) });
--- a/src/rehearsal/control-troubles.ts
+++ b/src/rehearsal/control-troubles.ts
@@ -1,4 +1,4 @@
-import { allParts, VOTE_PART } from '../state/part-names.js';
+import { allPartitions, VOTE_RECORD } from '../state/partition-names.js';
 import type { SimControl } from './sim-control.js';
 import { idOf, type Stage, type StageHands, type Strike } from './stage.js';
 
@@ -109,13 +109,15 @@
     if (!this.#stage.controlNodes.every(isWhole)) return;
     this.#hands.kill(controlNode);
     if (kind === 'wipe-mind') controlNode.wipe();
-    else controlNode.rot(this.#stage.seeded.pick([VOTE_PART, ...allParts()]) ?? VOTE_PART);
+    else controlNode.rot(this.#stage.seeded.pick([VOTE_RECORD, ...allPartitions()]) ?? VOTE_RECORD);
     this.#stage.scheduler.after(spanMs, () => controlNode.start());
   }
 }
 
 function isWhole({ isUp, core }: SimControl): boolean {
-  return isUp && core?.replicaStatus.name === 'sound' && core.parts.unsoundParts().length === 0;
+  return (
+    isUp && core?.replicaStatus.name === 'sound' && core.state.corruptPartitions().length === 0
+  );
 }
 
 function quicken(controlNode: SimControl): void {
--- a/src/rehearsal/final-checks.ts
+++ b/src/rehearsal/final-checks.ts
@@ -1,4 +1,4 @@
-import { CONFIG_PART } from '../state/part-names.js';
+import { CONFIG_PARTITION } from '../state/partition-names.js';
 import { decodeConfigDoc } from '../control/config-codec.js';
 import type { ConfigDoc } from '../control/config-shapes.js';
 import type { ProxyWatch } from './proxy-watch.js';
@@ -34,7 +34,7 @@
   for (const proxy of fleet.proxies)
     if (proxy.decision?.isFresh(proxy.now()) !== true)
       findings.find(`${proxy.id} is still blind after everything healed`);
-  const doc = decodeConfigDoc(leader.core?.parts.replicaBody(CONFIG_PART) ?? '');
+  const doc = decodeConfigDoc(leader.core?.state.replicaBody(CONFIG_PARTITION) ?? '');
   if (!doc) {
     findings.find('the configuration is gone');
     return;
@@ -53,7 +53,7 @@
   for (const controlNode of controlNodes) {
     if (controlNode.core?.replicaStatus.name !== 'sound')
       findings.find(`${controlNode.id} does not count again`);
-    const unsound = controlNode.core?.parts.unsoundParts() ?? [];
+    const unsound = controlNode.core?.state.corruptPartitions() ?? [];
     if (unsound.length > 0)
       findings.find(`${controlNode.id} still has unsound parts: ${unsound.join(' ')}`);
   }
--- a/src/rehearsal/node-trace.ts
+++ b/src/rehearsal/node-trace.ts
@@ -20,8 +20,8 @@
     this.#trace.message(this.#scheduler.now, this.#node, to, message);
   }
 
-  write(part: string, version: Version, body: string): void {
-    this.#trace.write(this.#scheduler.now, this.#node, part, version, body);
+  write(partition: string, version: Version, body: string): void {
+    this.#trace.write(this.#scheduler.now, this.#node, partition, version, body);
   }
 
   answer(status: number, body: string): void {
--- a/src/rehearsal/run-trace.ts
+++ b/src/rehearsal/run-trace.ts
@@ -11,7 +11,7 @@
   /** A text is written to a connection: an operator's call, an order to a runner, or the answer to one. */
   text(at: number, from: string, to: string, text: string): void;
   /** A node begins to write a version of a part to its disk. */
-  write(at: number, node: string, part: string, version: Version, body: string): void;
+  write(at: number, node: string, partition: string, version: Version, body: string): void;
   /** A node answers a command of an operator. */
   answer(at: number, node: string, status: number, body: string): void;
   /** Anything else that a node does to its surroundings: a topic of the simulator's own, and values in a fixed order. */
--- a/src/rehearsal/scale-control.ts
+++ b/src/rehearsal/scale-control.ts
@@ -171,10 +171,10 @@
     return (core) => deliverWithZone(incoming, core);
   }
 
-  write({ part, version, body }: StoreEffect): Promise<void> {
+  write({ partition, version, body }: StoreEffect): Promise<void> {
     this.#writes += 1;
     this.#writtenBytes += body.length;
-    return this.#store.write(part, version, body);
+    return this.#store.write(partition, version, body);
   }
 
   perform(effect: OutsideEffect, core: ControlCore): void {
--- a/src/rehearsal/sim-control.ts
+++ b/src/rehearsal/sim-control.ts
@@ -1,5 +1,5 @@
 import { MemoryStore } from '../state/memory-store.js';
-import type { PartName } from '../common/ids.js';
+import type { PartitionName } from '../common/ids.js';
 import type { Message } from '../common/messages.js';
 import { ControlCore } from '../control/control-core.js';
 import { CONTROL_DEFAULTS, type ControlEffect } from '../control/control-effect.js';
@@ -95,8 +95,8 @@
     this.perform(() => this.#do(retire));
   }
 
-  rot(part: PartName): void {
-    this.#store.rot(part);
+  rot(partition: PartitionName): void {
+    this.#store.rot(partition);
   }
 
   unstall(): void {
@@ -292,18 +292,18 @@
   }
 
   #keep(effect: Extract<ControlEffect, { do: 'store' }>): void {
-    const { part, version, body } = effect;
+    const { partition, version, body } = effect;
     const store = this.#store;
     const now = () => this.now();
     function stored(core: ControlCore): void {
-      core.onPersisted(now(), part, version);
+      core.onPersisted(now(), partition, version);
     }
     const perform = () => this.perform(() => this.#do(stored));
     const late =
       this.#wrong === 'yes-unsynced' ? (run: () => void) => this.later(3000, run) : undefined;
-    this.#trace.write(part, version, body);
+    this.#trace.write(partition, version, body);
     function keep(): void {
-      store.keep(part, version, body);
+      store.keep(partition, version, body);
     }
     const write = this.later.bind(this, this.#seeded.between(0.5, this.diskMs), () => {
       if (late) late(keep);
--- a/src/simulation/control-node.ts
+++ b/src/simulation/control-node.ts
@@ -319,18 +319,18 @@
   }
 
   #keep(core: ControlCore, effect: StoreEffect): void {
-    const { part, version, body } = effect;
+    const { partition, version, body } = effect;
     const now = () => this.now();
     function stored(inner: ControlCore): void {
-      inner.onPersisted(now(), part, version);
+      inner.onPersisted(now(), partition, version);
     }
-    const stream = `disk ${part}`;
+    const stream = `disk ${partition}`;
     const again = this.process.inThisLife(() => this.#keep(core, effect));
     const wait = () => this.process.after(DISK_AGAIN_MS, again);
     const done = () => this.#input(core, stream, stored);
     const fail = () => this.process.submit(stream, wait);
-    this.#trace.write(part, version, body);
-    this.disk.write(part, version, body, done, fail);
+    this.#trace.write(partition, version, body);
+    this.disk.write(partition, version, body, done, fail);
   }
 
   #list(core: ControlCore): void {
--- a/src/simulation/control-simulation.ts
+++ b/src/simulation/control-simulation.ts
@@ -1,6 +1,6 @@
 import { UNTRACED, type RunTrace } from '../rehearsal/run-trace.js';
 import { Scheduler } from '../rehearsal/scheduler.js';
-import { VOTE_PART } from '../state/part-names.js';
+import { VOTE_RECORD } from '../state/partition-names.js';
 import type { AgentNode } from './agent-node.js';
 import type { ControlNode, ControlObserver } from './control-node.js';
 import { ACK_MS, RECOVER_MS } from './contract-bounds.js';
@@ -333,7 +333,7 @@
 
   /** An empty disk bears no record of votes until its node counts again. */
   #isUnderRepair(node: string): boolean {
-    return this.#fleet.controls.get(node)?.disk.part(VOTE_PART) === undefined;
+    return this.#fleet.controls.get(node)?.disk.partition(VOTE_RECORD) === undefined;
   }
 
   #isMadeGood(node: string, isForGood: boolean): boolean {
--- a/src/simulation/core-build.ts
+++ b/src/simulation/core-build.ts
@@ -3,13 +3,13 @@
 import { ControlCore } from '../control/control-core.js';
 import type { ControlSettings } from '../control/control-effect.js';
 import type { VoteSettings } from '../election/vote-settings.js';
-import type { StoredPart } from '../state/store.js';
+import type { StoredPartition } from '../state/store.js';
 
 /** What a control node's core is made of when its process starts. */
 export interface ControlInputs {
   readonly settings: ControlSettings;
   /** What its disk holds. */
-  readonly stored: readonly StoredPart[];
+  readonly stored: readonly StoredPartition[];
   readonly now: Moment;
   readonly vote: VoteSettings;
 }
--- a/src/simulation/exhaustive/control-node.ts
+++ b/src/simulation/exhaustive/control-node.ts
@@ -1,9 +1,9 @@
 import { IdlePlanner } from '../../control/testing/idle-planner.js';
 import { documentOf, PlainDialect } from '../../control/testing/plain-dialect.js';
 import { array, number, optional, string, type, type Infer } from 'superstruct';
-import { CONFIG_PART } from '../../state/part-names.js';
-import type { StoredPart } from '../../state/store.js';
-import { partName, type Moment } from '../../common/ids.js';
+import { CONFIG_PARTITION } from '../../state/partition-names.js';
+import type { StoredPartition } from '../../state/store.js';
+import { partitionName, type Moment } from '../../common/ids.js';
 import { parseAs } from '../../common/json.js';
 import type { Message } from '../../common/messages.js';
 import { isNewer } from '../../common/version.js';
@@ -125,7 +125,7 @@
       foundMs: 0,
       deployed,
     };
-    this.#core = new ControlCore(settings, disk.map(storedPart), now, VOTE);
+    this.#core = new ControlCore(settings, disk.map(storedPartition), now, VOTE);
     this.#core.drain();
   }
 
@@ -134,8 +134,10 @@
   }
 
   facts(): ControlFacts {
-    const { elector, isServing, replicaStatus: standing, parts } = this.#core;
-    const doc = docOf(isServing ? parts.body(CONFIG_PART) : parts.replicaBody(CONFIG_PART));
+    const { elector, isServing, replicaStatus: standing, state } = this.#core;
+    const doc = docOf(
+      isServing ? state.body(CONFIG_PARTITION) : state.replicaBody(CONFIG_PARTITION),
+    );
     return {
       voters: this.#voters(),
       version: doc?.routing?.version ?? 0,
@@ -148,10 +150,10 @@
 
   /** By its own copy, or by one that was told as committed and is newer. */
   #voters(): readonly (readonly string[])[] {
-    const { parts, relay } = this.#core;
+    const { state, relay } = this.#core;
     const news = relay.latest('config');
-    const isNews = news !== undefined && isNewer(news.version, parts.versionOf(CONFIG_PART));
-    const doc = docOf(isNews ? news.body : parts.replicaBody(CONFIG_PART));
+    const isNews = news !== undefined && isNewer(news.version, state.versionOf(CONFIG_PARTITION));
+    const doc = docOf(isNews ? news.body : state.replicaBody(CONFIG_PARTITION));
     return doc?.voters ?? [this.#seeds];
   }
 
@@ -166,7 +168,7 @@
         }
         break;
       case 'stored':
-        this.#core.onPersisted(now, partName(input.write.slot), input.write);
+        this.#core.onPersisted(now, partitionName(input.write.slot), input.write);
         break;
       case 'command': {
         const { call, order } = input.command;
@@ -189,7 +191,7 @@
         sends.push({ to: effect.to, message: this.#told(effect.message) });
       } else if (effect.do === 'store') {
         writes.push({
-          slot: effect.part,
+          slot: effect.partition,
           ...effect.version,
           body: this.#bodyStored(effect.body),
         });
@@ -241,6 +243,6 @@
   return typeof raw === 'object' ? JSON.stringify({ ...raw, voters: [set] }) : body;
 }
 
-function storedPart({ slot, epoch, count, body }: DiskWrite): StoredPart {
-  return { part: partName(slot), version: { epoch, count }, body, isSound: true };
+function storedPartition({ slot, epoch, count, body }: DiskWrite): StoredPartition {
+  return { partition: partitionName(slot), version: { epoch, count }, body, isSound: true };
 }
--- a/src/simulation/exhaustive/refusal-protocol.ts
+++ b/src/simulation/exhaustive/refusal-protocol.ts
@@ -1,4 +1,4 @@
-import { CONFIG_PART } from '../../state/part-names.js';
+import { CONFIG_PARTITION } from '../../state/partition-names.js';
 import { nodeId, type NodeId } from '../../common/ids.js';
 import type { Message } from '../../common/messages.js';
 import { Quorum } from '../../common/quorum.js';
@@ -222,7 +222,7 @@
 function committedVersion(disks: readonly (readonly DiskWrite[])[]): number | undefined {
   const holders = new Map<string, Set<NodeId>>();
   for (const [node, disk] of disks.entries()) {
-    const write = disk.find((write) => isOfSlot(CONFIG_PART, write));
+    const write = disk.find((write) => isOfSlot(CONFIG_PARTITION, write));
     if (!write) continue;
     const key = `${write.epoch}.${write.count} ${write.body}`;
     const known = holders.get(key) ?? new Set();
--- a/src/simulation/exhaustive/replica.ts
+++ b/src/simulation/exhaustive/replica.ts
@@ -1,17 +1,17 @@
 import { number, type } from 'superstruct';
 import { ReplicatedState } from '../../state/replicated-state.js';
-import { CONFIG_PART, VOTE_PART } from '../../state/part-names.js';
+import { CONFIG_PARTITION, VOTE_RECORD } from '../../state/partition-names.js';
 import {
   ReplicaStatus,
   type ReplicaStatusName,
   type ReplicaStatusOutcome,
 } from '../../state/replica-status.js';
-import type { StoredPart } from '../../state/store.js';
+import type { StoredPartition } from '../../state/store.js';
 import {
   epochOf,
   nodeId,
   nextElecting,
-  partName,
+  partitionName,
   type NodeId,
   type Moment,
 } from '../../common/ids.js';
@@ -63,7 +63,7 @@
 export class Replica implements Subject<ReplicaCommand, ReplicaEvent, ReplicaFacts> {
   readonly #me: NodeId;
   readonly #quorum: Quorum;
-  readonly #parts: ReplicatedState;
+  readonly #replicatedState: ReplicatedState;
   readonly #replicaStatus: ReplicaStatus;
   readonly #mistake: ReplicaMistake | undefined;
   #epoch: number;
@@ -93,11 +93,11 @@
     this.#grantLeader = record?.grantLeader ?? 0;
     this.#keptGrant = this.#grantEpoch;
     this.#voteCount = vote?.count ?? 0;
-    this.#parts = new ReplicatedState(
+    this.#replicatedState = new ReplicatedState(
       this.#me,
       quorum,
-      [CONFIG_PART],
-      disk.filter(isConfig).map(storedPart),
+      [CONFIG_PARTITION],
+      disk.filter(isConfig).map(storedPartition),
     );
     const name = record ? 'sound' : 'blank';
     this.#replicaStatus = new ReplicaStatus(this.#me, name, now, 0, incarnation * LIFE_SPAN, false);
@@ -105,7 +105,7 @@
 
   get state(): unknown {
     return [
-      this.#parts,
+      this.#replicatedState,
       this.#replicaStatus,
       [this.#epoch, this.#grantEpoch, this.#grantLeader],
       [this.#keptGrant, this.#voteCount, this.#ledEpoch],
@@ -120,7 +120,7 @@
       granted: this.#granted(),
       grantLeader: this.#grantLeader,
       ledEpoch: this.#ledEpoch,
-      isServing: this.#parts.isServing,
+      isServing: this.#replicatedState.isServing,
     };
   }
 
@@ -149,12 +149,12 @@
   #tick(now: Moment): void {
     this.#sends.push(...this.#replicaStatus.tick(now, this.#quorum));
     this.#settle(this.#replicaStatus.outcome(now, this.#quorum));
-    this.#parts.tick(now);
+    this.#replicatedState.tick(now);
   }
 
   #receive(now: Moment, from: NodeId, message: Message): void {
     if (message.kind === 'read' && message.epoch === 0) {
-      const copies = this.#parts.copies();
+      const copies = this.#replicatedState.copies();
       const hasGranted = this.#grantEpoch > 0;
       const reply = this.#replicaStatus.replyTo(message.nonce, this.#epoch, copies, hasGranted);
       this.#sends.push({ to: from, message: reply });
@@ -169,13 +169,13 @@
     } else {
       const isOld = this.#mistake === 'old-epoch-written' && message.kind === 'write';
       const granted = isOld ? message.epoch : this.#granted();
-      this.#parts.receive(now, from, message, granted, [], this.#replicaStatus.name);
+      this.#replicatedState.receive(now, from, message, granted, [], this.#replicaStatus.name);
     }
   }
 
   #stored(now: Moment, write: DiskWrite): void {
-    if (write.slot !== VOTE_PART) {
-      this.#parts.stored(partName(write.slot), write, this.#granted(), now);
+    if (write.slot !== VOTE_RECORD) {
+      this.#replicatedState.stored(partitionName(write.slot), write, this.#granted(), now);
       this.#repairWaits.delete(write.slot);
       this.#endRepair();
       return;
@@ -193,19 +193,24 @@
       this.#grantLeader = command.leader;
       this.#keepVote();
       this.#ledEpoch = 0;
-      this.#parts.release();
+      this.#replicatedState.release();
     } else if (command.do === 'lead') {
       this.#ledEpoch = this.#epoch;
-      this.#parts.lead(now, this.#epoch);
+      this.#replicatedState.lead(now, this.#epoch);
     } else {
-      this.#parts.write(now, CONFIG_PART, this.#parts.body(CONFIG_PART) + command.letter, 0);
+      this.#replicatedState.write(
+        now,
+        CONFIG_PARTITION,
+        this.#replicatedState.body(CONFIG_PARTITION) + command.letter,
+        0,
+      );
     }
   }
 
   #keepVote(): void {
     this.#voteCount += 1;
     const body = voteBody(this.#epoch, this.#grantEpoch, this.#grantLeader);
-    this.#writes.push({ slot: VOTE_PART, epoch: this.#epoch, count: this.#voteCount, body });
+    this.#writes.push({ slot: VOTE_RECORD, epoch: this.#epoch, count: this.#voteCount, body });
   }
 
   #granted(): number {
@@ -218,7 +223,8 @@
   #settle(outcome: ReplicaStatusOutcome | undefined): void {
     if (outcome?.become !== 'repaired') return;
     if (this.#settlesAt !== undefined || this.#isRepairing) return;
-    for (const part of this.#parts.adopt(outcome.copies)) this.#repairWaits.add(part);
+    for (const partition of this.#replicatedState.adopt(outcome.copies))
+      this.#repairWaits.add(partition);
     this.#isRepairing = true;
     this.#repairEpoch = outcome.epoch;
     this.#endRepair();
@@ -235,18 +241,25 @@
   }
 
   #drain(now: Moment): void {
-    for (let effects = this.#parts.drain(); effects.length > 0; effects = this.#parts.drain()) {
+    for (
+      let effects = this.#replicatedState.drain();
+      effects.length > 0;
+      effects = this.#replicatedState.drain()
+    ) {
       for (const effect of effects) {
         if (effect.do === 'send') this.#sends.push(effect);
         else if (effect.do === 'serving') {
-          this.#events.push({ kind: 'serving', body: this.#parts.body(CONFIG_PART) });
+          this.#events.push({
+            kind: 'serving',
+            body: this.#replicatedState.body(CONFIG_PARTITION),
+          });
         } else if (effect.do === 'committed') {
           this.#events.push({ kind: 'committed', version: effect.version, body: effect.body });
         } else if (effect.do === 'store') {
-          const { part, version, body } = effect;
-          this.#writes.push({ slot: part, ...version, body });
+          const { partition, version, body } = effect;
+          this.#writes.push({ slot: partition, ...version, body });
           if (this.#mistake === 'acknowledged-unsynced') {
-            this.#parts.stored(part, version, this.#granted(), now);
+            this.#replicatedState.stored(partition, version, this.#granted(), now);
           }
         }
       }
@@ -255,15 +268,15 @@
 }
 
 function isVote(write: DiskWrite): boolean {
-  return write.slot === VOTE_PART;
+  return write.slot === VOTE_RECORD;
 }
 
 export function isConfig(write: DiskWrite): boolean {
-  return write.slot === CONFIG_PART;
+  return write.slot === CONFIG_PARTITION;
 }
 
-function storedPart({ slot, epoch, count, body }: DiskWrite): StoredPart {
-  return { part: partName(slot), version: { epoch, count }, body, isSound: true };
+function storedPartition({ slot, epoch, count, body }: DiskWrite): StoredPartition {
+  return { partition: partitionName(slot), version: { epoch, count }, body, isSound: true };
 }
 
 /** A record of votes as the disk holds it. */
--- a/src/simulation/exhaustive/replication-protocol.ts
+++ b/src/simulation/exhaustive/replication-protocol.ts
@@ -1,4 +1,4 @@
-import { VOTE_PART } from '../../state/part-names.js';
+import { VOTE_RECORD } from '../../state/partition-names.js';
 import { nodeId, type NodeId } from '../../common/ids.js';
 import { Quorum } from '../../common/quorum.js';
 import { compareVersions } from '../../common/version.js';
@@ -115,7 +115,7 @@
     this.#quorum = mistake === 'committed-at-one-copy' ? new OneCopyQuorum(...ids) : this.#majority;
     this.#mistake = mistake === 'committed-at-one-copy' ? undefined : mistake;
     const body = voteBody(FIRST_EPOCH, FIRST_EPOCH, FIRST_LEADER);
-    const granted = { slot: VOTE_PART, epoch: FIRST_EPOCH, count: 1, body };
+    const granted = { slot: VOTE_RECORD, epoch: FIRST_EPOCH, count: 1, body };
     this.firstDisks = this.nodes.map(() => [granted]);
     const everybody = (1 << this.nodes.length) - 1;
     const grants = [{ epoch: FIRST_EPOCH, leader: FIRST_LEADER, by: everybody }];
--- a/src/simulation/exhaustive/voter-change-protocol.ts
+++ b/src/simulation/exhaustive/voter-change-protocol.ts
@@ -1,4 +1,4 @@
-import { CONFIG_PART } from '../../state/part-names.js';
+import { CONFIG_PARTITION } from '../../state/partition-names.js';
 import { nodeId } from '../../common/ids.js';
 import type { Message } from '../../common/messages.js';
 import { Quorum } from '../../common/quorum.js';
@@ -211,6 +211,6 @@
 }
 
 function votersOnDisk(disk: readonly DiskWrite[]): VoterSets {
-  const write = disk.find((write) => isOfSlot(CONFIG_PART, write));
+  const write = disk.find((write) => isOfSlot(CONFIG_PARTITION, write));
   return write && docOf(write.body)?.voters;
 }
--- a/src/simulation/mutants/election-mutants.ts
+++ b/src/simulation/mutants/election-mutants.ts
@@ -1,11 +1,11 @@
 import { number, string, type } from 'superstruct';
-import { moment, type Moment, type PartName } from '../../common/ids.js';
+import { moment, type Moment, type PartitionName } from '../../common/ids.js';
 import { parseAs } from '../../common/json.js';
 import type { Message } from '../../common/messages.js';
 import type { Version } from '../../common/version.js';
 import type { ControlEffect } from '../../control/control-effect.js';
-import { VOTE_PART } from '../../state/part-names.js';
-import type { StoredPart } from '../../state/store.js';
+import { VOTE_RECORD } from '../../state/partition-names.js';
+import type { StoredPartition } from '../../state/store.js';
 import type { ControlInputs } from '../core-build.js';
 import { InterceptedControl, type Heard } from './intercepted-control.js';
 
@@ -72,8 +72,8 @@
   }
 }
 
-function withoutGrant(stored: StoredPart): StoredPart {
-  const record = stored.part === VOTE_PART ? parseAs(VoteBodyShape, stored.body) : undefined;
+function withoutGrant(stored: StoredPartition): StoredPartition {
+  const record = stored.partition === VOTE_RECORD ? parseAs(VoteBodyShape, stored.body) : undefined;
   if (!record) return stored;
   const body = JSON.stringify({ epoch: record.epoch, grantEpoch: 0, grantLeader: '' });
   return { ...stored, body };
@@ -113,8 +113,8 @@
     super.onDisconnect(this.#read(now), from);
   }
 
-  override onPersisted(now: Moment, part: PartName, version: Version): void {
-    super.onPersisted(this.#read(now), part, version);
+  override onPersisted(now: Moment, partition: PartitionName, version: Version): void {
+    super.onPersisted(this.#read(now), partition, version);
   }
 
   override onCommand(now: Moment, id: number, verb: string, body: string): void {
--- a/src/simulation/mutants/intercepted-control.ts
+++ b/src/simulation/mutants/intercepted-control.ts
@@ -1,4 +1,4 @@
-import type { Moment, PartName } from '../../common/ids.js';
+import type { Moment, PartitionName } from '../../common/ids.js';
 import type { Message } from '../../common/messages.js';
 import type { Version } from '../../common/version.js';
 import { ControlCore } from '../../control/control-core.js';
@@ -59,9 +59,9 @@
     else super.onCommand(now, id, command.verb, command.body);
   }
 
-  override onPersisted(now: Moment, part: PartName, version: Version): void {
+  override onPersisted(now: Moment, partition: PartitionName, version: Version): void {
     this.#now = now;
-    super.onPersisted(now, part, version);
+    super.onPersisted(now, partition, version);
   }
 
   override drain(): ControlEffect[] {
@@ -109,8 +109,8 @@
   }
 
   /** Tells the core at once that a write is on disk. */
-  protected pretendStored(part: PartName, version: Version): void {
-    super.onPersisted(this.#now, part, version);
+  protected pretendStored(partition: PartitionName, version: Version): void {
+    super.onPersisted(this.#now, partition, version);
   }
 
   protected say(to: string, message: Message): void {
--- a/src/simulation/mutants/order-mutants.ts
+++ b/src/simulation/mutants/order-mutants.ts
@@ -5,7 +5,7 @@
 import { decodeConfigDoc } from '../../control/config-codec.js';
 import type { ControlEffect } from '../../control/control-effect.js';
 import { acceptedAnswer, errorAnswer, type CommandAnswer } from '../../control/command-answers.js';
-import { CONFIG_PART } from '../../state/part-names.js';
+import { CONFIG_PARTITION } from '../../state/partition-names.js';
 import { InterceptedControl, type Command } from './intercepted-control.js';
 
 /** Control nodes that answer operators' orders wrongly. */
@@ -32,7 +32,7 @@
 /** The configuration as this leader has written it, committed or not; nothing at other nodes. */
 function writtenDoc(core: InterceptedControl): ConfigDoc | undefined {
   if (!core.isServing) return undefined;
-  return decodeConfigDoc(core.parts.body(CONFIG_PART));
+  return decodeConfigDoc(core.state.body(CONFIG_PARTITION));
 }
 
 /** The version of the newest configuration that this node knows to be committed. */
@@ -57,7 +57,7 @@
   protected override answerOf(command: Command): CommandAnswer | undefined {
     const change = changeOf(command);
     const doc = writtenDoc(this);
-    if (!change || !doc || !this.parts.isWriting(CONFIG_PART)) return undefined;
+    if (!change || !doc || !this.state.isWriting(CONFIG_PARTITION)) return undefined;
     if (doc.edits.some((edit) => hasId(change.id, edit))) return undefined;
     const current = doc.routing?.version ?? 0;
     return change.base === current ? undefined : refusal(change.base, current);
--- a/src/simulation/mutants/state-mutants.ts
+++ b/src/simulation/mutants/state-mutants.ts
@@ -1,11 +1,11 @@
-import { partName, type PartName } from '../../common/ids.js';
+import { partitionName, type PartitionName } from '../../common/ids.js';
 import type { Message } from '../../common/messages.js';
 import { isNewer } from '../../common/version.js';
 import { decodeConfigDoc, encodeConfigDoc } from '../../control/config-codec.js';
 import type { ConfigDoc } from '../../control/config-shapes.js';
 import type { ControlEffect } from '../../control/control-effect.js';
-import { allParts, CONFIG_PART, VOTE_PART } from '../../state/part-names.js';
-import type { StoredPart } from '../../state/store.js';
+import { allPartitions, CONFIG_PARTITION, VOTE_RECORD } from '../../state/partition-names.js';
+import type { StoredPartition } from '../../state/store.js';
 import type { ControlInputs } from '../core-build.js';
 import { InterceptedControl, type Heard } from './intercepted-control.js';
 
@@ -13,26 +13,26 @@
 
 /** Says that a write is on disk as soon as it begins. */
 abstract class StoresUnsynced extends InterceptedControl {
-  protected abstract isEarly(part: PartName): boolean;
+  protected abstract isEarly(partition: PartitionName): boolean;
 
   protected override carryOut(effect: ControlEffect): readonly ControlEffect[] {
-    if (effect.do === 'store' && this.isEarly(effect.part))
-      this.pretendStored(effect.part, effect.version);
+    if (effect.do === 'store' && this.isEarly(effect.partition))
+      this.pretendStored(effect.partition, effect.version);
     return [effect];
   }
 }
 
 /** Acknowledges the configuration before it is synced. */
 export class StoresConfigUnsynced extends StoresUnsynced {
-  protected override isEarly(part: PartName): boolean {
-    return part === CONFIG_PART;
+  protected override isEarly(partition: PartitionName): boolean {
+    return partition === CONFIG_PARTITION;
   }
 }
 
 /** Speaks of its votes before they are synced. */
 export class StoresVotesUnsynced extends StoresUnsynced {
-  protected override isEarly(part: PartName): boolean {
-    return part === VOTE_PART;
+  protected override isEarly(partition: PartitionName): boolean {
+    return partition === VOTE_RECORD;
   }
 }
 
@@ -52,7 +52,7 @@
     const { grantEpoch } = this.elector.record;
     if (message.kind !== 'write' || message.epoch >= grantEpoch) return [{ from, message }];
     // With the epoch alone mistaken, its count is most often below what the present leader has written since.
-    const held = this.parts.versionOf(partName(message.part));
+    const held = this.state.versionOf(partitionName(message.part));
     const count = Math.max(message.count, held.count);
     return [{ from, message: { ...message, epoch: grantEpoch, count } }];
   }
@@ -65,7 +65,7 @@
       return [effect];
     }
     const { epoch, nonce } = effect.message;
-    const copies = allParts().map(emptyCopy);
+    const copies = allPartitions().map(emptyCopy);
     this.pretend(effect.to, {
       kind: 'readReply',
       epoch,
@@ -78,14 +78,14 @@
   }
 }
 
-function emptyCopy(part: PartName): {
+function emptyCopy(partition: PartitionName): {
   part: string;
   epoch: number;
   count: number;
   body: string;
   sound: boolean;
 } {
-  return { part, epoch: 0, count: 0, body: '', sound: true };
+  return { part: partition, epoch: 0, count: 0, body: '', sound: true };
 }
 
 /** Alters the configuration before it is sent to others or written here. */
@@ -93,12 +93,12 @@
   protected abstract altered(doc: ConfigDoc): ConfigDoc;
 
   protected override carryOut(effect: ControlEffect): readonly ControlEffect[] {
-    if (effect.do === 'store' && effect.part === CONFIG_PART) {
+    if (effect.do === 'store' && effect.partition === CONFIG_PARTITION) {
       return [{ ...effect, body: this.#alter(effect.body) }];
     }
     if (effect.do !== 'send' || effect.message.kind !== 'write') return [effect];
     const { message } = effect;
-    if (message.part !== CONFIG_PART) return [effect];
+    if (message.part !== CONFIG_PARTITION) return [effect];
     return [{ ...effect, message: { ...message, body: this.#alter(message.body) } }];
   }
 
@@ -139,8 +139,8 @@
   }
 }
 
-const FRESH_VOTE: StoredPart = {
-  part: VOTE_PART,
+const FRESH_VOTE: StoredPartition = {
+  partition: VOTE_RECORD,
   version: { epoch: 0, count: 1 },
   body: JSON.stringify({ epoch: 0, grantEpoch: 0, grantLeader: '' }),
   isSound: true,
@@ -149,28 +149,28 @@
 /** A write with the moment of its beginning. */
 interface DatedPart {
   readonly at: number;
-  readonly stored: StoredPart;
+  readonly stored: StoredPartition;
 }
 
 /** What the processes of one run have written, for nodes that start from an older state than their newest. */
 export class Snapshots {
   readonly #byNode = new Map<string, DatedPart[]>();
 
-  note(node: string, at: number, stored: StoredPart): void {
+  note(node: string, at: number, stored: StoredPartition): void {
     const log = this.#byNode.get(node) ?? [];
     this.#byNode.set(node, log);
     log.push({ at, stored });
   }
 
   /** What the node had on disk at that moment. */
-  at(node: string, moment: number): readonly StoredPart[] {
-    const parts = new Map<string, StoredPart>();
+  at(node: string, moment: number): readonly StoredPartition[] {
+    const partitions = new Map<string, StoredPartition>();
     for (const { at, stored } of this.#byNode.get(node) ?? []) {
-      const known = parts.get(stored.part);
+      const known = partitions.get(stored.partition);
       if (at <= moment && (!known || isNewer(stored.version, known.version)))
-        parts.set(stored.part, stored);
+        partitions.set(stored.partition, stored);
     }
-    return [...parts.values()];
+    return [...partitions.values()];
   }
 }
 
@@ -191,8 +191,8 @@
 
   protected override carryOut(effect: ControlEffect): readonly ControlEffect[] {
     if (effect.do === 'store') {
-      const { part, version, body } = effect;
-      this.#snapshots.note(this.#me, this.now, { part, version, body, isSound: true });
+      const { partition, version, body } = effect;
+      this.#snapshots.note(this.#me, this.now, { partition, version, body, isSound: true });
     }
     return [effect];
   }
--- a/src/simulation/same-runs/trace-digest.ts
+++ b/src/simulation/same-runs/trace-digest.ts
@@ -34,8 +34,14 @@
     this.#add(`${at} text ${from} ${to} ${text.length} `, text);
   }
 
-  write(at: number, node: string, part: string, { epoch, count }: Version, body: string): void {
-    this.#add(`${at} write ${node} ${part}/${epoch}.${count}.json ${body.length} `, body);
+  write(
+    at: number,
+    node: string,
+    partition: string,
+    { epoch, count }: Version,
+    body: string,
+  ): void {
+    this.#add(`${at} write ${node} ${partition}/${epoch}.${count}.json ${body.length} `, body);
   }
 
   answer(at: number, node: string, status: number, body: string): void {
--- a/src/simulation/sim-disk.test.ts
+++ b/src/simulation/sim-disk.test.ts
@@ -1,5 +1,5 @@
 import { expect, test } from 'vitest';
-import { CONFIG_PART } from '../state/part-names.js';
+import { CONFIG_PARTITION } from '../state/partition-names.js';
 import { Scheduler } from '../rehearsal/scheduler.js';
 import { Seeded } from '../rehearsal/seeded.js';
 import { SimDisk } from './sim-disk.js';
@@ -12,7 +12,7 @@
   write(count: number): void {
     const done = this.told.push.bind(this.told, `kept ${count}`);
     const fail = this.told.push.bind(this.told, `failed ${count}`);
-    this.disk.write(CONFIG_PART, { epoch: 2, count }, `body ${count}`, done, fail);
+    this.disk.write(CONFIG_PARTITION, { epoch: 2, count }, `body ${count}`, done, fail);
   }
 
   run(millis: number): void {
@@ -20,7 +20,7 @@
   }
 
   get body(): string {
-    return this.disk.part(CONFIG_PART)?.body ?? '';
+    return this.disk.partition(CONFIG_PARTITION)?.body ?? '';
   }
 }
 
--- a/src/simulation/sim-disk.ts
+++ b/src/simulation/sim-disk.ts
@@ -1,6 +1,6 @@
 import { compareVersions, type Version } from '../common/version.js';
-import type { PartName } from '../common/ids.js';
-import type { StoredPart } from '../state/store.js';
+import type { PartitionName } from '../common/ids.js';
+import type { StoredPartition } from '../state/store.js';
 import type { Scheduler } from '../rehearsal/scheduler.js';
 import type { Seeded } from '../rehearsal/seeded.js';
 
@@ -10,7 +10,7 @@
 export type UnsyncedFate = 'kept' | 'lost' | 'drawn';
 
 interface Write {
-  readonly part: PartName;
+  readonly partition: PartitionName;
   readonly version: Version;
   readonly body: string;
   readonly done: (() => void)[];
@@ -19,7 +19,7 @@
 
 interface Kept {
   readonly at: number;
-  readonly stored: StoredPart;
+  readonly stored: StoredPartition;
 }
 
 /** One write with its syncs on a disk without trouble. */
@@ -39,11 +39,11 @@
 export class SimDisk {
   readonly #scheduler: Scheduler;
   readonly #random: Seeded;
-  readonly #kept = new Map<PartName, StoredPart>();
+  readonly #kept = new Map<PartitionName, StoredPartition>();
   /** What was kept lately, so that an old state can be put back; older than that only the newest of each part. */
   #log: Kept[] = [];
-  readonly #waiting = new Map<PartName, Write>();
-  readonly #active = new Map<PartName, Write>();
+  readonly #waiting = new Map<PartitionName, Write>();
+  readonly #active = new Map<PartitionName, Write>();
   #stalled: (() => void)[] = [];
   #age = 0;
   #trouble: DiskTrouble = 'none';
@@ -62,12 +62,12 @@
     return this.#writes;
   }
 
-  list(): readonly StoredPart[] {
+  list(): readonly StoredPartition[] {
     return [...this.#kept.values()];
   }
 
-  part(part: PartName): StoredPart | undefined {
-    return this.#kept.get(part);
+  partition(partition: PartitionName): StoredPartition | undefined {
+    return this.#kept.get(partition);
   }
 
   setTrouble(trouble: DiskTrouble): void {
@@ -84,17 +84,23 @@
     else run();
   }
 
-  write(part: PartName, version: Version, body: string, done: () => void, fail: () => void): void {
-    const before = this.#waiting.get(part);
+  write(
+    partition: PartitionName,
+    version: Version,
+    body: string,
+    done: () => void,
+    fail: () => void,
+  ): void {
+    const before = this.#waiting.get(partition);
     if (before && compareVersions(before.version, version) > 0) {
       before.done.push(done);
       before.fail.push(fail);
     } else {
       const dones = [...(before?.done ?? []), done];
       const fails = [...(before?.fail ?? []), fail];
-      this.#waiting.set(part, { part, version, body, done: dones, fail: fails });
+      this.#waiting.set(partition, { partition, version, body, done: dones, fail: fails });
     }
-    if (!this.#active.has(part)) this.#work(part);
+    if (!this.#active.has(partition)) this.#work(partition);
   }
 
   /** The process ended; what it had under way may have reached the disk. */
@@ -122,11 +128,11 @@
     this.#log = log;
   }
 
-  #work(part: PartName): void {
-    const write = this.#waiting.get(part);
+  #work(partition: PartitionName): void {
+    const write = this.#waiting.get(partition);
     if (!write) return;
-    this.#waiting.delete(part);
-    this.#active.set(part, write);
+    this.#waiting.delete(partition);
+    this.#active.set(partition, write);
     const factor = this.#trouble === 'slow' ? SLOW_FACTOR : 1;
     const millis = this.#random.between(LEAST_WRITE_MS, MOST_WRITE_MS) * factor;
     const age = this.#age;
@@ -138,22 +144,27 @@
 
   #finish(write: Write, age: number): void {
     if (age !== this.#age) return;
-    this.#active.delete(write.part);
+    this.#active.delete(write.partition);
     this.#writes += 1;
     this.#keep(write);
     for (const done of write.done) done();
-    if (!this.#active.has(write.part)) this.#work(write.part);
+    if (!this.#active.has(write.partition)) this.#work(write.partition);
   }
 
   #refuse(write: Write, age: number): void {
     if (age !== this.#age) return;
-    this.#active.delete(write.part);
+    this.#active.delete(write.partition);
     for (const fail of write.fail) fail();
-    if (!this.#active.has(write.part)) this.#work(write.part);
+    if (!this.#active.has(write.partition)) this.#work(write.partition);
   }
 
   #keep(write: Write): void {
-    const stored = { part: write.part, version: write.version, body: write.body, isSound: true };
+    const stored = {
+      partition: write.partition,
+      version: write.version,
+      body: write.body,
+      isSound: true,
+    };
     this.#log.push({ at: this.#scheduler.now, stored });
     if (this.#log.length > MOST_LOGGED) this.#forgetOld();
     this.#put(stored);
@@ -161,16 +172,16 @@
 
   #forgetOld(): void {
     const until = this.#scheduler.now - LOGGED_MS;
-    const newest = new Map<PartName, Kept>();
-    for (const kept of this.#log) if (kept.at <= until) newest.set(kept.stored.part, kept);
+    const newest = new Map<PartitionName, Kept>();
+    for (const kept of this.#log) if (kept.at <= until) newest.set(kept.stored.partition, kept);
     const recent = this.#log.filter((kept) => kept.at > until);
     this.#log = [...newest.values(), ...recent];
   }
 
   /** Of the files of a part the one with the newest name counts, whichever was written last. */
-  #put(stored: StoredPart): void {
-    const known = this.#kept.get(stored.part);
+  #put(stored: StoredPartition): void {
+    const known = this.#kept.get(stored.partition);
     if (known && compareVersions(stored.version, known.version) < 0) return;
-    this.#kept.set(stored.part, stored);
+    this.#kept.set(stored.partition, stored);
   }
 }
--- a/src/simulation/state-rules.ts
+++ b/src/simulation/state-rules.ts
@@ -1,5 +1,5 @@
 import { array, number, optional, string, type } from 'superstruct';
-import { CONFIG_PART } from '../state/part-names.js';
+import { CONFIG_PARTITION } from '../state/partition-names.js';
 import { parseAs } from '../common/json.js';
 import {
   compareVersions,
@@ -119,7 +119,7 @@
 
   #holds(voter: string, editId: string): boolean {
     if (this.#settings.isGone(voter)) return false;
-    const stored = this.#settings.nodes.get(voter)?.disk.part(CONFIG_PART);
+    const stored = this.#settings.nodes.get(voter)?.disk.partition(CONFIG_PARTITION);
     return stored?.body.includes(editId) === true;
   }
 
@@ -166,7 +166,7 @@
   }
 
   #hasVersion(version: Version, voter: string): boolean {
-    const stored = this.#settings.nodes.get(voter)?.disk.part(CONFIG_PART);
+    const stored = this.#settings.nodes.get(voter)?.disk.partition(CONFIG_PARTITION);
     return stored !== undefined && compareVersions(stored.version, version) >= 0;
   }
 }
--- a/src/state/copy-mending.ts
+++ b/src/state/copy-mending.ts
@@ -50,8 +50,8 @@
       this.#compare(from, middle, high);
       return;
     }
-    const part = this.#copies.names[low];
-    if (part !== undefined && this.#owner.sendCopy(from, part)) this.#mends += 1;
+    const partition = this.#copies.names[low];
+    if (partition !== undefined && this.#owner.sendCopy(from, partition)) this.#mends += 1;
   }
 
   #compare(peer: NodeId, low: number, high: number): void {
--- a/src/state/file-store.test.ts
+++ b/src/state/file-store.test.ts
@@ -1,6 +1,6 @@
 import { describe, expect, test } from 'vitest';
 import type { HaretrackError } from '../common/errors.js';
-import { partName } from '../common/ids.js';
+import { partitionName } from '../common/ids.js';
 import { FileStore, NodeDisk } from './file-store.js';
 import { MemoryStore } from './memory-store.js';
 import type { Store } from './store.js';
@@ -8,7 +8,7 @@
 import { tmpdir } from 'node:os';
 import { join } from 'node:path';
 
-const part = partName('p1');
+const partition = partitionName('p1');
 const told: HaretrackError[] = [];
 function tell(defect: HaretrackError): void {
   told.push(defect);
@@ -20,12 +20,12 @@
 function contract(name: string, make: () => Promise<{ store: Store; reopen: () => Store }>): void {
   async function checkNewest(): Promise<void> {
     const { store, reopen } = await make();
-    await store.write(part, { epoch: 2, count: 9 }, 'old');
-    await store.write(part, { epoch: 4, count: 1 }, 'new');
-    await store.write(partName('p2'), { epoch: 2, count: 1 }, 'other');
+    await store.write(partition, { epoch: 2, count: 9 }, 'old');
+    await store.write(partition, { epoch: 4, count: 1 }, 'new');
+    await store.write(partitionName('p2'), { epoch: 2, count: 1 }, 'other');
     const all = [...(await reopen().readAll())];
     expect(all).toContainEqual({
-      part,
+      partition,
       version: { epoch: 4, count: 1 },
       body: 'new',
       isSound: true,
@@ -36,7 +36,7 @@
     const { store, reopen } = await make();
     const writes = [];
     for (let count = 1; count <= 30; count += 1)
-      writes.push(store.write(part, { epoch: 2, count }, `body ${count}`));
+      writes.push(store.write(partition, { epoch: 2, count }, `body ${count}`));
     await Promise.all(writes);
     expect((await reopen().readAll())[0]?.body).toBe('body 30');
   }
@@ -121,13 +121,13 @@
   const store = new FileStore(data, tell, disk);
   await store.readAll();
   disk.failing = 'folder';
-  await expect(store.write(part, { epoch: 2, count: 1 }, 'lost')).rejects.toThrow(/EIO/);
+  await expect(store.write(partition, { epoch: 2, count: 1 }, 'lost')).rejects.toThrow(/EIO/);
   disk.failing = 'write';
-  await expect(store.write(part, { epoch: 2, count: 2 }, 'lost')).rejects.toThrow(/ENOSPC/);
+  await expect(store.write(partition, { epoch: 2, count: 2 }, 'lost')).rejects.toThrow(/ENOSPC/);
   disk.failing = '';
-  await store.write(part, { epoch: 2, count: 3 }, 'kept');
+  await store.write(partition, { epoch: 2, count: 3 }, 'kept');
   // A file lasts only if every folder above it that we made has been synced, however often that failed before.
-  for (const path of [join(data, part), data, join(data, '..'), join(data, '..', '..')])
+  for (const path of [join(data, partition), data, join(data, '..'), join(data, '..', '..')])
     expect(disk.synced).toContain(path);
   const [stored] = await new FileStore(data, tell).readAll();
   expect(stored?.body).toBe('kept');
@@ -142,11 +142,11 @@
   const root = await folder();
   const disk = new TearingDisk();
   const store = new FileStore(root, tell, disk);
-  await store.write(part, { epoch: 2, count: 1 }, 'kept');
+  await store.write(partition, { epoch: 2, count: 1 }, 'kept');
   for (const tear of ['write', 'folder']) {
     disk.tear = tear;
     await expect(
-      store.write(part, { epoch: 2, count: tear === 'write' ? 2 : 3 }, 'torn'),
+      store.write(partition, { epoch: 2, count: tear === 'write' ? 2 : 3 }, 'torn'),
     ).rejects.toThrow(/cut/);
   }
   const [stored] = await new FileStore(root, tell).readAll();
@@ -157,13 +157,13 @@
 test('a bad newest file is named and its part shown as unsound', async () => {
   const root = await folder();
   const store = new FileStore(root, tell);
-  await store.write(part, { epoch: 2, count: 1 }, 'first');
-  await store.write(part, { epoch: 2, count: 2 }, 'second');
-  const path = join(root, part, '2.2.json');
+  await store.write(partition, { epoch: 2, count: 1 }, 'first');
+  await store.write(partition, { epoch: 2, count: 2 }, 'second');
+  const path = join(root, partition, '2.2.json');
   await writeFile(path, (await readFile(path, 'utf8')).replace('second', 'secomd'));
   told.length = 0;
   expect(await new FileStore(root, tell).readAll()).toEqual([
-    { part, version: { epoch: 2, count: 1 }, body: 'first', isSound: false },
+    { partition, version: { epoch: 2, count: 1 }, body: 'first', isSound: false },
   ]);
   expect(told.map(kindOf)).toEqual(['bad-file']);
 });
@@ -171,11 +171,11 @@
   const disk = new StallingDisk();
   const store = new FileStore(await folder(), tell, disk);
   let isKept = false;
-  const stalled = store.write(part, { epoch: 2, count: 1 }, 'stalled').then(() => {
+  const stalled = store.write(partition, { epoch: 2, count: 1 }, 'stalled').then(() => {
     isKept = true;
   });
   await disk.held;
-  await store.write(partName('p2'), { epoch: 2, count: 1 }, 'goes on');
+  await store.write(partitionName('p2'), { epoch: 2, count: 1 }, 'goes on');
   expect(isKept).toBe(false);
   disk.free();
   await stalled;
--- a/src/state/file-store.ts
+++ b/src/state/file-store.ts
@@ -8,9 +8,9 @@
   type HaretrackError,
   reasonOf,
 } from '../common/errors.js';
-import { partName, type PartName } from '../common/ids.js';
+import { partitionName, type PartitionName } from '../common/ids.js';
 import { compareVersions, NO_VERSION, type Version } from '../common/version.js';
-import type { Store, StoredPart } from './store.js';
+import type { Store, StoredPartition } from './store.js';
 
 const FileShape = type({
   part: string(),
@@ -30,9 +30,9 @@
 /** How many versions of a part stay on disk: the newest, and the one before it to look at after a defect. */
 const KEPT_FILES = 2;
 
-export function digestOf(part: string, version: Version, body: string): string {
+export function digestOf(partition: string, version: Version, body: string): string {
   return createHash('sha256')
-    .update(`${part}\n${version.epoch}\n${version.count}\n${body}`)
+    .update(`${partition}\n${version.epoch}\n${version.count}\n${body}`)
     .digest('hex');
 }
 
@@ -76,10 +76,10 @@
 export class FileStore implements Store {
   readonly #root: string;
   readonly #disk: Disk;
-  readonly #waiting = new Map<PartName, Waiting>();
-  readonly #busy = new Set<PartName>();
+  readonly #waiting = new Map<PartitionName, Waiting>();
+  readonly #busy = new Set<PartitionName>();
   /** Parts whose folder is known to last, with all folders above it that we may have made. */
-  readonly #lasting = new Set<PartName>();
+  readonly #lasting = new Set<PartitionName>();
   readonly #tell: (defect: HaretrackError) => void;
 
   constructor(root: string, tell: (defect: HaretrackError) => void, disk: Disk = new NodeDisk()) {
@@ -88,19 +88,19 @@
     this.#disk = disk;
   }
 
-  async readAll(): Promise<readonly StoredPart[]> {
+  async readAll(): Promise<readonly StoredPartition[]> {
     await mkdir(this.#root, { recursive: true });
-    const parts: StoredPart[] = [];
+    const partitions: StoredPartition[] = [];
     for (const entry of await readdir(this.#root, { withFileTypes: true })) {
       if (!entry.isDirectory() || !isName(entry.name)) continue;
-      const stored = await this.#readPart(partName(entry.name));
-      if (stored) parts.push(stored);
+      const stored = await this.#readPartition(partitionName(entry.name));
+      if (stored) partitions.push(stored);
     }
-    return parts;
+    return partitions;
   }
 
-  async #readPart(part: PartName): Promise<StoredPart | undefined> {
-    const folder = join(this.#root, part);
+  async #readPartition(partition: PartitionName): Promise<StoredPartition | undefined> {
+    const folder = join(this.#root, partition);
     const names = await readdir(folder);
     const versions: Version[] = [];
     for (const name of names) {
@@ -116,73 +116,78 @@
         const raw: unknown = JSON.parse(await readFile(join(folder, name), 'utf8'));
         if (
           !is(raw, FileShape) ||
-          raw.part !== part ||
-          raw.digest !== digestOf(part, version, raw.body)
+          raw.part !== partition ||
+          raw.digest !== digestOf(partition, version, raw.body)
         )
           throw new Error('its digest does not match');
-        return { part, version, body: raw.body, isSound };
+        return { partition, version, body: raw.body, isSound };
       } catch (thrown) {
         // The newest version was told as kept: an older one may be shown, but must not stand in for it.
         isSound = false;
-        this.#tell(new CorruptFileError(`${part}/${name}: ${reasonOf(thrown)}`));
+        this.#tell(new CorruptFileError(`${partition}/${name}: ${reasonOf(thrown)}`));
       }
     }
-    return isSound ? undefined : { part, version: NO_VERSION, body: '', isSound };
+    return isSound ? undefined : { partition, version: NO_VERSION, body: '', isSound };
   }
 
-  write(part: PartName, version: Version, body: string): Promise<void> {
-    return new Promise((done, fail) => this.#announce(part, version, body, done, fail));
+  write(partition: PartitionName, version: Version, body: string): Promise<void> {
+    return new Promise((done, fail) => this.#announce(partition, version, body, done, fail));
   }
 
   #announce(
-    part: PartName,
+    partition: PartitionName,
     version: Version,
     body: string,
     done: () => void,
     fail: (thrown: unknown) => void,
   ): void {
-    const before = this.#waiting.get(part);
+    const before = this.#waiting.get(partition);
     // A slow disk owes only the newest version of a part; those that wait with an older one are served by it.
     if (before && compareVersions(before.version, version) > 0) {
       before.done.push(done);
       before.fail.push(fail);
     } else {
-      this.#waiting.set(part, {
+      this.#waiting.set(partition, {
         version,
         body,
         done: [...(before?.done ?? []), done],
         fail: [...(before?.fail ?? []), fail],
       });
     }
-    if (!this.#busy.has(part)) void this.#work(part);
+    if (!this.#busy.has(partition)) void this.#work(partition);
   }
 
-  async #work(part: PartName): Promise<void> {
-    this.#busy.add(part);
-    for (let next = this.#waiting.get(part); next; next = this.#waiting.get(part)) {
-      this.#waiting.delete(part);
+  async #work(partition: PartitionName): Promise<void> {
+    this.#busy.add(partition);
+    for (let next = this.#waiting.get(partition); next; next = this.#waiting.get(partition)) {
+      this.#waiting.delete(partition);
       try {
-        await this.#writeFile(part, next.version, next.body);
+        await this.#writeFile(partition, next.version, next.body);
         for (const done of next.done) done();
       } catch (thrown) {
-        this.#tell(new DiskWriteError(`${part}: ${reasonOf(thrown)}`));
+        this.#tell(new DiskWriteError(`${partition}: ${reasonOf(thrown)}`));
         for (const fail of next.fail) fail(thrown);
       }
     }
-    this.#busy.delete(part);
+    this.#busy.delete(partition);
   }
 
-  async #writeFile(part: PartName, version: Version, body: string): Promise<void> {
-    const folder = join(this.#root, part);
+  async #writeFile(partition: PartitionName, version: Version, body: string): Promise<void> {
+    const folder = join(this.#root, partition);
     await mkdir(folder, { recursive: true });
     // Not only when we make it: making it may have gone well, and syncing the folder above it not.
-    if (!this.#lasting.has(part)) {
+    if (!this.#lasting.has(partition)) {
       for (const above of [this.#root, join(this.#root, '..'), join(this.#root, '..', '..')])
         await this.#disk.syncFolder(above);
-      this.#lasting.add(part);
+      this.#lasting.add(partition);
     }
     const name = `${version.epoch}.${version.count}.json`;
-    const text = JSON.stringify({ part, ...version, digest: digestOf(part, version, body), body });
+    const text = JSON.stringify({
+      part: partition,
+      ...version,
+      digest: digestOf(partition, version, body),
+      body,
+    });
     await this.#disk.writeSynced(join(folder, `${name}.aside`), text);
     await this.#disk.rename(join(folder, `${name}.aside`), join(folder, name));
     await this.#disk.syncFolder(folder);
--- a/src/state/replica-copies.test.ts
+++ b/src/state/replica-copies.test.ts
@@ -1,15 +1,15 @@
 import { expect, test } from 'vitest';
-import { partName } from '../common/ids.js';
+import { partitionName } from '../common/ids.js';
 import { ReplicaCopies } from './replica-copies.js';
 import { StateEffects } from './replicated-state-effect.js';
 
 /** The last is no part of ours. */
-const [FIRST, SECOND, OTHER] = [partName('p0'), partName('p1'), partName('p9')];
+const [FIRST, SECOND, OTHER] = [partitionName('p0'), partitionName('p1'), partitionName('p9')];
 const VERSION = { epoch: 2, count: 4 };
 
 /** Two parts, the first of which is on disk; `isSound` says whether its file is what was written. */
 function copiesWith(isSound: boolean, effects: StateEffects = new StateEffects()): ReplicaCopies {
-  const stored = { part: FIRST, version: VERSION, body: 'old', isSound };
+  const stored = { partition: FIRST, version: VERSION, body: 'old', isSound };
   return new ReplicaCopies([FIRST, SECOND], [stored], effects);
 }
 test('only what is newer and sound is taken for a repair', () => {
@@ -22,14 +22,14 @@
   expect([...copies.adopt([same, newer, unsound, foreign])]).toEqual([SECOND]);
   expect(copies.of(FIRST)?.body).toBe('old');
   expect(effects.drain()).toEqual([
-    { do: 'store', part: SECOND, version: { epoch: 1, count: 1 }, body: 'new' },
+    { do: 'store', partition: SECOND, version: { epoch: 1, count: 1 }, body: 'new' },
   ]);
 });
 test('a bad file is replaced by the same version of another voter', () => {
   const copies = copiesWith(false);
-  expect(copies.unsoundParts()).toEqual([FIRST]);
+  expect(copies.corruptPartitions()).toEqual([FIRST]);
   copies.adopt([{ part: FIRST, ...VERSION, body: 'new', sound: true }]);
-  expect(copies.unsoundParts()).toEqual([]);
+  expect(copies.corruptPartitions()).toEqual([]);
   expect(copies.of(FIRST)?.body).toBe('new');
 });
 test('an older version is not stored over a newer one', () => {
@@ -54,5 +54,5 @@
   effects.store(FIRST, VERSION, '');
   effects.add({ do: 'voters', version: VERSION, body: '' });
   effects.dropOwners();
-  expect(effects.drain()).toEqual([{ do: 'store', part: FIRST, version: VERSION, body: '' }]);
+  expect(effects.drain()).toEqual([{ do: 'store', partition: FIRST, version: VERSION, body: '' }]);
 });
--- a/src/state/replica-copies.ts
+++ b/src/state/replica-copies.ts
@@ -1,9 +1,9 @@
 import { createHash } from 'node:crypto';
-import { partName, type PartName } from '../common/ids.js';
+import { partitionName, type PartitionName } from '../common/ids.js';
 import type { CopyMessage } from '../common/messages.js';
 import { compareVersions, isNewer, NO_VERSION, type Version } from '../common/version.js';
 import type { StateEffects } from './replicated-state-effect.js';
-import type { StoredPart } from './store.js';
+import type { StoredPartition } from './store.js';
 
 /** One part as it is held here, on disk or on its way there. */
 export interface Copy {
@@ -17,64 +17,68 @@
 
 /** This voter's copies of all parts. */
 export class ReplicaCopies {
-  readonly #names: readonly PartName[];
+  readonly #names: readonly PartitionName[];
   readonly #effects: StateEffects;
-  readonly #copies = new Map<PartName, Copy>();
+  readonly #copies = new Map<PartitionName, Copy>();
 
-  constructor(names: readonly PartName[], stored: readonly StoredPart[], effects: StateEffects) {
+  constructor(
+    names: readonly PartitionName[],
+    stored: readonly StoredPartition[],
+    effects: StateEffects,
+  ) {
     this.#names = names;
     this.#effects = effects;
-    for (const part of names) this.#copies.set(part, NO_COPY);
-    for (const { part, version, body, isSound } of stored)
-      if (this.#copies.has(part)) this.#copies.set(part, { version, body, isSound });
+    for (const partition of names) this.#copies.set(partition, NO_COPY);
+    for (const { partition, version, body, isSound } of stored)
+      if (this.#copies.has(partition)) this.#copies.set(partition, { version, body, isSound });
   }
 
-  get names(): readonly PartName[] {
+  get names(): readonly PartitionName[] {
     return this.#names;
   }
 
   /** Nothing for a part that is not one of ours. */
-  of(part: PartName): Copy | undefined {
-    return this.#copies.get(part);
+  of(partition: PartitionName): Copy | undefined {
+    return this.#copies.get(partition);
   }
 
   /** Holds a version from here on, without storing it. */
-  put(part: PartName, version: Version, body: string): void {
-    this.#copies.set(part, { version, body, isSound: true });
+  put(partition: PartitionName, version: Version, body: string): void {
+    this.#copies.set(partition, { version, body, isSound: true });
   }
 
   /** Holds and stores a version, unless what is held is newer. */
-  store(part: PartName, version: Version, body: string): void {
-    const copy = this.of(part);
+  store(partition: PartitionName, version: Version, body: string): void {
+    const copy = this.of(partition);
     if (!copy || compareVersions(version, copy.version) < 0) return;
-    this.put(part, version, body);
-    this.#effects.store(part, version, body);
+    this.put(partition, version, body);
+    this.#effects.store(partition, version, body);
   }
 
-  unsoundParts(): readonly PartName[] {
-    const unsound: PartName[] = [];
-    for (const [part, copy] of this.#copies) if (!copy.isSound) unsound.push(part);
+  corruptPartitions(): readonly PartitionName[] {
+    const unsound: PartitionName[] = [];
+    for (const [partition, copy] of this.#copies) if (!copy.isSound) unsound.push(partition);
     return unsound;
   }
 
   /** All of them, as they are told to others. */
   list(): CopyMessage[] {
     const list: CopyMessage[] = [];
-    for (const [part, copy] of this.#copies)
-      list.push({ part, ...copy.version, body: copy.body, sound: copy.isSound });
+    for (const [partition, copy] of this.#copies)
+      list.push({ part: partition, ...copy.version, body: copy.body, sound: copy.isSound });
     return list;
   }
 
   /** Takes copies read while being repaired, and returns the parts that must reach the disk before the voter counts again. */
-  adopt(copies: readonly CopyMessage[]): ReadonlySet<PartName> {
-    const storing = new Set<PartName>();
+  adopt(copies: readonly CopyMessage[]): ReadonlySet<PartitionName> {
+    const storing = new Set<PartitionName>();
     for (const item of copies) {
-      const part = partName(item.part);
-      if (!this.#isWanted(part, item)) continue;
+      const partition = partitionName(item.part);
+      if (!this.#isWanted(partition, item)) continue;
       const version = { epoch: item.epoch, count: item.count };
-      this.put(part, version, item.body);
-      this.#effects.store(part, version, item.body);
-      storing.add(part);
+      this.put(partition, version, item.body);
+      this.#effects.store(partition, version, item.body);
+      storing.add(partition);
     }
     return storing;
   }
@@ -82,15 +86,15 @@
   /** Tells whether the same versions are held over a range of parts, `high` not included. */
   digest(low: number, high: number): string {
     const hash = createHash('sha256');
-    for (const part of this.#names.slice(low, high)) {
-      const copy = this.of(part);
-      hash.update(`${part} ${copy?.version.epoch} ${copy?.version.count} ${copy?.isSound}\n`);
+    for (const partition of this.#names.slice(low, high)) {
+      const copy = this.of(partition);
+      hash.update(`${partition} ${copy?.version.epoch} ${copy?.version.count} ${copy?.isSound}\n`);
     }
     return hash.digest('hex');
   }
 
-  #isWanted(part: PartName, item: CopyMessage): boolean {
-    const known = this.of(part);
+  #isWanted(partition: PartitionName, item: CopyMessage): boolean {
+    const known = this.of(partition);
     if (!known || !item.sound) return false;
     return !known.isSound || isNewer(item, known.version);
   }
--- a/src/state/replica-founding.test.ts
+++ b/src/state/replica-founding.test.ts
@@ -2,7 +2,7 @@
 import { moment, nodeId } from '../common/ids.js';
 import type { CopyMessage, Message } from '../common/messages.js';
 import { Quorum } from '../common/quorum.js';
-import { CONFIG_PART } from './part-names.js';
+import { CONFIG_PARTITION } from './partition-names.js';
 import {
   ReplicaStatus,
   type ReplicaStatusName,
@@ -68,7 +68,7 @@
 
 /** The configuration as a voter tells it, with the voters that it names. */
 function configOf(epoch: number, count: number, ...voters: readonly string[]): CopyMessage {
-  return copyOf(CONFIG_PART, { epoch, count }, `voters ${voters.join(' ')}`);
+  return copyOf(CONFIG_PARTITION, { epoch, count }, `voters ${voters.join(' ')}`);
 }
 
 describe('founding', () => {
--- a/src/state/replica-status.ts
+++ b/src/state/replica-status.ts
@@ -2,7 +2,7 @@
 import type { CopyMessage, Message } from '../common/messages.js';
 import type { Quorum } from '../common/quorum.js';
 import { isNewer, NO_VERSION, type Version } from '../common/version.js';
-import { CONFIG_PART } from './part-names.js';
+import { CONFIG_PARTITION } from './partition-names.js';
 
 /** blank: an empty folder. lost: the record of our votes is unreadable. sound: we may vote and count. */
 export type ReplicaStatusName = 'blank' | 'lost' | 'sound';
@@ -221,7 +221,7 @@
   return copy.epoch === 0;
 }
 function isConfig(copy: CopyMessage): boolean {
-  return copy.part === CONFIG_PART;
+  return copy.part === CONFIG_PARTITION;
 }
 function namesNobody(): undefined {
   return undefined;
--- a/src/state/replicated-state-effect.ts
+++ b/src/state/replicated-state-effect.ts
@@ -1,4 +1,4 @@
-import type { NodeId, PartName } from '../common/ids.js';
+import type { NodeId, PartitionName } from '../common/ids.js';
 import type { MemberMessage, Message } from '../common/messages.js';
 import type { Version } from '../common/version.js';
 
@@ -7,14 +7,14 @@
   | { readonly do: 'send'; readonly to: NodeId; readonly message: Message }
   | {
       readonly do: 'store';
-      readonly part: PartName;
+      readonly partition: PartitionName;
       readonly version: Version;
       readonly body: string;
     }
   /** The write is held by a synced majority of voters, and by all of them if they were prompt. */
   | {
       readonly do: 'committed';
-      readonly part: PartName;
+      readonly partition: PartitionName;
       readonly version: Version;
       readonly body: string;
       readonly tokens: readonly number[];
@@ -37,8 +37,8 @@
     this.add({ do: 'send', to, message });
   }
 
-  store(part: PartName, version: Version, body: string): void {
-    this.add({ do: 'store', part, version, body });
+  store(partition: PartitionName, version: Version, body: string): void {
+    this.add({ do: 'store', partition, version, body });
   }
 
   /** Drops what was decided as the owner of the parts. */
--- a/src/state/replicated-state.test.ts
+++ b/src/state/replicated-state.test.ts
@@ -1,14 +1,14 @@
 import { expect, test } from 'vitest';
-import { type NodeId, type PartName, nodeId, moment, partName } from '../common/ids.js';
+import { type NodeId, type PartitionName, nodeId, moment, partitionName } from '../common/ids.js';
 import type { CopyMessage } from '../common/messages.js';
 import { Quorum as Voters } from '../common/quorum.js';
 import type { Version } from '../common/version.js';
 import { ReplicatedState, type ReplicatedStateEffect } from './replicated-state.js';
-import type { StoredPart } from './store.js';
+import type { StoredPartition } from './store.js';
 
 const [a, b, c] = [nodeId('a'), nodeId('b'), nodeId('c')];
-const names = [partName('p0'), partName('p1'), partName('p2')];
-const [p0 = partName('p0')] = names;
+const names = [partitionName('p0'), partitionName('p1'), partitionName('p2')];
+const [p0 = partitionName('p0')] = names;
 /** Three voters whose disks keep at once, unless told otherwise. */
 class Trio {
   readonly parts = new Map<NodeId, ReplicatedState>();
@@ -18,7 +18,7 @@
   granted = 2;
   now = 0;
 
-  constructor(stored: ReadonlyMap<NodeId, readonly StoredPart[]> = new Map()) {
+  constructor(stored: ReadonlyMap<NodeId, readonly StoredPartition[]> = new Map()) {
     for (const id of [a, b, c])
       this.parts.set(
         id,
@@ -41,10 +41,10 @@
   #carryOut(id: NodeId, parts: ReplicatedState, effect: ReplicatedStateEffect): void {
     if (effect.do === 'store') {
       if (!this.deaf.has(id))
-        parts.stored(effect.part, effect.version, this.granted, moment(this.now));
+        parts.stored(effect.partition, effect.version, this.granted, moment(this.now));
     } else if (effect.do === 'committed')
       this.committed.push(
-        `${effect.part} ${effect.version.epoch}.${effect.version.count} ${effect.body}`,
+        `${effect.partition} ${effect.version.epoch}.${effect.version.count} ${effect.body}`,
       );
     else if (effect.do === 'send') {
       this.sent.push(`${id}>${effect.to} ${effect.message.kind}`);
@@ -70,13 +70,13 @@
     return parts;
   }
 }
-function storedAs(version: Version, isSound: boolean, part: PartName): StoredPart {
-  return { part, version, body: 'x', isSound };
+function storedAs(version: Version, isSound: boolean, partition: PartitionName): StoredPartition {
+  return { partition, version, body: 'x', isSound };
 }
 function isUnsound(copy: CopyMessage): boolean {
   return !copy.sound;
 }
-function partOf(copy: CopyMessage): string {
+function partitionOf(copy: CopyMessage): string {
   return copy.part;
 }
 function isDigestToC(line: string): boolean {
@@ -131,7 +131,7 @@
 test('a bad copy is found by digests over ranges and mended', () => {
   // A copy whose newest file was bad counts for nothing until the owner has mended it, found by digests over ranges.
   const version = { epoch: 2, count: 5 };
-  const whole = names.map((part) => storedAs(version, true, part));
+  const whole = names.map((partition) => storedAs(version, true, partition));
   const stored = new Map([
     [a, whole],
     [b, whole],
@@ -145,9 +145,9 @@
     ],
   ]);
   const trio = new Trio(stored);
-  expect(trio.parts.get(c)?.unsoundParts()).toEqual(['p1']);
+  expect(trio.parts.get(c)?.corruptPartitions()).toEqual(['p1']);
   const copies = trio.parts.get(c)?.copies() ?? [];
-  expect(copies.filter(isUnsound).map(partOf)).toEqual(['p1']);
+  expect(copies.filter(isUnsound).map(partitionOf)).toEqual(['p1']);
   trio.granted = 4;
   trio.deaf.add(c);
   trio.lead(a);
@@ -155,6 +155,6 @@
   trio.sent.length = 0;
   trio.tick(2100);
   trio.tick(100);
-  expect(trio.parts.get(c)?.unsoundParts()).toEqual([]);
+  expect(trio.parts.get(c)?.corruptPartitions()).toEqual([]);
   expect(trio.sent.filter(isDigestToC).length).toBeGreaterThan(1);
 });
--- a/src/state/replicated-state.ts
+++ b/src/state/replicated-state.ts
@@ -1,4 +1,4 @@
-import { partName, type Moment, type NodeId, type PartName } from '../common/ids.js';
+import { partitionName, type Moment, type NodeId, type PartitionName } from '../common/ids.js';
 import type { CopyMessage, MemberMessage, Message } from '../common/messages.js';
 import type { Quorum } from '../common/quorum.js';
 import { compareVersions, NO_VERSION, type Version } from '../common/version.js';
@@ -6,7 +6,7 @@
 import { ReplicaCopies } from './replica-copies.js';
 import { StateEffects, type ReplicatedStateEffect } from './replicated-state-effect.js';
 import { StateOwner, type QuorumOf } from './state-owner.js';
-import type { StoredPart } from './store.js';
+import type { StoredPartition } from './store.js';
 
 export type { ReplicatedStateEffect } from './replicated-state-effect.js';
 
@@ -30,15 +30,15 @@
   readonly #copies: ReplicaCopies;
   readonly #owner: StateOwner;
   readonly #mending: CopyMending;
-  readonly #replies = new Map<PartName, DueReply>();
+  readonly #replies = new Map<PartitionName, DueReply>();
   /** The last version of each part that reached the disk in this life. */
-  readonly #stored = new Map<PartName, Version>();
+  readonly #stored = new Map<PartitionName, Version>();
 
   constructor(
     me: NodeId,
     quorum: Quorum,
-    names: readonly PartName[],
-    stored: readonly StoredPart[],
+    names: readonly PartitionName[],
+    stored: readonly StoredPartition[],
     quorumOf: QuorumOf = namesNobody,
   ) {
     this.#me = me;
@@ -65,17 +65,17 @@
   }
 
   /** The version of this voter's own copy. */
-  versionOf(part: PartName): Version {
-    return this.#copies.of(part)?.version ?? NO_VERSION;
+  versionOf(partition: PartitionName): Version {
+    return this.#copies.of(partition)?.version ?? NO_VERSION;
   }
 
   /** The body of this voter's own copy. */
-  replicaBody(part: PartName): string {
-    return this.#copies.of(part)?.body ?? '';
+  replicaBody(partition: PartitionName): string {
+    return this.#copies.of(partition)?.body ?? '';
   }
 
-  unsoundParts(): readonly PartName[] {
-    return this.#copies.unsoundParts();
+  corruptPartitions(): readonly PartitionName[] {
+    return this.#copies.corruptPartitions();
   }
 
   copies(): CopyMessage[] {
@@ -83,7 +83,7 @@
   }
 
   /** Takes copies read while being repaired, and returns the parts that must reach the disk before the voter counts again. */
-  adopt(copies: readonly CopyMessage[]): ReadonlySet<PartName> {
+  adopt(copies: readonly CopyMessage[]): ReadonlySet<PartitionName> {
     return this.#copies.adopt(copies);
   }
 
@@ -101,18 +101,18 @@
   }
 
   /** The body as last written here, committed or not. */
-  body(part: PartName): string {
-    return this.#owner.body(part);
+  body(partition: PartitionName): string {
+    return this.#owner.body(partition);
   }
 
   /** Whether a write of this part is still without its majority. */
-  isWriting(part: PartName): boolean {
-    return this.#owner.isWriting(part);
+  isWriting(partition: PartitionName): boolean {
+    return this.#owner.isWriting(partition);
   }
 
   /** One write of a part is under way at a time; what comes meanwhile is one next write, of the newest body. Returns its count. */
-  write(now: Moment, part: PartName, body: string, token: number): number {
-    return this.#owner.write(now, part, body, token);
+  write(now: Moment, partition: PartitionName, body: string, token: number): number {
+    return this.#owner.write(now, partition, body, token);
   }
 
   tick(now: Moment): void {
@@ -156,17 +156,17 @@
   }
 
   /** Told when a version has reached the disk. */
-  stored(part: PartName, version: Version, granted: number, now?: Moment): void {
-    this.#stored.set(part, version);
+  stored(partition: PartitionName, version: Version, granted: number, now?: Moment): void {
+    this.#stored.set(partition, version);
     // Said only while that epoch still stands here: a newer leader may have read us before this write was kept.
     if (version.epoch !== granted) return;
     if (this.#owner.epoch === version.epoch && now !== undefined) {
-      this.#owner.ack(now, this.#me, part, version, []);
+      this.#owner.ack(now, this.#me, partition, version, []);
       return;
     }
-    const due = this.#replies.get(part);
+    const due = this.#replies.get(partition);
     if (due && compareVersions(due.version, version) === 0)
-      this.#replyTo(due.to, part, version, true, due.members);
+      this.#replyTo(due.to, partition, version, true, due.members);
   }
 
   #receiveRead(from: NodeId, message: ReadMessage, granted: number, standing: string): void {
@@ -187,36 +187,36 @@
     granted: number,
     members: readonly MemberMessage[],
   ): void {
-    const part = partName(message.part);
-    const copy = this.#copies.of(part);
+    const partition = partitionName(message.part);
+    const copy = this.#copies.of(partition);
     const version = { epoch: message.epoch, count: message.count };
     // An older epoch's write is turned away; one of an epoch not granted here yet comes again after our grant.
     if (!copy || message.epoch !== granted || compareVersions(version, copy.version) < 0) {
-      this.#replyTo(from, part, version, false, []);
+      this.#replyTo(from, partition, version, false, []);
       return;
     }
     const isKnown = compareVersions(version, copy.version) === 0 && copy.isSound;
-    this.#copies.put(part, version, message.body);
-    this.#replies.set(part, { to: from, version, members });
-    if (isKnown && this.#isStored(part, version)) this.stored(part, version, granted);
-    else this.#effects.store(part, version, message.body);
+    this.#copies.put(partition, version, message.body);
+    this.#replies.set(partition, { to: from, version, members });
+    if (isKnown && this.#isStored(partition, version)) this.stored(partition, version, granted);
+    else this.#effects.store(partition, version, message.body);
   }
 
-  #isStored(part: PartName, version: Version): boolean {
-    const stored = this.#stored.get(part);
+  #isStored(partition: PartitionName, version: Version): boolean {
+    const stored = this.#stored.get(partition);
     return stored !== undefined && compareVersions(stored, version) === 0;
   }
 
   #replyTo(
     to: NodeId,
-    part: PartName,
+    partition: PartitionName,
     version: Version,
     isGood: boolean,
     members: readonly MemberMessage[],
   ): void {
     this.#effects.send(to, {
       kind: 'writeReply',
-      part,
+      part: partition,
       ...version,
       good: isGood,
       members: [...members],
--- a/src/state/state-owner.test.ts
+++ b/src/state/state-owner.test.ts
@@ -1,9 +1,9 @@
 import { describe, expect, test } from 'vitest';
-import { moment, nodeId, type PartName } from '../common/ids.js';
+import { moment, nodeId, type PartitionName } from '../common/ids.js';
 import type { Message } from '../common/messages.js';
 import { Quorum } from '../common/quorum.js';
 import type { Version } from '../common/version.js';
-import { CONFIG_PART } from './part-names.js';
+import { CONFIG_PARTITION } from './partition-names.js';
 import {
   acked,
   B,
@@ -13,7 +13,7 @@
   LoneReplica,
   P0,
   P1,
-  PARTS,
+  PARTITIONS,
   readReply,
   type Sent,
 } from './testing/lone-replica.js';
@@ -29,10 +29,10 @@
 }
 
 /** The writes of one part among what was sent. */
-function writesOf(part: PartName, sent: readonly Sent[]): readonly string[] {
+function writesOf(partition: PartitionName, sent: readonly Sent[]): readonly string[] {
   const writes: string[] = [];
   for (const [to, message] of sent)
-    if (message.kind === 'write' && message.part === part)
+    if (message.kind === 'write' && message.part === partition)
       writes.push(`${to} ${message.epoch}.${message.count} ${message.body}`);
   return writes;
 }
@@ -42,9 +42,14 @@
 }
 
 /** Every part as a voter holds it that has nothing but this copy. */
-function onlyWith(part: PartName, version: Version, body: string, isSound = true): Message {
-  const copies = PARTS.map((name) =>
-    name === part ? copyOf(part, version, body, isSound) : copyOf(name),
+function onlyWith(
+  partition: PartitionName,
+  version: Version,
+  body: string,
+  isSound = true,
+): Message {
+  const copies = PARTITIONS.map((name) =>
+    name === partition ? copyOf(partition, version, body, isSound) : copyOf(name),
   );
   return readReply(copies);
 }
@@ -73,14 +78,14 @@
 
   test('rewrites the newest copy of each part in its own epoch', () => {
     const replica = new LoneReplica([
-      { part: P0, version: versionAt(9, 2), body: 'own', isSound: true },
-      { part: P1, version: versionAt(3, 2), body: 'own', isSound: true },
+      { partition: P0, version: versionAt(9, 2), body: 'own', isSound: true },
+      { partition: P1, version: versionAt(3, 2), body: 'own', isSound: true },
     ]);
     replica.lead();
     const sent = replica.receive(
       B,
       readReply([
-        copyOf(CONFIG_PART),
+        copyOf(CONFIG_PARTITION),
         copyOf(P0, versionAt(8, 2), 'older'),
         copyOf(P1, versionAt(4, 2), 'newer'),
       ]),
@@ -94,10 +99,11 @@
     const replica = new LoneReplica();
     replica.lead();
     replica.receive(B, onlyWith(P0, versionAt(1, 2), 'x'));
-    for (const part of PARTS) {
+    for (const partition of PARTITIONS) {
       expect(replica.state.isServing).toBe(false);
-      expect(replica.state.body(part)).toBe('');
-      for (const from of [B, C]) replica.receive(from, acked(part, replica.state.versionOf(part)));
+      expect(replica.state.body(partition)).toBe('');
+      for (const from of [B, C])
+        replica.receive(from, acked(partition, replica.state.versionOf(partition)));
     }
     expect(replica.state.isServing).toBe(true);
     expect(replica.others).toEqual(['serving']);
@@ -111,7 +117,7 @@
   test('counts no answer to another question, in another epoch, and none of a bad copy', () => {
     const replica = new LoneReplica();
     replica.lead();
-    const copies = PARTS.map((part) => copyOf(part));
+    const copies = PARTITIONS.map((partition) => copyOf(partition));
     expect(replica.receive(B, readReply(copies, 2))).toEqual([]);
     expect(replica.receive(B, readReply(copies, 0))).toEqual([]);
     expect(replica.receive(B, readReply(copies, 1, EPOCH + 2))).toEqual([]);
@@ -122,10 +128,12 @@
 
   test('counts a bad copy of its own for nothing', () => {
     const replica = new LoneReplica([
-      { part: P0, version: versionAt(7, 2), body: 'bad', isSound: false },
+      { partition: P0, version: versionAt(7, 2), body: 'bad', isSound: false },
     ]);
     replica.lead();
-    expect(replica.receive(B, readReply(PARTS.map((part) => copyOf(part))))).toEqual([]);
+    expect(replica.receive(B, readReply(PARTITIONS.map((partition) => copyOf(partition))))).toEqual(
+      [],
+    );
     const sent = replica.receive(C, onlyWith(P0, versionAt(1, 2), 'good'));
     expect(writesOf(P0, sent)).toEqual(['b 4.2 good', 'c 4.2 good']);
   });
@@ -133,7 +141,7 @@
   test('drops a copy read late, and asks nobody again once all parts are read', () => {
     const replica = new LoneReplica();
     replica.lead();
-    replica.receive(B, readReply(PARTS.map((part) => copyOf(part))));
+    replica.receive(B, readReply(PARTITIONS.map((partition) => copyOf(partition))));
     expect(replica.receive(C, onlyWith(P0, versionAt(9, 2), 'late'))).toEqual([]);
     const again = replica.tickAfter(RESEND_MS);
     expect(new Set(kindsOf(again))).toEqual(new Set(['write to b', 'write to c']));
@@ -143,7 +151,9 @@
   test('reads a majority of the voters too that the newest configuration names', () => {
     const replica = new LoneReplica();
     replica.lead();
-    expect(replica.receive(B, onlyWith(CONFIG_PART, versionAt(5, 2), 'voters a d e'))).toEqual([]);
+    expect(replica.receive(B, onlyWith(CONFIG_PARTITION, versionAt(5, 2), 'voters a d e'))).toEqual(
+      [],
+    );
     expect(replica.others).toEqual(['voters']);
     // From then on these are asked.
     expect(kindsOf(replica.tickAfter(RESEND_MS))).toEqual(['read to d', 'read to e']);
@@ -158,7 +168,7 @@
   test('takes voters up at once where a majority of them has been read already', () => {
     const replica = new LoneReplica();
     replica.lead();
-    const sent = replica.receive(B, onlyWith(CONFIG_PART, versionAt(5, 2), 'voters a b d'));
+    const sent = replica.receive(B, onlyWith(CONFIG_PARTITION, versionAt(5, 2), 'voters a b d'));
     expect(replica.others).toEqual(['voters']);
     expect(writesOf(P0, sent)).toEqual(['b 4.1 ', 'd 4.1 ']);
   });
@@ -166,7 +176,7 @@
   test('says nothing of voters that it goes by already', () => {
     const replica = new LoneReplica();
     replica.lead();
-    replica.receive(B, onlyWith(CONFIG_PART, versionAt(5, 2), 'voters a b c'));
+    replica.receive(B, onlyWith(CONFIG_PARTITION, versionAt(5, 2), 'voters a b c'));
     expect(replica.others).toEqual([]);
   });
 });
@@ -181,7 +191,14 @@
     expect(replica.state.isWriting(P0)).toBe(true);
     replica.receive(C, acked(P0, versionAt(2)));
     expect(replica.committed).toEqual([
-      { do: 'committed', part: P0, version: versionAt(2), body: 'x', tokens: [7], members: [] },
+      {
+        do: 'committed',
+        partition: P0,
+        version: versionAt(2),
+        body: 'x',
+        tokens: [7],
+        members: [],
+      },
     ]);
     expect(replica.state.isWriting(P0)).toBe(false);
     expect(replica.state.isWriting(P1)).toBe(false);
@@ -304,7 +321,7 @@
       ['b', { kind: 'read', epoch: EPOCH + 2, nonce: 2, parts: [] }],
       ['c', { kind: 'read', epoch: EPOCH + 2, nonce: 2, parts: [] }],
     ]);
-    const copies = PARTS.map((part) => copyOf(part));
+    const copies = PARTITIONS.map((partition) => copyOf(partition));
     expect(replica.receive(B, readReply(copies, 1, EPOCH + 2))).toEqual([]);
     expect(replica.state.isServing).toBe(false);
     expect(replica.receive(B, readReply(copies, 2, EPOCH + 2)).length).toBeGreaterThan(0);
@@ -312,7 +329,7 @@
 
   test('counts no answer in epoch 0, which belongs to nobody', () => {
     const replica = new LoneReplica();
-    const copies = PARTS.map((part) => copyOf(part));
+    const copies = PARTITIONS.map((partition) => copyOf(partition));
     expect(replica.receive(B, readReply(copies, 0, 0))).toEqual([]);
   });
 });
@@ -437,15 +454,17 @@
     stalled.receive(B, write);
     expect(stalled.receive(B, write)).toEqual([]);
     expect(stalled.stored).toHaveLength(2);
-    const bad = new LoneReplica([{ part: P0, version: versionAt(2), body: 'bad', isSound: false }]);
+    const bad = new LoneReplica([
+      { partition: P0, version: versionAt(2), body: 'bad', isSound: false },
+    ]);
     bad.isDiskStalled = true;
     expect(bad.receive(B, write)).toEqual([]);
     expect(bad.stored).toHaveLength(1);
-    expect(bad.state.unsoundParts()).toEqual([]);
+    expect(bad.state.corruptPartitions()).toEqual([]);
   });
 
   test('stores a write that came again after a restart before it answers', () => {
-    const stored = { part: P0, version: versionAt(2), body: 'x', isSound: true };
+    const stored = { partition: P0, version: versionAt(2), body: 'x', isSound: true };
     const replica = new LoneReplica([stored]);
     replica.isDiskStalled = true;
     expect(replica.receive(B, write)).toEqual([]);
@@ -461,7 +480,7 @@
       nonce: 8,
       parts: [],
     };
-    const copies = [copyOf(CONFIG_PART), copyOf(P0, versionAt(2), 'x'), copyOf(P1)];
+    const copies = [copyOf(CONFIG_PARTITION), copyOf(P0, versionAt(2), 'x'), copyOf(P1)];
     expect(replica.receive(B, read)).toEqual([['b', readReply(copies, 8)]]);
     expect(replica.receive(B, { ...read, epoch: EPOCH + 2 })).toEqual([]);
     replica.granted = 0;
--- a/src/state/state-owner.ts
+++ b/src/state/state-owner.ts
@@ -1,8 +1,15 @@
-import { later, moment, partName, type Moment, type NodeId, type PartName } from '../common/ids.js';
+import {
+  later,
+  moment,
+  partitionName,
+  type Moment,
+  type NodeId,
+  type PartitionName,
+} from '../common/ids.js';
 import type { CopyMessage, MemberMessage, Message } from '../common/messages.js';
 import type { Quorum } from '../common/quorum.js';
 import { compareVersions, isNewer, NO_VERSION, type Version } from '../common/version.js';
-import { CONFIG_PART } from './part-names.js';
+import { CONFIG_PARTITION } from './partition-names.js';
 import type { ReplicaCopies } from './replica-copies.js';
 import type { StateEffects } from './replicated-state-effect.js';
 
@@ -46,7 +53,7 @@
   readonly #quorumOf: QuorumOf;
   #quorum: Quorum;
   #epoch = 0;
-  readonly #owned = new Map<PartName, Owned>();
+  readonly #owned = new Map<PartitionName, Owned>();
   #isServing = false;
   #nonce = 0;
   #readSentAt: Moment = moment(0);
@@ -85,7 +92,7 @@
     this.#epoch = epoch;
     this.#isServing = false;
     this.#owned.clear();
-    for (const part of this.#copies.names) this.#owned.set(part, newlyOwned());
+    for (const partition of this.#copies.names) this.#owned.set(partition, newlyOwned());
     this.#nonce += 1;
     this.#askAll(now);
   }
@@ -98,22 +105,23 @@
   }
 
   /** The body as last written here, committed or not. */
-  body(part: PartName): string {
-    return this.#owned.get(part)?.copy?.body ?? '';
+  body(partition: PartitionName): string {
+    return this.#owned.get(partition)?.copy?.body ?? '';
   }
 
   /** Whether a write of this part is still without its majority. */
-  isWriting(part: PartName): boolean {
-    return this.#owned.get(part)?.writing !== undefined;
+  isWriting(partition: PartitionName): boolean {
+    return this.#owned.get(partition)?.writing !== undefined;
   }
 
   /** One write of a part is under way at a time; what comes meanwhile is one next write, of the newest body. Returns its count. */
-  write(now: Moment, part: PartName, body: string, token: number): number {
-    const owned = this.#owned.get(part);
-    if (!owned?.copy) throw new Error(`${part} is not owned here`);
+  write(now: Moment, partition: PartitionName, body: string, token: number): number {
+    const owned = this.#owned.get(partition);
+    if (!owned?.copy) throw new Error(`${partition} is not owned here`);
     const count = (owned.writing?.version.count ?? owned.copy.version.count) + 1;
     if (owned.writing) owned.next = { body, tokens: [...(owned.next?.tokens ?? []), token] };
-    else this.#send(now, part, owned, { version: { epoch: this.#epoch, count }, body }, [token]);
+    else
+      this.#send(now, partition, owned, { version: { epoch: this.#epoch, count }, body }, [token]);
     owned.copy = { version: owned.copy.version, body };
     return count;
   }
@@ -121,9 +129,9 @@
   tick(now: Moment): void {
     if (this.#epoch === 0) return;
     let isReading = false;
-    for (const [part, owned] of this.#owned) {
+    for (const [partition, owned] of this.#owned) {
       if (!owned.copy && !owned.writing) isReading = true;
-      if (owned.writing) this.#tickWrite(now, part, owned, owned.writing);
+      if (owned.writing) this.#tickWrite(now, partition, owned, owned.writing);
     }
     if (isReading && now >= later(this.#readSentAt, RESEND_MS)) this.#askAll(now);
   }
@@ -135,40 +143,40 @@
 
   receiveWriteReply(now: Moment, from: NodeId, message: WriteReply): void {
     if (message.good && message.epoch === this.#epoch)
-      this.ack(now, from, partName(message.part), message, message.members);
+      this.ack(now, from, partitionName(message.part), message, message.members);
   }
 
   /** A voter has this version of a part on its disk. */
   ack(
     now: Moment,
     from: NodeId,
-    part: PartName,
+    partition: PartitionName,
     version: Version,
     members: readonly MemberMessage[],
   ): void {
-    const owned = this.#owned.get(part);
+    const owned = this.#owned.get(partition);
     const writing = owned?.writing;
     if (!owned || !writing || compareVersions(writing.version, version) !== 0) return;
     writing.acked.add(from);
     writing.members.push(...members);
-    this.#settle(now, part, owned);
+    this.#settle(now, partition, owned);
   }
 
   /** Sends a voter the committed copy of a part; says whether it did. */
-  sendCopy(to: NodeId, part: PartName): boolean {
-    const owned = this.#owned.get(part);
+  sendCopy(to: NodeId, partition: PartitionName): boolean {
+    const owned = this.#owned.get(partition);
     // A write under way brings the newest by itself.
     if (!owned?.copy || owned.writing) return false;
-    this.#sendWrite(to, part, owned.copy);
+    this.#sendWrite(to, partition, owned.copy);
     return true;
   }
 
-  #tickWrite(now: Moment, part: PartName, owned: Owned, writing: Write): void {
-    this.#settle(now, part, owned);
+  #tickWrite(now: Moment, partition: PartitionName, owned: Owned, writing: Write): void {
+    this.#settle(now, partition, owned);
     if (owned.writing !== writing || now < later(writing.sentAt, RESEND_MS)) return;
     writing.sentAt = now;
     for (const peer of this.#quorum.all)
-      if (!writing.acked.has(peer) && peer !== this.#me) this.#sendWrite(peer, part, writing);
+      if (!writing.acked.has(peer) && peer !== this.#me) this.#sendWrite(peer, partition, writing);
   }
 
   #askAll(now: Moment): void {
@@ -182,7 +190,7 @@
 
   #takeRead(now: Moment, from: NodeId, copies: readonly CopyMessage[]): void {
     for (const item of copies) {
-      const owned = this.#owned.get(partName(item.part));
+      const owned = this.#owned.get(partitionName(item.part));
       if (!owned || isRead(owned) || !item.sound) continue;
       owned.read.add(from);
       if (isNewer(item, owned.newest.version))
@@ -199,16 +207,16 @@
   #endReading(now: Moment): void {
     const owners = [...this.#owned.values()];
     if (owners.some(isRead) || !owners.every(this.#isReadByMost, this)) return;
-    const config = this.#owned.get(CONFIG_PART)?.newest;
+    const config = this.#owned.get(CONFIG_PARTITION)?.newest;
     const named = config && this.#quorumOf(config.body);
     if (config && named && named.text !== this.#quorum.text) {
       this.#quorum = named;
       this.#effects.add({ do: 'voters', version: config.version, body: config.body });
       if (!owners.every(this.#isReadByMost, this)) return;
     }
-    for (const [part, owned] of this.#owned) {
+    for (const [partition, owned] of this.#owned) {
       const version = { epoch: this.#epoch, count: owned.newest.version.count + 1 };
-      this.#send(now, part, owned, { version, body: owned.newest.body }, []);
+      this.#send(now, partition, owned, { version, body: owned.newest.body }, []);
     }
   }
 
@@ -218,7 +226,7 @@
 
   #send(
     now: Moment,
-    part: PartName,
+    partition: PartitionName,
     owned: Owned,
     { version, body }: VersionedBody,
     tokens: readonly number[],
@@ -234,16 +242,16 @@
     };
     owned.writing = writing;
     for (const peer of this.#quorum.all) {
-      if (peer === this.#me) this.#copies.store(part, version, body);
-      else this.#sendWrite(peer, part, writing);
+      if (peer === this.#me) this.#copies.store(partition, version, body);
+      else this.#sendWrite(peer, partition, writing);
     }
   }
 
-  #sendWrite(to: NodeId, part: PartName, { version, body }: VersionedBody): void {
-    this.#effects.send(to, { kind: 'write', part, ...version, body });
+  #sendWrite(to: NodeId, partition: PartitionName, { version, body }: VersionedBody): void {
+    this.#effects.send(to, { kind: 'write', part: partition, ...version, body });
   }
 
-  #settle(now: Moment, part: PartName, owned: Owned): void {
+  #settle(now: Moment, partition: PartitionName, owned: Owned): void {
     const { writing } = owned;
     if (!writing || !this.#isHeld(now, writing)) return;
     const { version, body, tokens, members } = writing;
@@ -251,10 +259,10 @@
     owned.writing = undefined;
     owned.next = undefined;
     owned.copy = { version, body: next?.body ?? body };
-    this.#effects.add({ do: 'committed', part, version, body, tokens, members });
+    this.#effects.add({ do: 'committed', partition, version, body, tokens, members });
     if (next) {
       const following = { epoch: this.#epoch, count: version.count + 1 };
-      this.#send(now, part, owned, { version: following, body: next.body }, next.tokens);
+      this.#send(now, partition, owned, { version: following, body: next.body }, next.tokens);
     }
     this.#serveIfOwned();
   }
--- a/src/state/testing/lone-replica.ts
+++ b/src/state/testing/lone-replica.ts
@@ -1,21 +1,21 @@
 import {
   moment,
   nodeId,
-  partName,
+  partitionName,
   type Moment,
   type NodeId,
-  type PartName,
+  type PartitionName,
 } from '../../common/ids.js';
 import type { CopyMessage, MemberMessage, Message } from '../../common/messages.js';
 import { Quorum } from '../../common/quorum.js';
 import { NO_VERSION, type Version } from '../../common/version.js';
-import { CONFIG_PART } from '../part-names.js';
+import { CONFIG_PARTITION } from '../partition-names.js';
 import { ReplicatedState, type ReplicatedStateEffect } from '../replicated-state.js';
-import type { StoredPart } from '../store.js';
+import type { StoredPartition } from '../store.js';
 
 export const [A, B, C] = [nodeId('a'), nodeId('b'), nodeId('c')];
-export const [P0, P1] = [partName('p0'), partName('p1')];
-export const PARTS: readonly PartName[] = [CONFIG_PART, P0, P1];
+export const [P0, P1] = [partitionName('p0'), partitionName('p1')];
+export const PARTITIONS: readonly PartitionName[] = [CONFIG_PARTITION, P0, P1];
 export const EPOCH = 4;
 
 type Committed = Extract<ReplicatedStateEffect, { do: 'committed' }>;
@@ -36,7 +36,7 @@
 export class LoneReplica {
   readonly state: ReplicatedState;
   readonly committed: Committed[] = [];
-  readonly stored: (readonly [PartName, Version, string])[] = [];
+  readonly stored: (readonly [PartitionName, Version, string])[] = [];
   /** Which other effects came, in their order. */
   readonly others: string[] = [];
   granted = EPOCH;
@@ -44,8 +44,8 @@
   now: Moment = moment(10_000);
   #sent: Sent[] = [];
 
-  constructor(stored: readonly StoredPart[] = []) {
-    this.state = new ReplicatedState(A, new Quorum([A, B, C]), PARTS, stored, votersNamedBy);
+  constructor(stored: readonly StoredPartition[] = []) {
+    this.state = new ReplicatedState(A, new Quorum([A, B, C]), PARTITIONS, stored, votersNamedBy);
   }
 
   /** What was sent since the last look. */
@@ -76,9 +76,10 @@
   /** Owns all parts, empty, with a copy at everybody. */
   serve(): void {
     this.lead();
-    this.receive(B, readReply(PARTS.map((part) => copyOf(part))));
-    for (const part of PARTS)
-      for (const from of [B, C]) this.receive(from, acked(part, this.state.versionOf(part)));
+    this.receive(B, readReply(PARTITIONS.map((partition) => copyOf(partition))));
+    for (const partition of PARTITIONS)
+      for (const from of [B, C])
+        this.receive(from, acked(partition, this.state.versionOf(partition)));
     if (!this.state.isServing) throw new Error('it does not serve');
     this.committed.length = 0;
     this.others.length = 0;
@@ -86,8 +87,8 @@
     this.sent();
   }
 
-  write(part: PartName, body: string, token = 0): number {
-    const count = this.state.write(this.now, part, body, token);
+  write(partition: PartitionName, body: string, token = 0): number {
+    const count = this.state.write(this.now, partition, body, token);
     this.drain();
     return count;
   }
@@ -101,21 +102,21 @@
     if (effect.do === 'send') this.#sent.push([effect.to, effect.message]);
     else if (effect.do === 'committed') this.committed.push(effect);
     else if (effect.do === 'store') {
-      this.stored.push([effect.part, effect.version, effect.body]);
+      this.stored.push([effect.partition, effect.version, effect.body]);
       if (!this.isDiskStalled)
-        this.state.stored(effect.part, effect.version, this.granted, this.now);
+        this.state.stored(effect.partition, effect.version, this.granted, this.now);
     } else this.others.push(effect.do);
   }
 }
 
 /** A copy of a part as a voter tells it; empty where nothing else is said. */
 export function copyOf(
-  part: PartName,
+  partition: PartitionName,
   version: Version = NO_VERSION,
   body = '',
   sound = true,
 ): CopyMessage {
-  return { part, ...version, body, sound };
+  return { part: partition, ...version, body, sound };
 }
 
 export function readReply(copies: readonly CopyMessage[], nonce = 1, epoch = EPOCH): Message {
@@ -131,10 +132,10 @@
 
 /** The answer of a voter that has a version on its disk, or that rejects it. */
 export function acked(
-  part: PartName,
+  partition: PartitionName,
   version: Version,
   isGood = true,
   members: MemberMessage[] = [],
 ): Message {
-  return { kind: 'writeReply', part, ...version, good: isGood, members };
+  return { kind: 'writeReply', part: partition, ...version, good: isGood, members };
 }
