--- a/src/control/control-effect.ts
+++ b/src/control/control-effect.ts
@@ -5,6 +5,7 @@
 import type { Intent, ServiceDoc } from '../placement/shapes.js';
 import type { ConfigDialect, Routing } from '../route/routing.js';
 import type { Moment } from '../common/ids.js';
+import type { CoreLogEvent } from './control-log-event.js';
 
 /** What a control node's core wants done; the process and the simulator carry it out alike. */
 export type ControlEffect =
@@ -25,11 +26,8 @@
   /** To be written only if mayOrder() still says so right before the write, and to be cut off before the lease ends. */
   | { readonly do: 'order'; readonly intent: Intent; readonly address: string }
   | { readonly do: 'reply'; readonly id: number; readonly status: number; readonly body: string }
-  | {
-      readonly do: 'note';
-      readonly text: string;
-      readonly fields: Readonly<Record<string, string | number>>;
-    };
+  /** A line for the log. */
+  | { readonly do: 'log'; readonly event: CoreLogEvent };
 
 export type OrderResult = 'taken' | 'held' | 'busy' | 'refused' | 'unsure' | 'unsent';
 
--- a/src/control/control-process.ts
+++ b/src/control/control-process.ts
@@ -1,11 +1,9 @@
-import { join } from 'node:path';
 import type { Logger } from 'pino';
-import { FileStore } from '../state/file-store.js';
 import { monotonicNow } from '../common/clock.js';
-import { type HaretrackError, reasonOf } from '../common/errors.js';
+import { reasonOf } from '../common/errors.js';
 import type { Moment } from '../common/ids.js';
 import { newIncarnation } from '../common/incarnation.js';
-import { Exchange, type Incoming } from '../dissemination/exchange.js';
+import type { Incoming } from '../dissemination/exchange.js';
 import type { ListedRunner, RunnerStatus } from '../placement/fleet.js';
 import { Planner, type PlannerSettings } from '../placement/planner.js';
 import type { Intent } from '../placement/shapes.js';
@@ -15,25 +13,24 @@
 import type { Lease } from './lease.js';
 import { ControlCore } from './control-core.js';
 import { CONTROL_DEFAULTS, type OrderResult } from './control-effect.js';
-import { ControlReport } from './control-report.js';
 import {
-  ControlRuntime,
+  ControlHost,
+  type ControlProgram,
+  type ExternalEffect,
+  type HostedApi,
+} from './control-host.js';
+import {
   deliverWithZone,
   type CommandReply,
-  type ControlRuntimePorts,
   type CoreCommand,
   type OrderEffect,
-  type OutsideEffect,
-  type StoreEffect,
-} from './control-runtime.js';
-
-export {
-  DISK_RETRY_MS as DISK_AGAIN_MS,
-  RETIRE_TIMEOUT_MS as RETIRE_MS,
 } from './control-runtime.js';
 
+/** Interval between ticks of the core. */
 export const CONTROL_TICK_MS = 50;
+/** Interval at which the serving leader reads the list of runners. */
 export const RUNNER_LIST_INTERVAL_MS = 1000;
+/** Timing of elections in a deployment, which is shorter than the default since everything waits while nobody leads. */
 export const DEPLOYED_VOTE = {
   pingMs: 250,
   renewMs: 300,
@@ -41,35 +38,43 @@
   spanMs: 1500,
   deadMs: 1200,
 } as const;
-/** How long a session may be silent in a deployment before it counts as lost. */
+/** An agent whose session brought nothing for so long in a deployment is disconnected. */
 export const SESSION_TIMEOUT_MS = 3000;
 
+/** Settings of a control node in a deployment. */
 export interface ControlProcessSettings {
+  /** Address for other nodes, `host:port`; the node's id as well. */
   readonly me: string;
   readonly zone: string;
+  /** Addresses of the control nodes to start from. */
   readonly seeds: readonly string[];
+  /** Whether blank nodes may form a new cluster. */
   readonly isFirstStart: boolean;
+  /** Data folder. */
   readonly data: string;
-  /** Where operators call; nothing where this node does not serve them. */
+  /** Address of the operators' API; undefined where this node offers none. */
   readonly control: string | undefined;
+  /** The handover gap: time between two leaders in which nobody may order. */
   readonly leaseMs: number;
+  /** Settings of the planner that differ from its defaults. */
   readonly planner: Partial<PlannerSettings>;
 }
 
-export type ControlAnswer = CommandReply;
+/** Submits an operator's command, a verb with its JSON body, to the core. */
+export type ControlRequest = (verb: string, body: string) => Promise<CommandReply>;
 
-/** Hands a verb of the core and its JSON body on to it. */
-export type ControlRequest = (verb: string, body: string) => Promise<ControlAnswer>;
-
-/** Renders the metrics of this process; nothing while it has not started. */
+/** Renders the metrics of this process; undefined while it has not started. */
 export type ControlMetricsSource = () => Promise<Exposition | undefined>;
 
-/** What a deployment speaks to the outside; it translates and decides nothing. */
+/** What a deployment speaks to the outside. It translates and decides nothing. */
 export interface ControlPorts {
+  /** Reads and writes configurations. */
   readonly dialect: ConfigDialect;
-  /** The list of runners; nothing where there is none to be had. */
+  /** Reads the platform's list of runners; undefined where no platform is configured. */
   readonly listRunners: (() => Promise<readonly ListedRunner[]>) | undefined;
+  /** Polls the runner at an address; undefined if it gave no usable status. */
   runnerStatus(address: string): Promise<RunnerStatus | undefined>;
+  /** Sends an order within the lease of `holder`, whose fencing token is `fence`. */
   sendOrder(
     intent: Intent,
     address: string,
@@ -78,99 +83,66 @@
     lease: Lease,
     now: () => Moment,
   ): Promise<OrderResult>;
-  operatorsApi(
-    ask: ControlRequest,
-    metrics: ControlMetricsSource,
-  ): { listen(address: string): Promise<number>; close(): void };
+  /** Makes the operators' API. */
+  operatorsApi(request: ControlRequest, metrics: ControlMetricsSource): HostedApi;
 }
 
-/** A control node's process in a deployment with ports of its own. */
-export class ControlProcess implements ControlRuntimePorts {
+/** A control node's process in a deployment that reaches platform, runners and operators through ports of its own. */
+export class ControlProcess implements ControlProgram {
   readonly tickMs = CONTROL_TICK_MS;
   readonly waitsForHandover = true;
   readonly #settings: ControlProcessSettings;
   readonly #ports: ControlPorts;
-  readonly #log: Logger;
-  readonly #runtime: ControlRuntime;
-  readonly #store: FileStore;
-  readonly #operatorsApi: ReturnType<ControlPorts['operatorsApi']>;
-  readonly #report = new ControlReport();
+  readonly #host: ControlHost;
+  readonly #operatorsApi: HostedApi;
   #isListPending = false;
   #seeds: readonly string[];
 
   constructor(settings: ControlProcessSettings, ports: ControlPorts, log: Logger) {
     this.#settings = settings;
     this.#ports = ports;
-    this.#log = log;
     this.#seeds = settings.seeds;
-    const { me, zone } = settings;
-    const exchange = new Exchange({ id: me, role: 'mind', zone, listen: me, reach: {} }, (error) =>
-      this.#logError(error),
-    );
-    this.#runtime = new ControlRuntime(exchange, this);
-    this.#store = new FileStore(join(settings.data, 'parts'), (error) => this.#logError(error));
+    const { me, zone, data } = settings;
+    this.#host = new ControlHost({ address: me, zone, reach: {}, dataFolder: data }, this, log);
     this.#operatorsApi = ports.operatorsApi(
-      (verb, body) => this.#runtime.request(verb, body),
-      () => this.#metrics(),
+      (verb, body) => this.#host.runtime.request(verb, body),
+      () => this.#host.metrics(),
     );
   }
 
+  /** Starts from what is on disk; returns once messages and operators are served. */
   async start(): Promise<void> {
-    const stored = await this.#store.readAll();
-    const { me, zone, isFirstStart, leaseMs, control } = this.#settings;
-    const deployed = {
-      dialect: this.#ports.dialect,
-      isFirstStart,
-      listMs: RUNNER_LIST_INTERVAL_MS,
-      planner: new Planner(this.#settings.planner),
-    };
-    const settings = {
-      ...CONTROL_DEFAULTS,
-      me,
-      zone,
-      seeds: this.#seeds,
-      incarnation: newIncarnation(),
-      silentMs: SESSION_TIMEOUT_MS,
-      foundMs: 0,
-      deployed,
-    };
-    // The span in which nobody orders is the deployment's. The others are short, since everything waits for a lost leader.
-    const vote = { ...VOTE_DEFAULTS, ...DEPLOYED_VOTE, leaseMs };
-    const core = new ControlCore(settings, stored, monotonicNow(), vote);
-    await this.#runtime.open(core);
-    if (control !== undefined) await this.#operatorsApi.listen(control);
-    this.#runtime.startTicks();
-    this.#runtime.tick();
-    this.#log.info({ standing: core.replicaStatus.name }, 'control node started');
+    const core = await this.#makeCore();
+    await this.#host.start(core, this.#operatorsApi, this.#settings.control);
+    this.#host.runtime.tick();
+    this.#host.log({ event: 'control node started', replicaStatus: core.replicaStatus.name });
   }
 
-  /** Hands its seat over where a spare is there, then what it leads, if no order is open, and stops. */
+  /** Hands over its voter seat where a spare is there, then the lease, if no order is open, and stops. */
   async stop(): Promise<void> {
-    await this.#runtime.retire();
-    this.#operatorsApi.close();
-    this.#runtime.close();
+    await this.#host.stop(this.#operatorsApi);
   }
 
+  /** Takes other seed nodes, as the settings file names them now. */
   setSeeds(seeds: readonly string[]): void {
     this.#seeds = seeds;
-    this.#runtime.submit((core: ControlCore) => {
+    this.#host.runtime.submit((core: ControlCore) => {
       core.setSeeds(seeds);
     });
   }
 
+  /** The nodes to keep a connection to. */
   peers(core: ControlCore): readonly string[] {
     return core.peers;
   }
 
+  /** A message arrived. */
   onMessage(incoming: Incoming): CoreCommand {
     return (core) => deliverWithZone(incoming, core);
   }
 
-  write({ partition, version, body }: StoreEffect): Promise<void> {
-    return this.#report.measure(this.#store.write(partition, version, body));
-  }
-
-  perform(effect: OutsideEffect, core: ControlCore): void {
+  /** Makes a call to the platform or to a runner. */
+  perform(effect: ExternalEffect, core: ControlCore): void {
     switch (effect.do) {
       case 'askList':
         void this.#pollRunnerList();
@@ -181,76 +153,72 @@
       case 'order':
         void this.#sendOrder(effect, core);
         break;
-      case 'note':
-        this.#log.info(effect.fields, effect.text);
-        break;
       default:
         break;
     }
   }
 
-  /** What somebody else said must not end this process. */
+  /** An input from outside must not end this process: it is dropped. */
   onCommandFailed(thrown: unknown): void {
-    this.#log.error(
-      { defect: 'core' },
-      thrown instanceof Error ? (thrown.stack ?? thrown.message) : reasonOf(thrown),
-    );
+    const stack = thrown instanceof Error ? (thrown.stack ?? thrown.message) : reasonOf(thrown);
+    this.#host.log({ event: 'input failed', stack });
   }
 
-  #logError(error: HaretrackError): void {
-    this.#log.warn({ defect: error.code }, error.message);
+  async #makeCore(): Promise<ControlCore> {
+    const stored = await this.#host.readStored();
+    const { me, zone, isFirstStart, leaseMs } = this.#settings;
+    const deployed = {
+      dialect: this.#ports.dialect,
+      isFirstStart,
+      listMs: RUNNER_LIST_INTERVAL_MS,
+      planner: new Planner(this.#settings.planner),
+    };
+    const settings = {
+      ...CONTROL_DEFAULTS,
+      me,
+      zone,
+      seeds: this.#seeds,
+      incarnation: newIncarnation(),
+      silentMs: SESSION_TIMEOUT_MS,
+      foundMs: 0,
+      deployed,
+    };
+    const vote = { ...VOTE_DEFAULTS, ...DEPLOYED_VOTE, leaseMs };
+    return new ControlCore(settings, stored, monotonicNow(), vote);
   }
 
+  /** One reading at a time; a slow platform is not asked again meanwhile. */
   async #pollRunnerList(): Promise<void> {
-    const { listRunners: list } = this.#ports;
-    if (!list || this.#isListPending) return;
+    const { listRunners } = this.#ports;
+    if (!listRunners || this.#isListPending) return;
     this.#isListPending = true;
     try {
-      const runners = await list();
-      this.#runtime.submit((core: ControlCore) => {
+      const runners = await listRunners();
+      this.#host.runtime.submit((core: ControlCore) => {
         core.onRunnerList(monotonicNow(), runners);
       });
     } catch (thrown) {
-      this.#log.info({ reason: reasonOf(thrown) }, 'no list of runners');
+      this.#host.log({ event: 'runner list read failed', reason: reasonOf(thrown) });
     } finally {
       this.#isListPending = false;
     }
   }
 
   async #pollRunnerStatus(runner: string, address: string): Promise<void> {
-    const askedAt = monotonicNow();
+    const requestedAt = monotonicNow();
     const status = await this.#ports.runnerStatus(address);
-    this.#runtime.submit((core: ControlCore) => {
-      core.onRunnerStatus(monotonicNow(), runner, askedAt, status);
+    this.#host.runtime.submit((core: ControlCore) => {
+      core.onRunnerStatus(monotonicNow(), runner, requestedAt, status);
     });
   }
 
-  async #sendOrder(effect: OrderEffect, core: ControlCore): Promise<void> {
-    const { intent, address } = effect;
-    const outcome = await this.#ports.sendOrder(
-      intent,
-      address,
-      this.#settings.me,
-      core.elector.epoch,
-      core,
-      monotonicNow,
-    );
-    this.#log.info(
-      {
-        verb: intent.verb,
-        model: intent.model,
-        adapter: intent.adapter,
-        runner: intent.runner,
-        outcome,
-      },
-      'order',
-    );
-    this.#runtime.submit((owner: ControlCore) => {
+  async #sendOrder({ intent, address }: OrderEffect, core: ControlCore): Promise<void> {
+    const { me } = this.#settings;
+    const { epoch } = core.elector;
+    const outcome = await this.#ports.sendOrder(intent, address, me, epoch, core, monotonicNow);
+    this.#host.logOrder(intent, outcome);
+    this.#host.runtime.submit((owner: ControlCore) => {
       owner.onOrderOutcome(monotonicNow(), intent.id, outcome);
     });
   }
-
-  #metrics(): Promise<Exposition | undefined> {
-    return this.#report.render(this.#runtime.core);
-  }
 }
--- a/src/control/effect-queue.test.ts
+++ b/src/control/effect-queue.test.ts
@@ -2,11 +2,11 @@
 import { EffectQueue } from './effect-queue.js';
 test('effects are drained once, in the order in which they came', () => {
   const effects = new EffectQueue();
-  effects.log('leader', { leader: 'a' });
+  effects.log({ event: 'leader changed', leader: 'a', epoch: 1 });
   effects.send('b', { kind: 'demand', body: '' });
   effects.add({ do: 'askList' });
   expect(effects.drain()).toEqual([
-    { do: 'note', text: 'leader', fields: { leader: 'a' } },
+    { do: 'log', event: { event: 'leader changed', leader: 'a', epoch: 1 } },
     { do: 'send', to: 'b', message: { kind: 'demand', body: '' } },
     { do: 'askList' },
   ]);
--- a/src/control/effect-queue.ts
+++ b/src/control/effect-queue.ts
@@ -1,5 +1,6 @@
 import type { Message } from '../common/messages.js';
 import type { ControlEffect } from './control-effect.js';
+import type { CoreLogEvent } from './control-log-event.js';
 import type { CommandAnswer, Origin } from './command-answers.js';
 
 /** The effects of a control node's core that are still to be carried out, in the order in which they were decided. */
@@ -15,8 +16,8 @@
   }
 
   /** A line for the log. */
-  log(text: string, fields: Readonly<Record<string, string | number>>): void {
-    this.add({ do: 'note', text, fields });
+  log(event: CoreLogEvent): void {
+    this.add({ do: 'log', event });
   }
 
   /** Answers a command where it came from: at this node's own API, or at the node that passed it on. */
--- a/src/control/operator-api.ts
+++ b/src/control/operator-api.ts
@@ -1,29 +1,49 @@
 import type { IncomingMessage } from 'node:http';
 import { readBody } from '../common/call.js';
+import type { ErrorCode } from '../common/errors.js';
 import { ReplyServer, type HttpReply } from '../common/reply-server.js';
 import type { Exposition } from '../metrics/exposition.js';
 
-/** What the API hands on: a verb of the core and its JSON body. */
+/** Submits a command, a verb with its JSON body, to the core, and waits for its reply. */
 export type ApiRequest = (verb: string, body: string) => Promise<HttpReply>;
 
-/** In bytes. */
+/** A body larger than this is rejected as malformed. */
 const MAX_BODY_BYTES = 32 * 1024 * 1024;
+/** `retry-after` of a reply with status 503, in seconds. */
 const RETRY_AFTER_S = 2;
-const MALFORMED: HttpReply = {
-  status: 400,
-  body: JSON.stringify({
-    outcome: 'turned-away',
-    defect: 'malformed',
-    text: 'the body is not JSON, or too large',
-  }),
-};
-
-function withField(body: string, fields: object): string {
-  const raw: unknown = body === '' ? {} : JSON.parse(body);
-  return JSON.stringify(typeof raw === 'object' && raw !== null ? { ...raw, ...fields } : fields);
+
+const ZONE_PATH = /^\/zones\/([^/]+)\/empty$/;
+const EDIT_PATH = /^\/edits\/([^/]+)$/;
+
+/** Verbs of the core that a method and path lead to; these take no body. */
+const QUERY_VERBS: ReadonlyMap<string, string> = new Map([
+  ['GET /status', 'status'],
+  ['GET /fleet', 'fleet'],
+  ['GET /live', 'live'],
+  ['GET /table', 'read'],
+  ['POST /found', 'found'],
+]);
+
+/** Verbs of the core that get the body of the call. */
+const CHANGE_VERBS: ReadonlyMap<string, string> = new Map([
+  ['PUT /table', 'table'],
+  ['PATCH /table/cell', 'cell'],
+  ['PATCH /table/rows', 'rows'],
+  ['POST /voters/swap', 'swap'],
+]);
+
+const MALFORMED = rejection(400, 'malformed', 'the body is not JSON, or too large');
+const NOT_STARTED = rejection(503, 'no-leader', 'this node has not started yet');
+
+interface ApiCall {
+  readonly method: string;
+  readonly path: string;
+  /** What follows the first question mark; '' if nothing does. */
+  readonly query: string;
+  readonly body: string;
 }
 
-/** The operators' HTTP API of a control node; any node takes any command and passes it to the leader. */
+/** The operators' HTTP API of a control node; any node takes any command and forwards it to the leader. */
 export class OperatorApi {
   readonly #request: ApiRequest;
   readonly #counters: () => object;
@@ -31,99 +51,77 @@
   readonly #server: ReplyServer;
 
   constructor(
-    ask: ApiRequest,
+    request: ApiRequest,
     counters: () => object,
     metrics: () => Promise<Exposition | undefined>,
   ) {
-    this.#request = ask;
+    this.#request = request;
     this.#counters = counters;
     this.#metrics = metrics;
     this.#server = new ReplyServer({
-      serve: (asked) => this.#onRequest(asked),
+      serve: (incoming) => this.#onRequest(incoming),
       onFailure: MALFORMED,
       retryAfterS: RETRY_AFTER_S,
     });
   }
 
+  /** Opens the API's port and returns its number. */
   async listen(address: string): Promise<number> {
     return this.#server.listen(address);
   }
 
+  /** Takes no new calls. */
   close(): void {
     this.#server.close();
   }
 
-  async #onRequest(asked: IncomingMessage): Promise<HttpReply> {
-    const body = await readBody(asked, MAX_BODY_BYTES);
-    return this.#serve(asked.method ?? 'GET', asked.url ?? '/', body);
+  async #onRequest(incoming: IncomingMessage): Promise<HttpReply> {
+    const body = await readBody(incoming, MAX_BODY_BYTES);
+    const [path = '/', query = ''] = (incoming.url ?? '/').split('?');
+    return this.#serve({ method: incoming.method ?? 'GET', path, query, body });
   }
 
-  async #serve(method: string, url: string, body: string): Promise<HttpReply> {
-    const [path = '/', query = ''] = url.split('?');
-    const zone = /^\/zones\/([^/]+)\/empty$/.exec(path);
-    const edit = /^\/edits\/([^/]+)$/.exec(path);
-    if (zone && method === 'PUT')
-      return this.#request(
-        'zone',
-        withField(body, { zone: decodeURIComponent(zone[1] ?? ''), empty: true }),
-      );
-    if (zone && method === 'DELETE')
-      return this.#request(
-        'zone',
-        withField(body, { zone: decodeURIComponent(zone[1] ?? ''), empty: false }),
-      );
-    if (edit && method === 'GET') {
-      const base = new URLSearchParams(query).get('base');
-      return this.#request(
-        'edit',
-        JSON.stringify({
-          id: decodeURIComponent(edit[1] ?? ''),
-          ...(base === null ? {} : { base: Number(base) }),
-        }),
-      );
-    }
-    switch (`${method} ${path}`) {
-      case 'GET /status':
-        return this.#request('status', '{}');
-      case 'GET /fleet':
-        return this.#request('fleet', '{}');
-      case 'GET /live':
-        return this.#request('live', '{}');
-      case 'GET /table':
-        return this.#request('read', '{}');
-      case 'PUT /table':
-        return this.#request('table', withField(body, {}));
-      case 'PATCH /table/cell':
-        return this.#request('cell', withField(body, {}));
-      case 'PATCH /table/rows':
-        return this.#request('rows', withField(body, {}));
-      case 'POST /voters/swap':
-        return this.#request('swap', withField(body, {}));
-      case 'POST /found':
-        return this.#request('found', '{}');
-      case 'GET /counters':
-        return { status: 200, body: JSON.stringify(this.#counters()) };
-      case 'GET /metrics':
-        return this.#exposition();
-      default:
-        return {
-          status: 404,
-          body: JSON.stringify({
-            outcome: 'turned-away',
-            defect: 'unmapped',
-            text: `no ${method} ${path} here`,
-          }),
-        };
-    }
+  async #serve(call: ApiCall): Promise<HttpReply> {
+    const { method, path, body } = call;
+    const zone = ZONE_PATH.exec(path)?.[1];
+    if (zone !== undefined && (method === 'PUT' || method === 'DELETE'))
+      return this.#request('zone', zoneBody(zone, call));
+    const edit = EDIT_PATH.exec(path)?.[1];
+    if (edit !== undefined && method === 'GET')
+      return this.#request('edit', editBody(edit, call.query));
+    const target = `${method} ${path}`;
+    const queryVerb = QUERY_VERBS.get(target);
+    if (queryVerb !== undefined) return this.#request(queryVerb, '{}');
+    const changeVerb = CHANGE_VERBS.get(target);
+    if (changeVerb !== undefined) return this.#request(changeVerb, withFields(body, {}));
+    if (target === 'GET /counters') return { status: 200, body: JSON.stringify(this.#counters()) };
+    if (target === 'GET /metrics') return this.#exposition();
+    return rejection(404, 'unmapped', `no ${target} here`);
   }
 
   async #exposition(): Promise<HttpReply> {
     const exposition = await this.#metrics();
-    if (exposition) return { status: 200, ...exposition };
-    const text = 'this node has not started yet';
-    return {
-      status: 503,
-      body: JSON.stringify({ outcome: 'turned-away', defect: 'no-leader', text }),
-    };
+    return exposition ? { status: 200, ...exposition } : NOT_STARTED;
   }
 }
+
+/** PUT evacuates a zone, DELETE restores it. */
+function zoneBody(encodedZone: string, { method, body }: ApiCall): string {
+  return withFields(body, { zone: decodeURIComponent(encodedZone), empty: method === 'PUT' });
+}
+
+function editBody(encodedId: string, query: string): string {
+  const base = new URLSearchParams(query).get('base');
+  const id = decodeURIComponent(encodedId);
+  return JSON.stringify(base === null ? { id } : { id, base: Number(base) });
+}
+
+/** The JSON object of a body with fields added. Throws a SyntaxError where the body is not JSON. */
+function withFields(body: string, fields: object): string {
+  const raw: unknown = body === '' ? {} : JSON.parse(body);
+  return JSON.stringify(typeof raw === 'object' && raw !== null ? { ...raw, ...fields } : fields);
+}
+
+function rejection(status: number, code: ErrorCode, text: string): HttpReply {
+  return { status, body: JSON.stringify({ outcome: 'turned-away', defect: code, text }) };
+}
--- a/src/control/replica-repair.test.ts
+++ b/src/control/replica-repair.test.ts
@@ -37,7 +37,7 @@
   const node = new DutyNode([]);
   const { repair } = node.duties;
   repair.resolve(NOW, { become: 'founded', epoch: 0 });
-  expect(node.drain()).toEqual([{ do: 'note', text: 'founding', fields: {} }]);
+  expect(node.drain()).toEqual([{ do: 'log', event: { event: 'cluster formed' } }]);
   expect(repair.mayPersistVotes).toBe(true);
   repair.onVotePersisted({ epoch: 1, count: 1 });
   expect(node.replica.replicaStatus.name).toBe('sound');
--- a/src/control/replica-repair.ts
+++ b/src/control/replica-repair.ts
@@ -60,10 +60,10 @@
   resolve(now: Moment, outcome: ReplicaStatusOutcome | undefined): void {
     if (!outcome || this.isInProgress) return;
     if (outcome.become === 'founded') {
-      this.#dependencies.effects.log('founding', {});
+      this.#dependencies.effects.log({ event: 'cluster formed' });
       this.#beginToVote(now, outcome.epoch);
     } else {
-      this.#dependencies.effects.log('repaired from peers', { epoch: outcome.epoch });
+      this.#dependencies.effects.log({ event: 'replica read from peers', epoch: outcome.epoch });
       // Only what is newer than ours is stored anew, and only that is waited for.
       const waiting = new Set(this.#dependencies.state.adopt(outcome.copies));
       this.#dependencies.voters.follow();
@@ -83,7 +83,7 @@
     if (this.#healthyOnceStored === undefined || version.count < this.#healthyOnceStored) return;
     this.#healthyOnceStored = undefined;
     this.#dependencies.replicaStatus.settle();
-    this.#dependencies.effects.log('standing is sound', {});
+    this.#dependencies.effects.log({ event: 'replica became healthy' });
   }
 
   #completeIfStored(now: Moment): void {
--- a/src/control/table-control-process.ts
+++ b/src/control/table-control-process.ts
@@ -1,109 +1,102 @@
-import { join } from 'node:path';
 import type { Infer } from 'superstruct';
 import type { Logger } from 'pino';
-import { FileStore } from '../state/file-store.js';
 import { call } from '../common/call.js';
 import { monotonicNow } from '../common/clock.js';
 import { Counters } from '../common/counters.js';
 import { type HaretrackError, MalformedFrameError, reasonOf } from '../common/errors.js';
-import type { Moment } from '../common/ids.js';
 import { parseAs } from '../common/json.js';
 import { newIncarnation } from '../common/incarnation.js';
 import type { TableControlSettingsShape } from '../common/settings.js';
-import { Exchange, type Incoming } from '../dissemination/exchange.js';
-import type { Exposition } from '../metrics/exposition.js';
-import { CatalogShape, MachinesShape, RunnerReportShape } from '../placement/shapes.js';
-import { OperatorApi } from './operator-api.js';
+import type { Incoming } from '../dissemination/exchange.js';
+import {
+  CatalogShape,
+  MachinesShape,
+  RunnerReportShape,
+  type RunnerReport,
+} from '../placement/shapes.js';
 import { ControlCore } from './control-core.js';
 import { CONTROL_DEFAULTS } from './control-effect.js';
-import { ControlReport } from './control-report.js';
-import {
-  ControlRuntime,
-  type CommandReply,
-  type ControlRuntimePorts,
-  type CoreCommand,
-  type OrderEffect,
-  type OutsideEffect,
-  type StoreEffect,
-} from './control-runtime.js';
+import { ControlHost, type ControlProgram, type ExternalEffect } from './control-host.js';
+import type { CommandReply, CoreCommand, OrderEffect } from './control-runtime.js';
+import { OperatorApi } from './operator-api.js';
 import { OrderSender } from './order-sender.js';
 
+/** Interval between ticks of the core. */
 const TICK_MS = 25;
+/** Time-out of a call to the platform, the weight store or a runner. */
 const HTTP_TIMEOUT_MS = 800;
 
-/** A control node's process: carries out what its core wants, and tells the core what came of it. */
-export class TableControlProcess implements ControlRuntimePorts {
+type TableControlSettings = Infer<typeof TableControlSettingsShape>;
+
+/** A control node's process that places by the policy table; it polls the platform, the weight store and the runners. */
+export class TableControlProcess implements ControlProgram {
   readonly tickMs = TICK_MS;
   readonly waitsForHandover = false;
-  readonly #settings: Infer<typeof TableControlSettingsShape>;
-  readonly #log: Logger;
+  readonly #settings: TableControlSettings;
   readonly #counters = new Counters();
-  readonly #runtime: ControlRuntime;
-  readonly #store: FileStore;
+  readonly #host: ControlHost;
   readonly #api: OperatorApi;
-  readonly #report = new ControlReport();
   #orderSender: OrderSender | undefined;
   #isPlatformReachable = true;
 
-  constructor(settings: Infer<typeof TableControlSettingsShape>, log: Logger) {
+  constructor(settings: TableControlSettings, log: Logger) {
     this.#settings = settings;
-    this.#log = log;
-    const exchange = new Exchange(
-      {
-        id: settings.listen,
-        role: 'mind',
-        zone: settings.zone,
-        listen: settings.listen,
-        reach: settings.reach,
-      },
-      (error) => this.#logError(error),
-    );
-    this.#runtime = new ControlRuntime(exchange, this);
-    this.#store = new FileStore(join(settings.data, 'parts'), (error) => this.#logError(error));
+    const { listen, zone, reach, data } = settings;
+    this.#host = new ControlHost({ address: listen, zone, reach, dataFolder: data }, this, log);
     this.#api = new OperatorApi(
       (verb, body) => this.#request(verb, body),
-      () => this.#counted(),
-      () => this.#metrics(),
+      () => this.#currentCounters(),
+      () => this.#host.metrics(),
     );
   }
 
+  /** Starts from what is on disk; returns once messages and operators are served. */
   async start(): Promise<void> {
-    const stored = await this.#store.readAll();
-    const { listen: me, zone, seeds, blindMs } = this.#settings;
+    const stored = await this.#host.readStored();
+    const { listen: me, zone, seeds, blindMs, api } = this.#settings;
     const core = new ControlCore(
       { ...CONTROL_DEFAULTS, me, zone, seeds, blindMs, incarnation: newIncarnation() },
       stored,
       monotonicNow(),
     );
     this.#orderSender = new OrderSender(core, monotonicNow);
-    await this.#runtime.open(core);
-    await this.#api.listen(this.#settings.api);
-    this.#runtime.startTicks();
-    this.#log.info({ standing: core.replicaStatus.name }, 'control node started');
+    await this.#host.start(core, this.#api, api);
+    this.#host.log({ event: 'control node started', replicaStatus: core.replicaStatus.name });
   }
 
-  /** Hands over what it leads, if no order is open, and stops. */
+  /** Hands over the lease, if no order is open, and stops. */
   async stop(): Promise<void> {
-    await this.#runtime.retire();
-    this.#api.close();
-    this.#runtime.close();
+    await this.#host.stop(this.#api);
   }
 
+  /** The nodes to keep a connection to. */
   peers(core: ControlCore): readonly string[] {
-    return core.voters.filter((voter) => this.#isOther(voter));
+    return core.voters.filter((voter) => voter !== this.#settings.listen);
   }
 
+  /** A message arrived. */
   onMessage(incoming: Incoming): CoreCommand {
     this.#counters.add(`messages.${incoming.message.kind}`);
-    return (core) => this.#receive(incoming, core);
+    return (core) => this.#deliver(incoming, core);
   }
 
-  async write({ partition, version, body }: StoreEffect): Promise<void> {
-    await this.#report.measure(this.#store.write(partition, version, body));
+  /** A write was synced to disk. */
+  onWritten(): void {
     this.#counters.add('disk.writes');
   }
 
-  perform(effect: OutsideEffect, core: ControlCore): void {
+  /** A connection, a message or a write failed. */
+  onError(error: HaretrackError): void {
+    this.#counters.add(`defects.${error.code}`);
+  }
+
+  /** An input other than a message failed: that is a bug, which ends the process. */
+  onCommandFailed(thrown: unknown): void {
+    throw thrown;
+  }
+
+  /** Makes a call to the platform, the weight store or a runner. */
+  perform(effect: ExternalEffect, core: ControlCore): void {
     switch (effect.do) {
       case 'askMachines':
         void this.#pollMachineList();
@@ -117,46 +110,23 @@
       case 'order':
         void this.#sendOrder(effect, core.elector.epoch);
         break;
-      case 'note':
-        this.#log.info(effect.fields, effect.text);
-        break;
       default:
         break;
     }
   }
 
-  onCommandFailed(thrown: unknown): void {
-    throw thrown;
-  }
-
-  #isOther(voter: string): boolean {
-    return voter !== this.#settings.listen;
-  }
-
-  #receive(incoming: Incoming, core: ControlCore): void {
-    // What a node of another build may say must not end this one.
+  #deliver({ from, message }: Incoming, core: ControlCore): void {
+    // A message of a node of another build must not end this one.
     try {
-      core.onMessage(monotonicNow(), incoming.from, incoming.message);
+      core.onMessage(monotonicNow(), from, message);
     } catch (thrown) {
-      this.#logError(
-        new MalformedFrameError(
-          `${incoming.message.kind} from ${incoming.from}: ${reasonOf(thrown)}`,
-        ),
-      );
+      const reason = `${message.kind} from ${from}: ${reasonOf(thrown)}`;
+      this.#host.reportError(new MalformedFrameError(reason));
     }
   }
 
-  #logError(error: HaretrackError): void {
-    this.#counters.add(`defects.${error.code}`);
-    this.#log.warn({ defect: error.code }, error.message);
-  }
-
-  #metrics(): Promise<Exposition | undefined> {
-    return this.#report.render(this.#runtime.core);
-  }
-
-  #counted(): object {
-    const { core } = this.#runtime;
+  #currentCounters(): object {
+    const { core } = this.#host.runtime;
     if (core) {
       this.#counters.set('epoch', core.elector.epoch);
       this.#counters.set('news.sent', core.relay.sentCount);
@@ -168,44 +138,37 @@
 
   async #pollMachineList(): Promise<void> {
     try {
-      const returned = await call(
-        'GET',
-        this.#settings.platform,
-        '/machines',
-        undefined,
-        HTTP_TIMEOUT_MS,
-      );
-      const machines = parseAs(MachinesShape, returned.body);
+      const body = await get(this.#settings.platform, '/machines');
+      const machines = parseAs(MachinesShape, body);
       if (!machines) throw new Error('its list of machines is not what it should be');
-      this.#runtime.submit((core: ControlCore) => {
-        if (machines) core.onMachines(monotonicNow(), machines);
+      this.#host.runtime.submit((core: ControlCore) => {
+        core.onMachines(monotonicNow(), machines);
       });
-      this.#onPlatformReachable(true, '');
+      this.#onPlatformReached();
     } catch (thrown) {
       this.#counters.add('platform.unreached');
-      this.#onPlatformReachable(false, reasonOf(thrown));
+      this.#onPlatformUnreached(reasonOf(thrown));
     }
   }
 
-  #onPlatformReachable(isUp: boolean, reason: string): void {
-    if (isUp === this.#isPlatformReachable) return;
-    this.#isPlatformReachable = isUp;
-    this.#log.info({ up: isUp, reason }, 'platform');
+  #onPlatformReached(): void {
+    if (this.#isPlatformReachable) return;
+    this.#isPlatformReachable = true;
+    this.#host.log({ event: 'platform became reachable' });
+  }
+
+  #onPlatformUnreached(reason: string): void {
+    if (!this.#isPlatformReachable) return;
+    this.#isPlatformReachable = false;
+    this.#host.log({ event: 'platform became unreachable', reason });
   }
 
   async #pollCatalog(): Promise<void> {
     try {
-      const returned = await call(
-        'GET',
-        this.#settings.store,
-        '/catalog',
-        undefined,
-        HTTP_TIMEOUT_MS,
-      );
-      const catalog = parseAs(CatalogShape, returned.body);
+      const catalog = parseAs(CatalogShape, await get(this.#settings.store, '/catalog'));
       if (!catalog) throw new Error('its catalogue is not what it should be');
-      this.#runtime.submit((core: ControlCore) => {
-        if (catalog) core.onCatalog(monotonicNow(), catalog);
+      this.#host.runtime.submit((core: ControlCore) => {
+        core.onCatalog(monotonicNow(), catalog);
       });
     } catch {
       this.#counters.add('store.unreached');
@@ -213,50 +176,38 @@
   }
 
   async #pollReport(runner: string, address: string): Promise<void> {
-    const askedAt: Moment = monotonicNow();
-    let report: ReturnType<typeof parseAs<Infer<typeof RunnerReportShape>>>;
+    const requestedAt = monotonicNow();
+    let report: RunnerReport | undefined;
     try {
-      report = parseAs(
-        RunnerReportShape,
-        (await call('GET', address, '/report', undefined, HTTP_TIMEOUT_MS)).body,
-      );
+      report = parseAs(RunnerReportShape, await get(address, '/report'));
     } catch {
       this.#counters.add('reports.unreached');
     }
     // A report under another name is some other runner's, at an address that changed hands.
-    const own = report?.id === runner ? report : undefined;
-    this.#runtime.submit((core: ControlCore) => {
-      core.onRunnerReport(monotonicNow(), runner, askedAt, own);
+    const ownReport = report?.id === runner ? report : undefined;
+    this.#host.runtime.submit((core: ControlCore) => {
+      core.onRunnerReport(monotonicNow(), runner, requestedAt, ownReport);
     });
   }
 
-  async #sendOrder(effect: OrderEffect, epoch: number): Promise<void> {
-    const outcome =
-      (await this.#orderSender?.send(
-        effect.intent,
-        effect.address,
-        this.#settings.listen,
-        epoch,
-      )) ?? 'unsent';
+  async #sendOrder({ intent, address }: OrderEffect, epoch: number): Promise<void> {
+    const holder = this.#settings.listen;
+    const outcome = (await this.#orderSender?.send(intent, address, holder, epoch)) ?? 'unsent';
     this.#counters.add(`orders.${outcome}`);
-    this.#log.info(
-      {
-        order: effect.intent.id,
-        verb: effect.intent.verb,
-        model: effect.intent.model,
-        adapter: effect.intent.adapter,
-        runner: effect.intent.runner,
-        outcome,
-      },
-      'order',
-    );
-    this.#runtime.submit((core: ControlCore) => {
-      core.onOrderOutcome(monotonicNow(), effect.intent.id, outcome);
+    this.#host.logOrder(intent, outcome);
+    this.#host.runtime.submit((core: ControlCore) => {
+      core.onOrderOutcome(monotonicNow(), intent.id, outcome);
     });
   }
 
   #request(verb: string, body: string): Promise<CommandReply> {
     this.#counters.add(`commands.${verb}`);
-    return this.#runtime.request(verb, body);
+    return this.#host.runtime.request(verb, body);
   }
 }
+
+/** Reads a page of another program and returns its body. */
+async function get(address: string, path: string): Promise<string> {
+  const { body } = await call('GET', address, path, undefined, HTTP_TIMEOUT_MS);
+  return body;
+}
--- a/src/control/takeover.ts
+++ b/src/control/takeover.ts
@@ -5,6 +5,7 @@
 import { allPartitions, CONFIG_PARTITION } from '../state/partition-names.js';
 import type { ReplicatedState } from '../state/replicated-state.js';
 import type { ConfigStore } from './config-store.js';
+import { SERVING_STARTED } from './control-log-event.js';
 import type { ControlCounters } from './control-metrics.js';
 import type { EffectQueue } from './effect-queue.js';
 import type { FollowedVoters } from './followed-voters.js';
@@ -77,7 +78,7 @@
   beginServing(now: Moment): void {
     const { leadership, document, membership, placement, effects } = this.#dependencies;
     leadership.serve();
-    effects.log('serving', { epoch: leadership.epoch });
+    effects.log({ event: SERVING_STARTED, epoch: leadership.epoch });
     const isFound = document.load();
     // Only committed tables are ever told: one told here that no majority holds any more was lost with their disks.
     if (document.unstoredUpdate()) this.#hasMissingWrites = true;
@@ -102,7 +103,11 @@
     this.#leader = leader;
     const { elector, counters, effects } = this.#dependencies;
     counters.countLeaderChange();
-    effects.log('leader', { leader: leader === '' ? 'none' : leader, epoch: elector.epoch });
+    effects.log({
+      event: 'leader changed',
+      leader: leader === '' ? 'none' : leader,
+      epoch: elector.epoch,
+    });
   }
 
   #stepDown(): void {
@@ -135,7 +140,7 @@
     this.#hasMissingWrites = false;
     this.#recoverUntil = undefined;
     const lost = document.unstoredUpdate();
-    if (lost) effects.log('table recovered from members', { table: lost.number });
+    if (lost) effects.log({ event: 'configuration recovered', number: lost.number });
     document.recover(now, lost);
   }
 }
--- a/src/control/voter-set-writer.ts
+++ b/src/control/voter-set-writer.ts
@@ -32,7 +32,11 @@
   writeVoters(now: Moment, change: VotersChange): void {
     const { document, effects, voters } = this.#dependencies;
     const doc = document.newest();
-    effects.log('voters', { from: doc.voters.join(' | '), to: change.voters.join(' | ') });
+    effects.log({
+      event: 'voters changed',
+      from: doc.voters.join(' | '),
+      to: change.voters.join(' | '),
+    });
     const seats = change.voterCount === undefined ? {} : { seats: change.voterCount };
     const changed = { ...doc, voters: change.voters.map(copyOf), ...seats };
     // Two sets decide together from here on, also on this very change. One alone is told to those let go as well.
--- a/src/rehearsal/sim-control.ts
+++ b/src/rehearsal/sim-control.ts
@@ -216,7 +216,7 @@
       case 'order':
         this.#order(core, effect);
         break;
-      case 'note':
+      case 'log':
         break;
     }
   }
--- a/src/simulation/control-node.ts
+++ b/src/simulation/control-node.ts
@@ -12,13 +12,12 @@
 import type { ListedRunner } from '../placement/fleet.js';
 import { VOTE_DEFAULTS } from '../election/vote-settings.js';
 import {
-  SESSION_TIMEOUT_MS,
   CONTROL_TICK_MS,
   DEPLOYED_VOTE,
-  DISK_AGAIN_MS,
   RUNNER_LIST_INTERVAL_MS,
-  RETIRE_MS,
+  SESSION_TIMEOUT_MS,
 } from '../control/control-process.js';
+import { DISK_RETRY_MS, RETIRE_TIMEOUT_MS } from '../control/control-runtime.js';
 import { GRACE_MS, LEASE_MS } from './contract-bounds.js';
 import type { CoreBuild } from './core-build.js';
 import type { Endpoint } from './endpoint.js';
@@ -158,7 +157,7 @@
     const end = () => this.#finish();
     // The machine kills what has not ended, frozen or not.
     this.#around.scheduler.after(GRACE_MS, this.process.inThisLife(end));
-    const retire = this.#retire.bind(this, this.process.now() + RETIRE_MS, end);
+    const retire = this.#retire.bind(this, this.process.now() + RETIRE_TIMEOUT_MS, end);
     this.process.submit('signal', retire);
   }
 
@@ -297,8 +296,8 @@
         this.#trace.answer(effect.status, effect.body);
         this.#operators.reply(effect.id, { status: effect.status, body: effect.body });
         break;
-      case 'note':
-        this.#around.observer.noted(this, `${effect.text} ${JSON.stringify(effect.fields)}`);
+      case 'log':
+        this.#around.observer.noted(this, JSON.stringify(effect.event));
         break;
       default:
         break;
@@ -326,7 +325,7 @@
     }
     const stream = `disk ${partition}`;
     const again = this.process.inThisLife(() => this.#keep(core, effect));
-    const wait = () => this.process.after(DISK_AGAIN_MS, again);
+    const wait = () => this.process.after(DISK_RETRY_MS, again);
     const done = () => this.#input(core, stream, stored);
     const fail = () => this.process.submit(stream, wait);
     this.#trace.write(partition, version, body);
