--- a/src/agent/agent-core-metrics.test.ts
+++ b/src/agent/agent-core-metrics.test.ts
@@ -7,15 +7,22 @@
 
 class Agent {
   readonly core = new AgentCore(
-    { me: '10.0.1.1:1', zone: 'z', seeds: SEEDS, blindMs: 2500, incarnation: 0, isDeployed: true },
+    {
+      me: '10.0.1.1:1',
+      zone: 'z',
+      seeds: SEEDS,
+      freshnessBoundMs: 2500,
+      incarnation: 0,
+      isDeployed: true,
+    },
     moment(0),
   );
 
   /** The control node of its session answers, and tells whom it follows and what it holds. */
   answered(at: number, leader: string, count: number): void {
     const { controlNode } = this.core;
-    this.core.receive(moment(at), controlNode, 'mind', { kind: 'assignParent', parent: '' });
-    this.core.receive(moment(at), controlNode, 'mind', {
+    this.core.onMessage(moment(at), controlNode, 'mind', { kind: 'assignParent', parent: '' });
+    this.core.onMessage(moment(at), controlNode, 'mind', {
       kind: 'controlNodes',
       controlNodes: [],
       leader,
@@ -25,7 +32,7 @@
   }
 
   updated(at: number, count: number): void {
-    this.core.receive(moment(at), this.core.controlNode, 'mind', {
+    this.core.onMessage(moment(at), this.core.controlNode, 'mind', {
       kind: 'update',
       topic: 'config',
       epoch: 2,
@@ -54,7 +61,7 @@
   agent.answered(2800, SEEDS[0] ?? '', 1);
   expect(agent.state(2800)).toBe('in-touch');
   // A closed connection moves it at once, and it is in touch for as long as that may take.
-  agent.core.gone(moment(2900), agent.core.controlNode);
+  agent.core.onDisconnect(moment(2900), agent.core.controlNode);
   expect(agent.core.metrics(moment(2900))).toMatchObject({ hasSession: true, sessionMoves: 2 });
 });
 test('a control node that follows nobody shows', () => {
@@ -92,13 +99,13 @@
 test('proxies show while they are there', () => {
   const agent = new Agent();
   expect(agent.core.metrics(moment(0)).proxies).toBe(0);
-  agent.core.receive(moment(10), 'flow@1', 'flow', {
+  agent.core.onMessage(moment(10), 'flow@1', 'flow', {
     kind: 'freshnessRequest',
     nonce: 5,
     have: [],
     members: [],
   });
   expect(agent.core.metrics(moment(20)).proxies).toBe(1);
-  agent.core.gone(moment(30), 'flow@1');
+  agent.core.onDisconnect(moment(30), 'flow@1');
   expect(agent.core.metrics(moment(40)).proxies).toBe(0);
 });
--- a/src/agent/agent-core.test.ts
+++ b/src/agent/agent-core.test.ts
@@ -19,10 +19,10 @@
 test('a link started anew confirms no proxy until it has surely gone blind', () => {
   // Killed and started anew: the proxy beside it may still be fresh by what it was confirmed fresh through our former incarnation.
   const core = new AgentCore(
-    { me: '10.0.1.1:1', zone: 'z', seeds, blindMs: 2500, incarnation: 0 },
+    { me: '10.0.1.1:1', zone: 'z', seeds, freshnessBoundMs: 2500, incarnation: 0 },
     moment(0),
   );
-  core.receive(moment(10), core.controlNode, 'mind', {
+  core.onMessage(moment(10), core.controlNode, 'mind', {
     kind: 'update',
     topic: 'config',
     epoch: 2,
@@ -31,16 +31,16 @@
   });
   core.tick(moment(20));
   for (const version of acks(core)) expect(version).toEqual(NO_VERSION);
-  core.receive(moment(30), core.controlNode, 'mind', { kind: 'assignParent', parent: '' });
+  core.onMessage(moment(30), core.controlNode, 'mind', { kind: 'assignParent', parent: '' });
   core.tick(moment(2600));
   expect(acks(core)).toContainEqual({ epoch: 2, count: 7 });
 });
 test('an ask names everybody below who will be fresh by it', () => {
   const core = new AgentCore(
-    { me: '10.0.1.1:1', zone: 'z', seeds, blindMs: 2500, incarnation: 0 },
+    { me: '10.0.1.1:1', zone: 'z', seeds, freshnessBoundMs: 2500, incarnation: 0 },
     moment(0),
   );
-  core.receive(moment(10), '10.0.1.2:1', 'link', {
+  core.onMessage(moment(10), '10.0.1.2:1', 'link', {
     kind: 'freshnessRequest',
     nonce: 3,
     have: [],
@@ -59,11 +59,14 @@
 });
 test('a silent parent is left within half a second and its asks go to the control node', () => {
   const core = new AgentCore(
-    { me: '10.0.1.1:1', zone: 'z', seeds, blindMs: 2500, incarnation: 0 },
+    { me: '10.0.1.1:1', zone: 'z', seeds, freshnessBoundMs: 2500, incarnation: 0 },
     moment(0),
   );
-  core.receive(moment(0), core.controlNode, 'mind', { kind: 'assignParent', parent: '10.0.1.9:1' });
-  core.receive(moment(10), 'flow@1', 'flow', {
+  core.onMessage(moment(0), core.controlNode, 'mind', {
+    kind: 'assignParent',
+    parent: '10.0.1.9:1',
+  });
+  core.onMessage(moment(10), 'flow@1', 'flow', {
     kind: 'freshnessRequest',
     nonce: 5,
     have: [],
@@ -83,7 +86,7 @@
     message: { kind: 'freshnessRequest', nonce: 2, have: [], members: ['10.0.1.1:1'] },
   });
   expect(sends.some(tellsLost)).toBe(true);
-  core.receive(moment(380), core.controlNode, 'mind', {
+  core.onMessage(moment(380), core.controlNode, 'mind', {
     kind: 'freshnessReply',
     nonce: 2,
     epoch: 0,
@@ -100,12 +103,19 @@
 /** Its control node may be cut off from a majority that has accepted something since. */
 test('beside its own control node an agent asks the others for news, each in turn', () => {
   const core = new AgentCore(
-    { me: '10.0.1.1:1', zone: 'z', seeds, blindMs: 2500, incarnation: 0, isDeployed: true },
+    {
+      me: '10.0.1.1:1',
+      zone: 'z',
+      seeds,
+      freshnessBoundMs: 2500,
+      incarnation: 0,
+      isDeployed: true,
+    },
     moment(0),
   );
   const asked = new Set<string>();
   for (let now = 0; now <= 1600; now += 100) {
-    core.receive(moment(now), core.controlNode, 'mind', {
+    core.onMessage(moment(now), core.controlNode, 'mind', {
       kind: 'controlNodes',
       controlNodes: [],
       leader: core.controlNode,
@@ -126,11 +136,18 @@
 /** A child that was hung elsewhere says nothing of it here: fed on, it would get everything from each parent it ever had. */
 test('a child that hangs elsewhere by now is fed there alone', () => {
   const core = new AgentCore(
-    { me: '10.0.1.1:1', zone: 'z', seeds, blindMs: 2500, incarnation: 0, isDeployed: true },
+    {
+      me: '10.0.1.1:1',
+      zone: 'z',
+      seeds,
+      freshnessBoundMs: 2500,
+      incarnation: 0,
+      isDeployed: true,
+    },
     moment(0),
   );
   function ask(at: number, child: string): void {
-    core.receive(moment(at), child, 'link', {
+    core.onMessage(moment(at), child, 'link', {
       kind: 'freshnessRequest',
       nonce: 0,
       have: [],
@@ -138,7 +155,7 @@
     });
   }
   function fed(at: number, count: number): string[] {
-    core.receive(moment(at), core.controlNode, 'mind', {
+    core.onMessage(moment(at), core.controlNode, 'mind', {
       kind: 'update',
       topic: 'config',
       epoch: 2,
--- a/src/agent/agent-core.ts
+++ b/src/agent/agent-core.ts
@@ -12,7 +12,7 @@
   readonly me: string;
   readonly zone: string;
   readonly seeds: readonly string[];
-  readonly blindMs: number;
+  readonly freshnessBoundMs: number;
   readonly incarnation: number;
   /** In a deployment of its own the proxy does not work by being confirmed fresh: asks are for news alone, and control nodes of our zone come first. */
   readonly isDeployed?: boolean;
@@ -122,7 +122,7 @@
     return this.#parent;
   }
   /** How often the session moved to another control node. */
-  get turns(): number {
+  get sessionMoves(): number {
     return this.#turns;
   }
 
@@ -168,7 +168,7 @@
     for (const [id, proxy] of this.#proxies)
       if (
         proxy.goneAt !== undefined &&
-        now - proxy.goneAt > this.#settings.blindMs * (1 + 2 * CLOCK_DRIFT)
+        now - proxy.goneAt > this.#settings.freshnessBoundMs * (1 + 2 * CLOCK_DRIFT)
       )
         this.#proxies.delete(id);
     for (const [child, at] of this.#children) if (now - at > CHILD_SILENT_MS) this.#forget(child);
@@ -181,7 +181,7 @@
     this.#flush();
   }
 
-  receive(now: Moment, from: string, role: string, message: Message): void {
+  onMessage(now: Moment, from: string, role: string, message: Message): void {
     switch (message.kind) {
       case 'assignParent':
         if (from !== this.controlNode) break;
@@ -289,7 +289,7 @@
     if (proxy && config) proxy.acked = { epoch: config.epoch, count: config.count };
   }
 
-  gone(now: Moment, from: string): void {
+  onDisconnect(now: Moment, from: string): void {
     this.#forget(from);
     const proxy = this.#proxies.get(from);
     // It may still be fresh by what it was confirmed fresh: it counts until it has surely gone blind.
--- a/src/agent/agent-join.test.ts
+++ b/src/agent/agent-join.test.ts
@@ -26,7 +26,7 @@
       relay.offer('config', version, JSON.stringify({ voters: [SEEDS] }));
       this.#nodes.set(id, { relay, leader: cutOff.includes(id) ? '' : '10.0.0.9:1' });
     }
-    const settings = { me: '10.0.1.1:1', zone: 'z', blindMs: 2500, incarnation: 0 };
+    const settings = { me: '10.0.1.1:1', zone: 'z', freshnessBoundMs: 2500, incarnation: 0 };
     // Each agent begins at a seed of its own: here at the first, which is the one cut off.
     this.core = new AgentCore(
       { ...settings, seeds: seedsBeginningAt(settings.me, SEEDS), isDeployed: true },
@@ -50,7 +50,7 @@
 
   /** What was on its way arrives late, or comes once more. */
   hear(from: string, version: Version): void {
-    this.core.receive(moment(this.#now), from, 'mind', {
+    this.core.onMessage(moment(this.#now), from, 'mind', {
       kind: 'update',
       topic: 'config',
       ...version,
@@ -64,7 +64,7 @@
       const node = this.#nodes.get(effect.to);
       if (!node) continue;
       if (effect.message.kind === 'join') {
-        this.core.receive(moment(this.#now), effect.to, 'mind', {
+        this.core.onMessage(moment(this.#now), effect.to, 'mind', {
           kind: 'controlNodes',
           controlNodes: [],
           leader: node.leader,
@@ -74,7 +74,7 @@
       if (effect.message.kind !== 'freshnessRequest') continue;
       node.relay.onKnownVersions('agent', effect.message.have);
       for (const { message } of node.relay.flush())
-        this.core.receive(moment(this.#now), effect.to, 'mind', message);
+        this.core.onMessage(moment(this.#now), effect.to, 'mind', message);
     }
   }
 }
@@ -84,7 +84,7 @@
   for (let turn = 0; turn < seeds.length; turn += 1) {
     const turned = [...seeds.slice(turn), ...seeds.slice(0, turn)];
     const core = new AgentCore(
-      { me, zone: 'z', seeds: turned, blindMs: 2500, incarnation: 0, isDeployed: true },
+      { me, zone: 'z', seeds: turned, freshnessBoundMs: 2500, incarnation: 0, isDeployed: true },
       moment(0),
     );
     if (core.controlNode === seeds[0]) return turned;
--- a/src/agent/agent-leaving.test.ts
+++ b/src/agent/agent-leaving.test.ts
@@ -8,17 +8,23 @@
 const BELOW = '10.0.1.2:1';
 
 function agent(): AgentCore {
-  const settings = { me: '10.0.1.1:1', zone: 'z', seeds: SEEDS, blindMs: 2500, incarnation: 0 };
+  const settings = {
+    me: '10.0.1.1:1',
+    zone: 'z',
+    seeds: SEEDS,
+    freshnessBoundMs: 2500,
+    incarnation: 0,
+  };
   return new AgentCore({ ...settings, isDeployed: true }, moment(0));
 }
 
 function ask(core: AgentCore, at: number, from: string, have: HaveMessage[] = []): void {
   const role = from === PROXY ? 'flow' : 'link';
-  core.receive(moment(at), from, role, { kind: 'freshnessRequest', nonce: 0, have, members: [] });
+  core.onMessage(moment(at), from, role, { kind: 'freshnessRequest', nonce: 0, have, members: [] });
 }
 
 function tell(core: AgentCore, at: number, from: string, runners: readonly string[]): void {
-  core.receive(moment(at), from, 'mind', { kind: 'leaving', runners: [...runners] });
+  core.onMessage(moment(at), from, 'mind', { kind: 'leaving', runners: [...runners] });
 }
 
 /** Whom the agent told of which leaving runners since the last look. */
--- a/src/agent/agent-process.ts
+++ b/src/agent/agent-process.ts
@@ -7,10 +7,10 @@
 import { Exchange, type Incoming } from '../dissemination/exchange.js';
 import { AgentCore } from './agent-core.js';
 import { agentState, type AgentState } from './agent-metrics.js';
-import { AgentRuntime, type AgentNote, type AgentPorts } from './agent-runtime.js';
+import { AgentRuntime, type AgentLogEvent, type AgentPorts } from './agent-runtime.js';
 
 export const AGENT_TICK_MS = 100;
-export const AGENT_BLIND_MS = 2500;
+export const AGENT_FRESHNESS_BOUND_MS = 2500;
 
 export interface AgentSettings {
   /** Where nodes reach it, and where it feeds the proxy beside it. */
@@ -39,7 +39,14 @@
       (error) => this.#tell(error),
     );
     this.#core = new AgentCore(
-      { me, zone, seeds, blindMs: AGENT_BLIND_MS, incarnation: newIncarnation(), isDeployed: true },
+      {
+        me,
+        zone,
+        seeds,
+        freshnessBoundMs: AGENT_FRESHNESS_BOUND_MS,
+        incarnation: newIncarnation(),
+        isDeployed: true,
+      },
       monotonicNow(),
     );
     this.#runtime = new AgentRuntime(this.#core, nodes, proxies, this);
@@ -58,16 +65,16 @@
     this.#runtime.submit(() => this.#core.setSeeds(seeds));
   }
 
-  receive(incoming: Incoming): Message {
+  inspect(incoming: Incoming): Message {
     return incoming.message;
   }
 
-  note(note: AgentNote): void {
+  log(note: AgentLogEvent): void {
     this.#log.info(note.fields, note.text);
   }
 
   /** Nobody scrapes an agent, since it listens for its own kind alone: it tells its metrics when its state changes. */
-  ticked(now: Moment): void {
+  onTicked(now: Moment): void {
     const metrics = this.#core.metrics(now);
     const state = agentState(metrics);
     if (state === this.#state) return;
--- a/src/agent/agent-runtime.ts
+++ b/src/agent/agent-runtime.ts
@@ -14,16 +14,16 @@
   'incoming$' | 'disconnected$' | 'open' | 'close' | 'dial' | 'send'
 >;
 
-export type AgentNote = Extract<AgentEffect, { do: 'note' }>;
+export type AgentLogEvent = Extract<AgentEffect, { do: 'note' }>;
 
 /** What differs between programs. */
 export interface AgentPorts {
   readonly tickMs: number;
   /** Looks at each message before the core gets it; what it returns is handed on. */
-  receive(incoming: Incoming): Message;
-  note(note: AgentNote): void;
+  inspect(incoming: Incoming): Message;
+  log(note: AgentLogEvent): void;
   /** Right after each tick of the core. */
-  ticked(now: Moment): void;
+  onTicked(now: Moment): void;
 }
 
 /** Feeds an agent's core from its two exchanges and a timer, one command at a time, and carries out its effects. */
@@ -78,7 +78,7 @@
   #work(command: () => void): void {
     command();
     for (const effect of this.#core.drain()) {
-      if (effect.do === 'note') this.#ports.note(effect);
+      if (effect.do === 'note') this.#ports.log(effect);
       else if (effect.to.startsWith('flow@')) this.#feed.send(effect.to, effect.message);
       else this.#nodes.send(effect.to, effect.message);
     }
@@ -88,17 +88,17 @@
     this.#nodes.dial(this.#core.controlNode);
     const now = monotonicNow();
     this.#core.tick(now);
-    this.#ports.ticked(now);
+    this.#ports.onTicked(now);
   }
 
   #receive(incoming: Incoming): void {
-    const message = this.#ports.receive(incoming);
+    const message = this.#ports.inspect(incoming);
     this.submit(
-      this.#core.receive.bind(this.#core, monotonicNow(), incoming.from, incoming.role, message),
+      this.#core.onMessage.bind(this.#core, monotonicNow(), incoming.from, incoming.role, message),
     );
   }
 
   #gone(id: string): void {
-    this.submit(this.#core.gone.bind(this.#core, monotonicNow(), id));
+    this.submit(this.#core.onDisconnect.bind(this.#core, monotonicNow(), id));
   }
 }
--- a/src/agent/table-agent-process.ts
+++ b/src/agent/table-agent-process.ts
@@ -10,7 +10,7 @@
 import { renderMetrics, type Exposition } from '../metrics/exposition.js';
 import { AgentCore } from './agent-core.js';
 import { agentFamilies } from './agent-metrics.js';
-import { AgentRuntime, type AgentNote, type AgentPorts } from './agent-runtime.js';
+import { AgentRuntime, type AgentLogEvent, type AgentPorts } from './agent-runtime.js';
 
 const TICK_MS = 25;
 
@@ -35,7 +35,7 @@
       (error) => this.#tell(error),
     );
     this.#core = new AgentCore(
-      { me: listen, zone, seeds, blindMs, incarnation: newIncarnation() },
+      { me: listen, zone, seeds, freshnessBoundMs: blindMs, incarnation: newIncarnation() },
       monotonicNow(),
     );
     this.#runtime = new AgentRuntime(this.#core, nodes, proxies, this);
@@ -51,7 +51,7 @@
   }
 
   counters(): object {
-    this.#counters.set('session.turns', this.#core.turns);
+    this.#counters.set('session.turns', this.#core.sessionMoves);
     this.#counters.set('news.sent', this.#core.relay.sentCount);
     return {
       ...this.#counters.all(),
@@ -64,16 +64,16 @@
     return renderMetrics(agentFamilies(this.#core.metrics(monotonicNow())));
   }
 
-  receive(incoming: Incoming): Message {
+  inspect(incoming: Incoming): Message {
     this.#counters.add(`messages.${incoming.message.kind}`);
     return incoming.message;
   }
 
-  note(note: AgentNote): void {
+  log(note: AgentLogEvent): void {
     this.#log.info(note.fields, note.text);
   }
 
-  ticked(): void {
+  onTicked(): void {
     /* its metrics are asked for */
   }
 
--- a/src/compatibility/metrics.test.ts
+++ b/src/compatibility/metrics.test.ts
@@ -3,7 +3,7 @@
 import { controlFamilies } from '../control/control-families.js';
 import type { ControlMetrics } from '../control/control-metrics.js';
 import { renderMetrics } from '../metrics/exposition.js';
-import type { WriteNumbers } from '../metrics/write-latency.js';
+import type { WriteFigures } from '../metrics/write-latency.js';
 import { expectGoldenText } from './testing/golden.js';
 
 /** Every number differs from the others, so that no two metrics can be exchanged unseen. */
@@ -40,7 +40,7 @@
   sessions: { open: 301, behind: 302, versionsBehind: 303 },
 };
 
-const DISK: WriteNumbers = {
+const DISK: WriteFigures = {
   done: 401,
   failed: 402,
   slow: 403,
--- a/src/compatibility/testing/recorded-cluster.ts
+++ b/src/compatibility/testing/recorded-cluster.ts
@@ -108,7 +108,7 @@
         me: AGENT,
         zone: plan.nodes[0]?.zone ?? '',
         seeds,
-        blindMs: 2500,
+        freshnessBoundMs: 2500,
         incarnation: 7,
         isDeployed: plan.isDeployed,
       },
@@ -250,7 +250,7 @@
     if (to === PROXY) {
       this.#receiveAtProxy(message);
     } else if (to === AGENT) {
-      this.#agent.receive(this.now, from, from === PROXY ? 'flow' : 'mind', message);
+      this.#agent.onMessage(this.now, from, from === PROXY ? 'flow' : 'mind', message);
       this.#drainAgent();
     } else if (this.#cores.has(to)) {
       this.core(to).onMessage(this.now, from, message, this.#zones.get(from));
--- a/src/control/control-families.test.ts
+++ b/src/control/control-families.test.ts
@@ -33,7 +33,7 @@
 }
 
 function familiesOf(changes: Partial<ControlMetrics>): MetricFamily[] {
-  return controlFamilies(metricsOf(changes), new WriteLatency().numbers(0));
+  return controlFamilies(metricsOf(changes), new WriteLatency().figures(0));
 }
 
 /** The value of the sample of that name, with the value of its label if it has one. */
--- a/src/control/control-families.ts
+++ b/src/control/control-families.ts
@@ -6,7 +6,7 @@
   labelledFamily,
   type MetricFamily,
 } from '../metrics/exposition.js';
-import { secondsOf, type WriteNumbers } from '../metrics/write-latency.js';
+import { secondsOf, type WriteFigures } from '../metrics/write-latency.js';
 import {
   REFUSAL_REASONS,
   REPLICA_STATES,
@@ -146,7 +146,7 @@
   ];
 }
 
-function diskFamilies(disk: WriteNumbers): MetricFamily[] {
+function diskFamilies(disk: WriteFigures): MetricFamily[] {
   return [
     counter('disk_writes_total', 'Writes synced to the disk.', disk.done),
     counter('disk_writes_failed_total', 'Writes that failed and are tried again.', disk.failed),
@@ -158,7 +158,7 @@
 }
 
 /** All metrics of a control node's process. */
-export function controlFamilies(node: ControlMetrics, disk: WriteNumbers): MetricFamily[] {
+export function controlFamilies(node: ControlMetrics, disk: WriteFigures): MetricFamily[] {
   return [
     ...leadershipFamilies(node),
     ...voterFamilies(node),
--- a/src/control/control-report.ts
+++ b/src/control/control-report.ts
@@ -31,6 +31,6 @@
   async render(core: Observed | undefined): Promise<Exposition | undefined> {
     if (!core) return undefined;
     const now = monotonicNow();
-    return renderMetrics(controlFamilies(core.metrics(now), this.#writes.numbers(now)));
+    return renderMetrics(controlFamilies(core.metrics(now), this.#writes.figures(now)));
   }
 }
--- a/src/control/testing/attached-proxy.ts
+++ b/src/control/testing/attached-proxy.ts
@@ -24,7 +24,14 @@
   constructor(cluster: FaultCluster, id: string, zone: string, seeds: readonly string[]) {
     this.id = id;
     this.#cluster = cluster;
-    const settings = { me: id, zone, seeds, blindMs: 2500, incarnation: 7, isDeployed: true };
+    const settings = {
+      me: id,
+      zone,
+      seeds,
+      freshnessBoundMs: 2500,
+      incarnation: 7,
+      isDeployed: true,
+    };
     this.#agent = new AgentCore(settings, moment(cluster.now));
     cluster.join(id, this);
   }
@@ -45,18 +52,18 @@
       this.#nonce += 1;
       const have = [...this.#held.values(), ...this.#leaving.summary()];
       const ask = { kind: 'freshnessRequest', nonce: this.#nonce, have, members: [] } as const;
-      this.#agent.receive(now, PROXY, 'flow', { ...ask, members: [] });
+      this.#agent.onMessage(now, PROXY, 'flow', { ...ask, members: [] });
     }
     this.#drain(now);
   }
 
   receive(now: Moment, from: string, message: Message): void {
-    this.#agent.receive(now, from, from.startsWith('agent') ? 'link' : 'mind', message);
+    this.#agent.onMessage(now, from, from.startsWith('agent') ? 'link' : 'mind', message);
     this.#drain(now);
   }
 
   gone(now: Moment, id: string): void {
-    this.#agent.gone(now, id);
+    this.#agent.onDisconnect(now, id);
     this.#drain(now);
   }
 
--- a/src/metrics/write-latency.test.ts
+++ b/src/metrics/write-latency.test.ts
@@ -8,7 +8,7 @@
   const failing = writes.begin(1020);
   writes.end(quick, 1040, 'done');
   writes.end(failing, 1620, 'failed');
-  expect(writes.numbers(3010)).toEqual({
+  expect(writes.figures(3010)).toEqual({
     done: 1,
     failed: 1,
     slow: 1,
@@ -17,14 +17,14 @@
     oldestMs: 2000,
   });
   writes.end(hung, 3010, 'done');
-  expect(writes.numbers(3010)).toMatchObject({ done: 2, slow: 2, underWay: 0, oldestMs: 0 });
+  expect(writes.figures(3010)).toMatchObject({ done: 2, slow: 2, underWay: 0, oldestMs: 0 });
 });
 test('a write ends once', () => {
   const writes = new WriteLatency();
   const id = writes.begin(0);
   writes.end(id, 5, 'done');
   writes.end(id, 9, 'failed');
-  expect(writes.numbers(10)).toMatchObject({ done: 1, failed: 0, totalMs: 5 });
+  expect(writes.figures(10)).toMatchObject({ done: 1, failed: 0, totalMs: 5 });
 });
 test('durations are told in seconds', () => {
   expect(secondsOf(1500)).toBe(1.5);
--- a/src/metrics/write-latency.ts
+++ b/src/metrics/write-latency.ts
@@ -6,7 +6,7 @@
 const MS_PER_SECOND = 1000;
 
 /** Writes since the start of this process. Durations are in milliseconds. */
-export interface WriteNumbers {
+export interface WriteFigures {
   readonly done: number;
   readonly failed: number;
   /** Of those that ended, done or failed: the ones that took longer than `SLOW_WRITE_MS`. */
@@ -47,7 +47,7 @@
     if (elapsedMs > SLOW_WRITE_MS) this.#slow += 1;
   }
 
-  numbers(now: number): WriteNumbers {
+  figures(now: number): WriteFigures {
     const [oldest] = this.#began.values();
     return {
       done: this.#done,
--- a/src/rehearsal/garbage.test.ts
+++ b/src/rehearsal/garbage.test.ts
@@ -39,7 +39,7 @@
         me: 'link-0:1',
         zone: 'z',
         seeds: ['mind-0:1', 'mind-1:1', 'mind-2:1'],
-        blindMs: 2500,
+        freshnessBoundMs: 2500,
         incarnation: 0,
       },
       moment(0),
@@ -57,7 +57,7 @@
         parts: [],
       });
       decision.tick(moment(now));
-      link.receive(
+      link.onMessage(
         moment(now),
         seeded.pick(['mind-0:1', 'flow@0', 'link-9:1']) ?? '',
         seeded.pick(['flow', 'mind', 'link']) ?? '',
--- a/src/rehearsal/scale-agent.ts
+++ b/src/rehearsal/scale-agent.ts
@@ -54,7 +54,14 @@
       this.feedTally,
     );
     this.#core = new AgentCore(
-      { me, zone, seeds, blindMs: BLIND_MS, incarnation: newIncarnation(), isDeployed: true },
+      {
+        me,
+        zone,
+        seeds,
+        freshnessBoundMs: BLIND_MS,
+        incarnation: newIncarnation(),
+        isDeployed: true,
+      },
       monotonicNow(),
     );
     this.#runtime = new AgentRuntime(this.#core, this.#nodes, this.#feed, this);
@@ -76,7 +83,7 @@
     this.#runtime.stop();
   }
 
-  receive(incoming: Incoming): Message {
+  inspect(incoming: Incoming): Message {
     const message = this.#bodies.share(incoming.message);
     if (incoming.role === 'flow') this.#feed.took(message);
     else this.#nodes.took(message);
@@ -90,11 +97,11 @@
     return message;
   }
 
-  note(): void {
+  log(): void {
     /* nobody reads notes of thousands of agents */
   }
 
-  ticked(): void {
+  onTicked(): void {
     /* a run asks for figures itself */
   }
 }
--- a/src/rehearsal/sim-agent.ts
+++ b/src/rehearsal/sim-agent.ts
@@ -47,7 +47,7 @@
         me: this.id,
         zone: 'z',
         seeds: this.#seeds,
-        blindMs: BLIND_MS,
+        freshnessBoundMs: BLIND_MS,
         incarnation: this.incarnation,
       },
       this.now(),
@@ -64,12 +64,12 @@
   }
 
   receive(from: string, message: Message): void {
-    this.#core?.receive(this.now(), from, from.startsWith('flow@') ? 'flow' : 'node', message);
+    this.#core?.onMessage(this.now(), from, from.startsWith('flow@') ? 'flow' : 'node', message);
     this.#obey();
   }
 
   gone(from: string): void {
-    this.#core?.gone(this.now(), from);
+    this.#core?.onDisconnect(this.now(), from);
     this.#obey();
   }
 
--- a/src/simulation/agent-node.ts
+++ b/src/simulation/agent-node.ts
@@ -2,7 +2,7 @@
 import type { AgentCore } from '../agent/agent-core.js';
 import type { Scheduler } from '../rehearsal/scheduler.js';
 import type { Seeded } from '../rehearsal/seeded.js';
-import { AGENT_BLIND_MS, AGENT_TICK_MS } from '../agent/agent-process.js';
+import { AGENT_FRESHNESS_BOUND_MS, AGENT_TICK_MS } from '../agent/agent-process.js';
 import type { CoreBuild } from './core-build.js';
 import type { Endpoint } from './endpoint.js';
 import { SimExchange } from './sim-exchange.js';
@@ -69,7 +69,13 @@
     this.#starts += 1;
     this.process.begin();
     const incarnation = this.#around.random.below(LIFE_RANGE);
-    const settings = { me: this.id, zone: this.zone, seeds, blindMs: AGENT_BLIND_MS, incarnation };
+    const settings = {
+      me: this.id,
+      zone: this.zone,
+      seeds,
+      freshnessBoundMs: AGENT_FRESHNESS_BOUND_MS,
+      incarnation,
+    };
     this.#core = this.#around.build.agent({ ...settings, isDeployed: true }, this.process.now());
     this.#exchange.open();
     this.process.every(AGENT_TICK_MS, () => this.#tick());
@@ -105,12 +111,12 @@
   }
 
   #receive(from: string, role: string, _zone: string, message: Message): void {
-    this.#core?.receive(this.process.now(), from, role, message);
+    this.#core?.onMessage(this.process.now(), from, role, message);
     this.#obey();
   }
 
   #gone(id: string): void {
-    this.#core?.gone(this.process.now(), id);
+    this.#core?.onDisconnect(this.process.now(), id);
     this.#obey();
   }
 
--- a/src/simulation/mutants/agent-mutants.ts
+++ b/src/simulation/mutants/agent-mutants.ts
@@ -7,8 +7,8 @@
 
 /** Takes any configuration that it is told for a newer one. */
 export class TakesOlder extends AgentCore {
-  override receive(now: Moment, from: string, role: string, message: Message): void {
-    super.receive(now, from, role, this.#asNewer(message));
+  override onMessage(now: Moment, from: string, role: string, message: Message): void {
+    super.onMessage(now, from, role, this.#asNewer(message));
   }
 
   #asNewer(message: Message): Message {
