--- a/eslint.config.js
+++ b/eslint.config.js
@@ -342,7 +342,7 @@
   'src/proxy/forwarder.test.ts',
   'src/proxy/proxy-process.ts',
   'src/proxy/stream-relay.ts',
-  'src/proxy/whole-relay.ts',
+  'src/proxy/buffered-relay.ts',
   'src/rehearsal/back-end-troubles.ts',
   'src/rehearsal/fleet-command.ts',
   'src/rehearsal/fleet.test.ts',
