--- a/src/common/call.ts
+++ b/src/common/call.ts
@@ -1,5 +1,5 @@
 import { request, type ClientRequest, type IncomingMessage } from 'node:http';
-import { splitAddress } from './listen.js';
+import { parseAddress } from './listen.js';
 
 export interface CallReply {
   readonly status: number;
@@ -51,7 +51,7 @@
   body: string | undefined,
   limitMs: number,
 ): Promise<CallReply> {
-  const { host, port } = splitAddress(address);
+  const { host, port } = parseAddress(address);
   return new Promise((done: (returned: CallReply) => void, fail: (thrown: unknown) => void) => {
     const headers =
       body === undefined
--- a/src/common/listen.ts
+++ b/src/common/listen.ts
@@ -1,7 +1,7 @@
 import type { Server } from 'node:net';
 
 /** "10.0.0.1:7000" as host and port. */
-export function splitAddress(address: string): { readonly host: string; readonly port: number } {
+export function parseAddress(address: string): { readonly host: string; readonly port: number } {
   const at = address.lastIndexOf(':');
   return {
     host: address.slice(0, at).replace(/^\[(.*)\]$/, '$1'),
@@ -10,8 +10,8 @@
 }
 
 /** Opens a port and returns its number, or fails as the system says. */
-export async function listenOn(server: Server, address: string): Promise<number> {
-  const { host, port } = splitAddress(address);
+export async function bindServer(server: Server, address: string): Promise<number> {
+  const { host, port } = parseAddress(address);
   await new Promise<void>((done: () => void, fail: (thrown: Error) => void) => {
     server.once('error', fail);
     server.listen(port, host, done);
--- a/src/common/reply-server.ts
+++ b/src/common/reply-server.ts
@@ -1,7 +1,7 @@
 /** An HTTP server that gives one whole reply to each call. */
 
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from 'node:http';
-import { listenOn } from './listen.js';
+import { bindServer } from './listen.js';
 
 const JSON_TYPE = 'application/json';
 
@@ -33,7 +33,7 @@
 
   /** Opens the port and returns its number. */
   async listen(address: string): Promise<number> {
-    return listenOn(this.#server, address);
+    return bindServer(this.#server, address);
   }
 
   /** Takes no new calls; those under way get their replies. */
--- a/src/common/status-port.ts
+++ b/src/common/status-port.ts
@@ -1,6 +1,6 @@
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from 'node:http';
 import type { Exposition } from '../metrics/exposition.js';
-import { listenOn } from './listen.js';
+import { bindServer } from './listen.js';
 
 const JSON_TYPE = 'application/json';
 
@@ -17,7 +17,7 @@
   }
 
   async listen(address: string): Promise<void> {
-    await listenOn(this.#server, address);
+    await bindServer(this.#server, address);
   }
 
   close(): void {
--- a/src/compatibility/testing/raw-peer.ts
+++ b/src/compatibility/testing/raw-peer.ts
@@ -1,5 +1,5 @@
 import { connect, createServer, type Server, type Socket } from 'node:net';
-import { listenOn, splitAddress } from '../../common/listen.js';
+import { bindServer, parseAddress } from '../../common/listen.js';
 import { decodeMessage, encodeMessage, type Message } from '../../common/messages.js';
 
 const LENGTH_BYTES = 4;
@@ -47,7 +47,7 @@
 
   /** Connects to a process that listens. */
   static async dial(address: string): Promise<RawPeer> {
-    const peer = new RawPeer(connect(splitAddress(address)));
+    const peer = new RawPeer(connect(parseAddress(address)));
     await new Promise<void>((resolve, reject) => {
       peer.#socket.once('connect', resolve);
       peer.#socket.once('error', reject);
@@ -119,7 +119,7 @@
   }
 
   async listen(address: string): Promise<number> {
-    return listenOn(this.#server, address);
+    return bindServer(this.#server, address);
   }
 
   /** Waits for the first process that calls. */
--- a/src/control/order-sender.ts
+++ b/src/control/order-sender.ts
@@ -2,7 +2,7 @@
 import { readBody } from '../common/call.js';
 import type { Moment } from '../common/ids.js';
 import type { Intent } from '../placement/shapes.js';
-import { splitAddress } from '../common/listen.js';
+import { parseAddress } from '../common/listen.js';
 import { mayWrite, remainingOrderTimeMs, type Lease } from './lease.js';
 
 export type OrderOutcome = 'taken' | 'turnedAway' | 'unsure' | 'unsent';
@@ -25,7 +25,7 @@
   }
 
   send(intent: Intent, address: string, holder: string, epoch: number): Promise<OrderOutcome> {
-    const { host, port } = splitAddress(address);
+    const { host, port } = parseAddress(address);
     const body = JSON.stringify({
       id: intent.id,
       verb: intent.verb,
--- a/src/dissemination/exchange.test.ts
+++ b/src/dissemination/exchange.test.ts
@@ -3,7 +3,7 @@
 import { expect, test } from 'vitest';
 import { monotonicNow } from '../common/clock.js';
 import type { HaretrackError } from '../common/errors.js';
-import { listenOn } from '../common/listen.js';
+import { bindServer } from '../common/listen.js';
 import { encodeMessage } from '../common/messages.js';
 import { Exchange, type Incoming } from './exchange.js';
 
@@ -92,7 +92,7 @@
     head.writeUInt32BE(hello.length);
     socket.write(Buffer.concat([head, hello]));
   });
-  const port = await listenOn(server, '127.0.0.1:0');
+  const port = await bindServer(server, '127.0.0.1:0');
   const client = make('client', '');
   const id = `127.0.0.1:${port}`;
   const began = monotonicNow();
--- a/src/dissemination/exchange.ts
+++ b/src/dissemination/exchange.ts
@@ -4,7 +4,7 @@
 import { decodeMessage, encodeMessage, type Message } from '../common/messages.js';
 import { monotonicNow } from '../common/clock.js';
 import type { Moment } from '../common/ids.js';
-import { listenOn, splitAddress } from '../common/listen.js';
+import { bindServer, parseAddress } from '../common/listen.js';
 
 export interface Incoming {
   readonly from: string;
@@ -143,7 +143,7 @@
   async open(): Promise<number> {
     if (this.#settings.listen === '') return 0;
     this.#server = createServer((socket) => this.#onConnection(socket));
-    return listenOn(this.#server, this.#settings.listen);
+    return bindServer(this.#server, this.#settings.listen);
   }
 
   close(): void {
@@ -196,7 +196,7 @@
     )
       return;
     this.#dialing.add(id);
-    const { host, port } = splitAddress(this.#settings.reach[id] ?? id);
+    const { host, port } = parseAddress(this.#settings.reach[id] ?? id);
     const socket = connect({ host, port });
     socket.setTimeout(CONNECT_TIMEOUT_MS, () => socket.destroy(undefined));
     const line = new Connection(socket);
--- a/src/proxy/client-server.ts
+++ b/src/proxy/client-server.ts
@@ -3,7 +3,7 @@
 import type { Duplex } from 'node:stream';
 import { readBytes } from '../common/call.js';
 import type { Counters } from '../common/counters.js';
-import { listenOn } from '../common/listen.js';
+import { bindServer } from '../common/listen.js';
 import type { Limits } from '../route/routing.js';
 import type { ClientConnections } from './client-connections.js';
 import type { ClientExchange } from './client-exchange.js';
@@ -65,7 +65,7 @@
 
   /** Listens at the address; resolves with the port. */
   listen(address: string): Promise<number> {
-    return listenOn(this.#server, address);
+    return bindServer(this.#server, address);
   }
 
   /** Takes up the operators' limits on what a client may send, and how slowly. */
--- a/src/proxy/executor.test.ts
+++ b/src/proxy/executor.test.ts
@@ -4,7 +4,7 @@
 import { monotonicNow } from '../common/clock.js';
 import { Counters as CountersClass } from '../common/counters.js';
 import { later, type Moment } from '../common/ids.js';
-import { listenOn, splitAddress } from '../common/listen.js';
+import { bindServer, parseAddress } from '../common/listen.js';
 import { type Decision, Decision as DecisionClass } from './decision.js';
 import { type Asked, DECISION_DEFAULTS } from './decision-types.js';
 import { Executor } from './executor.js';
@@ -80,7 +80,7 @@
         behave(asked, returned, count);
       });
       this.servers.push(server);
-      const port = await listenOn(server, '127.0.0.1:0');
+      const port = await bindServer(server, '127.0.0.1:0');
       runners.push(
         {
           id: `r${index}`,
@@ -103,7 +103,7 @@
     if (hasDead) {
       // A port that was just closed: nobody is reached there.
       const closed = createTcp();
-      const port = await listenOn(closed, '127.0.0.1:0');
+      const port = await bindServer(closed, '127.0.0.1:0');
       closed.close();
       await once(closed, 'close');
       runners.unshift({
@@ -263,7 +263,7 @@
 }
 /** A client that has its return's head and reads no further. */
 async function beginRequest(address: string): Promise<ClientRequest> {
-  const { host, port } = splitAddress(address);
+  const { host, port } = parseAddress(address);
   const sent = request({ host, port, method: 'POST', path: '/c' });
   sent.on('error', saySilent);
   sent.end(JSON.stringify({ model: 'm' }));
@@ -314,7 +314,7 @@
   path: string,
   body?: Buffer,
 ): Promise<{ readonly back: IncomingMessage; readonly body: Buffer }> {
-  const { host, port } = splitAddress(bench.address);
+  const { host, port } = parseAddress(bench.address);
   const sent = request({ host, port, method, path, agent: false });
   sent.end(body);
   const [back]: unknown[] = await once(sent, 'response');
--- a/src/proxy/executor.ts
+++ b/src/proxy/executor.ts
@@ -17,7 +17,7 @@
 import { parseAs } from '../common/json.js';
 import type { Decision } from './decision.js';
 import type { RunVerdict } from './decision-types.js';
-import { listenOn, splitAddress } from '../common/listen.js';
+import { bindServer, parseAddress } from '../common/listen.js';
 import { ConnectionProbes } from './connection-probes.js';
 import { ErrorReplies } from './error-replies.js';
 import { hopByHopHeaders, hasSelfDefinedLength, forwardedHeaders } from './http-messages.js';
@@ -109,7 +109,7 @@
   }
 
   async listen(address: string): Promise<number> {
-    return listenOn(this.#server, address);
+    return bindServer(this.#server, address);
   }
 
   tick(now: Moment): void {
@@ -271,7 +271,7 @@
   }
 
   #connect(entry: Entry, number: number, verdict: RunVerdict): void {
-    const { host, port } = splitAddress(verdict.address);
+    const { host, port } = parseAddress(verdict.address);
     const headers = forwardedHeaders(entry.asked, HOP_HEADERS);
     headers['x-request-id'] = entry.requestId;
     delete headers['content-length'];
--- a/src/proxy/probe-connections.ts
+++ b/src/proxy/probe-connections.ts
@@ -1,6 +1,6 @@
 import { connect, type Socket } from 'node:net';
 import type { Moment } from '../common/ids.js';
-import { splitAddress } from '../common/listen.js';
+import { parseAddress } from '../common/listen.js';
 import type { ConnectionProbes, ConnectionProbeStep } from './connection-probes.js';
 
 /** Holds the idle connections to plain back ends that the probes ask for, and tells them how each fares. */
@@ -30,7 +30,7 @@
     this.#sockets.get(step.id)?.destroy();
     this.#sockets.delete(step.id);
     if (step.do === 'close' || this.#isDraining) return;
-    const socket = connect({ ...splitAddress(step.address) });
+    const socket = connect({ ...parseAddress(step.address) });
     this.#sockets.set(step.id, socket);
     socket.once('connect', () => this.#opened(step.id, step.count));
     socket.once('close', () => this.#closed(step.id, step.count));
--- a/src/proxy/proxy-process.ts
+++ b/src/proxy/proxy-process.ts
@@ -6,7 +6,7 @@
 import type { HaretrackError } from '../common/errors.js';
 import { parseAs } from '../common/json.js';
 import { newIncarnation } from '../common/incarnation.js';
-import { listenOn, splitAddress } from '../common/listen.js';
+import { bindServer, parseAddress } from '../common/listen.js';
 import type { HaveMessage, Message } from '../common/messages.js';
 import { compareVersions, NO_VERSION, versionText, type Version } from '../common/version.js';
 import { ConfigUpdateShape } from '../control/config-shapes.js';
@@ -78,7 +78,7 @@
     );
     const agent = new RunnerAgent();
     function hasIdle(address: string): boolean {
-      const { host, port } = splitAddress(address);
+      const { host, port } = parseAddress(address);
       return agent.hasIdleConnection(host, port);
     }
     this.#dispatcher = new Dispatcher({
@@ -106,7 +106,7 @@
       this.#exchange.incoming$.subscribe((incoming: Incoming) => this.#onMessage(incoming)),
     );
     await this.#forwarder.listen(this.#settings.listen);
-    await listenOn(this.#readiness, this.#settings.readiness);
+    await bindServer(this.#readiness, this.#settings.readiness);
     this.#subscription.add(interval(TICK_MS).subscribe(() => this.#tick()));
     this.#tick();
     this.#log.info({ zone: this.#settings.zone }, 'proxy started');
--- a/src/proxy/runner-requests.ts
+++ b/src/proxy/runner-requests.ts
@@ -1,7 +1,7 @@
 import { request, type IncomingMessage } from 'node:http';
 import type { Socket } from 'node:net';
 import type { Counters } from '../common/counters.js';
-import { splitAddress } from '../common/listen.js';
+import { parseAddress } from '../common/listen.js';
 import type { AttemptHandler } from './attempt-handler.js';
 import { Attempt, abortResponse, type ClientExchange, type SendEffect } from './client-exchange.js';
 import type { ResponseHead } from './dispatch-types.js';
@@ -38,7 +38,7 @@
       abortResponse(exchange);
       return;
     }
-    const { host, port } = splitAddress(send.address);
+    const { host, port } = parseAddress(send.address);
     // The kept connection that just broke was the one used last: what else is kept there has rested for longer.
     if (send.needsNewConnection) this.#agent.closeIdle(host, port);
     const headers = forwardedHeaders(exchange.clientRequest, REFRAMED_HEADERS);
--- a/src/rehearsal/callers.ts
+++ b/src/rehearsal/callers.ts
@@ -1,7 +1,7 @@
 import { Agent, request, type IncomingMessage } from 'node:http';
 import { string, type } from 'superstruct';
 import { parseAs } from '../common/json.js';
-import { splitAddress } from '../common/listen.js';
+import { parseAddress } from '../common/listen.js';
 import type { TrafficKind } from './deployment.js';
 import { LineCheck } from './line-check.js';
 import type { CallerRecord } from './records.js';
@@ -100,7 +100,7 @@
     path: string,
     body: string,
   ): Promise<CallerRecord> {
-    const { host, port } = splitAddress(flow);
+    const { host, port } = parseAddress(flow);
     const sentAt = Date.now();
     const base = {
       what: 'call',
--- a/src/rehearsal/cuts.ts
+++ b/src/rehearsal/cuts.ts
@@ -1,5 +1,5 @@
 import { connect, createServer, type Server, type Socket } from 'node:net';
-import { listenOn, splitAddress } from '../common/listen.js';
+import { bindServer, parseAddress } from '../common/listen.js';
 
 interface Pair {
   readonly near: Socket;
@@ -26,7 +26,7 @@
   async path(from: string, to: string): Promise<string> {
     const pairs = new Set<Pair>();
     const server = createServer((near: Socket) => {
-      const { host, port } = splitAddress(to);
+      const { host, port } = parseAddress(to);
       const far = connect({ host, port });
       const pair: Pair = { near, far };
       pairs.add(pair);
@@ -51,7 +51,7 @@
         far.pause();
       }
     });
-    const address = `127.0.0.1:${await listenOn(server, '127.0.0.1:0')}`;
+    const address = `127.0.0.1:${await bindServer(server, '127.0.0.1:0')}`;
     const made: Path = { from, to, server, address, pairs, isCut: false };
     this.#paths.push(made);
     return address;
--- a/src/rehearsal/fleet.ts
+++ b/src/rehearsal/fleet.ts
@@ -4,7 +4,7 @@
 import { join } from 'node:path';
 import { fileURLToPath } from 'node:url';
 import { call, type CallReply } from '../common/call.js';
-import { listenOn } from '../common/listen.js';
+import { bindServer } from '../common/listen.js';
 import { reasonOf } from '../common/errors.js';
 import { pause } from './stub-runner.js';
 import { Cuts } from './cuts.js';
@@ -52,7 +52,7 @@
   for (let index = 0; index < count; index += 1) {
     const server = createServer();
     servers.push(server);
-    addresses.push(`${HOST}:${await listenOn(server, `${HOST}:0`)}`);
+    addresses.push(`${HOST}:${await bindServer(server, `${HOST}:0`)}`);
   }
   for (const server of servers) {
     await new Promise<void>((done: () => void) => {
--- a/src/rehearsal/measures.ts
+++ b/src/rehearsal/measures.ts
@@ -6,7 +6,7 @@
 import { Counters } from '../common/counters.js';
 import { monotonicNow } from '../common/clock.js';
 import { moment, type Moment } from '../common/ids.js';
-import { listenOn, splitAddress } from '../common/listen.js';
+import { bindServer, parseAddress } from '../common/listen.js';
 import { Scheduler } from './scheduler.js';
 import { Seeded } from './seeded.js';
 import { Simulation } from './simulation.js';
@@ -282,8 +282,8 @@
     asked.resume();
     returned.end('{"ok":true}');
   });
-  const backAddress = `127.0.0.1:${await listenOn(backServer, '127.0.0.1:0')}`;
-  const { host, port } = splitAddress(backAddress);
+  const backAddress = `127.0.0.1:${await bindServer(backServer, '127.0.0.1:0')}`;
+  const { host, port } = parseAddress(backAddress);
   const bareServer = createServer((asked: IncomingMessage, returned: ServerResponse) => {
     const sent = request({ host, port, method: asked.method, path: '/run', agent: false });
     sent.once('response', (inner: IncomingMessage) => {
@@ -292,7 +292,7 @@
     });
     asked.pipe(sent);
   });
-  const bareAddress = `127.0.0.1:${await listenOn(bareServer, '127.0.0.1:0')}`;
+  const bareAddress = `127.0.0.1:${await bindServer(bareServer, '127.0.0.1:0')}`;
   const decision = new Decision({ ...DECISION_DEFAULTS, blindMs: 1e9, me: 'f' });
   const now = monotonicNow();
   decision.news(
@@ -348,7 +348,7 @@
 }
 
 function timeOf(address: string, body: string): Promise<number> {
-  const { host, port } = splitAddress(address);
+  const { host, port } = parseAddress(address);
   const start: Moment = monotonicNow();
   return new Promise((done: (millis: number) => void, fail: (thrown: unknown) => void) => {
     function ended(): void {
--- a/src/rehearsal/stub-server.ts
+++ b/src/rehearsal/stub-server.ts
@@ -1,7 +1,7 @@
 import { appendFileSync } from 'node:fs';
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from 'node:http';
 import { readBody } from '../common/call.js';
-import { listenOn } from '../common/listen.js';
+import { bindServer } from '../common/listen.js';
 
 export type Serve = (
   method: string,
@@ -69,7 +69,7 @@
   }
 
   async listen(address: string): Promise<number> {
-    return listenOn(this.#server, address);
+    return bindServer(this.#server, address);
   }
 
   close(): void {
