--- a/src/check/table-check.ts
+++ b/src/check/table-check.ts
@@ -8,7 +8,7 @@
   RunnerReportShape,
   ServiceDocShape,
 } from '../placement/shapes.js';
-import { Trial, type TrialOutcome } from '../placement/trial.js';
+import { ReplicaTrial, type TrialOutcome } from '../placement/replica-trial.js';
 
 /** The live fleet, as the leader shows it. */
 export const FleetShape = type({
@@ -199,14 +199,19 @@
       runners.push({
         machine,
         report: report ?? undefined,
-        askedAt: moment(0),
+        requestedAt: moment(0),
         isReachable,
-        isLost: !isReachable,
+        isUnreachable: !isReachable,
       });
-    const input: PlanInput = { table, catalog: this.#fleet.catalog, runners, emptied };
+    const input: PlanInput = {
+      table,
+      catalog: this.#fleet.catalog,
+      runners,
+      evacuatedZones: emptied,
+    };
     const demand = new Map<string, number>();
     for (const { unit, rate } of this.#fleet.demand) demand.set(unit, rate);
-    return new Trial(PLACER_DEFAULTS, input, this.#fleet.docs, demand).run(STEPS);
+    return new ReplicaTrial(PLACER_DEFAULTS, input, this.#fleet.docs, demand).run(STEPS);
   }
 }
 
--- a/src/control/control-effect.ts
+++ b/src/control/control-effect.ts
@@ -43,8 +43,8 @@
     now: Moment,
     input: {
       readonly routing: Routing | undefined;
-      readonly emptied: readonly string[];
-      readonly flows: number;
+      readonly evacuatedZones: readonly string[];
+      readonly proxies: number;
     },
   ): readonly string[];
   orders(now: Moment): readonly Intent[];
--- a/src/control/fleet-manager.ts
+++ b/src/control/fleet-manager.ts
@@ -146,8 +146,8 @@
     const { planner } = this.#deployed;
     const changed = planner.plan(now, {
       routing: this.#routingOf(doc),
-      emptied: doc.emptied,
-      flows: this.#host.proxyCount(),
+      evacuatedZones: doc.emptied,
+      proxies: this.#host.proxyCount(),
     });
     const partitions = new Set<PartitionName>();
     for (const model of changed) partitions.add(servicePartition(model));
--- a/src/control/table-manager.ts
+++ b/src/control/table-manager.ts
@@ -13,7 +13,7 @@
   type ServiceDoc,
   type Share,
 } from '../placement/shapes.js';
-import { Shares } from '../placement/shares.js';
+import { QuotaShares } from '../placement/quota-shares.js';
 import { servicePartition } from '../state/partition-names.js';
 import type { ConfigDoc } from './config-shapes.js';
 import type { ControlEffect, OrderResult } from './control-effect.js';
@@ -60,7 +60,7 @@
   readonly #placer: Placer;
   readonly #reportMs: number;
   readonly #runners = new Map<string, Runner>();
-  readonly #shares = new Shares();
+  readonly #shares = new QuotaShares();
   readonly #sent = new Map<string, SentOrder>();
   readonly #committedIntents = new Set<string>();
   #machines: Machines = { revision: 0, machines: [] };
@@ -220,9 +220,9 @@
       if (!runner) continue;
       const { report, askedAt, isReachable, seenAt } = runner;
       const isLost = !isReachable && now - seenAt > RUNNER_UNREACHABLE_MS;
-      runners.push({ machine, report, askedAt, isReachable, isLost });
+      runners.push({ machine, report, requestedAt: askedAt, isReachable, isUnreachable: isLost });
     }
-    return { table: doc.table, catalog: this.#catalog, runners, emptied: doc.emptied };
+    return { table: doc.table, catalog: this.#catalog, runners, evacuatedZones: doc.emptied };
   }
 
   #plan(now: Moment, doc: ConfigDoc): void {
@@ -277,7 +277,7 @@
       // Not sent by us: decided in this epoch it was sent by nobody; of an older one the runner would have shown it
       // in a report asked for since we may order, which is long after anybody else could.
       const isOurs = intent.id.startsWith(`${this.#intentLabel}.`);
-      const wasNeverTaken = isOurs || view.askedAt > this.#mayOrderSince;
+      const wasNeverTaken = isOurs || view.requestedAt > this.#mayOrderSince;
       if (!sent && wasNeverTaken) this.#placer.orderTurnedAway(intent.id);
       return;
     }
@@ -306,7 +306,7 @@
 
   /** The fleet as the placer sees it, for checking a table against it. */
   fleet(now: Moment, doc: ConfigDoc): object {
-    const { runners, catalog, emptied, table } = this.#planInput(now, doc);
+    const { runners, catalog, evacuatedZones: emptied, table } = this.#planInput(now, doc);
     const views = [];
     for (const { machine, report, isReachable } of runners) {
       views.push({ machine, report: report ?? null, isReachable });
@@ -329,7 +329,7 @@
     }
     const models = this.#placer.live(now, input);
     const underWay = this.docs().flatMap(intentsOf).length;
-    return { number: doc.number, emptied: input.emptied.slice(), underWay, rows, models };
+    return { number: doc.number, emptied: input.evacuatedZones.slice(), underWay, rows, models };
   }
 }
 
--- a/src/placement/adapter-choice.ts
+++ b/src/placement/adapter-choice.ts
@@ -4,11 +4,11 @@
 import type { FleetReport } from './fleet-report.js';
 import type { Moment } from '../common/ids.js';
 import {
-  type AdapterHold,
-  type HeldModel,
+  type LoadedAdapter,
+  type LoadedModel,
   type RunnerState,
-  type Victim,
-  type Way,
+  type EvictionCandidate,
+  type EvictionPlan,
   type AdapterState,
   type ModelState,
   type ServiceState,
@@ -22,7 +22,7 @@
 
 /** An adapter at a runner, and what it costs to take it away. */
 interface AdapterLoss {
-  readonly held: HeldModel;
+  readonly held: LoadedModel;
   readonly adapter: string;
   readonly loss: number;
 }
@@ -47,7 +47,7 @@
       for (const adapter of model.adapters.values()) {
         if (adapter.waiting <= 0 || adapter.badUntil > now) continue;
         if (
-          this.#state.adapterCopies(now, model, adapter.name) > 0 &&
+          this.#state.adapterReplicas(now, model, adapter.name) > 0 &&
           !this.#suspectAdapter(now, model, adapter)
         )
           continue;
@@ -55,7 +55,7 @@
           this.#report.wait(now, service, model, adapter.name);
       }
     }
-    if (service.grownAt !== now) return;
+    if (service.scaledUpAt !== now) return;
     const all = service.all.perSecond(
       now,
       this.#state.settings.fastMs,
@@ -76,7 +76,7 @@
             ? Math.round((rate / all) * service.runners.size * this.#state.settings.spreadShare)
             : 2,
         );
-        const have = this.#state.adapterCopies(now, model, adapter.name);
+        const have = this.#state.adapterReplicas(now, model, adapter.name);
         if (have > 0 && have < Math.min(need, this.#state.copies(now, model).ready))
           this.#placeAdapter(now, service, model, adapter, false);
       }
@@ -88,14 +88,14 @@
     const { despiteMs } = this.#state.settings;
     if (
       now - adapter.waitingSince < despiteMs ||
-      this.#state.adapterCopies(now, model, adapter.name) > 2
+      this.#state.adapterReplicas(now, model, adapter.name) > 2
     )
       return false;
     let isElsewhere = false;
     for (const held of model.holders.values()) {
       const hold = held.adapters.get(adapter.name);
       if (!hold) isElsewhere = true;
-      else if (hold.phase === 'coming' || adapter.waitingToldAt - hold.since < despiteMs)
+      else if (hold.phase === 'coming' || adapter.waitingReportedAt - hold.since < despiteMs)
         return false;
     }
     for (const held of model.holders.values()) {
@@ -113,7 +113,7 @@
     adapter: AdapterState,
     isWaiting: boolean,
   ): boolean {
-    let best: { runner: RunnerState; victims: Victim[] } | undefined;
+    let best: { runner: RunnerState; victims: EvictionCandidate[] } | undefined;
     let bestScore = Infinity;
     for (const [runner, held] of model.holders) {
       if (
@@ -127,7 +127,7 @@
       const way = this.#makeAdapterRoom(now, service, runner, model, isWaiting);
       if (!way) continue;
       const head = runner.queue[0];
-      const delay = head ? Math.max(0, head.isTaken ? head.due - now : head.expectedMs) : 0;
+      const delay = head ? Math.max(0, head.isAccepted ? head.due - now : head.expectedMs) : 0;
       const score =
         way.loss +
         delay / 200 +
@@ -142,7 +142,7 @@
     }
     if (!best) return false;
     for (const victim of best.victims)
-      this.#orders.intend(now, best.runner, 'unload', victim.held.model, victim.adapter);
+      this.#orders.intend(now, best.runner, 'unload', victim.loaded.model, victim.adapter);
     this.#orders.intend(now, best.runner, 'load', model, adapter.name);
     return true;
   }
@@ -154,16 +154,16 @@
     runner: RunnerState,
     model: ModelState,
     mayThrowOut: boolean,
-  ): Way | undefined {
+  ): EvictionPlan | undefined {
     let free = service.engine.capacityMb - this.#state.used(runner);
     let slots = service.engine.adapterSlots - this.#state.adapterCount(runner);
     if (free >= model.adapterMb && slots > 0) return { victims: [], loss: 0 };
     if (!mayThrowOut || service.engine.adapterSlots <= 0) return undefined;
-    const victims: Victim[] = [];
+    const victims: EvictionCandidate[] = [];
     let loss = 0;
     for (const one of this.#adaptersByLoss(now, service, runner)) {
       if (free >= model.adapterMb && slots > 0) break;
-      victims.push({ held: one.held, adapter: one.adapter });
+      victims.push({ loaded: one.held, adapter: one.adapter });
       free += one.held.model.adapterMb;
       slots += 1;
       loss += one.loss;
@@ -188,7 +188,7 @@
     return all.sort(byLoss);
   }
 
-  #mayGo(now: Moment, hold: AdapterHold): boolean {
+  #mayGo(now: Moment, hold: LoadedAdapter): boolean {
     if (hold.phase !== 'ready') return false;
     const stays = hold.since + this.#state.settings.adapterStayMs;
     if (stays > now) this.#state.blockedUntil = Math.min(this.#state.blockedUntil, stays);
@@ -199,8 +199,8 @@
     const { slowMs } = this.#state.settings;
     const state = model.adapters.get(adapter);
     const rate = state?.slow.perSecond(now, slowMs, service.firstDemandAt ?? now) ?? 0;
-    const others = this.#state.adapterCopies(now, model, adapter) - 1;
-    const recency = Math.exp(-(now - (state?.lastAsked ?? -Infinity)) / RECENT_MS);
+    const others = this.#state.adapterReplicas(now, model, adapter) - 1;
+    const recency = Math.exp(-(now - (state?.lastRequestedAt ?? -Infinity)) / RECENT_MS);
     return (others > 0 ? rate * 0.2 : rate) + recency + 0.01;
   }
 
@@ -209,15 +209,15 @@
     service: ServiceState,
     runner: RunnerState,
     model: ModelState,
-  ): Way | undefined {
+  ): EvictionPlan | undefined {
     const free = service.engine.capacityMb - this.#state.used(runner);
-    let best: { held: HeldModel; loss: number } | undefined;
+    let best: { held: LoadedModel; loss: number } | undefined;
     for (const held of runner.holds.values()) {
       if (held.model === model || !this.#eviction.mayGo(now, held, false)) continue;
       const loss = this.#eviction.loss(now, held.model);
       if (loss >= MOST_LOSS || (best && loss >= best.loss)) continue;
       if (free + held.model.sizeMb >= model.adapterMb) best = { held, loss };
     }
-    return best ? { victims: [{ held: best.held, adapter: '' }], loss: best.loss } : undefined;
+    return best ? { victims: [{ loaded: best.held, adapter: '' }], loss: best.loss } : undefined;
   }
 }
--- a/src/placement/room-ledger.ts
+++ b/src/placement/capacity-table.ts
@@ -2,15 +2,15 @@
 import type { Hold, Intent, ServiceDoc } from './shapes.js';
 
 /** Room and fetch slots, counting what is held, what is under way and what is merely intended. */
-export class RoomLedger {
+export class CapacityTable {
   readonly #views = new Map<string, RunnerView>();
-  readonly #emptied: ReadonlySet<string>;
+  readonly #evacuatedZones: ReadonlySet<string>;
   readonly #intents: Intent[] = [];
   readonly #limit: number;
 
   constructor(input: PlanInput, docs: readonly ServiceDoc[]) {
     for (const view of input.runners) this.#views.set(view.machine.id, view);
-    this.#emptied = new Set(input.emptied);
+    this.#evacuatedZones = new Set(input.evacuatedZones);
     this.#limit = input.catalog.limit;
     for (const doc of docs) this.#intents.push(...doc.intents);
   }
@@ -25,13 +25,13 @@
   }
 
   /** Whether it may go on serving what it serves: a runner out of reach for a moment keeps its seats. */
-  mayKeep(runner: string): boolean {
+  mayStayPlaced(runner: string): boolean {
     const view = this.#views.get(runner);
     return (
       view !== undefined &&
-      !view.isLost &&
+      !view.isUnreachable &&
       !view.machine.leaving &&
-      !this.#emptied.has(view.machine.zone)
+      !this.#evacuatedZones.has(view.machine.zone)
     );
   }
 
@@ -42,7 +42,7 @@
       view.isReachable &&
       view.report !== undefined &&
       !view.machine.leaving &&
-      !this.#emptied.has(view.machine.zone) &&
+      !this.#evacuatedZones.has(view.machine.zone) &&
       view.machine.service === ''
     );
   }
@@ -133,7 +133,7 @@
     return size;
   }
 
-  roomiest(candidates: readonly RunnerView[], size: number): RunnerView | undefined {
+  withMostCapacity(candidates: readonly RunnerView[], size: number): RunnerView | undefined {
     let best: RunnerView | undefined;
     for (const view of candidates) {
       if (this.free(view.machine.id) < size) continue;
--- a/src/placement/demand-ledger.ts
+++ b/src/placement/demand-table.ts
@@ -3,25 +3,25 @@
 import type { FleetDemand } from './fleet.js';
 import { AdapterState, type ModelState, type ServiceState } from './planner-records.js';
 
-interface ProxyUnit {
+interface ModelUnitDemand {
   readonly model: ModelState;
   readonly adapter: string;
   waiting: number;
   running: number;
 }
 
-interface ProxyWord {
+interface ProxyDemand {
   at: number;
-  units: ProxyUnit[];
+  units: ModelUnitDemand[];
 }
 
 /**
  * What proxies ask for, run and keep waiting, by model and adapter. A proxy's word is taken back whole
  * once the next one comes or none came for long.
  */
-export class DemandLedger {
+export class DemandTable {
   readonly #state: PlacementState;
-  readonly #flows = new Map<string, ProxyWord>();
+  readonly #proxies = new Map<string, ProxyDemand>();
 
   constructor(state: PlacementState) {
     this.#state = state;
@@ -29,43 +29,43 @@
 
   /** Forgets every proxy's word. */
   clear(): void {
-    this.#flows.clear();
+    this.#proxies.clear();
   }
 
   /** Takes back the words of proxies that have said nothing for long. */
   expire(now: Moment): void {
-    for (const [flow, word] of this.#flows) {
+    for (const [flow, word] of this.#proxies) {
       if (now - word.at <= this.#state.settings.demandTtlMs) continue;
       this.#forget(word);
-      this.#flows.delete(flow);
+      this.#proxies.delete(flow);
     }
   }
 
   /** A model is gone from the configuration: what proxies said of it is not taken back any more. */
   forgetModel(model: ModelState): void {
-    for (const word of this.#flows.values())
+    for (const word of this.#proxies.values())
       word.units = word.units.filter((unit) => unit.model !== model);
   }
 
   /** What one proxy saw since its last word; what waits and runs there is told whole each time. */
   demand(now: Moment, report: FleetDemand): void {
-    const word = this.#flows.get(report.flow) ?? { at: now, units: [] };
+    const word = this.#proxies.get(report.flow) ?? { at: now, units: [] };
     this.#forget(word);
     word.at = now;
     word.units = [];
-    this.#flows.set(report.flow, word);
+    this.#proxies.set(report.flow, word);
     for (const unit of report.units) this.#noteUnit(now, word, unit);
     for (const service of this.#state.services.values()) this.dropServed(service);
   }
 
-  #noteUnit(now: Moment, word: ProxyWord, unit: FleetDemand['units'][number]): void {
+  #noteUnit(now: Moment, word: ProxyDemand, unit: FleetDemand['units'][number]): void {
     const model = this.#state.services.get(unit.service)?.models.get(unit.model);
     if (!model?.isListed) return;
     const adapter = unit.adapter === '' ? undefined : this.#adapterOf(now, model, unit.adapter);
     if (unit.count > 0 || unit.waiting > 0) {
       model.service.firstDemandAt ??= now;
-      model.lastAsked = now;
-      if (adapter) adapter.lastAsked = now;
+      model.lastRequestedAt = now;
+      if (adapter) adapter.lastRequestedAt = now;
     }
     if (unit.count > 0) this.#noteArrivals(now, model, adapter, unit.count);
     model.running += unit.running;
@@ -106,7 +106,7 @@
     }
     model.service.waiting.add(model);
     model.waiting += waiting;
-    model.waitingToldAt = now;
+    model.waitingReportedAt = now;
     model.priority = Math.min(model.priority, priority);
     if (!adapter) return;
     if (adapter.waitingSince === 0) {
@@ -114,12 +114,12 @@
       adapter.priority = 9;
     }
     adapter.waiting += waiting;
-    adapter.waitingToldAt = now;
+    adapter.waitingReportedAt = now;
     adapter.priority = Math.min(adapter.priority, priority);
   }
 
   /** Takes back what a proxy told last. */
-  #forget(word: ProxyWord): void {
+  #forget(word: ProxyDemand): void {
     for (const unit of word.units) {
       const adapter = unit.adapter === '' ? undefined : unit.model.adapters.get(unit.adapter);
       unit.model.waiting -= unit.waiting;
@@ -146,7 +146,7 @@
     if (model.mostAdapters === 0) return undefined;
     if (model.adapters.size >= model.mostAdapters * 2) {
       for (const [other, state] of model.adapters)
-        if (now - state.lastAsked > 60_000 && state.waiting <= 0 && state.running <= 0)
+        if (now - state.lastRequestedAt > 60_000 && state.waiting <= 0 && state.running <= 0)
           model.adapters.delete(other);
       if (model.adapters.size >= model.mostAdapters * 2) return undefined;
     }
--- a/src/placement/eviction.ts
+++ b/src/placement/eviction.ts
@@ -1,10 +1,10 @@
 import type { PlacementState } from './placement-state.js';
 import type { Moment } from '../common/ids.js';
 import {
-  type HeldModel,
+  type LoadedModel,
   type RunnerState,
-  type Victim,
-  type Way,
+  type EvictionCandidate,
+  type EvictionPlan,
   type ModelState,
   byLoss,
 } from './planner-records.js';
@@ -35,7 +35,7 @@
   #lossNow(now: number, model: ModelState): number {
     const copies = this.#state.copies(now, model);
     // The longer nobody asked, the less it is worth, also where rates tell nothing.
-    const recency = 0.2 * Math.exp(-(now - model.lastAsked) / 20_000);
+    const recency = 0.2 * Math.exp(-(now - model.lastRequestedAt) / 20_000);
     if (copies.ready <= 1) return this.lossOfLast(now, model) + recency + 0.05;
     const missing = Math.min(1, Math.max(0, model.need - (copies.ready - 1)));
     // A copy that is needed has runs that must end before it goes, and has to be fetched again.
@@ -55,9 +55,9 @@
     needMb: number,
     most: number,
     isPressed: boolean,
-  ): Way | undefined {
+  ): EvictionPlan | undefined {
     if (needMb <= 0) return { victims: [], loss: 0 };
-    const all: { held: HeldModel; mb: number; loss: number }[] = [];
+    const all: { held: LoadedModel; mb: number; loss: number }[] = [];
     for (const held of runner.holds.values()) {
       if (!this.mayGo(now, held, isPressed)) continue;
       const loss =
@@ -66,16 +66,16 @@
       if (loss < most)
         all.push({ held, mb: held.model.sizeMb + held.adapters.size * held.model.adapterMb, loss });
     }
-    let best: { held: HeldModel; mb: number; loss: number } | undefined;
+    let best: { held: LoadedModel; mb: number; loss: number } | undefined;
     for (const one of all) if (one.mb >= needMb && (!best || one.loss < best.loss)) best = one;
-    if (best) return { victims: [{ held: best.held, adapter: '' }], loss: best.loss };
+    if (best) return { victims: [{ loaded: best.held, adapter: '' }], loss: best.loss };
     // No single one is enough.
     all.sort(byLoss);
-    const victims: Victim[] = [];
+    const victims: EvictionCandidate[] = [];
     let loss = 0;
     let mb = 0;
     for (const one of all) {
-      victims.push({ held: one.held, adapter: '' });
+      victims.push({ loaded: one.held, adapter: '' });
       loss += one.loss;
       mb += one.mb;
       if (mb >= needMb) return loss < most ? { victims, loss } : undefined;
@@ -84,14 +84,14 @@
   }
 
   /** Whether a model may be taken away now; if it has only just come, the plan is made again once it may. */
-  mayGo(now: Moment, held: HeldModel, isPressed: boolean): boolean {
+  mayGo(now: Moment, held: LoadedModel, isPressed: boolean): boolean {
     if (held.phase !== 'ready') return false;
     // For a crowd even what has just come makes way, once those who waited for it were served.
     const stays =
       held.since +
       (isPressed && held.model.waiting <= 0
-        ? this.#state.settings.stayMs / 4
-        : this.#state.settings.stayMs);
+        ? this.#state.settings.minResidencyMs / 4
+        : this.#state.settings.minResidencyMs);
     if (stays > now) {
       this.#state.blockedUntil = Math.min(this.#state.blockedUntil, stays);
       return false;
--- a/src/placement/fleet-report.ts
+++ b/src/placement/fleet-report.ts
@@ -42,8 +42,8 @@
     // Operators are told of who waits long; what is loaded within a moment is no news.
     if (
       adapter !== '' ||
-      model.deprivedSince === undefined ||
-      now - model.deprivedSince < this.#state.settings.tellWaitMs
+      model.unservedSince === undefined ||
+      now - model.unservedSince < this.#state.settings.waitReportIntervalMs
     )
       return;
     const doc = this.#state.docs.get(model.key) ?? noDoc(model.key);
@@ -51,25 +51,25 @@
   }
 
   /** Who waits is news; when exactly it is due is told along with other news only. */
-  noteWaits(): void {
+  reportWaits(): void {
     const keys: string[] = [];
     for (const { model, adapter } of this.#waiting) keys.push(`${model.key}\n${adapter}`);
     const text = keys.sort(byText).join('\n');
     if (text === this.#waits) return;
     this.#waits = text;
-    this.#state.isFleetOld = true;
+    this.#state.isFleetStale = true;
   }
 
   /** What the data plane is told; the same until something happens, so that time alone makes no news. */
   fleet(now: Moment): Fleet {
-    if (!this.#state.isFleetOld) return this.#fleet;
-    this.#state.isFleetOld = false;
+    if (!this.#state.isFleetStale) return this.#fleet;
+    this.#state.isFleetStale = false;
     const runners: FleetRunner[] = [];
     for (const runner of this.#state.runners.values()) runners.push(this.#fleetRunner(now, runner));
     const waits: FleetWait[] = [];
     for (const { model, adapter, dueAt } of this.#waiting)
       waits.push({ model: model.name, adapter, readyMs: dueAt === 0 ? 0 : leftMs(now, dueAt) });
-    this.#fleet = { flows: this.#state.flowCount, runners, waits };
+    this.#fleet = { flows: this.#state.proxyCount, runners, waits };
     return this.#fleet;
   }
 
@@ -88,7 +88,7 @@
     let ahead = 0;
     for (const op of runner.suspectUntil > now ? [] : runner.queue) {
       if (op.intent.verb === 'unload') continue;
-      ahead = op.isTaken ? Math.max(0, op.due - now) : ahead + op.expectedMs;
+      ahead = op.isAccepted ? Math.max(0, op.due - now) : ahead + op.expectedMs;
       coming.push({
         model: op.intent.model,
         adapter: op.intent.adapter,
--- a/src/placement/intent-book.ts
+++ b/src/placement/intent-log.ts
@@ -1,5 +1,5 @@
 import type { Moment } from '../common/ids.js';
-import type { RoomLedger } from './room-ledger.js';
+import type { CapacityTable } from './capacity-table.js';
 import type { RunnerView } from './placer-types.js';
 import type { Hold, Intent, ServiceDoc } from './shapes.js';
 
@@ -21,7 +21,7 @@
 const MEAN_WEIGHT = 0.2;
 
 /** The services' documents with their intents, and what became of these. */
-export class IntentBook {
+export class IntentLog {
   readonly #docs = new Map<string, ServiceDoc>();
   readonly #intents = new Map<string, IntentState>();
   readonly #refused = new Set<string>();
@@ -66,13 +66,13 @@
   }
 
   /** The runner took the order: a report asked for after this shows what became of it. */
-  taken(now: Moment, intent: string): void {
+  onAccepted(now: Moment, intent: string): void {
     const state = this.#intents.get(intent);
     if (state && state.takenAt === undefined) state.takenAt = now;
   }
 
   /** The runner said it will not do this, now or later. */
-  refused(intent: string): void {
+  onRejected(intent: string): void {
     this.#refused.add(intent);
   }
 
@@ -117,19 +117,19 @@
     if (!view) return true;
     if (this.#refused.has(intent.id)) return true;
     const report = view.report;
-    if (!report || view.askedAt < state.firstSeen) return false;
+    if (!report || view.requestedAt < state.firstSeen) return false;
     if (report.boot !== intent.boot) return true;
     const hold = report.holds.find((hold) => isThat(intent, hold));
     if (intent.verb === 'load') {
       if (hold) return hold.state === 'ready';
       // Taken, and neither held nor under way in a later report: it ended without a hold.
-      return state.takenAt !== undefined && view.askedAt > state.takenAt;
+      return state.takenAt !== undefined && view.requestedAt > state.takenAt;
     }
     return hold === undefined;
   }
 
   /** Decides on a load or an unload, and counts it in the plan's ledger. */
-  intend(now: Moment, view: RunnerView, order: IntentOrder, ledger: RoomLedger): void {
+  intend(now: Moment, view: RunnerView, order: IntentOrder, ledger: CapacityTable): void {
     this.#count += 1;
     const id = `${this.#label}.${this.#count}`;
     const intent: Intent = {
--- a/src/placement/order-queue.ts
+++ b/src/placement/order-queue.ts
@@ -1,5 +1,5 @@
 import type { PlacementState } from './placement-state.js';
-import type { StoreBudget } from './store-budget.js';
+import type { StoreRateLimit } from './store-rate-limit.js';
 import type { Moment } from '../common/ids.js';
 import type { Intent } from './shapes.js';
 import type { OrderOutcome } from './planner-settings.js';
@@ -11,11 +11,11 @@
  */
 export class OrderQueue {
   readonly #state: PlacementState;
-  readonly #store: StoreBudget;
+  readonly #store: StoreRateLimit;
   #label = '';
   #number = 0;
 
-  constructor(state: PlacementState, store: StoreBudget) {
+  constructor(state: PlacementState, store: StoreRateLimit) {
     this.#state = state;
     this.#store = store;
   }
@@ -30,7 +30,7 @@
   kept(intentIds: Iterable<string>): void {
     for (const id of intentIds) {
       for (const op of this.#state.runnerOfOrder.get(id)?.queue ?? [])
-        if (op.intent.id === id) op.isKept = true;
+        if (op.intent.id === id) op.isPersisted = true;
     }
   }
 
@@ -40,7 +40,7 @@
     for (const runner of this.#state.busy) {
       const op = this.#dueOp(now, runner);
       if (!op) continue;
-      op.isGiven = true;
+      op.isSent = true;
       runner.given = op;
       intents.push(this.#orderOf(runner, op));
     }
@@ -50,14 +50,14 @@
   #dueOp(now: Moment, runner: RunnerState): Order | undefined {
     const head = runner.queue[0];
     if (runner.given || !head || head.due > now) return undefined;
-    if (!head.isTaken) return this.#mayStart(now, runner, head) ? head : undefined;
+    if (!head.isAccepted) return this.#mayStart(now, runner, head) ? head : undefined;
     // The next order is taken only once the one before it has ended: it need not be asked for by itself.
     const next = runner.queue[1];
     return next && this.#mayStart(now, runner, next) ? next : runner.queue[0];
   }
 
   #mayStart(now: Moment, runner: RunnerState, op: Order): boolean {
-    if (!op.isKept || !this.#state.isOpen(runner)) return false;
+    if (!op.isPersisted || !this.#state.isOpen(runner)) return false;
     if (op.intent.verb === 'load' && !this.#fits(runner, op)) {
       this.#abandon(now, runner);
       return false;
@@ -88,7 +88,7 @@
   #isBegun(runner: RunnerState, model: ModelState, adapter: string): boolean {
     for (const op of runner.queue)
       if (op.model === model && op.intent.adapter === adapter && op.intent.verb === 'load')
-        return op.isTaken;
+        return op.isAccepted;
     return false;
   }
 
@@ -103,7 +103,7 @@
     const op = runner?.given;
     if (!runner || !op || op.intent.id !== intentId) return;
     runner.given = undefined;
-    op.isGiven = false;
+    op.isSent = false;
     runner.idleSince = now;
     if (outcome === 'unsure' || outcome === 'unsent') {
       this.#failed(now, runner, op, outcome === 'unsure');
@@ -124,13 +124,13 @@
     while (runner.queue[0] && runner.queue[0] !== op) this.#done(now, runner, runner.queue[0]);
     if (outcome === 'held') {
       // Whether a runner counts an order that it need not do is not told: a later report shows it.
-      runner.helds += 1;
-      if (runner.count !== undefined && this.#state.countsHeld) runner.count += 1;
+      runner.loadedModels += 1;
+      if (runner.count !== undefined && this.#state.countsLoadedModels) runner.count += 1;
       this.#done(now, runner, op);
       return;
     }
     // The same order again while it is being done is no new one: it is neither begun anew nor counted.
-    if (op.isTaken) {
+    if (op.isAccepted) {
       this.#stillBusy(now, runner, op);
       return;
     }
@@ -146,9 +146,9 @@
 
   #taken(now: Moment, runner: RunnerState, op: Order): void {
     if (op.isStore) op.model.service.window.add(now);
-    op.isTaken = true;
+    op.isAccepted = true;
     op.takenAt = now;
-    op.busies = 0;
+    op.busyReplies = 0;
     // Nothing else is taken before an unload has ended, so it need not be confirmed.
     if (op.intent.verb === 'unload') {
       this.#unloading(now, runner, op);
@@ -156,7 +156,7 @@
     }
     op.expectedMs = this.#store.expectedMs(op);
     op.due = now + op.expectedMs;
-    this.#state.isFleetOld = true;
+    this.#state.isFleetStale = true;
   }
 
   /** Its room is another's from now on, but no order is taken before the model's runs have ended. */
@@ -176,18 +176,20 @@
   /** Something is under way there, or the count differs: expected after an order of ours, else its report has to tell. */
   #stillBusy(now: Moment, runner: RunnerState, op: Order): void {
     const head = runner.queue[0] ?? op;
-    head.busies += 1;
-    if (head.isTaken) {
+    head.busyReplies += 1;
+    if (head.isAccepted) {
       const isAdapter = head.intent.adapter !== '';
       head.due =
         now +
-        (isAdapter ? Math.min(100, 10 + head.busies * 5) : Math.min(250, 50 + head.busies * 10));
-      this.#state.isFleetOld = true;
+        (isAdapter
+          ? Math.min(100, 10 + head.busyReplies * 5)
+          : Math.min(250, 50 + head.busyReplies * 10));
+      this.#state.isFleetStale = true;
       if (now - head.takenAt > head.expectedMs * 4 + 2000) this.#abandon(now, runner);
       return;
     }
     // An unload waits for the model's runs, and they may take seconds.
-    head.due = now + Math.min(250, 30 + head.busies * 15);
+    head.due = now + Math.min(250, 30 + head.busyReplies * 15);
     if (now - runner.unloadedAt > this.#state.settings.unloadMs) this.#abandon(now, runner);
   }
 
@@ -197,13 +199,13 @@
     runner.suspectUntil = now + Math.min(3000, 200 * runner.failures ** 2);
     const head = runner.queue[0] ?? op;
     head.due = now + Math.min(1000, 100 * 2 ** Math.min(4, op.failures - 1));
-    this.#state.isFleetOld = true;
+    this.#state.isFleetStale = true;
     this.#state.touchAll(runner);
-    if (mayHaveRun) runner.hasLostOrder = true;
-    if (mayHaveRun && (!op.isTaken || this.#state.countsHeld)) {
+    if (mayHaveRun) runner.hasUnansweredOrder = true;
+    if (mayHaveRun && (!op.isAccepted || this.#state.countsLoadedModels)) {
       // It may come to pass at any time: nothing is ordered there before a report tells, and what is ordered then
       // carries the count of that report, so that the lost one is turned away should it arrive after it.
-      if (op.isStore && !op.isTaken) op.model.service.window.add(now);
+      if (op.isStore && !op.isAccepted) op.model.service.window.add(now);
       this.#abandon(now, runner);
       // Nor is it told as held what may be on its way out.
       if (op.intent.verb === 'unload')
@@ -211,7 +213,7 @@
       return;
     }
     // A question that was lost is asked again, but not for ever.
-    if (op.isTaken && op.failures >= 3) this.#abandon(now, runner);
+    if (op.isAccepted && op.failures >= 3) this.#abandon(now, runner);
     // Whoever waits for it is better served elsewhere.
     else this.dropUnsent(runner);
   }
@@ -234,7 +236,7 @@
   dropUnsent(runner: RunnerState): void {
     for (let index = runner.queue.length - 1; index >= 0; index -= 1) {
       const op = runner.queue[index];
-      if (!op || op.isTaken || op.isGiven) break;
+      if (!op || op.isAccepted || op.isSent) break;
       this.#undo(runner.idleSince, runner, op);
     }
   }
@@ -273,18 +275,18 @@
       held.phase = 'ready';
       held.since = now;
       runner.disk.add(op.model.name);
-      op.model.deprivedSince = undefined;
+      op.model.unservedSince = undefined;
     } else held?.adapters.set(name, { phase: 'ready', since: now, suspectedUntil: -Infinity });
     this.#state.touch(runner, op.model);
   }
 
   /** How long loads take, from what was taken to what is held. */
   #learn(now: Moment, op: Order): void {
-    if (!op.isTaken || op.expectedMs <= 0) return;
+    if (!op.isAccepted || op.expectedMs <= 0) return;
     const service = op.model.service;
     const took = now - op.takenAt;
     // Held at the first question may mean that it was held long before: the guess goes down a little.
-    const ratio = op.busies === 0 ? 0.98 : Math.min(3, took / op.expectedMs);
+    const ratio = op.busyReplies === 0 ? 0.98 : Math.min(3, took / op.expectedMs);
     if (op.intent.adapter !== '')
       service.adapterMs = Math.min(500, Math.max(5, service.adapterMs * (0.8 + 0.2 * ratio)));
     else if (op.isStore)
@@ -317,13 +319,13 @@
       key: model.key,
       model,
       isStore,
-      isKept: false,
-      isGiven: false,
-      isTaken: false,
+      isPersisted: false,
+      isSent: false,
+      isAccepted: false,
       due: now,
       takenAt: 0,
       expectedMs: 0,
-      busies: 0,
+      busyReplies: 0,
       failures: 0,
     };
     if (isStore) model.service.storeOps += 1;
--- a/src/placement/seat-assignment.ts
+++ b/src/placement/placement-assignment.ts
@@ -1,15 +1,15 @@
 import type { Moment } from '../common/ids.js';
-import type { HoldTimes } from './hold-times.js';
-import type { IntentBook } from './intent-book.js';
-import type { PlacerSettings, RunnerView, SeatRole, Wish } from './placer-types.js';
-import type { RoomLedger } from './room-ledger.js';
+import type { ResidencyTimes } from './residency-times.js';
+import type { IntentLog } from './intent-log.js';
+import type { PlacerSettings, RunnerView, PlacementRole, DesiredModel } from './placer-types.js';
+import type { CapacityTable } from './capacity-table.js';
 import type { Hold, ServiceDoc } from './shapes.js';
 
 /** One plan under way. */
 export interface Planning {
   readonly now: Moment;
-  readonly ledger: RoomLedger;
-  readonly wishes: ReadonlyMap<string, Wish>;
+  readonly ledger: CapacityTable;
+  readonly wishes: ReadonlyMap<string, DesiredModel>;
 }
 
 /** A runner where room may be made, what makes way there, and the worth that is lost by it. */
@@ -25,13 +25,13 @@
 const UNDERSTUDY_WORTH = 0.1;
 
 /** Gives models their seats: the runner that is primary, and the understudy in another zone. */
-export class SeatAssignment {
+export class PlacementAssignment {
   readonly #settings: PlacerSettings;
-  readonly #book: IntentBook;
-  readonly #times: HoldTimes;
+  readonly #book: IntentLog;
+  readonly #times: ResidencyTimes;
   readonly #waitingSince = new Map<string, Moment>();
 
-  constructor(settings: PlacerSettings, book: IntentBook, times: HoldTimes) {
+  constructor(settings: PlacerSettings, book: IntentLog, times: ResidencyTimes) {
     this.#settings = settings;
     this.#book = book;
     this.#times = times;
@@ -42,12 +42,12 @@
     return this.#waitingSince.get(model);
   }
 
-  isAskedFor(wish: Wish): boolean {
+  isAskedFor(wish: DesiredModel): boolean {
     return wish.rate > this.#settings.idleRate * ASKED_SHARE;
   }
 
   /** Seats on runners that no longer serve are given up; an understudy that holds the model takes over at once. */
-  keepOrPromote({ model }: Wish, ledger: RoomLedger): void {
+  keepOrPromote({ model }: DesiredModel, ledger: CapacityTable): void {
     const doc = this.#book.doc(model);
     const primary = keptSeat(ledger, doc.primary, model);
     const understudy = keptSeat(ledger, doc.understudy, model);
@@ -59,7 +59,7 @@
   }
 
   /** Fills an empty seat: with a runner that holds the model, else by a fetch, else once others have made way. */
-  seat(planning: Planning, wish: Wish, role: SeatRole): void {
+  place(planning: Planning, wish: DesiredModel, role: PlacementRole): void {
     const { now, ledger } = planning;
     const { model } = wish;
     const doc = this.#book.doc(model);
@@ -82,7 +82,7 @@
       this.#setWait(now, model, `${role} waits for a fetch`);
       return;
     }
-    const roomy = ledger.roomiest(candidates, wish.size);
+    const roomy = ledger.withMostCapacity(candidates, wish.size);
     if (roomy) {
       const order = { verb: 'load', model, adapter: '', size: wish.size } as const;
       this.#book.intend(now, roomy, order, ledger);
@@ -97,7 +97,7 @@
   }
 
   /** Models that no row wants any more lose their seats; their room is taken when somebody needs it. */
-  unseatUnwished(wishes: ReadonlyMap<string, Wish>): void {
+  removeUnwanted(wishes: ReadonlyMap<string, DesiredModel>): void {
     for (const doc of this.#book.docs()) {
       if (!wishes.has(doc.model) && (doc.primary !== '' || doc.understudy !== ''))
         this.#book.put({ ...doc, primary: '', understudy: '', wait: 'no row asks for it' });
@@ -107,9 +107,9 @@
   /** A runner that already holds it costs nothing. */
   #findHolder(
     { now, ledger }: Planning,
-    wish: Wish,
+    wish: DesiredModel,
     candidates: readonly RunnerView[],
-    role: SeatRole,
+    role: PlacementRole,
   ): RunnerView | undefined {
     const isAskedFor = role === 'primary' && wish.rate >= this.#settings.idleRate;
     for (const view of candidates) {
@@ -121,7 +121,7 @@
     return undefined;
   }
 
-  #take(now: Moment, model: string, role: SeatRole, view: RunnerView): void {
+  #take(now: Moment, model: string, role: PlacementRole, view: RunnerView): void {
     this.#book.put({ ...this.#book.doc(model), [role]: view.machine.id });
     if (role === 'primary') this.#setWait(now, model, '');
   }
@@ -136,9 +136,9 @@
   /** Finds the runner where the least worth makes way; the seats go first, the unloads once every proxy has heard. */
   #makeWay(
     planning: Planning,
-    wish: Wish,
+    wish: DesiredModel,
     candidates: readonly RunnerView[],
-    role: SeatRole,
+    role: PlacementRole,
   ): void {
     const { ledger } = planning;
     let best: Eviction | undefined;
@@ -157,9 +157,9 @@
   /** The holds of least worth at a runner whose room is enough together; nothing where it is not. */
   #evictionAt(
     planning: Planning,
-    wish: Wish,
+    wish: DesiredModel,
     view: RunnerView,
-    role: SeatRole,
+    role: PlacementRole,
     missing: number,
   ): Eviction | undefined {
     const { ledger } = planning;
@@ -189,8 +189,8 @@
     { now, wishes }: Planning,
     view: RunnerView,
     hold: Hold,
-    wish: Wish,
-    role: SeatRole,
+    wish: DesiredModel,
+    role: PlacementRole,
   ): number | undefined {
     const runner = view.machine.id;
     const doc = this.#book.doc(hold.model);
@@ -198,7 +198,7 @@
     const isUnderstudy = doc.understudy === runner;
     if (!other || (doc.primary !== runner && !isUnderstudy)) return 0;
     const readyAt = this.#times.readyAt(runner, hold.model);
-    if (readyAt !== undefined && now - readyAt < this.#settings.stayMs) return undefined;
+    if (readyAt !== undefined && now - readyAt < this.#settings.minResidencyMs) return undefined;
     const isIdle = other.rate < this.#settings.idleRate;
     const isWorthIt = other.worth * this.#settings.worthRatio < wish.worth;
     if (isUnderstudy)
@@ -230,12 +230,12 @@
   /** Whether every proxy has heard that it has no seat, and what still ran there has ended. */
   #isSettled(now: Moment, view: RunnerView, hold: Hold): boolean {
     const unplacedAt = this.#times.unplacedAt(view.machine.id, hold.model);
-    if (unplacedAt === undefined || view.askedAt < unplacedAt) return false;
-    return now - unplacedAt >= this.#settings.settleMs && hold.running === 0;
+    if (unplacedAt === undefined || view.requestedAt < unplacedAt) return false;
+    return now - unplacedAt >= this.#settings.unloadDelayMs && hold.running === 0;
   }
 }
 
-function candidatesFor(ledger: RoomLedger, doc: ServiceDoc, role: SeatRole): RunnerView[] {
+function candidatesFor(ledger: CapacityTable, doc: ServiceDoc, role: PlacementRole): RunnerView[] {
   const barredZone = role === 'understudy' ? ledger.zoneOf(doc.primary) : '';
   const candidates: RunnerView[] = [];
   for (const view of ledger.usable()) if (view.machine.zone !== barredZone) candidates.push(view);
@@ -243,8 +243,8 @@
 }
 
 /** The seat as it stands, or none where its runner no longer serves. */
-function keptSeat(ledger: RoomLedger, runner: string, model: string): string {
-  return ledger.mayKeep(runner) && ledger.holdsOrFetches(runner, model) ? runner : '';
+function keptSeat(ledger: CapacityTable, runner: string, model: string): string {
+  return ledger.mayStayPlaced(runner) && ledger.holdsOrFetches(runner, model) ? runner : '';
 }
 
 function byCost(a: { readonly cost: number }, b: { readonly cost: number }): number {
--- a/src/placement/seats.ts
+++ b/src/placement/placement-recorder.ts
@@ -3,7 +3,7 @@
 import type { ServiceDoc } from './shapes.js';
 
 /** Writes down who serves a model: the primary, the understudy in another zone, and the further holders. */
-export class Seats {
+export class PlacementRecorder {
   readonly #state: PlacementState;
 
   constructor(state: PlacementState) {
@@ -11,23 +11,23 @@
   }
 
   /** What earlier documents say of models that nobody holds any more is out of date too. */
-  seatAll(): void {
+  recordAll(): void {
     if (!this.#state.hasListed || !this.#state.routing) return;
-    this.#state.isSeatingAll = false;
+    this.#state.isRecordingAll = false;
     for (const service of this.#state.services.values())
       for (const model of service.models.values())
         if (this.#state.docs.has(model.key)) this.#state.touched.add(model);
   }
 
   /** The pair is kept as long as it serves; the rest of the holders are further seats. */
-  seat(model: ModelState): void {
+  record(model: ModelState): void {
     const doc = this.#state.docs.get(model.key) ?? noDoc(model.key);
     const { ready, all } = this.#holdersOf(model);
     const primary = primaryOf(doc, ready, all);
     const understudy = this.#understudyOf(doc, primary, all);
     const seats: string[] = [];
     for (const id of all.sort(byText)) if (id !== primary && id !== understudy) seats.push(id);
-    const wait = all.length > 0 || model.deprivedSince === undefined ? '' : doc.wait;
+    const wait = all.length > 0 || model.unservedSince === undefined ? '' : doc.wait;
     const next: ServiceDoc = { ...doc, primary, understudy, seats, wait };
     if (!isSameSeating(doc, next)) this.#state.put(next);
   }
--- a/src/placement/placement-state.ts
+++ b/src/placement/placement-state.ts
@@ -3,8 +3,8 @@
 import type { ServiceDoc } from './shapes.js';
 import type { PlannerSettings } from './planner-settings.js';
 import {
-  type Copies,
-  type HeldModel,
+  type ReplicaCounts,
+  type LoadedModel,
   type Order,
   type RunnerState,
   type OpenIntent,
@@ -43,19 +43,19 @@
   /** The operators' configuration as last taken in. */
   routing: Routing | undefined;
   /** Zones that operators evacuated. */
-  emptied: ReadonlySet<string> = new Set();
+  evacuatedZones: ReadonlySet<string> = new Set();
   /** Proxies that share what holds over the whole fleet. */
-  flowCount = 0;
+  proxyCount = 0;
   /** The platform's list has come at least once. */
   hasListed = false;
   /** What the data plane was told last no longer holds. */
-  isFleetOld = true;
+  isFleetStale = true;
   /** When what held a plan back is over, ms. */
   blockedUntil = Infinity;
   /** Runners count orders that they need not do as well. */
-  countsHeld = false;
+  countsLoadedModels = false;
   /** Documents of an earlier leader are still to be compared with what is there. */
-  isSeatingAll = true;
+  isRecordingAll = true;
   /** Counts plans; what is counted once a plan is remembered by it. */
   planNumber = 0;
 
@@ -76,8 +76,8 @@
     this.touched.clear();
     this.routing = undefined;
     this.hasListed = false;
-    this.isSeatingAll = true;
-    this.isFleetOld = true;
+    this.isRecordingAll = true;
+    this.isFleetStale = true;
     this.restoredAt = now;
     this.hasPast = docs.length > 0;
     for (const doc of docs) {
@@ -91,7 +91,7 @@
   }
 
   /** A runner no longer holds a model. */
-  unhold(runner: RunnerState, held: HeldModel): void {
+  unhold(runner: RunnerState, held: LoadedModel): void {
     runner.holds.delete(held.model.name);
     held.model.holders.delete(runner);
     this.touch(runner, held.model);
@@ -102,19 +102,19 @@
     runner.usedMb = undefined;
     model.lossIn = -1;
     this.touched.add(model);
-    this.isFleetOld = true;
+    this.isFleetStale = true;
   }
 
   /** Whether a runner serves has changed, and so where all its models are served. */
   touchAll(runner: RunnerState): void {
-    this.isFleetOld = true;
+    this.isFleetStale = true;
     for (const held of runner.holds.values()) this.touched.add(held.model);
   }
 
   /** Copies on a runner that is to go are lost at once. */
   noteLost(now: number, runner: RunnerState): void {
     for (const held of runner.holds.values())
-      if (this.copies(now, held.model).all === 0) held.model.lostAt = now;
+      if (this.copies(now, held.model).all === 0) held.model.lastReplicaLostAt = now;
   }
 
   /** An earlier leader's intents for a runner are settled. */
@@ -124,7 +124,7 @@
     const runner = this.runners.get(id);
     if (runner) runner.restored = [];
     for (const { key, intent } of open) this.#dropIntent(key, intent.id);
-    if (open.length > 0) this.isFleetOld = true;
+    if (open.length > 0) this.isFleetStale = true;
   }
 
   #dropIntent(key: string, id: string): void {
@@ -158,12 +158,12 @@
     this.runnerOfOrder.delete(op.intent.id);
     if (runner.queue.length === 0) this.busy.delete(runner);
     this.#dropIntent(op.key, op.intent.id);
-    this.isFleetOld = true;
+    this.isFleetStale = true;
   }
 
   /** Serves on: neither leaving nor in a zone that is to be emptied. */
   isOpen(runner: RunnerState): boolean {
-    return !runner.isLeaving && !this.emptied.has(runner.listed.zone);
+    return !runner.isLeaving && !this.evacuatedZones.has(runner.listed.zone);
   }
 
   /** May be ordered to take something. */
@@ -175,8 +175,8 @@
   }
 
   /** Copies that count: ready ones, and all that serve or soon will. */
-  copies(now: number, model: ModelState): Copies {
-    const copies: Copies = { ready: 0, all: 0, zones: new Map() };
+  copies(now: number, model: ModelState): ReplicaCounts {
+    const copies: ReplicaCounts = { ready: 0, all: 0, zones: new Map() };
     for (const [runner, held] of model.holders) {
       if (held.phase === 'unloading' || held.suspectedUntil > now || !this.isOpen(runner)) continue;
       // What comes to a runner out of reach comes late, or not at all.
@@ -243,7 +243,7 @@
   }
 
   /** Copies of an adapter that serve or soon will. */
-  adapterCopies(now: number, model: ModelState, name: string): number {
+  adapterReplicas(now: number, model: ModelState, name: string): number {
     let count = 0;
     for (const [runner, held] of model.holders) {
       if (held.phase === 'unloading' || held.suspectedUntil > now || !this.isOpen(runner)) continue;
--- a/src/placement/placer-types.ts
+++ b/src/placement/placer-types.ts
@@ -7,10 +7,10 @@
   readonly machine: Machine;
   readonly report: RunnerReport | undefined;
   /** When we asked for that report, on our clock. */
-  readonly askedAt: Moment;
+  readonly requestedAt: Moment;
   readonly isReachable: boolean;
   /** Out of reach for so long that its seats are given up. */
-  readonly isLost: boolean;
+  readonly isUnreachable: boolean;
 }
 
 /** What a plan is made from. */
@@ -18,33 +18,33 @@
   readonly table: Table;
   readonly catalog: Catalog;
   readonly runners: readonly RunnerView[];
-  readonly emptied: readonly string[];
+  readonly evacuatedZones: readonly string[];
 }
 
 /** What paces the placer; spans are in ms. */
 export interface PlacerSettings {
-  readonly demandSpanMs: number;
+  readonly demandWindowMs: number;
   /** Requests a second below which a model counts as idle. */
   readonly idleRate: number;
   /** How many times more a newcomer must be worth than what makes way for it. */
   readonly worthRatio: number;
   /** How long a model out of the places is still left in a runner, so that every proxy has heard. */
-  readonly settleMs: number;
+  readonly unloadDelayMs: number;
   /** How long a model stays once it has been fetched. */
-  readonly stayMs: number;
+  readonly minResidencyMs: number;
 }
 
 /** The values that hold unless a deployment names others. */
 export const PLACER_DEFAULTS: PlacerSettings = {
-  demandSpanMs: 20_000,
+  demandWindowMs: 20_000,
   idleRate: 0.05,
   worthRatio: 2,
-  settleMs: 3500,
-  stayMs: 10_000,
+  unloadDelayMs: 3500,
+  minResidencyMs: 10_000,
 };
 
 /** A model that some row wants. */
-export interface Wish {
+export interface DesiredModel {
   readonly model: string;
   readonly size: number;
   readonly weight: number;
@@ -54,7 +54,7 @@
 }
 
 /** Which of a model's two seats. */
-export type SeatRole = 'primary' | 'understudy';
+export type PlacementRole = 'primary' | 'understudy';
 
 /** The key of a model, or of an adapter of it where named. */
 export function unitOf(model: string, adapter: string): string {
--- a/src/placement/placer.test.ts
+++ b/src/placement/placer.test.ts
@@ -2,7 +2,7 @@
 import { compile } from '../policy/language.js';
 import { moment } from '../common/ids.js';
 import { Seeded } from '../rehearsal/seeded.js';
-import { isThat } from './intent-book.js';
+import { isThat } from './intent-log.js';
 import { Placer } from './placer.js';
 import { PLACER_DEFAULTS, type PlanInput, type RunnerView } from './placer-types.js';
 import type { Catalog, Hold, Intent, Place, RunnerReport, Seat, ServiceDoc } from './shapes.js';
@@ -11,7 +11,10 @@
 const table = compile('row check m-* weight 10\nrow check rare-* weight 1').table;
 /** Runners that obey at once, watching room and fetch slots themselves. */
 class Yard {
-  readonly placer = new Placer({ ...PLACER_DEFAULTS, stayMs: 1000, settleMs: 1000 }, 'p');
+  readonly placer = new Placer(
+    { ...PLACER_DEFAULTS, minResidencyMs: 1000, unloadDelayMs: 1000 },
+    'p',
+  );
   readonly runners = new Map<
     string,
     { zone: string; room: number; boot: string; holds: Hold[]; leaving: boolean; isUp: boolean }
@@ -45,12 +48,12 @@
       runners.push({
         machine: { id, address: id, zone: runner.zone, service: '', leaving: runner.leaving },
         report,
-        askedAt: moment(this.now),
+        requestedAt: moment(this.now),
         isReachable: runner.isUp,
-        isLost: !runner.isUp,
+        isUnreachable: !runner.isUp,
       });
     }
-    return { table, catalog: this.catalog, runners, emptied: this.emptied };
+    return { table, catalog: this.catalog, runners, evacuatedZones: this.emptied };
   }
 
   step(millis = 500): void {
--- a/src/placement/placer.ts
+++ b/src/placement/placer.ts
@@ -2,18 +2,18 @@
 import { matchesModel, rowKey } from '../policy/table.js';
 import { indexOf } from '../policy/table-index.js';
 import { Demand } from './demand.js';
-import { HoldTimes } from './hold-times.js';
-import { IntentBook } from './intent-book.js';
+import { ResidencyTimes } from './residency-times.js';
+import { IntentLog } from './intent-log.js';
 import type { LiveModel } from './live.js';
 import {
   unitOf,
   type PlacerSettings,
   type PlanInput,
   type RunnerView,
-  type Wish,
+  type DesiredModel,
 } from './placer-types.js';
-import { RoomLedger } from './room-ledger.js';
-import { SeatAssignment, type Planning } from './seat-assignment.js';
+import { CapacityTable } from './capacity-table.js';
+import { PlacementAssignment, type Planning } from './placement-assignment.js';
 import type { Catalog, Intent, Place, PlacedRunner, Seat, ServiceDoc } from './shapes.js';
 
 /** Keeps the worth of models apart that nobody asks for, requests a second. */
@@ -34,15 +34,15 @@
 export class Placer {
   readonly #settings: PlacerSettings;
   readonly demand: Demand;
-  readonly #book: IntentBook;
-  readonly #times = new HoldTimes();
-  readonly #seats: SeatAssignment;
+  readonly #book: IntentLog;
+  readonly #times = new ResidencyTimes();
+  readonly #seats: PlacementAssignment;
 
   constructor(settings: PlacerSettings, label: string) {
     this.#settings = settings;
-    this.demand = new Demand(settings.demandSpanMs);
-    this.#book = new IntentBook(label);
-    this.#seats = new SeatAssignment(settings, this.#book, this.#times);
+    this.demand = new Demand(settings.demandWindowMs);
+    this.#book = new IntentLog(label);
+    this.#seats = new PlacementAssignment(settings, this.#book, this.#times);
   }
 
   /** Begins anew from what the parts hold, as a new leader does. */
@@ -56,12 +56,12 @@
 
   /** The runner took the order: a report asked for after this shows what became of it. */
   orderTaken(now: Moment, intent: string): void {
-    this.#book.taken(now, intent);
+    this.#book.onAccepted(now, intent);
   }
 
   /** The runner said it will not do this, now or later. */
   orderTurnedAway(intent: string): void {
-    this.#book.refused(intent);
+    this.#book.onRejected(intent);
   }
 
   /**
@@ -76,7 +76,7 @@
         ...doc,
         intents: doc.intents.filter(isOtherSent.bind(undefined, intent.id, isSent)),
       });
-    const ledger = new RoomLedger(input, sent);
+    const ledger = new CapacityTable(input, sent);
     return (
       ledger.isUsable(intent.runner) &&
       ledger.free(intent.runner) >= intent.size &&
@@ -89,21 +89,21 @@
     this.#book.reconcile(now, viewsById(input.runners));
     this.#times.noteReady(now, input.runners);
     const ordered = this.#wishes(now, input);
-    const wishes = new Map<string, Wish>();
+    const wishes = new Map<string, DesiredModel>();
     for (const wish of ordered) wishes.set(wish.model, wish);
-    const ledger = new RoomLedger(input, this.docs());
+    const ledger = new CapacityTable(input, this.docs());
     const planning: Planning = { now, ledger, wishes };
     for (const wish of ordered) this.#seats.keepOrPromote(wish, ledger);
     this.#seat(planning, ordered);
     for (const wish of ordered) this.#fetchAdapters(planning, wish, input.catalog);
-    this.#seats.unseatUnwished(wishes);
+    this.#seats.removeUnwanted(wishes);
     this.#times.noteUnplaced(now, input.runners, (model) => this.#book.doc(model));
     return this.#book.takeChanged();
   }
 
   /** Each model that some row wants, as operators see it beside their table. */
   live(now: Moment, input: PlanInput): LiveModel[] {
-    const ledger = new RoomLedger(input, this.docs());
+    const ledger = new CapacityTable(input, this.docs());
     const models: LiveModel[] = [];
     for (const { model, rate } of this.#wishes(now, input)) {
       const doc = this.#book.doc(model);
@@ -117,8 +117,8 @@
         rate,
         wait: doc.wait,
         waitMs: since === undefined ? 0 : now - since,
-        primary: liveSeat(ledger, doc.primary, model),
-        understudy: liveSeat(ledger, doc.understudy, model),
+        primary: liveReplica(ledger, doc.primary, model),
+        understudy: liveReplica(ledger, doc.understudy, model),
       });
     }
     return models;
@@ -126,12 +126,12 @@
 
   /** Where each model is served now, given what runners report ready. */
   places(input: PlanInput): { places: Place[]; runners: PlacedRunner[] } {
-    const ledger = new RoomLedger(input, this.docs());
+    const ledger = new CapacityTable(input, this.docs());
     const places: Place[] = [];
     let waiting = 0;
     for (const doc of this.docs()) {
       const { model, wait } = doc;
-      const seats = readySeats(ledger, doc);
+      const seats = readyReplicas(ledger, doc);
       if (seats.length > 0) {
         places.push({ model, seats, wait });
         continue;
@@ -156,17 +156,17 @@
    * Whoever is asked for gets its pair before any idle model gets a copy: room that was made for a pair would else go to
    * the very model that made way for it.
    */
-  #seat(planning: Planning, wishes: readonly Wish[]): void {
+  #seat(planning: Planning, wishes: readonly DesiredModel[]): void {
     for (const isAsked of [true, false]) {
       for (const role of ['primary', 'understudy'] as const) {
         for (const wish of wishes)
-          if (this.#seats.isAskedFor(wish) === isAsked) this.#seats.seat(planning, wish, role);
+          if (this.#seats.isAskedFor(wish) === isAsked) this.#seats.place(planning, wish, role);
       }
     }
   }
 
-  #wishes(now: Moment, input: PlanInput): Wish[] {
-    const wishes: Wish[] = [];
+  #wishes(now: Moment, input: PlanInput): DesiredModel[] {
+    const wishes: DesiredModel[] = [];
     for (const { name, size } of input.catalog.models) {
       const weight = indexOf(input.table).weight(name);
       if (weight === 0) continue;
@@ -190,7 +190,7 @@
   }
 
   /** Fetches the adapters that are asked for to where their model is ready. */
-  #fetchAdapters({ now, ledger }: Planning, { model }: Wish, catalog: Catalog): void {
+  #fetchAdapters({ now, ledger }: Planning, { model }: DesiredModel, catalog: Catalog): void {
     const doc = this.#book.doc(model);
     const leastRate = this.#settings.idleRate * ADAPTER_SHARE;
     for (const { name: adapter, model: owner, size } of catalog.adapters) {
@@ -212,7 +212,7 @@
   return views;
 }
 
-function readySeats(ledger: RoomLedger, { model, primary, understudy }: ServiceDoc): Seat[] {
+function readyReplicas(ledger: CapacityTable, { model, primary, understudy }: ServiceDoc): Seat[] {
   const seats: Seat[] = [];
   for (const runner of [primary, understudy]) {
     if (runner === '' || !ledger.isReady(runner, model)) continue;
@@ -230,16 +230,16 @@
     zone,
     service,
     slots: report?.slots ?? 0,
-    upMs: coldness(report?.upMs ?? 0),
+    upMs: idleScore(report?.upMs ?? 0),
   };
 }
 
-function byWorth(a: Wish, b: Wish): number {
+function byWorth(a: DesiredModel, b: DesiredModel): number {
   return b.worth - a.worth || (a.model < b.model ? -1 : 1);
 }
 
 /** Whole seconds while a runner is young, then one value. */
-function coldness(upMs: number): number {
+function idleScore(upMs: number): number {
   return Math.min(OLD_MS, Math.floor(upMs / SECOND_MS) * SECOND_MS);
 }
 
@@ -251,7 +251,7 @@
   return intent.verb === 'load' && intent.model === model && intent.adapter === '';
 }
 
-function liveSeat(ledger: RoomLedger, runner: string, model: string): LiveModel['primary'] {
+function liveReplica(ledger: CapacityTable, runner: string, model: string): LiveModel['primary'] {
   const isReady = runner !== '' && ledger.isReady(runner, model);
   return { runner, zone: runner === '' ? '' : ledger.zoneOf(runner), isReady };
 }
--- a/src/placement/planner-configuration.ts
+++ b/src/placement/planner-configuration.ts
@@ -1,7 +1,7 @@
 import type { PlacementState } from './placement-state.js';
-import type { StoreBudget } from './store-budget.js';
+import type { StoreRateLimit } from './store-rate-limit.js';
 import type { PlannerInput } from './planner-settings.js';
-import type { DemandLedger } from './demand-ledger.js';
+import type { DemandTable } from './demand-table.js';
 import type { RunnerInventory } from './runner-inventory.js';
 import type { Moment } from '../common/ids.js';
 import type { Engine, EngineModel, Routing } from '../route/routing.js';
@@ -10,16 +10,16 @@
 /** Takes in the operators' configuration: services, their models, and evacuated zones. */
 export class PlannerConfiguration {
   readonly #state: PlacementState;
-  readonly #demand: DemandLedger;
+  readonly #demand: DemandTable;
   readonly #inventory: RunnerInventory;
-  readonly #store: StoreBudget;
+  readonly #store: StoreRateLimit;
   #emptiedText = '';
 
   constructor(
     state: PlacementState,
-    demand: DemandLedger,
+    demand: DemandTable,
     inventory: RunnerInventory,
-    store: StoreBudget,
+    store: StoreRateLimit,
   ) {
     this.#state = state;
     this.#demand = demand;
@@ -30,10 +30,10 @@
   /** Takes in what changed since the last plan. */
   take(now: Moment, input: PlannerInput): void {
     if (input.routing !== this.#state.routing) this.#takeRouting(now, input.routing);
-    this.#takeEmptied(now, input.emptied);
-    if (input.flows === this.#state.flowCount) return;
-    this.#state.flowCount = input.flows;
-    this.#state.isFleetOld = true;
+    this.#takeEmptied(now, input.evacuatedZones);
+    if (input.proxies === this.#state.proxyCount) return;
+    this.#state.proxyCount = input.proxies;
+    this.#state.isFleetStale = true;
   }
 
   #takeRouting(now: Moment, routing: Routing | undefined): void {
@@ -49,7 +49,7 @@
     // Runners that were listed before their service was known are looked at again.
     for (const runner of [...this.#state.runners.values()])
       if (runner.engine !== this.#state.services.get(runner.service)) this.#renew(now, runner);
-    this.#state.isFleetOld = true;
+    this.#state.isFleetStale = true;
   }
 
   #serviceOf(now: Moment, name: string, engine: Engine): ServiceState {
@@ -109,7 +109,7 @@
     const text = [...emptied].sort(byText).join('\n');
     if (text === this.#emptiedText) return;
     this.#emptiedText = text;
-    this.#state.emptied = new Set(emptied);
+    this.#state.evacuatedZones = new Set(emptied);
     for (const runner of this.#state.runners.values()) {
       this.#state.noteLost(now, runner);
       this.#state.touchAll(runner);
--- a/src/placement/planner-records.ts
+++ b/src/placement/planner-records.ts
@@ -2,24 +2,24 @@
 import { DecayingRate } from './decaying-rate.js';
 import type { ListedRunner } from './fleet.js';
 import type { Intent, ServiceDoc } from './shapes.js';
-import { StoreWindow } from './store-window.js';
+import { SlidingWindowLimit } from './sliding-window-limit.js';
 
 /** Where a model or adapter stands at a runner. */
-export type HoldPhase = 'coming' | 'ready' | 'unloading';
+export type LoadPhase = 'coming' | 'ready' | 'unloading';
 
 /** An adapter that a runner holds, gets or gives up. */
-export interface AdapterHold {
-  phase: HoldPhase;
+export interface LoadedAdapter {
+  phase: LoadPhase;
   since: number;
   suspectedUntil: number;
 }
 
 /** A model that a runner holds, gets or gives up, with its adapters. */
-export interface HeldModel {
+export interface LoadedModel {
   readonly model: ModelState;
-  phase: HoldPhase;
+  phase: LoadPhase;
   since: number;
-  readonly adapters: Map<string, AdapterHold>;
+  readonly adapters: Map<string, LoadedAdapter>;
   /** Until when proxies are believed that this copy does not serve. */
   suspectedUntil: number;
 }
@@ -31,13 +31,13 @@
   readonly model: ModelState;
   /** A load that the weight store counts. */
   readonly isStore: boolean;
-  isKept: boolean;
-  isGiven: boolean;
-  isTaken: boolean;
+  isPersisted: boolean;
+  isSent: boolean;
+  isAccepted: boolean;
   due: number;
   takenAt: number;
   expectedMs: number;
-  busies: number;
+  busyReplies: number;
   failures: number;
 }
 
@@ -49,7 +49,7 @@
   listed: ListedRunner;
   isLeaving: boolean;
   coldUntil: number;
-  readonly holds: Map<string, HeldModel>;
+  readonly holds: Map<string, LoadedModel>;
   /** Models that surely lie on its own disk. */
   readonly disk: Set<string>;
   readonly queue: Order[];
@@ -65,11 +65,11 @@
   isUnloadingRuns: boolean;
   /** How many orders it took, as far as known, and how many since the last report it need not do. */
   count: number | undefined;
-  helds: number;
+  loadedModels: number;
   /** What we took its count for when it came into doubt. */
   counted: number | undefined;
   /** An order to it got no clear answer since its last report. */
-  hasLostOrder: boolean;
+  hasUnansweredOrder: boolean;
   suspectUntil: number;
   failures: number;
   usedMb: number | undefined;
@@ -88,8 +88,8 @@
   readonly slow = new DecayingRate();
   waiting = 0;
   waitingSince = 0;
-  waitingToldAt = -Infinity;
-  lastAsked = -Infinity;
+  waitingReportedAt = -Infinity;
+  lastRequestedAt = -Infinity;
   running = 0;
   badUntil = -Infinity;
   priority = 9;
@@ -110,16 +110,16 @@
   mostAdapters: number;
   readonly fast = new DecayingRate();
   readonly slow = new DecayingRate();
-  lastAsked = -Infinity;
+  lastRequestedAt = -Infinity;
   waiting = 0;
   waitingSince = 0;
   /** The last word of a proxy that it waits. */
-  waitingToldAt = -Infinity;
+  waitingReportedAt = -Infinity;
   running = 0;
   runningMean = 0;
   priority = 9;
   /** Since when it is asked for and nobody is served. */
-  deprivedSince: number | undefined = undefined;
+  unservedSince: number | undefined = undefined;
   /** The configuration names it. */
   isListed = false;
   badUntil = -Infinity;
@@ -130,11 +130,11 @@
   loss = 0;
   lossIn = -1;
   /** When its last copy went with a runner. */
-  lostAt = -Infinity;
+  lastReplicaLostAt = -Infinity;
   /** Since when a further copy presses and finds no place. */
   pressedAt = -Infinity;
 
-  readonly holders = new Map<RunnerState, HeldModel>();
+  readonly holders = new Map<RunnerState, LoadedModel>();
   readonly adapters = new Map<string, AdapterState>();
 
   constructor(service: ServiceState, name: string) {
@@ -154,14 +154,14 @@
   engine: Engine;
   readonly models = new Map<string, ModelState>();
   readonly runners = new Set<RunnerState>();
-  readonly window: StoreWindow;
+  readonly window: SlidingWindowLimit;
   readonly all = new DecayingRate();
   readonly waiting = new Set<ModelState>();
   firstDemandAt: number | undefined = undefined;
   storeOps = 0;
-  grownAt = -Infinity;
+  scaledUpAt = -Infinity;
   /** Further copies that much of the work waits for, as last compared with demand and not yet on their way. */
-  pressing: Want[] = [];
+  pressing: ReplicaWant[] = [];
   /** The part of its slots that runs at a runner in the mean. */
   meanLoad = 0;
   /** What loads take, against what the configuration says: from the store, from a runner's disk; and adapters, ms. */
@@ -174,7 +174,7 @@
   constructor(name: string, engine: Engine, capWindowMs: number, adapterMs: number) {
     this.name = name;
     this.engine = engine;
-    this.window = new StoreWindow(capWindowMs);
+    this.window = new SlidingWindowLimit(capWindowMs);
     this.adapterMs = adapterMs;
   }
 }
@@ -183,7 +183,7 @@
 export type WantKind = 'waiting' | 'grow' | 'lost' | 'spare';
 
 /** A copy of a model that would be of use. */
-export interface Want {
+export interface ReplicaWant {
   readonly model: ModelState;
   readonly kind: WantKind;
   /** Rank: lower goes first. */
@@ -195,14 +195,14 @@
 }
 
 /** What makes way: an adapter, or a whole model where none is named. */
-export interface Victim {
-  readonly held: HeldModel;
+export interface EvictionCandidate {
+  readonly loaded: LoadedModel;
   readonly adapter: string;
 }
 
 /** What makes way together, and what losing it costs. */
-export interface Way {
-  readonly victims: readonly Victim[];
+export interface EvictionPlan {
+  readonly victims: readonly EvictionCandidate[];
   readonly loss: number;
 }
 
@@ -222,7 +222,7 @@
 }
 
 /** Whether somebody who waits presses for the copy, or much of the work does. */
-export function isPressing(want: Want): boolean {
+export function isPressing(want: ReplicaWant): boolean {
   return want.kind === 'grow' && want.level < 1;
 }
 
@@ -232,7 +232,7 @@
 }
 
 /** Copies of a model that count: ready ones, all that serve or soon will, and those by zone. */
-export interface Copies {
+export interface ReplicaCounts {
   ready: number;
   all: number;
   readonly zones: Map<string, number>;
--- a/src/placement/planner-settings.ts
+++ b/src/placement/planner-settings.ts
@@ -11,7 +11,7 @@
   /** How old a runner's own report may be. */
   readonly reportLagMs: number;
   /** How long a model stays once it is ready, and an adapter. */
-  readonly stayMs: number;
+  readonly minResidencyMs: number;
   readonly adapterStayMs: number;
   /** Spans of the two rates: the fast one lets copies grow, the slow one keeps them. */
   readonly fastMs: number;
@@ -30,7 +30,7 @@
   /** The first guess of how long an adapter takes. */
   readonly adapterMs: number;
   /** Who waits longer than this stands in its document as waiting. */
-  readonly tellWaitMs: number;
+  readonly waitReportIntervalMs: number;
   /** How long an unload may wait for the model's runs. */
   readonly unloadMs: number;
   /** How long a proxy's last word counts. */
@@ -38,7 +38,7 @@
   /** Waiting for so long at the proxies though a copy is ready means that the copy does not serve. */
   readonly despiteMs: number;
   /** The span within which what is asked for again should still find its adapter. */
-  readonly adapterSpanMs: number;
+  readonly adapterWindowMs: number;
   /** What it costs to fetch a copy again that a busy model needs. */
   readonly neededLoss: number;
   /** How long runners are left to a copy that presses. */
@@ -52,7 +52,7 @@
   capWindowMs: 5000,
   capExcess: 1.1,
   reportLagMs: 400,
-  stayMs: 2000,
+  minResidencyMs: 2000,
   adapterStayMs: 500,
   fastMs: 1000,
   slowMs: 12_000,
@@ -63,13 +63,13 @@
   worthRatio: 2,
   rankMs: 3000,
   adapterMs: 15,
-  tellWaitMs: 1000,
+  waitReportIntervalMs: 1000,
   unloadMs: 3000,
   demandTtlMs: 3000,
   despiteMs: 700,
   pressMs: 1200,
   neededLoss: 4,
-  adapterSpanMs: 3000,
+  adapterWindowMs: 3000,
 };
 
 /** What a plan is made from, beside what runners hold and proxies ask for. */
@@ -77,9 +77,9 @@
   /** The operators' routes and services, once there are any. */
   readonly routing: Routing | undefined;
   /** Zones that operators evacuated. */
-  readonly emptied: readonly string[];
+  readonly evacuatedZones: readonly string[];
   /** Proxies that share what holds over the whole fleet. */
-  readonly flows: number;
+  readonly proxies: number;
 }
 
 /**
--- a/src/placement/planner.test.ts
+++ b/src/placement/planner.test.ts
@@ -283,8 +283,8 @@
     const began = performance.now();
     const changed = this.planner.plan(this.at(), {
       routing: this.routing,
-      emptied: this.emptied,
-      flows: 2,
+      evacuatedZones: this.emptied,
+      proxies: 2,
     });
     this.planMs += performance.now() - began;
     if (changed.length > 0) {
@@ -806,7 +806,7 @@
   test('a crowd waiting for places at many copies is no doubt about them', () => {
     const planner = new Planner({ lagMs: LAG });
     const routing = routingOf(engineOf(9));
-    const input = { routing, emptied: [], flows: 1 };
+    const input = { routing, evacuatedZones: [], proxies: 1 };
     planner.restore(moment(0), [], 'l1');
     planner.plan(moment(0), input);
     const hold = [{ model: 'm0', adapters: [] }];
@@ -838,7 +838,7 @@
   test('a runner that takes no order is passed over', () => {
     const planner = new Planner({ lagMs: LAG });
     const routing = routingOf(engineOf(9));
-    const input = { routing, emptied: [], flows: 1 };
+    const input = { routing, evacuatedZones: [], proxies: 1 };
     planner.restore(moment(0), [], 'l1');
     planner.plan(moment(0), input);
     planner.list(moment(0), [listedOf('r1', 'a', []), listedOf('r2', 'b', [])]);
@@ -1300,16 +1300,16 @@
   const planner = new Planner({ lagMs: LAG });
   planner.restore(moment(0), [], 'l1');
   const routing = routingOf(engineOf(4));
-  planner.plan(moment(0), { routing, emptied: [], flows: 1 });
+  planner.plan(moment(0), { routing, evacuatedZones: [], proxies: 1 });
   planner.list(moment(0), [
     listedOf('r1', 'a', [
       { model: 'm0', adapters: [] },
       { model: 'm2', adapters: [] },
     ]),
   ]);
-  planner.plan(moment(0), { routing, emptied: [], flows: 1 });
+  planner.plan(moment(0), { routing, evacuatedZones: [], proxies: 1 });
   planner.demand(moment(100), { flow: 'f1', units: [waitingUnit('m1', 1), waitingUnit('m3', 1)] });
-  const changed = planner.plan(moment(100), { routing, emptied: [], flows: 1 });
+  const changed = planner.plan(moment(100), { routing, evacuatedZones: [], proxies: 1 });
   expect(changed).toContain('llm/m1');
   expect(planner.orders(moment(100))).toEqual([]);
   expect(planner.fleet(moment(100)).runners[0]?.coming).toEqual([
@@ -1330,7 +1330,9 @@
   expect(planner.orders(moment(766))).toEqual([]);
   planner.ordered(moment(840), planner.orders(moment(839))[0]?.id ?? '', 'held');
   expect(planner.fleet(moment(840)).runners[0]?.holds.map(modelOfWait)).toEqual(['m0', 'm2', 'm1']);
-  expect(planner.plan(moment(841), { routing, emptied: [], flows: 1 })).toContain('llm/m1');
+  expect(planner.plan(moment(841), { routing, evacuatedZones: [], proxies: 1 })).toContain(
+    'llm/m1',
+  );
   expect(planner.docs().find((doc) => doc.model === 'llm/m1')).toEqual({
     model: 'llm/m1',
     primary: 'r1',
@@ -1345,7 +1347,7 @@
   const planner = new Planner({ lagMs: LAG });
   planner.restore(moment(0), [], 'l1');
   const routing = routingOf(engineOf(4));
-  const input = { routing, emptied: [], flows: 1 };
+  const input = { routing, evacuatedZones: [], proxies: 1 };
   planner.plan(moment(0), input);
   planner.list(moment(0), [
     listedOf('r1', 'a', [
--- a/src/placement/planner.ts
+++ b/src/placement/planner.ts
@@ -1,8 +1,8 @@
 import { later, moment, type Moment } from '../common/ids.js';
 import { AdapterChoice } from './adapter-choice.js';
-import { CopyChoice } from './copy-choice.js';
-import { CopyDemand } from './copy-demand.js';
-import { DemandLedger } from './demand-ledger.js';
+import { ReplicaChoice } from './replica-choice.js';
+import { ReplicaDemand } from './replica-demand.js';
+import { DemandTable } from './demand-table.js';
 import { Eviction } from './eviction.js';
 import type { Fleet, FleetDemand, ListedRunner, RunnerStatus } from './fleet.js';
 import { FleetReport } from './fleet-report.js';
@@ -17,9 +17,9 @@
   type PlannerSettings,
 } from './planner-settings.js';
 import { RunnerInventory } from './runner-inventory.js';
-import { Seats } from './seats.js';
+import { PlacementRecorder } from './placement-recorder.js';
 import type { Intent, ServiceDoc } from './shapes.js';
-import { StoreBudget } from './store-budget.js';
+import { StoreRateLimit } from './store-rate-limit.js';
 
 export type { OrderOutcome, PlannerInput, PlannerSettings } from './planner-settings.js';
 
@@ -33,30 +33,30 @@
  */
 export class Planner {
   readonly #state: PlacementState;
-  readonly #demand: DemandLedger;
+  readonly #demand: DemandTable;
   readonly #inventory: RunnerInventory;
   readonly #configuration: PlannerConfiguration;
   readonly #orders: OrderQueue;
-  readonly #wants: CopyDemand;
-  readonly #copies: CopyChoice;
+  readonly #wants: ReplicaDemand;
+  readonly #copies: ReplicaChoice;
   readonly #adapters: AdapterChoice;
-  readonly #seats: Seats;
+  readonly #seats: PlacementRecorder;
   readonly #report: FleetReport;
 
   constructor(settings: Partial<PlannerSettings> = {}) {
     const state = new PlacementState({ ...PLANNER_DEFAULTS, ...settings });
-    const store = new StoreBudget(state);
+    const store = new StoreRateLimit(state);
     const eviction = new Eviction(state);
     this.#state = state;
-    this.#demand = new DemandLedger(state);
+    this.#demand = new DemandTable(state);
     this.#inventory = new RunnerInventory(state);
     this.#configuration = new PlannerConfiguration(state, this.#demand, this.#inventory, store);
     this.#orders = new OrderQueue(state, store);
-    this.#wants = new CopyDemand(state, eviction);
+    this.#wants = new ReplicaDemand(state, eviction);
     this.#report = new FleetReport(state);
-    this.#copies = new CopyChoice(state, eviction, this.#report, this.#orders, store);
+    this.#copies = new ReplicaChoice(state, eviction, this.#report, this.#orders, store);
     this.#adapters = new AdapterChoice(state, eviction, this.#report, this.#orders);
-    this.#seats = new Seats(state);
+    this.#seats = new PlacementRecorder(state);
   }
 
   /**
@@ -117,12 +117,12 @@
     state.planNumber += 1;
     state.blockedUntil = Infinity;
     this.#report.beginPlan();
-    if (state.isSeatingAll) this.#seats.seatAll();
+    if (state.isRecordingAll) this.#seats.recordAll();
     for (const runner of state.busy) if (!state.isOpen(runner)) this.#orders.dropUnsent(runner);
     for (const service of state.services.values()) this.#planService(now, service);
-    for (const model of state.touched) this.#seats.seat(model);
+    for (const model of state.touched) this.#seats.record(model);
     state.touched.clear();
-    this.#report.noteWaits();
+    this.#report.reportWaits();
     const changed = [...state.changed];
     state.changed.clear();
     return changed;
@@ -147,7 +147,7 @@
     for (const runner of state.busy) {
       const head = runner.queue[0];
       if (!head || runner.given) continue;
-      if (head.isKept) next = Math.min(next, head.due);
+      if (head.isPersisted) next = Math.min(next, head.due);
     }
     for (const runner of state.suspected) {
       if (!runner.isAsked && runner.queue.length === 0 && state.isOpen(runner))
--- a/src/placement/shares.test.ts
+++ b/src/placement/quota-shares.test.ts
@@ -1,7 +1,7 @@
 import { expect, test } from 'vitest';
 import { moment } from '../common/ids.js';
 import type { Share } from './shapes.js';
-import { Shares } from './shares.js';
+import { QuotaShares } from './quota-shares.js';
 
 function sumOf(list: readonly Share[]): number {
   let sum = 0;
@@ -9,7 +9,7 @@
   return sum;
 }
 test('a take is shared out by demand and never beyond the whole', () => {
-  const shares = new Shares();
+  const shares = new QuotaShares();
   shares.add(moment(0), { flow: 'a', units: [], rows: [{ row: 'r', count: 50 }] });
   shares.add(moment(0), { flow: 'b', units: [], rows: [] });
   // Ten a second at one proxy, none at the other, of a take of twenty: the rest is shared evenly.
--- a/src/placement/shares.ts
+++ b/src/placement/quota-shares.ts
@@ -6,16 +6,16 @@
 const FORGET_MS = 15_000;
 
 /** Shares a row's fleet-wide take out to the proxies by their demand; together they never exceed the whole. */
-export class Shares {
+export class QuotaShares {
   readonly #demand = new Demand(SPAN_MS);
-  readonly #flows = new Map<string, Moment>();
-  readonly #rows = new Set<string>();
+  readonly #proxies = new Map<string, Moment>();
+  readonly #policyRows = new Set<string>();
 
   /** What one proxy saw asked for. */
   add(now: Moment, report: DemandReport): void {
-    this.#flows.set(report.flow, now);
+    this.#proxies.set(report.flow, now);
     for (const { row, count } of report.rows) {
-      this.#rows.add(row);
+      this.#policyRows.add(row);
       this.#demand.add(now, `${report.flow}\n${row}`, count);
     }
   }
@@ -23,20 +23,20 @@
   /** What is asked for under a row, a second, over the whole fleet. */
   rate(now: Moment, row: string): number {
     let sum = 0;
-    for (const flow of this.#flows.keys()) sum += this.#demand.rate(now, `${flow}\n${row}`);
+    for (const flow of this.#proxies.keys()) sum += this.#demand.rate(now, `${flow}\n${row}`);
     return sum;
   }
 
   /** Each proxy's share of each row's take, 0 to 1. */
   list(now: Moment, rows: readonly { readonly key: string; readonly take: number }[]): Share[] {
-    for (const [flow, at] of this.#flows) if (now - at > FORGET_MS) this.#flows.delete(flow);
-    const count = this.#flows.size;
+    for (const [flow, at] of this.#proxies) if (now - at > FORGET_MS) this.#proxies.delete(flow);
+    const count = this.#proxies.size;
     const shares: Share[] = [];
     for (const { key, take } of rows) {
-      if (!this.#rows.has(key) || take <= 0) continue;
+      if (!this.#policyRows.has(key) || take <= 0) continue;
       const demands = new Map<string, number>();
       let sum = 0;
-      for (const flow of this.#flows.keys()) {
+      for (const flow of this.#proxies.keys()) {
         const rate = this.#demand.rate(now, `${flow}\n${key}`);
         demands.set(flow, rate);
         sum += rate;
--- a/src/placement/copy-choice.ts
+++ b/src/placement/replica-choice.ts
@@ -1,38 +1,38 @@
 import type { PlacementState } from './placement-state.js';
-import type { StoreBudget } from './store-budget.js';
+import type { StoreRateLimit } from './store-rate-limit.js';
 import type { OrderQueue } from './order-queue.js';
 import type { Eviction } from './eviction.js';
 import type { FleetReport } from './fleet-report.js';
 import type { Moment } from '../common/ids.js';
 import {
   type RunnerState,
-  type Want,
-  type Way,
+  type ReplicaWant,
+  type EvictionPlan,
   type ModelState,
   type ServiceState,
   isPressing,
 } from './planner-records.js';
 
-interface Choice {
+interface RunnerChoice {
   readonly runner: RunnerState;
-  readonly way: Way;
+  readonly way: EvictionPlan;
   readonly isDisk: boolean;
 }
 
 /** Chooses the runner that takes a wanted copy of a model, and what makes way for it there. */
-export class CopyChoice {
+export class ReplicaChoice {
   readonly #state: PlacementState;
   readonly #eviction: Eviction;
   readonly #report: FleetReport;
   readonly #orders: OrderQueue;
-  readonly #store: StoreBudget;
+  readonly #store: StoreRateLimit;
 
   constructor(
     state: PlacementState,
     eviction: Eviction,
     report: FleetReport,
     orders: OrderQueue,
-    store: StoreBudget,
+    store: StoreRateLimit,
   ) {
     this.#state = state;
     this.#eviction = eviction;
@@ -42,7 +42,7 @@
   }
 
   /** Places what is wanted, in its order, and remembers what presses and found no place. */
-  placeAll(now: Moment, service: ServiceState, wants: readonly Want[]): void {
+  placeAll(now: Moment, service: ServiceState, wants: readonly ReplicaWant[]): void {
     // A copy that much of the work waits for finds no place while every runner is always loading something rare: what
     // comes after it then takes only runners that are of no use to it.
     const held: ModelState[] = [];
@@ -62,14 +62,19 @@
   }
 
   /** Whether what is wanted is on its way now; runners that could take one of `held` are left to it. */
-  #place(now: Moment, service: ServiceState, want: Want, held: readonly ModelState[]): boolean {
+  #place(
+    now: Moment,
+    service: ServiceState,
+    want: ReplicaWant,
+    held: readonly ModelState[],
+  ): boolean {
     const choice = this.#choose(now, service, want, held);
     if (!choice) {
       if (want.kind === 'waiting') this.#report.wait(now, service, want.model, '');
       return false;
     }
     for (const victim of choice.way.victims)
-      this.#orders.intend(now, choice.runner, 'unload', victim.held.model, victim.adapter);
+      this.#orders.intend(now, choice.runner, 'unload', victim.loaded.model, victim.adapter);
     this.#orders.intend(now, choice.runner, 'load', want.model, '');
     return true;
   }
@@ -77,14 +82,14 @@
   #choose(
     now: Moment,
     service: ServiceState,
-    want: Want,
+    want: ReplicaWant,
     held: readonly ModelState[],
-  ): Choice | undefined {
+  ): RunnerChoice | undefined {
     const { model } = want;
     const isStoreFree = this.#store.storeFree(now, service, model, want.kind, isPressing(want));
     const { zones } = this.#state.copies(now, model);
     const most = this.#mostLossFor(want);
-    let best: Choice | undefined;
+    let best: RunnerChoice | undefined;
     let bestScore = Infinity;
     for (const runner of service.runners) {
       if (!this.#mayTake(now, runner, model)) continue;
@@ -110,7 +115,7 @@
   }
 
   /** What may be lost at most for a copy: all that it is worth where somebody waits for it, else less. */
-  #mostLossFor(want: Want): number {
+  #mostLossFor(want: ReplicaWant): number {
     const isNeeded =
       want.kind === 'waiting' || isPressing(want) || (want.kind === 'lost' && want.model.isBusy);
     return isNeeded ? want.gain : want.gain / this.#state.settings.worthRatio;
@@ -120,9 +125,9 @@
   #score(
     now: Moment,
     service: ServiceState,
-    want: Want,
+    want: ReplicaWant,
     zones: ReadonlyMap<string, number>,
-    { runner, way, isDisk }: Choice,
+    { runner, way, isDisk }: RunnerChoice,
   ): number {
     const isWaiting = want.kind === 'waiting';
     // A further copy takes its share of a busy model's work: it goes where there is least.
--- a/src/placement/copy-demand.ts
+++ b/src/placement/replica-demand.ts
@@ -3,10 +3,10 @@
 import type { Moment } from '../common/ids.js';
 import {
   isPressing,
-  type Copies,
+  type ReplicaCounts,
   type ModelState,
   type ServiceState,
-  type Want,
+  type ReplicaWant,
 } from './planner-records.js';
 
 /** Not asked for within so long, a model needs no more than one copy. */
@@ -27,7 +27,7 @@
  * Compares the copies of each model with the work there is for it, and says which further copies would be
  * of use.
  */
-export class CopyDemand {
+export class ReplicaDemand {
   readonly #state: PlacementState;
   readonly #eviction: Eviction;
 
@@ -37,15 +37,15 @@
   }
 
   /** All further copies that would be of use now, the most urgent first. */
-  wantsOf(now: Moment, service: ServiceState): Want[] {
-    const wants: Want[] = [];
+  wantsOf(now: Moment, service: ServiceState): ReplicaWant[] {
+    const wants: ReplicaWant[] = [];
     for (const model of service.waiting) {
       const want = this.#waitingWant(now, model);
       if (want) wants.push(want);
     }
-    if (now - service.grownAt >= this.#state.settings.growMs) {
-      service.grownAt = now;
-      const grown: Want[] = [];
+    if (now - service.scaledUpAt >= this.#state.settings.growMs) {
+      service.scaledUpAt = now;
+      const grown: ReplicaWant[] = [];
       this.#growWants(now, service, grown);
       service.pressing = grown.filter(isPressing);
       wants.push(...grown);
@@ -54,7 +54,7 @@
   }
 
   /** A model that is waited for and that no runner has, or that none serves though one should. */
-  #waitingWant(now: Moment, model: ModelState): Want | undefined {
+  #waitingWant(now: Moment, model: ModelState): ReplicaWant | undefined {
     const { despiteMs, rankMs } = this.#state.settings;
     if (model.badUntil > now || this.#state.restoredComing(now, model)) return undefined;
     let copies = this.#state.copies(now, model);
@@ -64,13 +64,13 @@
         return undefined;
       if (now - model.waitingSince < despiteMs) return undefined;
       for (const held of model.holders.values())
-        if (model.waitingToldAt - held.since < despiteMs) return undefined;
+        if (model.waitingReportedAt - held.since < despiteMs) return undefined;
       for (const held of model.holders.values()) held.suspectedUntil = now + despiteMs * 5;
       copies = this.#state.copies(now, model);
     }
     if (copies.all > 0) return undefined;
-    model.deprivedSince ??= now;
-    const deprived = now - model.deprivedSince;
+    model.unservedSince ??= now;
+    const deprived = now - model.unservedSince;
     // A crowd goes before one who waits, whatever its rank; and who is passed over for long gains rank.
     const level =
       model.priority -
@@ -80,7 +80,7 @@
       model,
       kind: 'waiting',
       level,
-      since: model.deprivedSince,
+      since: model.unservedSince,
       gain:
         1 +
         Math.min(30, model.waiting) * 0.5 +
@@ -115,7 +115,7 @@
 
   /** Copies that a model's adapters need: those asked for within a few seconds should find slots at once. */
   #byAdapters(now: Moment, model: ModelState, open: number): number {
-    const { slowMs, adapterSpanMs } = this.#state.settings;
+    const { slowMs, adapterWindowMs: adapterSpanMs } = this.#state.settings;
     const slots = model.service.engine.adapterSlots;
     if (!model.isBusy || model.adapters.size === 0 || slots <= 0) return 0;
     let asked = 0;
@@ -128,12 +128,12 @@
     return Math.min(open / 2, asked / (slots * 0.8));
   }
 
-  #growWants(now: Moment, service: ServiceState, wants: Want[]): void {
+  #growWants(now: Moment, service: ServiceState, wants: ReplicaWant[]): void {
     const capacity = this.#capacityOf(service);
     if (capacity.open === 0) return;
     service.meanLoad = capacity.load / capacity.open;
     for (const model of service.models.values()) {
-      if (!model.isListed || (now - model.lastAsked > FORGOTTEN_MS && model.running <= 0)) {
+      if (!model.isListed || (now - model.lastRequestedAt > FORGOTTEN_MS && model.running <= 0)) {
         model.need = 1;
         model.isBusy = false;
         continue;
@@ -180,20 +180,20 @@
 
   /** Nobody waits for it any more, and nobody has come back for it. */
   #endDeprivation(now: Moment, model: ModelState): void {
-    if (model.waiting > 0 || model.deprivedSince === undefined) return;
-    if (now - model.lastAsked <= LATELY_MS) return;
-    model.deprivedSince = undefined;
+    if (model.waiting > 0 || model.unservedSince === undefined) return;
+    if (now - model.lastRequestedAt <= LATELY_MS) return;
+    model.unservedSince = undefined;
     this.#state.touched.add(model);
   }
 
   /** A model without any copy, for which nobody waits yet. */
-  #wantLast(now: Moment, model: ModelState, capacity: Capacity, wants: Want[]): void {
+  #wantLast(now: Moment, model: ModelState, capacity: Capacity, wants: ReplicaWant[]): void {
     if (model.waiting > 0 || this.#state.restoredComing(now, model)) return;
     if (this.#state.slowRate(now, model) < 0.05) return;
     const gain = this.#eviction.lossOfLast(now, model);
     // Lost, not thrown out: whoever asks next need not wait.
     if (model.isBusy) wants.push({ model, kind: 'lost', level: 0, since: 0, gain });
-    else if (now - model.lostAt < LATELY_MS)
+    else if (now - model.lastReplicaLostAt < LATELY_MS)
       wants.push({ model, kind: 'lost', level: 4, since: 0, gain });
     else if (capacity.mostFreeMb >= model.sizeMb)
       wants.push({ model, kind: 'spare', level: 5, since: 0, gain });
@@ -203,10 +203,10 @@
   #wantMore(
     now: Moment,
     model: ModelState,
-    copies: Copies,
+    copies: ReplicaCounts,
     most: number,
     capacity: Capacity,
-    wants: Want[],
+    wants: ReplicaWant[],
   ): void {
     const missing = Math.max(0, most - copies.all);
     const isPaired = !model.isBusy || capacity.zones.size < 2 || copies.zones.size > 1;
@@ -221,7 +221,7 @@
   }
 }
 
-function byLevel(a: Want, b: Want): number {
+function byLevel(a: ReplicaWant, b: ReplicaWant): number {
   return (
     a.level - b.level ||
     a.since - b.since ||
--- a/src/placement/trial.ts
+++ b/src/placement/replica-trial.ts
@@ -12,7 +12,7 @@
 const STEP_MS = 500;
 
 /** Tries out on virtual time what the placer itself would do to a fleet whose runners obey at once. */
-export class Trial {
+export class ReplicaTrial {
   readonly #placer: Placer;
   readonly #input: PlanInput;
   readonly #holds = new Map<string, Hold[]>();
@@ -35,7 +35,7 @@
     for (const view of input.runners)
       this.#holds.set(view.machine.id, (view.report?.holds ?? []).map(copyOf));
     for (const [unit, rate] of demand)
-      this.#placer.demand.add(moment(this.#now), unit, (rate * settings.demandSpanMs) / 1000);
+      this.#placer.demand.add(moment(this.#now), unit, (rate * settings.demandWindowMs) / 1000);
   }
 
   /** Plays so many steps and says what went wrong. */
@@ -59,7 +59,7 @@
       const holds = (this.#holds.get(view.machine.id) ?? []).map(copyOf);
       runners.push({
         ...view,
-        askedAt: moment(this.#now),
+        requestedAt: moment(this.#now),
         report: view.report ? { ...view.report, holds } : undefined,
       });
     }
--- a/src/placement/hold-times.ts
+++ b/src/placement/residency-times.ts
@@ -6,7 +6,7 @@
 const MAKING_WAY_MS = 15_000;
 
 /** Since when models are ready at runners, out of the places there, or making way for another. */
-export class HoldTimes {
+export class ResidencyTimes {
   readonly #unplacedAt = new Map<string, Moment>();
   readonly #readyAt = new Map<string, Moment>();
   readonly #makingWayUntil = new Map<string, Moment>();
--- a/src/placement/runner-inventory.ts
+++ b/src/placement/runner-inventory.ts
@@ -25,7 +25,7 @@
       let runner = this.#state.runners.get(listed.id);
       if (!runner) {
         runner = this.newRunner(now, listed);
-        this.#state.isFleetOld = true;
+        this.#state.isFleetStale = true;
       } else {
         const old = runner.listed;
         runner.listed = listed;
@@ -34,7 +34,7 @@
           old.zone !== listed.zone ||
           old.slots !== listed.slots
         )
-          this.#state.isFleetOld = true;
+          this.#state.isFleetStale = true;
         // The list tells no count, so what is in doubt stays so for orders until the runner itself reports.
         if (runner.queue.length === 0 && runner.idleSince < madeAt)
           this.#adopt(now, runner, listed.holds);
@@ -47,7 +47,7 @@
       const coldUntil = listed.coldMs > 0 ? now + listed.coldMs : 0;
       if (Math.abs(coldUntil - runner.coldUntil) > 300) {
         runner.coldUntil = coldUntil;
-        this.#state.isFleetOld = true;
+        this.#state.isFleetStale = true;
       }
     }
     for (const runner of this.#state.runners.values())
@@ -79,9 +79,9 @@
       unloadedAt: -Infinity,
       isUnloadingRuns: false,
       count: undefined,
-      helds: 0,
+      loadedModels: 0,
       counted: undefined,
-      hasLostOrder: false,
+      hasUnansweredOrder: false,
       suspectUntil: -Infinity,
       failures: 0,
       usedMb: undefined,
@@ -113,7 +113,7 @@
         held = {
           model,
           phase: 'ready',
-          since: now - this.#state.settings.stayMs,
+          since: now - this.#state.settings.minResidencyMs,
           adapters: new Map(),
           suspectedUntil: -Infinity,
         };
@@ -156,7 +156,8 @@
 
   #gone(now: Moment, runner: RunnerState): void {
     for (const held of runner.holds.values())
-      if (held.phase === 'ready' && held.model.holders.size === 1) held.model.lostAt = now;
+      if (held.phase === 'ready' && held.model.holders.size === 1)
+        held.model.lastReplicaLostAt = now;
     for (const op of [...runner.queue]) this.#state.removeOp(runner, op);
     for (const held of [...runner.holds.values()]) this.#state.unhold(runner, held);
     this.#state.busy.delete(runner);
@@ -164,7 +165,7 @@
     runner.engine?.runners.delete(runner);
     this.#state.runners.delete(runner.id);
     this.#state.dropRestored(runner.id);
-    this.#state.isFleetOld = true;
+    this.#state.isFleetStale = true;
   }
 
   #known(now: Moment, runner: RunnerState): void {
@@ -175,7 +176,7 @@
     runner.failures = 0;
     runner.idleSince = now;
     this.#state.dropRestored(runner.id);
-    this.#state.isFleetOld = true;
+    this.#state.isFleetStale = true;
   }
 
   /** A runner's own report: fresher than the list, but a few hundred ms old too. */
@@ -197,20 +198,23 @@
     this.#adopt(now, runner, status.holds);
     this.#learnCounting(runner, status.orderCount);
     runner.count = status.orderCount;
-    runner.helds = 0;
-    runner.hasLostOrder = false;
+    runner.loadedModels = 0;
+    runner.hasUnansweredOrder = false;
     this.#known(now, runner);
   }
 
   /** Whether orders that need not be done are counted; only a runner all of whose orders were answered can tell. */
   #learnCounting(runner: RunnerState, orderCount: number): void {
-    if (runner.counted === undefined || runner.helds === 0 || runner.hasLostOrder) return;
+    if (runner.counted === undefined || runner.loadedModels === 0 || runner.hasUnansweredOrder)
+      return;
     const isOther =
-      orderCount === runner.counted + (this.#state.countsHeld ? -runner.helds : runner.helds);
+      orderCount ===
+      runner.counted +
+        (this.#state.countsLoadedModels ? -runner.loadedModels : runner.loadedModels);
     this.#otherCounting = isOther ? this.#otherCounting + 1 : 0;
     // One runner may have been ordered by somebody else; several were not.
     if (this.#otherCounting >= 3) {
-      this.#state.countsHeld = !this.#state.countsHeld;
+      this.#state.countsLoadedModels = !this.#state.countsLoadedModels;
       this.#otherCounting = 0;
     }
   }
--- a/src/placement/store-window.ts
+++ b/src/placement/sliding-window-limit.ts
@@ -1,5 +1,5 @@
 /** What began lately, against a ceiling on how much may begin in any span of a length. */
-export class StoreWindow {
+export class SlidingWindowLimit {
   readonly #spanMs: number;
   /** Oldest first. */
   #begun: number[] = [];
--- a/src/placement/store-budget.ts
+++ b/src/placement/store-rate-limit.ts
@@ -8,7 +8,7 @@
 } from './planner-records.js';
 
 /** How many loads the weight store may begin and do at once, and how long they take. */
-export class StoreBudget {
+export class StoreRateLimit {
   readonly #state: PlacementState;
 
   constructor(state: PlacementState) {
--- a/src/rehearsal/sim-control.ts
+++ b/src/rehearsal/sim-control.ts
@@ -68,8 +68,8 @@
     };
     this.#core = new ControlCore(settings, this.#store.list(), this.now(), this.#vote, {
       ...PLACER_DEFAULTS,
-      stayMs: 2000,
-      demandSpanMs: 5000,
+      minResidencyMs: 2000,
+      demandWindowMs: 5000,
     });
   }
 
--- a/src/simulation/same-runs/planner-run.ts
+++ b/src/simulation/same-runs/planner-run.ts
@@ -232,7 +232,7 @@
 
   #plan(): void {
     const planner = this.#planner;
-    const input = { routing: this.#routing, emptied: this.#evacuated, flows: this.#flows };
+    const input = { routing: this.#routing, evacuatedZones: this.#evacuated, proxies: this.#flows };
     const changed = planner.plan(this.#at, input);
     if (changed.length > 0) this.#store(changed);
     for (const intent of planner.orders(this.#at)) this.#send(intent);
