--- a/src/agent/agent-command.ts
+++ b/src/agent/agent-command.ts
@@ -20,13 +20,13 @@
 
   async run(): Promise<void> {
     const { flags } = await this.parse(AgentCommand);
-    const settings = this.settle(TableAgentSettingsShape, flags);
+    const settings = this.parseSettings(TableAgentSettingsShape, flags);
     const agent = new TableAgentProcess(settings, makeLog('agent', settings.listen));
     const status = new StatusPort(
       () => agent.counters(),
       () => agent.metrics(),
     );
-    await this.begin(async (): Promise<void> => {
+    await this.startOrExit(async (): Promise<void> => {
       await agent.start();
       if (settings.status !== undefined) await status.listen(settings.status);
     });
--- a/src/agent/agent-core.ts
+++ b/src/agent/agent-core.ts
@@ -1,7 +1,7 @@
 import { array, string, type } from 'superstruct';
 import { later, moment, type Moment } from '../common/ids.js';
 import { parseAs } from '../common/json.js';
-import type { HaveMessage, Message } from '../common/messages.js';
+import type { KnownVersion, Message } from '../common/messages.js';
 import { compareVersions, NO_VERSION, versionsBetween, type Version } from '../common/version.js';
 import { Relay } from '../dissemination/relay.js';
 import { FreshnessConfirmation } from '../dissemination/freshness-confirmation.js';
@@ -273,17 +273,17 @@
   }
 
   /** Leaving runners that one below has not heard of, since a line dropped them or it came later. */
-  #tellLacked(to: string, have: readonly HaveMessage[]): void {
+  #tellLacked(to: string, have: readonly KnownVersion[]): void {
     const runners = this.#leaving.missingFrom(have);
     if (runners.length > 0) this.#send(to, { kind: 'leaving', runners: [...runners] });
   }
 
-  #have(): HaveMessage[] {
+  #have(): KnownVersion[] {
     return [...this.#relay.knownVersions(), ...this.#leaving.summary()];
   }
 
   /** What a proxy holds is in force there: it applies news as it takes it. */
-  #noteProxy(from: string, have: readonly HaveMessage[]): void {
+  #noteProxy(from: string, have: readonly KnownVersion[]): void {
     const proxy = this.#proxies.get(from);
     const config = have.find(isConfig);
     if (proxy && config) proxy.acked = { epoch: config.epoch, count: config.count };
@@ -528,7 +528,7 @@
 function isPresent(proxy: ProxyState): boolean {
   return proxy.goneAt === undefined;
 }
-function isConfig(item: HaveMessage): boolean {
+function isConfig(item: KnownVersion): boolean {
   return item.topic === 'config';
 }
 
--- a/src/agent/agent-leaving.test.ts
+++ b/src/agent/agent-leaving.test.ts
@@ -1,6 +1,6 @@
 import { expect, test } from 'vitest';
 import { moment } from '../common/ids.js';
-import type { HaveMessage } from '../common/messages.js';
+import type { KnownVersion } from '../common/messages.js';
 import { AgentCore } from './agent-core.js';
 
 const SEEDS = ['10.0.0.1:1', '10.0.0.2:1', '10.0.0.3:1'];
@@ -18,7 +18,7 @@
   return new AgentCore({ ...settings, isDeployed: true }, moment(0));
 }
 
-function ask(core: AgentCore, at: number, from: string, have: HaveMessage[] = []): void {
+function ask(core: AgentCore, at: number, from: string, have: KnownVersion[] = []): void {
   const role = from === PROXY ? 'flow' : 'link';
   core.onMessage(moment(at), from, role, { kind: 'freshnessRequest', nonce: 0, have, members: [] });
 }
@@ -37,7 +37,7 @@
 }
 
 /** What the agent says that it holds when it asks for news. */
-function held(core: AgentCore, at: number): HaveMessage[] {
+function held(core: AgentCore, at: number): KnownVersion[] {
   core.tick(moment(at));
   for (const effect of core.drain())
     if (effect.do === 'send' && effect.message.kind === 'freshnessRequest')
--- a/src/common/ids.ts
+++ b/src/common/ids.ts
@@ -18,24 +18,24 @@
   return Number.isFinite(value);
 }
 
-function wrong(kind: string, value: string | number): TypeError {
+function invalidValue(kind: string, value: string | number): TypeError {
   return new TypeError(`not a ${kind}: ${JSON.stringify(value)}`);
 }
 
 export function nodeId(text: string): NodeId {
-  if (!isNodeId(text)) throw wrong('peer id', text);
+  if (!isNodeId(text)) throw invalidValue('peer id', text);
   return text;
 }
 export function partitionName(text: string): PartitionName {
-  if (!isPartitionName(text)) throw wrong('partition name', text);
+  if (!isPartitionName(text)) throw invalidValue('partition name', text);
   return text;
 }
 export function epochOf(value: number): Epoch {
-  if (!isEpoch(value)) throw wrong('epoch', value);
+  if (!isEpoch(value)) throw invalidValue('epoch', value);
   return value;
 }
 export function moment(value: number): Moment {
-  if (!isMoment(value)) throw wrong('moment', value);
+  if (!isMoment(value)) throw invalidValue('moment', value);
   return value;
 }
 
--- a/src/common/messages.ts
+++ b/src/common/messages.ts
@@ -129,11 +129,11 @@
 export type MessageKind = keyof Shapes;
 export type Body<K extends MessageKind> = Infer<Shapes[K]>;
 export type Message = { [K in MessageKind]: { readonly kind: K } & Readonly<Body<K>> }[MessageKind];
-export type ReportMessage = Infer<typeof Report>;
-export type CopyMessage = Infer<typeof Copy>;
-export type HaveMessage = Infer<typeof Have>;
-export type ControlNodeMessage = Infer<typeof ControlNode>;
-export type MemberMessage = Infer<typeof Member>;
+export type ScoreReport = Infer<typeof Report>;
+export type StoredReplica = Infer<typeof Copy>;
+export type KnownVersion = Infer<typeof Have>;
+export type ControlNodeZone = Infer<typeof ControlNode>;
+export type MemberVersion = Infer<typeof Member>;
 
 interface Coder {
   encode(message: Message): Uint8Array;
--- a/src/common/program-command.ts
+++ b/src/common/program-command.ts
@@ -16,7 +16,7 @@
 
 export abstract class ProgramCommand extends Command {
   /** Checks the settings before any port opens: every fault is one line, and the exit code is 2. */
-  protected settle<T, S>(shape: Struct<T, S>, flags: Readonly<Record<string, unknown>>): T {
+  protected parseSettings<T, S>(shape: Struct<T, S>, flags: Readonly<Record<string, unknown>>): T {
     const { settings: path, seed, ...given } = flags;
     const { settings, faults } = readSettings(shape, typeof path === 'string' ? path : undefined, {
       ...given,
@@ -28,7 +28,7 @@
   }
 
   /** A port that cannot be opened ends the program with 1 and a line that says which. */
-  protected async begin(start: () => Promise<void>): Promise<void> {
+  protected async startOrExit(start: () => Promise<void>): Promise<void> {
     try {
       await start();
     } catch (thrown) {
--- a/src/common/quorum.ts
+++ b/src/common/quorum.ts
@@ -5,9 +5,9 @@
   readonly #sets: readonly (readonly NodeId[])[];
   readonly #all: readonly NodeId[];
 
-  constructor(...sets: readonly (readonly NodeId[])[]) {
-    this.#sets = sets;
-    this.#all = [...new Set(sets.flat())].sort();
+  constructor(...setCount: readonly (readonly NodeId[])[]) {
+    this.#sets = setCount;
+    this.#all = [...new Set(setCount.flat())].sort();
   }
 
   get all(): readonly NodeId[] {
@@ -23,7 +23,7 @@
     return this.#sets.join(' | ');
   }
 
-  holds(id: NodeId): boolean {
+  includes(id: NodeId): boolean {
     return this.#all.includes(id);
   }
 
--- a/src/common/reply-server.ts
+++ b/src/common/reply-server.ts
@@ -13,13 +13,13 @@
 }
 
 /** Serves one call; where it fails, the caller gets the server's reply to failures. */
-export type Serve = (asked: IncomingMessage) => Promise<HttpReply>;
+export type RequestHandler = (asked: IncomingMessage) => Promise<HttpReply>;
 
 export interface ReplyServerSettings {
-  readonly serve: Serve;
+  readonly handle: RequestHandler;
   readonly onFailure: HttpReply;
   /** What a reply with status 503 tells as `retry-after`, in seconds; nothing where it tells none. */
-  readonly retryAfterS?: number;
+  readonly retryAfterSeconds?: number;
 }
 
 export class ReplyServer {
@@ -43,7 +43,7 @@
   }
 
   async #take(asked: IncomingMessage, returned: ServerResponse): Promise<void> {
-    const { serve, onFailure, retryAfterS } = this.#settings;
+    const { handle: serve, onFailure, retryAfterSeconds: retryAfterS } = this.#settings;
     let reply: HttpReply;
     try {
       reply = await serve(asked);
--- a/src/control/control-command.ts
+++ b/src/control/control-command.ts
@@ -23,9 +23,9 @@
 
   async run(): Promise<void> {
     const { flags } = await this.parse(ControlCommand);
-    const settings = this.settle(TableControlSettingsShape, flags);
+    const settings = this.parseSettings(TableControlSettingsShape, flags);
     const controlNode = new TableControlProcess(settings, makeLog('control', settings.listen));
-    await this.begin(() => controlNode.start());
+    await this.startOrExit(() => controlNode.start());
     await untilStopped();
     await controlNode.stop();
     this.exit(0);
--- a/src/control/control-core.ts
+++ b/src/control/control-core.ts
@@ -348,7 +348,7 @@
     voters.follow();
     orders.onCommitted(now, version, tokens, [...named, ...members.possible(now)]);
     // Let go by the voters: a seat that is handed over as planned gives the lease back itself, any other leader steps down.
-    if (!this.#isRetiring && !voters.quorum.holds(me)) elector.stepDown();
+    if (!this.#isRetiring && !voters.quorum.includes(me)) elector.stepDown();
   }
 
   /** Where an operator exchanges voters, their change is ended here; in a deployment by the membership. */
@@ -363,7 +363,7 @@
   }
 
   #isVoter(id: string): boolean {
-    return this.#replica.voters.quorum.holds(nodeId(id));
+    return this.#replica.voters.quorum.includes(nodeId(id));
   }
 
   /** No voter as far as we know, or without a leader. */
--- a/src/control/control-node-zones.ts
+++ b/src/control/control-node-zones.ts
@@ -1,5 +1,5 @@
 import type { Moment, NodeId } from '../common/ids.js';
-import type { ControlNodeMessage } from '../common/messages.js';
+import type { ControlNodeZone } from '../common/messages.js';
 
 /** Tells when a control node was last heard of; nothing if it never was. */
 export interface Heartbeats {
@@ -33,8 +33,8 @@
   }
 
   /** These nodes as agents are told of them, who turn to one in their own zone. */
-  describe(now: Moment, ids: readonly NodeId[]): ControlNodeMessage[] {
-    const list: ControlNodeMessage[] = [];
+  describe(now: Moment, ids: readonly NodeId[]): ControlNodeZone[] {
+    const list: ControlNodeZone[] = [];
     for (const id of ids)
       list.push({ id, zone: id === this.#me ? this.#zone : this.#reachableZoneOf(now, id) });
     return list;
--- a/src/control/control-snapshot.ts
+++ b/src/control/control-snapshot.ts
@@ -65,7 +65,7 @@
   return {
     members: voters.quorum.all.length,
     reachable: elector.reachableVoters(now),
-    isVoter: voters.quorum.holds(me),
+    isVoter: voters.quorum.includes(me),
     isJoint: voters.quorum.sets > 1,
   };
 }
--- a/src/control/draining-runners-reader.ts
+++ b/src/control/draining-runners-reader.ts
@@ -1,5 +1,5 @@
 import { later, moment, nodeId, type Moment } from '../common/ids.js';
-import type { HaveMessage, Message } from '../common/messages.js';
+import type { KnownVersion, Message } from '../common/messages.js';
 import type { Quorum } from '../common/quorum.js';
 import type { Relay } from '../dissemination/relay.js';
 import { DrainingRunnerIds } from '../dissemination/draining-runner-ids.js';
@@ -102,7 +102,7 @@
   }
 
   /** A node below asked for news: ids that were lost on the way to it are told again. */
-  onUpdateRequest(from: string, have: readonly HaveMessage[]): void {
+  onUpdateRequest(from: string, have: readonly KnownVersion[]): void {
     // To a voter it would say that the list was read just now.
     if (this.#isVoter(from)) return;
     const runners = this.#runners.missingFrom(have);
@@ -122,7 +122,7 @@
   }
 
   #isVoter(id: string): boolean {
-    return this.#host.quorum().holds(nodeId(id));
+    return this.#host.quorum().includes(nodeId(id));
   }
 
   /** One that leads without serving yet renews its lease, but reads no list: its term's first word on the fleet is the sign. */
--- a/src/control/known-members.test.ts
+++ b/src/control/known-members.test.ts
@@ -1,6 +1,6 @@
 import { expect, test } from 'vitest';
 import { moment } from '../common/ids.js';
-import type { MemberMessage } from '../common/messages.js';
+import type { MemberVersion } from '../common/messages.js';
 import { NO_VERSION } from '../common/version.js';
 import { Sessions } from '../dissemination/sessions.js';
 import { KnownMembers } from './known-members.js';
@@ -9,11 +9,11 @@
 const STARTED = moment(0);
 const SETTLED = moment(5000);
 
-function memberOf(id: string): MemberMessage {
+function memberOf(id: string): MemberVersion {
   return { id, zone: 'z', address: `${id}:1`, epoch: 0, count: 0 };
 }
 
-function idsOf(members: readonly MemberMessage[]): string[] {
+function idsOf(members: readonly MemberVersion[]): string[] {
   const ids: string[] = [];
   for (const { id } of members) ids.push(id);
   return ids;
--- a/src/control/known-members.ts
+++ b/src/control/known-members.ts
@@ -1,18 +1,18 @@
 import { later, type Moment } from '../common/ids.js';
-import type { MemberMessage } from '../common/messages.js';
+import type { MemberVersion } from '../common/messages.js';
 import { compareVersions, isNewer, NO_VERSION, type Version } from '../common/version.js';
 import type { Sessions } from '../dissemination/sessions.js';
 import type { Commit } from './operator-edits.js';
 
 interface ReportedMembers {
-  readonly members: readonly MemberMessage[];
+  readonly members: readonly MemberVersion[];
   readonly at: Moment;
 }
 
 /** Clocks differ in rate, and a confirmation takes its way: whoever is not fresh by so long after is surely blind. */
 const FRESHNESS_SLACK_MS = 200;
 /** Stands for all that cannot be known; it acknowledges nothing. */
-const UNKNOWN: MemberMessage = { id: 'unknown', zone: '', address: '', epoch: 0, count: 0 };
+const UNKNOWN: MemberVersion = { id: 'unknown', zone: '', address: '', epoch: 0, count: 0 };
 
 /** The members (agents and their proxies) that may still work by an older configuration, and what each acknowledged. */
 export class KnownMembers {
@@ -47,7 +47,7 @@
   }
 
   /** Another control node told its members. */
-  onMembersReported(now: Moment, node: string, members: readonly MemberMessage[]): void {
+  onMembersReported(now: Moment, node: string, members: readonly MemberVersion[]): void {
     this.#reportedByNode.set(node, { members, at: now });
   }
 
@@ -57,12 +57,12 @@
   }
 
   /** The newest configuration that a member acknowledged, or has by its own word. */
-  ackedBy(member: MemberMessage): Version {
+  ackedBy(member: MemberVersion): Version {
     return this.#acked.get(member.id) ?? member;
   }
 
   /** Those with a session here now or lately, and those confirmed fresh through us lately, wherever their session is. */
-  own(): MemberMessage[] {
+  own(): MemberVersion[] {
     const list = [...this.#sessions.recentMembers()];
     const ids = new Set<string>();
     for (const member of list) ids.add(member.id);
@@ -72,14 +72,14 @@
   }
 
   /** All that this node knows of; one may be named more than once. */
-  all(): MemberMessage[] {
+  all(): MemberVersion[] {
     const list = this.own();
     for (const heard of this.#reportedByNode.values()) list.push(...heard.members);
     return list;
   }
 
   /** With one that acks nothing while we have just started and cannot know them all: a yes then waits until all are surely blind. */
-  possible(now: Moment): MemberMessage[] {
+  possible(now: Moment): MemberVersion[] {
     const list = this.all();
     if (now < this.#unknownUntil) list.push(UNKNOWN);
     return list;
--- a/src/control/member-messages.ts
+++ b/src/control/member-messages.ts
@@ -1,5 +1,5 @@
 import { later, moment, nodeId, type Moment, type NodeId } from '../common/ids.js';
-import type { MemberMessage, Message } from '../common/messages.js';
+import type { MemberVersion, Message } from '../common/messages.js';
 import type { Relay } from '../dissemination/relay.js';
 import type { Sessions } from '../dissemination/sessions.js';
 import type { Elector } from '../election/elector.js';
@@ -131,7 +131,7 @@
     this.#dependencies.members.onAck(from, message);
   }
 
-  #onAcked(now: Moment, from: string, list: readonly MemberMessage[]): void {
+  #onAcked(now: Moment, from: string, list: readonly MemberVersion[]): void {
     const { members, isDeployed } = this.#dependencies;
     for (const member of list) members.onAck(member.id, member);
     // Elsewhere the rounds of confirmation name them.
--- a/src/control/operator-api.ts
+++ b/src/control/operator-api.ts
@@ -59,9 +59,9 @@
     this.#counters = counters;
     this.#metrics = metrics;
     this.#server = new ReplyServer({
-      serve: (incoming) => this.#onRequest(incoming),
+      handle: (incoming) => this.#onRequest(incoming),
       onFailure: MALFORMED,
-      retryAfterS: RETRY_AFTER_S,
+      retryAfterSeconds: RETRY_AFTER_S,
     });
   }
 
--- a/src/control/operator-edits.ts
+++ b/src/control/operator-edits.ts
@@ -8,7 +8,7 @@
 } from '../common/errors.js';
 import { later, type Moment } from '../common/ids.js';
 import { mustParseAs, parseAs } from '../common/json.js';
-import type { MemberMessage } from '../common/messages.js';
+import type { MemberVersion } from '../common/messages.js';
 import type { Version } from '../common/version.js';
 import type { ConfigDialect } from '../route/routing.js';
 import { EditShapes, MAX_EDITS, mayBeForgotten, type ConfigDoc } from './config-shapes.js';
@@ -123,7 +123,7 @@
     now: Moment,
     version: Version,
     tokens: readonly number[],
-    members: readonly MemberMessage[],
+    members: readonly MemberVersion[],
   ): void {
     const ids = new Set<string>();
     for (const member of members) ids.add(member.id);
--- a/src/control/quorum-reads.ts
+++ b/src/control/quorum-reads.ts
@@ -1,6 +1,6 @@
 import { NoLeaderError } from '../common/errors.js';
 import type { Moment, NodeId } from '../common/ids.js';
-import type { MemberMessage, Message } from '../common/messages.js';
+import type { MemberVersion, Message } from '../common/messages.js';
 import type { Quorum } from '../common/quorum.js';
 import { isNewer, NO_VERSION, type Version } from '../common/version.js';
 import {
@@ -155,7 +155,7 @@
     return this.#lastId;
   }
 
-  #onMembers(now: Moment, from: string, members: readonly MemberMessage[]): void {
+  #onMembers(now: Moment, from: string, members: readonly MemberVersion[]): void {
     if (from !== this.#dependencies.me)
       this.#dependencies.members.onMembersReported(now, from, members);
   }
--- a/src/control/replica-repair.ts
+++ b/src/control/replica-repair.ts
@@ -93,7 +93,7 @@
     this.#dependencies.counters.countRepair();
     const { hasSpares, voters, me } = this.#dependencies;
     // One that is no voter has granted nothing that binds here: it joins the epoch that stands, and no election is due for it.
-    this.#beginToVote(now, hasSpares && !voters.quorum.holds(me) ? 0 : repair.epoch);
+    this.#beginToVote(now, hasSpares && !voters.quorum.includes(me) ? 0 : repair.epoch);
   }
 
   #beginToVote(now: Moment, epoch: number): void {
--- a/src/control/testing/attached-proxy.ts
+++ b/src/control/testing/attached-proxy.ts
@@ -1,7 +1,7 @@
 import { AgentCore } from '../../agent/agent-core.js';
 import { moment, type Moment } from '../../common/ids.js';
 import { parseAs } from '../../common/json.js';
-import type { HaveMessage, Message } from '../../common/messages.js';
+import type { KnownVersion, Message } from '../../common/messages.js';
 import { DrainingRunnerIds } from '../../dissemination/draining-runner-ids.js';
 import { FleetDeltaShape, FleetShape, type FleetRunner } from '../../placement/fleet.js';
 import type { FaultCluster, Neighbour } from './fault-cluster.js';
@@ -14,7 +14,7 @@
   readonly id: string;
   readonly #cluster: FaultCluster;
   readonly #agent: AgentCore;
-  readonly #held = new Map<string, HaveMessage>();
+  readonly #held = new Map<string, KnownVersion>();
   readonly #leaving = new DrainingRunnerIds();
   /** When the proxy heard first that a runner leaves. */
   readonly #heardAt = new Map<string, Moment>();
--- a/src/control/update-exchange.ts
+++ b/src/control/update-exchange.ts
@@ -1,6 +1,6 @@
 import { later, moment, type Moment, type NodeId } from '../common/ids.js';
 import { parseAs } from '../common/json.js';
-import type { HaveMessage, Message } from '../common/messages.js';
+import type { KnownVersion, Message } from '../common/messages.js';
 import { isNewer } from '../common/version.js';
 import type { Relay } from '../dissemination/relay.js';
 import { MachinesShape, type Machines } from '../placement/shapes.js';
@@ -107,7 +107,7 @@
     for (const peer of this.#peers()) this.request(peer);
   }
 
-  #request(from: string, have: HaveMessage[]): void {
+  #request(from: string, have: KnownVersion[]): void {
     this.#dependencies.effects.send(from, {
       kind: 'freshnessRequest',
       nonce: UPDATES_ONLY_NONCE,
--- a/src/control/voter-membership.ts
+++ b/src/control/voter-membership.ts
@@ -149,7 +149,7 @@
   mustStayVoter(now: Moment): boolean {
     const host = this.#host;
     if (!this.#handover) {
-      if (!this.#isHealthy() || !host.voters.quorum.holds(nodeId(host.me))) return false;
+      if (!this.#isHealthy() || !host.voters.quorum.includes(nodeId(host.me))) return false;
       this.#handover = new VoterHandover(now);
     }
     const handover = this.#handover;
@@ -171,7 +171,9 @@
   /** No voter as far as we know, or without a leader. */
   #isWithoutLeader(): boolean {
     const { me } = this.#host;
-    return !this.#host.voters.quorum.holds(nodeId(me)) || this.#host.elector.leader === undefined;
+    return (
+      !this.#host.voters.quorum.includes(nodeId(me)) || this.#host.elector.leader === undefined
+    );
   }
 
   #isHealthy(): boolean {
@@ -180,7 +182,7 @@
 
   #announce(now: Moment): void {
     const host = this.#host;
-    const isVoter = host.voters.quorum.holds(nodeId(host.me));
+    const isVoter = host.voters.quorum.includes(nodeId(host.me));
     if (isVoter) this.#hasVoted = true;
     // One that is told to stop must not be taken in again.
     if (this.#handover || now < later(this.#announcedAt, ANNOUNCE_INTERVAL_MS)) return;
--- a/src/dissemination/draining-runner-ids.ts
+++ b/src/dissemination/draining-runner-ids.ts
@@ -1,5 +1,5 @@
 import type { Moment } from '../common/ids.js';
-import type { HaveMessage } from '../common/messages.js';
+import type { KnownVersion } from '../common/messages.js';
 
 /** The name under which the set is compared with what another node holds; it is no topic of the relay. */
 const TOPIC = 'leaving';
@@ -34,7 +34,7 @@
   }
 
   /** What a node says of its set when it asks for news; nothing for an empty one, as at nearly all times. */
-  summary(): readonly HaveMessage[] {
+  summary(): readonly KnownVersion[] {
     const { size } = this.#lastSeenAt;
     return size === 0
       ? []
@@ -42,7 +42,7 @@
   }
 
   /** What a node that asked with this lacks: all ids if its set is another one, since some may have been lost on the way. */
-  missingFrom(have: readonly HaveMessage[]): readonly string[] {
+  missingFrom(have: readonly KnownVersion[]): readonly string[] {
     const [own] = this.summary();
     if (!own) return [];
     const other = have.find(isOfSet);
@@ -50,7 +50,7 @@
   }
 }
 
-function isOfSet(item: HaveMessage): boolean {
+function isOfSet(item: KnownVersion): boolean {
   return item.topic === TOPIC;
 }
 
--- a/src/dissemination/relay.ts
+++ b/src/dissemination/relay.ts
@@ -1,4 +1,4 @@
-import type { HaveMessage, Message } from '../common/messages.js';
+import type { KnownVersion, Message } from '../common/messages.js';
 import { mergeFleetText } from '../placement/fleet.js';
 import { compareVersions, isNewer, NO_VERSION, type Version } from '../common/version.js';
 
@@ -62,8 +62,8 @@
     return this.#topics.get(topic)?.version ?? NO_VERSION;
   }
 
-  knownVersions(): HaveMessage[] {
-    const list: HaveMessage[] = [];
+  knownVersions(): KnownVersion[] {
+    const list: KnownVersion[] = [];
     for (const [topic, { version }] of this.#topics) list.push({ topic, ...version });
     return list;
   }
@@ -115,7 +115,7 @@
   }
 
   /** What a child says it has is truer than what we remember sending: the line may have dropped it. */
-  onKnownVersions(child: string, have: readonly HaveMessage[]): void {
+  onKnownVersions(child: string, have: readonly KnownVersion[]): void {
     const known = new Map<string, Version>();
     for (const item of have) known.set(item.topic, item);
     this.#children.set(child, known);
--- a/src/dissemination/sessions.ts
+++ b/src/dissemination/sessions.ts
@@ -1,5 +1,5 @@
 import { later, type Moment } from '../common/ids.js';
-import type { MemberMessage } from '../common/messages.js';
+import type { MemberVersion } from '../common/messages.js';
 import { compareVersions, type Version } from '../common/version.js';
 
 interface Session {
@@ -54,17 +54,17 @@
   }
 
   /** Members whose sessions stand. */
-  connectedMembers(): readonly MemberMessage[] {
+  connectedMembers(): readonly MemberVersion[] {
     return this.#list(true);
   }
 
   /** Members that may still be fresh: those up and those lost a short while ago. */
-  recentMembers(): readonly MemberMessage[] {
+  recentMembers(): readonly MemberVersion[] {
     return this.#list(false);
   }
 
-  #list(onlyUp: boolean): MemberMessage[] {
-    const list: MemberMessage[] = [];
+  #list(onlyUp: boolean): MemberVersion[] {
+    const list: MemberVersion[] = [];
     for (const { id, zone, address, acked, isConnected: isUp } of this.#sessions.values())
       if (isUp || !onlyUp) list.push({ id, zone, address, ...acked });
     return list;
--- a/src/election/ballot.ts
+++ b/src/election/ballot.ts
@@ -1,5 +1,5 @@
 import type { NodeId } from '../common/ids.js';
-import type { ReportMessage } from '../common/messages.js';
+import type { ScoreReport } from '../common/messages.js';
 import type { Quorum } from '../common/quorum.js';
 import { Scores } from './scores.js';
 import type { VoterLinks } from './voter-links.js';
@@ -42,7 +42,7 @@
     this.#frozen = this.#links.scores.freeze();
   }
 
-  reports(): ReportMessage[] {
+  reports(): ScoreReport[] {
     return this.#frozen.reports();
   }
 
@@ -61,7 +61,7 @@
     this.#deferrals.add(from);
   }
 
-  deferTo(proposer: NodeId, reports: readonly ReportMessage[]): void {
+  deferTo(proposer: NodeId, reports: readonly ScoreReport[]): void {
     const scores = new Scores(this.#me, this.#settings.halfLifeSeconds);
     scores.merge(reports);
     this.#deferredTo = proposer;
--- a/src/election/candidacy.test.ts
+++ b/src/election/candidacy.test.ts
@@ -1,6 +1,6 @@
 import { describe, expect, test } from 'vitest';
 import { nodeId } from '../common/ids.js';
-import type { Message, ReportMessage } from '../common/messages.js';
+import type { Message, ScoreReport } from '../common/messages.js';
 import { Quorum } from '../common/quorum.js';
 import { A, B, C, kindsOf, LoneVoter, reportOf } from './testing/lone-voter.js';
 import { VOTE_DEFAULTS } from './vote-settings.js';
@@ -11,7 +11,7 @@
 const FIRST_MS = pingMs;
 const D = nodeId('d');
 
-function propose(epoch: number, reports: ReportMessage[] = []): Message {
+function propose(epoch: number, reports: ScoreReport[] = []): Message {
   return { kind: 'propose', epoch, reports };
 }
 function defer(epoch: number): Message {
--- a/src/election/candidacy.ts
+++ b/src/election/candidacy.ts
@@ -1,10 +1,10 @@
 import { isElecting, nextElecting, type Epoch, type Moment, type NodeId } from '../common/ids.js';
-import type { ReportMessage } from '../common/messages.js';
+import type { ScoreReport } from '../common/messages.js';
 import type { Leadership } from './leadership.js';
 import type { ProposalTiming } from './proposal-timing.js';
 import type { Role, VoterState } from './voter-state.js';
 
-type Reports = readonly ReportMessage[];
+type Reports = readonly ScoreReport[];
 
 /** Roles that are given up where nothing came of them in time. */
 const WAITING_ROLES: ReadonlySet<Role> = new Set<Role>(['proposing', 'deferred', 'won']);
@@ -61,7 +61,7 @@
   receivePropose(now: Moment, from: NodeId, epoch: Epoch, reports: Reports): void {
     const state = this.#state;
     state.links.scores.merge(reports);
-    if (!state.mayVote || !state.quorum.holds(from)) return;
+    if (!state.mayVote || !state.quorum.includes(from)) return;
     const isSettled = state.leader !== undefined && !isElecting(state.epoch);
     if (isSettled && !state.quorumMembers.has(from)) this.#hearOutsider(now, epoch);
     else if (epoch < state.epoch) this.#answerOlder(from, isSettled);
@@ -72,7 +72,7 @@
   receiveDefer(now: Moment, from: NodeId, epoch: Epoch, reports: Reports): void {
     const { links, role, epoch: present, quorum, ballot, others } = this.#state;
     links.scores.merge(reports);
-    if (role !== 'proposing' || epoch !== present || !quorum.holds(from)) return;
+    if (role !== 'proposing' || epoch !== present || !quorum.includes(from)) return;
     ballot.addDeferral(from);
     // Everyone in reach has deferred: nothing is gained by waiting for the limit.
     if (quorum.isMajority(ballot.deferrals) && others.every(this.#hasDeferredOrIsDead, this))
--- a/src/election/following.ts
+++ b/src/election/following.ts
@@ -7,7 +7,7 @@
   type Moment,
   type NodeId,
 } from '../common/ids.js';
-import type { Message, ReportMessage } from '../common/messages.js';
+import type { Message, ScoreReport } from '../common/messages.js';
 import type { Candidacy } from './candidacy.js';
 import type { VoterState } from './voter-state.js';
 
@@ -77,7 +77,7 @@
   }
 
   /** Somebody that we spoke to is in a newer epoch. */
-  receiveBehind(now: Moment, epoch: Epoch, reports: readonly ReportMessage[]): void {
+  receiveBehind(now: Moment, epoch: Epoch, reports: readonly ScoreReport[]): void {
     const state = this.#state;
     state.links.scores.merge(reports);
     if (epoch <= state.epoch || !state.mayVote || state.role === 'following') return;
@@ -88,7 +88,7 @@
 
   #isWinner(from: NodeId, epoch: Epoch): boolean {
     const { mayVote, quorum } = this.#state;
-    return mayVote && quorum.holds(from) && !isElecting(epoch);
+    return mayVote && quorum.includes(from) && !isElecting(epoch);
   }
 
   #follow(now: Moment, from: NodeId, epoch: Epoch, message: VictoryMessage | RenewMessage): void {
--- a/src/election/score-order.test.ts
+++ b/src/election/score-order.test.ts
@@ -1,13 +1,13 @@
 import { expect, test } from 'vitest';
 import { nodeId, type NodeId } from '../common/ids.js';
-import type { ReportMessage } from '../common/messages.js';
+import type { ScoreReport } from '../common/messages.js';
 import { Scores } from './scores.js';
 
 const [a, b, c] = [nodeId('a'), nodeId('b'), nodeId('c')];
 const VOTERS = [a, b, c];
 const HALF_LIFE = 10;
 
-function reportOf(owner: NodeId, version: number, scores: Record<string, number>): ReportMessage {
+function reportOf(owner: NodeId, version: number, scores: Record<string, number>): ScoreReport {
   const links = Object.entries(scores).map(([peer, score]) => ({ peer, score, alive: true }));
   return { owner, version, links };
 }
--- a/src/election/scores.ts
+++ b/src/election/scores.ts
@@ -1,4 +1,4 @@
-import type { ReportMessage } from '../common/messages.js';
+import type { ScoreReport } from '../common/messages.js';
 import { nodeId, type NodeId } from '../common/ids.js';
 
 interface LinkScore {
@@ -49,7 +49,7 @@
     return peer === this.#me || this.#own(peer)?.isAlive === true;
   }
 
-  merge(reports: readonly ReportMessage[]): void {
+  merge(reports: readonly ScoreReport[]): void {
     for (const report of reports) {
       const owner = nodeId(report.owner);
       const known = this.#reports.get(owner) ?? NO_REPORT;
@@ -71,8 +71,8 @@
     }
   }
 
-  reports(): ReportMessage[] {
-    const list: ReportMessage[] = [];
+  reports(): ScoreReport[] {
+    const list: ScoreReport[] = [];
     for (const [owner, report] of this.#reports) {
       const links = [];
       for (const [peer, link] of report.links)
--- a/src/election/slow-links-election.test.ts
+++ b/src/election/slow-links-election.test.ts
@@ -1,5 +1,5 @@
 import { describe, expect, test } from 'vitest';
-import type { Message, ReportMessage } from '../common/messages.js';
+import type { Message, ScoreReport } from '../common/messages.js';
 import { A, B, C, kindsOf, LoneVoter, reportOf } from './testing/lone-voter.js';
 import { VOTE_DEFAULTS } from './vote-settings.js';
 
@@ -26,7 +26,7 @@
 ];
 
 /** Voter `b` that both others have answered once, over links with that round trip, once it has listened for a leader. */
-function voterOver(roundTripMs: number, reports: ReportMessage[] = EQUAL): LoneVoter {
+function voterOver(roundTripMs: number, reports: ScoreReport[] = EQUAL): LoneVoter {
   const voter = new LoneVoter(B);
   voter.tickAt(0);
   voter.moveTo(roundTripMs);
--- a/src/election/testing/lone-voter.ts
+++ b/src/election/testing/lone-voter.ts
@@ -1,5 +1,5 @@
 import { moment, nodeId, type Moment, type NodeId } from '../../common/ids.js';
-import type { Message, ReportMessage } from '../../common/messages.js';
+import type { Message, ScoreReport } from '../../common/messages.js';
 import { Quorum } from '../../common/quorum.js';
 import { Elector } from '../elector.js';
 import type { VoteRecord } from '../vote-effect.js';
@@ -89,13 +89,13 @@
 }
 
 /** A report of one owner on its links to all others, each with the same score. */
-export function reportOf(owner: NodeId, score = 1, alive = true): ReportMessage {
+export function reportOf(owner: NodeId, score = 1, alive = true): ScoreReport {
   const links = [A, B, C].filter((peer) => peer !== owner);
   return { owner, version: 1, links: links.map((peer) => ({ peer, score, alive })) };
 }
 
 /** Every peer reports a full score of every link that it has. */
-function everybodyFull(peers: readonly NodeId[]): ReportMessage[] {
+function everybodyFull(peers: readonly NodeId[]): ScoreReport[] {
   return peers.map((peer) => reportOf(peer));
 }
 
--- a/src/election/voter-state.ts
+++ b/src/election/voter-state.ts
@@ -59,7 +59,7 @@
   }
 
   get isVoter(): boolean {
-    return this.quorum.holds(this.me);
+    return this.quorum.includes(this.me);
   }
 
   /** Whether this node leads an epoch, or has won one and waits for its grants. */
--- a/src/proxy/proxy-command.ts
+++ b/src/proxy/proxy-command.ts
@@ -22,10 +22,10 @@
 
   async run(): Promise<void> {
     const { flags } = await this.parse(ProxyCommand);
-    const settings = this.settle(TableProxySettingsShape, flags);
+    const settings = this.parseSettings(TableProxySettingsShape, flags);
     const proxy = new TableProxyProcess(settings, makeLog('proxy', settings.listen));
     const status = new StatusPort(() => proxy.counters());
-    await this.begin(async (): Promise<void> => {
+    await this.startOrExit(async (): Promise<void> => {
       await proxy.start();
       if (settings.status !== undefined) await status.listen(settings.status);
     });
--- a/src/proxy/proxy-process.ts
+++ b/src/proxy/proxy-process.ts
@@ -7,7 +7,7 @@
 import { parseAs } from '../common/json.js';
 import { newIncarnation } from '../common/incarnation.js';
 import { bindServer, parseAddress } from '../common/listen.js';
-import type { HaveMessage, Message } from '../common/messages.js';
+import type { KnownVersion, Message } from '../common/messages.js';
 import { compareVersions, NO_VERSION, versionText, type Version } from '../common/version.js';
 import { ConfigUpdateShape } from '../control/config-shapes.js';
 import { Exchange, type Incoming } from '../dissemination/exchange.js';
@@ -171,7 +171,7 @@
 
   #requestUpdates(): void {
     this.#drainingRunners.tick(monotonicNow());
-    const have: HaveMessage[] = [...this.#drainingRunners.summary()];
+    const have: KnownVersion[] = [...this.#drainingRunners.summary()];
     for (const [topic, version] of this.#versions) have.push({ topic, ...version });
     this.#nonce += 1;
     this.#exchange.send(this.#settings.agentAddress, {
--- a/src/proxy/table-proxy-process.ts
+++ b/src/proxy/table-proxy-process.ts
@@ -4,7 +4,7 @@
 import { monotonicNow } from '../common/clock.js';
 import { Counters } from '../common/counters.js';
 import type { HaretrackError } from '../common/errors.js';
-import type { HaveMessage } from '../common/messages.js';
+import type { KnownVersion } from '../common/messages.js';
 import { newIncarnation } from '../common/incarnation.js';
 import { SerialQueue } from '../common/serial-queue.js';
 import type { TableProxySettingsShape } from '../common/settings.js';
@@ -90,7 +90,7 @@
     this.#log.warn({ defect: defect.code }, defect.message);
   }
 
-  #have(): HaveMessage[] {
+  #have(): KnownVersion[] {
     return [
       { topic: 'config', ...this.#decision.configVersion },
       { topic: 'places', ...this.#decision.placesVersion },
--- a/src/state/replica-copies.ts
+++ b/src/state/replica-copies.ts
@@ -1,6 +1,6 @@
 import { createHash } from 'node:crypto';
 import { partitionName, type PartitionName } from '../common/ids.js';
-import type { CopyMessage } from '../common/messages.js';
+import type { StoredReplica } from '../common/messages.js';
 import { compareVersions, isNewer, NO_VERSION, type Version } from '../common/version.js';
 import type { StateEffects } from './replicated-state-effect.js';
 import type { StoredPartition } from './store.js';
@@ -62,15 +62,15 @@
   }
 
   /** All of them, as they are told to others. */
-  list(): CopyMessage[] {
-    const list: CopyMessage[] = [];
+  list(): StoredReplica[] {
+    const list: StoredReplica[] = [];
     for (const [partition, copy] of this.#copies)
       list.push({ part: partition, ...copy.version, body: copy.body, sound: copy.isSound });
     return list;
   }
 
   /** Takes copies read while being repaired, and returns the parts that must reach the disk before the voter counts again. */
-  adopt(copies: readonly CopyMessage[]): ReadonlySet<PartitionName> {
+  adopt(copies: readonly StoredReplica[]): ReadonlySet<PartitionName> {
     const storing = new Set<PartitionName>();
     for (const item of copies) {
       const partition = partitionName(item.part);
@@ -93,7 +93,7 @@
     return hash.digest('hex');
   }
 
-  #isWanted(partition: PartitionName, item: CopyMessage): boolean {
+  #isWanted(partition: PartitionName, item: StoredReplica): boolean {
     const known = this.of(partition);
     if (!known || !item.sound) return false;
     return !known.isSound || isNewer(item, known.version);
--- a/src/state/replica-founding.test.ts
+++ b/src/state/replica-founding.test.ts
@@ -1,6 +1,6 @@
 import { describe, expect, test } from 'vitest';
 import { moment, nodeId } from '../common/ids.js';
-import type { CopyMessage, Message } from '../common/messages.js';
+import type { StoredReplica, Message } from '../common/messages.js';
 import { Quorum } from '../common/quorum.js';
 import { CONFIG_PARTITION } from './partition-names.js';
 import {
@@ -46,7 +46,12 @@
   return status;
 }
 
-function reply(standing: string, epoch = 0, copies: CopyMessage[] = [], nonce = NONCE): ReadReply {
+function reply(
+  standing: string,
+  epoch = 0,
+  copies: StoredReplica[] = [],
+  nonce = NONCE,
+): ReadReply {
   return { kind: 'readReply', epoch, nonce, sound: false, copies, standing };
 }
 
@@ -67,7 +72,7 @@
 }
 
 /** The configuration as a voter tells it, with the voters that it names. */
-function configOf(epoch: number, count: number, ...voters: readonly string[]): CopyMessage {
+function configOf(epoch: number, count: number, ...voters: readonly string[]): StoredReplica {
   return copyOf(CONFIG_PARTITION, { epoch, count }, `voters ${voters.join(' ')}`);
 }
 
--- a/src/state/replica-status.ts
+++ b/src/state/replica-status.ts
@@ -1,5 +1,5 @@
 import { later, type NodeId, type Moment } from '../common/ids.js';
-import type { CopyMessage, Message } from '../common/messages.js';
+import type { StoredReplica, Message } from '../common/messages.js';
 import type { Quorum } from '../common/quorum.js';
 import { isNewer, NO_VERSION, type Version } from '../common/version.js';
 import { CONFIG_PARTITION } from './partition-names.js';
@@ -10,7 +10,7 @@
 interface Return {
   readonly standing: string;
   readonly epoch: number;
-  readonly copies: readonly CopyMessage[];
+  readonly copies: readonly StoredReplica[];
 }
 
 export type ReplicaStatusOutcome =
@@ -19,7 +19,7 @@
   | {
       readonly become: 'repaired';
       readonly epoch: number;
-      readonly copies: readonly CopyMessage[];
+      readonly copies: readonly StoredReplica[];
     };
 
 type ReadReply = Extract<Message, { kind: 'readReply' }>;
@@ -126,7 +126,7 @@
   }
 
   /** The return to a node that asks how we stand. */
-  replyTo(nonce: number, epoch: number, copies: CopyMessage[], hasGranted: boolean): Message {
+  replyTo(nonce: number, epoch: number, copies: StoredReplica[], hasGranted: boolean): Message {
     // Founded, but nothing was ever decided with us: others may still found beside us, however far our own tries ran the epoch.
     const isFresh = this.#name === 'sound' && !hasGranted && copies.every(isEmpty);
     // A blank node tells what its members hold: one that has no members of its own must not found over it.
@@ -188,7 +188,7 @@
     if (this.#name === 'sound') return undefined;
     const holders = new Set<NodeId>();
     let epoch = 0;
-    const copies: CopyMessage[] = [];
+    const copies: StoredReplica[] = [];
     // Whoever decided anything with us did so among the voters that the newest copy names, or that copy would not be it.
     const voters = this.#votersRead() ?? quorum;
     for (const peer of voters.all) {
@@ -202,7 +202,7 @@
     const mayFound =
       this.#mayFound &&
       this.#name === 'blank' &&
-      quorum.holds(this.#me) &&
+      quorum.includes(this.#me) &&
       this.#isAllFresh(quorum) &&
       now >= later(this.#bootAt, this.#foundMs);
     if (mayFound && (!this.isMemberHolding || this.#isForced))
@@ -217,10 +217,10 @@
   }
 }
 
-function isEmpty(copy: CopyMessage): boolean {
+function isEmpty(copy: StoredReplica): boolean {
   return copy.epoch === 0;
 }
-function isConfig(copy: CopyMessage): boolean {
+function isConfig(copy: StoredReplica): boolean {
   return copy.part === CONFIG_PARTITION;
 }
 function namesNobody(): undefined {
--- a/src/state/replicated-state-effect.ts
+++ b/src/state/replicated-state-effect.ts
@@ -1,5 +1,5 @@
 import type { NodeId, PartitionName } from '../common/ids.js';
-import type { MemberMessage, Message } from '../common/messages.js';
+import type { MemberVersion, Message } from '../common/messages.js';
 import type { Version } from '../common/version.js';
 
 /** What the replicated state wants done, or tells of what it reached. */
@@ -18,7 +18,7 @@
       readonly version: Version;
       readonly body: string;
       readonly tokens: readonly number[];
-      readonly members: readonly MemberMessage[];
+      readonly members: readonly MemberVersion[];
     }
   /** The newest configuration that was read while beginning to own the state names other voters than were known here. */
   | { readonly do: 'voters'; readonly version: Version; readonly body: string }
--- a/src/state/replicated-state.test.ts
+++ b/src/state/replicated-state.test.ts
@@ -1,6 +1,6 @@
 import { expect, test } from 'vitest';
 import { type NodeId, type PartitionName, nodeId, moment, partitionName } from '../common/ids.js';
-import type { CopyMessage } from '../common/messages.js';
+import type { StoredReplica } from '../common/messages.js';
 import { Quorum as Voters } from '../common/quorum.js';
 import type { Version } from '../common/version.js';
 import { ReplicatedState, type ReplicatedStateEffect } from './replicated-state.js';
@@ -73,10 +73,10 @@
 function storedAs(version: Version, isSound: boolean, partition: PartitionName): StoredPartition {
   return { partition, version, body: 'x', isSound };
 }
-function isUnsound(copy: CopyMessage): boolean {
+function isUnsound(copy: StoredReplica): boolean {
   return !copy.sound;
 }
-function partitionOf(copy: CopyMessage): string {
+function partitionOf(copy: StoredReplica): string {
   return copy.part;
 }
 function isDigestToC(line: string): boolean {
--- a/src/state/replicated-state.ts
+++ b/src/state/replicated-state.ts
@@ -1,5 +1,5 @@
 import { partitionName, type Moment, type NodeId, type PartitionName } from '../common/ids.js';
-import type { CopyMessage, MemberMessage, Message } from '../common/messages.js';
+import type { StoredReplica, MemberVersion, Message } from '../common/messages.js';
 import type { Quorum } from '../common/quorum.js';
 import { compareVersions, NO_VERSION, type Version } from '../common/version.js';
 import { CopyMending } from './copy-mending.js';
@@ -17,7 +17,7 @@
 interface DueReply {
   readonly to: NodeId;
   readonly version: Version;
-  readonly members: readonly MemberMessage[];
+  readonly members: readonly MemberVersion[];
 }
 
 /**
@@ -78,12 +78,12 @@
     return this.#copies.corruptPartitions();
   }
 
-  copies(): CopyMessage[] {
+  copies(): StoredReplica[] {
     return this.#copies.list();
   }
 
   /** Takes copies read while being repaired, and returns the parts that must reach the disk before the voter counts again. */
-  adopt(copies: readonly CopyMessage[]): ReadonlySet<PartitionName> {
+  adopt(copies: readonly StoredReplica[]): ReadonlySet<PartitionName> {
     return this.#copies.adopt(copies);
   }
 
@@ -128,7 +128,7 @@
     from: NodeId,
     message: Message,
     granted: number,
-    members: readonly MemberMessage[],
+    members: readonly MemberVersion[],
     standing: string,
   ): void {
     switch (message.kind) {
@@ -185,7 +185,7 @@
     from: NodeId,
     message: WriteMessage,
     granted: number,
-    members: readonly MemberMessage[],
+    members: readonly MemberVersion[],
   ): void {
     const partition = partitionName(message.part);
     const copy = this.#copies.of(partition);
@@ -212,7 +212,7 @@
     partition: PartitionName,
     version: Version,
     isGood: boolean,
-    members: readonly MemberMessage[],
+    members: readonly MemberVersion[],
   ): void {
     this.#effects.send(to, {
       kind: 'writeReply',
--- a/src/state/state-owner.ts
+++ b/src/state/state-owner.ts
@@ -6,7 +6,7 @@
   type NodeId,
   type PartitionName,
 } from '../common/ids.js';
-import type { CopyMessage, MemberMessage, Message } from '../common/messages.js';
+import type { StoredReplica, MemberVersion, Message } from '../common/messages.js';
 import type { Quorum } from '../common/quorum.js';
 import { compareVersions, isNewer, NO_VERSION, type Version } from '../common/version.js';
 import { CONFIG_PARTITION } from './partition-names.js';
@@ -27,7 +27,7 @@
 interface Write extends VersionedBody {
   readonly tokens: readonly number[];
   readonly acked: Set<NodeId>;
-  readonly members: MemberMessage[];
+  readonly members: MemberVersion[];
   sentAt: Moment;
   /** When a majority had it; the last voter is then given a moment more. */
   majorityAt: Moment | undefined;
@@ -152,7 +152,7 @@
     from: NodeId,
     partition: PartitionName,
     version: Version,
-    members: readonly MemberMessage[],
+    members: readonly MemberVersion[],
   ): void {
     const owned = this.#owned.get(partition);
     const writing = owned?.writing;
@@ -188,7 +188,7 @@
     }
   }
 
-  #takeRead(now: Moment, from: NodeId, copies: readonly CopyMessage[]): void {
+  #takeRead(now: Moment, from: NodeId, copies: readonly StoredReplica[]): void {
     for (const item of copies) {
       const owned = this.#owned.get(partitionName(item.part));
       if (!owned || isRead(owned) || !item.sound) continue;
--- a/src/state/testing/lone-replica.ts
+++ b/src/state/testing/lone-replica.ts
@@ -6,7 +6,7 @@
   type NodeId,
   type PartitionName,
 } from '../../common/ids.js';
-import type { CopyMessage, MemberMessage, Message } from '../../common/messages.js';
+import type { StoredReplica, MemberVersion, Message } from '../../common/messages.js';
 import { Quorum } from '../../common/quorum.js';
 import { NO_VERSION, type Version } from '../../common/version.js';
 import { CONFIG_PARTITION } from '../partition-names.js';
@@ -115,11 +115,11 @@
   version: Version = NO_VERSION,
   body = '',
   sound = true,
-): CopyMessage {
+): StoredReplica {
   return { part: partition, ...version, body, sound };
 }
 
-export function readReply(copies: readonly CopyMessage[], nonce = 1, epoch = EPOCH): Message {
+export function readReply(copies: readonly StoredReplica[], nonce = 1, epoch = EPOCH): Message {
   return {
     kind: 'readReply',
     epoch,
@@ -135,7 +135,7 @@
   partition: PartitionName,
   version: Version,
   isGood = true,
-  members: MemberMessage[] = [],
+  members: MemberVersion[] = [],
 ): Message {
   return { kind: 'writeReply', part: partition, ...version, good: isGood, members };
 }
