--- a/src/election/leadership.test.ts
+++ b/src/election/leadership.test.ts
@@ -189,6 +189,25 @@
 });
 
 describe('a change of voters', () => {
+  test('ends the lead of one that is let go, and its promises bind until they run out', () => {
+    const voter = leading();
+    voter.elector.stepDown();
+    expect(voter.drain()).toEqual([]);
+    expect([voter.elector.role, voter.elector.leader]).toEqual(['looking', undefined]);
+    expect(voter.elector.mayOrder(voter.now)).toBe(false);
+    const follower = new LoneVoter(A);
+    follower.receive(B, {
+      kind: 'victory',
+      epoch: 2,
+      reports: [],
+      nonce: 1,
+      quorum: [],
+      sentAt: 0,
+    });
+    follower.elector.stepDown();
+    expect([follower.elector.role, follower.elector.leader]).toEqual(['following', 'b']);
+  });
+
   test('makes a majority of the new ones decide when one that leads may order', () => {
     const voter = leading(0);
     // The grant of `c` binds until much later than those of `a` and `b`.
--- a/src/election/testing/lone-voter.ts
+++ b/src/election/testing/lone-voter.ts
@@ -8,9 +8,12 @@
 /** A message of the election and to whom it goes. */
 export type Sent = readonly [string, Message];
 
+/** The voters. */
 export const [A, B, C] = [nodeId('a'), nodeId('b'), nodeId('c')];
+/** All of them as one set. */
 export const THREE = new Quorum([A, B, C]);
 
+/** What is not as in a first start of three voters. */
 export interface LoneVoterOptions {
   readonly quorum?: Quorum;
   readonly record?: VoteRecord;
