--- a/src/compatibility/stored-state.test.ts
+++ b/src/compatibility/stored-state.test.ts
@@ -83,11 +83,11 @@
 describe.each(FOLDERS)('the data folder %s of an earlier build', (folder) => {
   test('opens with the same parts, versions and bodies', async () => {
     const stored = [...(await readFolder(folder))].sort(byPartition);
-    const seen = stored.map(({ partition, version, body, isSound }) => {
+    const seen = stored.map(({ partition, version, body, isIntact }) => {
       const { epoch, count } = version;
       // A part that nothing was written to yet is stored empty.
       const content: unknown = body === '' ? null : JSON.parse(body);
-      return { part: partition, epoch, count, intact: isSound, content };
+      return { part: partition, epoch, count, intact: isIntact, content };
     });
     expect(faults).toEqual([]);
     expect(stored.map(({ partition }) => partition)).toEqual(
@@ -199,8 +199,8 @@
       const before = partitionOf(await storeAt(path).readAll(), CONFIG_PARTITION);
       await damage(path, await newestOf(path, CONFIG_PARTITION));
       const after = partitionOf(await storeAt(path).readAll(), CONFIG_PARTITION);
-      expect(before.isSound).toBe(true);
-      expect(after.isSound).toBe(false);
+      expect(before.isIntact).toBe(true);
+      expect(after.isIntact).toBe(false);
       expect(after.version).toEqual({ epoch: 2, count: 108 });
       expect(faults.map(({ code: kind }) => kind)).toEqual(['bad-file']);
     },
@@ -209,11 +209,14 @@
   test('a part without any intact version is empty and does not count', async () => {
     const path = await copyOf('deployed/leader');
     for (const file of await versionsOf(path, CONFIG_PARTITION)) await writeFile(file, '{}');
-    const { version, body, isSound } = partitionOf(await storeAt(path).readAll(), CONFIG_PARTITION);
-    expect({ version, body, isSound }).toEqual({
+    const { version, body, isIntact } = partitionOf(
+      await storeAt(path).readAll(),
+      CONFIG_PARTITION,
+    );
+    expect({ version, body, isIntact }).toEqual({
       version: { epoch: 0, count: 0 },
       body: '',
-      isSound: false,
+      isIntact: false,
     });
   });
 
@@ -262,7 +265,7 @@
     await writeFile(file.replace(/\d+\.json$/, '9999.json.aside'), '{"part":"con');
     expect(partitionOf(await storeAt(path).readAll(), CONFIG_PARTITION)).toMatchObject({
       version: { epoch: 2, count: 109 },
-      isSound: true,
+      isIntact: true,
     });
     expect(faults).toEqual([]);
   });
--- a/src/control/command-handler.ts
+++ b/src/control/command-handler.ts
@@ -99,7 +99,7 @@
       this.#answer(origin, { outcome: 'already', standing: 'sound' });
       return;
     }
-    replicaStatus.force();
+    replicaStatus.forceNewCluster();
     takeover.expectMissingWrites();
     repair.resolve(now, replicaStatus.outcome(now, voters.quorum));
     this.#answer(origin, { outcome: 'forced', standing: replicaStatus.name });
--- a/src/control/config-size.test.ts
+++ b/src/control/config-size.test.ts
@@ -90,7 +90,7 @@
   cluster.configure(0, 1);
   cluster.kill(behind);
   const version = changed(cluster, 1, 300);
-  cluster.node(behind).store.rot(CONFIG_PARTITION);
+  cluster.node(behind).store.corrupt(CONFIG_PARTITION);
   cluster.start(behind, THREE);
   cluster.runUntil(() => cluster.isCounting(behind), CATCH_UP_MS, 'it is mended');
   const [third = ''] = THREE.filter(isNeither.bind(undefined, behind, cluster.leader()));
--- a/src/control/control-components.ts
+++ b/src/control/control-components.ts
@@ -192,7 +192,7 @@
   }
 
   #extraRoundTripMs(id: string): number {
-    return this.#replica.elector.slowMsOf(nodeId(id));
+    return this.#replica.elector.extraRoundTripMsOf(nodeId(id));
   }
 
   #otherLeader(): string | undefined {
--- a/src/control/control-core.ts
+++ b/src/control/control-core.ts
@@ -177,7 +177,7 @@
   onPersisted(now: Moment, partition: PartitionName, version: Version): void {
     const { votes, elector } = this.#replica;
     if (partition === VOTE_RECORD) {
-      votes.onPersisted(version, (token) => elector.kept(token));
+      votes.onPersisted(version, (token) => elector.onPersisted(token));
       this.#components.repair.onVotePersisted(version);
     } else {
       this.#components.stateMessages.onPersisted(now, partition, version);
@@ -287,7 +287,7 @@
   #onElectionMessage(now: Moment, from: string, message: Message): void {
     const { elector } = this.#replica;
     this.#onCandidate(from, message);
-    elector.receive(now, nodeId(from), message);
+    elector.onMessage(now, nodeId(from), message);
     if (message.kind !== 'victory' && message.kind !== 'renew') return;
     // A renewal tells the leader's clock; what is known of it bounds the age of the orders passed on.
     if (elector.leader === from && elector.epoch === message.epoch)
--- a/src/control/control-node-zones.test.ts
+++ b/src/control/control-node-zones.test.ts
@@ -6,11 +6,11 @@
 const OTHER = nodeId('b');
 
 /** Every node was heard of 100 ms after the start. */
-function heardAt(): Moment {
+function lastHeardAt(): Moment {
   return moment(100);
 }
 test('a node that was silent for a second is told without its zone', () => {
-  const zones = new ControlNodeZones(ME, 'east', { heardAt });
+  const zones = new ControlNodeZones(ME, 'east', { lastHeardAt });
   zones.onZoneReported('b', 'west');
   const near = [
     { id: ME, zone: 'east' },
--- a/src/control/control-node-zones.ts
+++ b/src/control/control-node-zones.ts
@@ -3,7 +3,7 @@
 
 /** Tells when a control node was last heard of; nothing if it never was. */
 export interface Heartbeats {
-  heardAt(node: NodeId): Moment | undefined;
+  lastHeardAt(node: NodeId): Moment | undefined;
 }
 
 /** One that was silent for longer is told without a zone. */
@@ -42,7 +42,7 @@
 
   /** Of one that is silent nothing is told: nobody is to turn to it for being near. */
   #reachableZoneOf(now: Moment, id: NodeId): string {
-    const at = this.#heartbeats.heardAt(id);
+    const at = this.#heartbeats.lastHeardAt(id);
     return at !== undefined && now - at < REACHABLE_MS ? this.zoneOf(id) : '';
   }
 }
--- a/src/control/control-process.ts
+++ b/src/control/control-process.ts
@@ -35,8 +35,8 @@
   pingMs: 250,
   renewMs: 300,
   electionMs: 500,
-  spanMs: 1500,
-  deadMs: 1200,
+  leaseMs: 1500,
+  peerTimeoutMs: 1200,
 } as const;
 /** An agent whose session brought nothing for so long in a deployment is disconnected. */
 export const SESSION_TIMEOUT_MS = 3000;
@@ -54,8 +54,8 @@
   readonly data: string;
   /** Address of the operators' API; undefined where this node offers none. */
   readonly control: string | undefined;
-  /** The handover gap: time between two leaders in which nobody may order. */
-  readonly leaseMs: number;
+  /** Time between two leaders in which nobody may order. */
+  readonly handoverGapMs: number;
   /** Settings of the planner that differ from its defaults. */
   readonly planner: Partial<PlannerSettings>;
 }
@@ -166,7 +166,7 @@
 
   async #makeCore(): Promise<ControlCore> {
     const stored = await this.#host.readStored();
-    const { me, zone, isFirstStart, leaseMs } = this.#settings;
+    const { me, zone, isFirstStart, handoverGapMs } = this.#settings;
     const deployed = {
       dialect: this.#ports.dialect,
       isFirstStart,
@@ -183,7 +183,7 @@
       foundMs: 0,
       deployed,
     };
-    const vote = { ...VOTE_DEFAULTS, ...DEPLOYED_VOTE, leaseMs };
+    const vote = { ...VOTE_DEFAULTS, ...DEPLOYED_VOTE, handoverGapMs };
     return new ControlCore(settings, stored, monotonicNow(), vote);
   }
 
--- a/src/control/draining-runners-reader.ts
+++ b/src/control/draining-runners-reader.ts
@@ -134,7 +134,8 @@
     }
     const isFollowing = elector.leader !== undefined && elector.leader !== this.#host.me;
     if (!isFollowing || relay.version('fleet').epoch !== elector.epoch) return;
-    if (elector.leaderHeardAt > this.#lastServedAt) this.#lastServedAt = elector.leaderHeardAt;
+    if (elector.leaderLastHeardAt > this.#lastServedAt)
+      this.#lastServedAt = elector.leaderLastHeardAt;
   }
 
   /** Whether a reading is due here; never where this node is no voter, since it then hears no renewals. */
--- a/src/control/followed-voters.test.ts
+++ b/src/control/followed-voters.test.ts
@@ -22,7 +22,7 @@
     partition: CONFIG_PARTITION,
     version: { epoch: 2, count: 1 },
     body: bodyOf(held),
-    isSound: true,
+    isIntact: true,
   };
   return {
     elector: new Elector(nodeId('a'), quorum, VOTE_DEFAULTS, moment(0), undefined),
--- a/src/control/member-messages.ts
+++ b/src/control/member-messages.ts
@@ -111,7 +111,7 @@
   #onJoin(now: Moment, from: string, message: JoinMessage): void {
     const { tree, replicaStatus, members, isDeployed } = this.#dependencies;
     tree.onJoin(now, from, message);
-    replicaStatus.noteMember(message.epoch);
+    replicaStatus.onMemberEpoch(message.epoch);
     members.onAck(from, message);
     if (isDeployed) this.#sendControlNodes(now, from);
   }
--- a/src/control/quorum-reads.ts
+++ b/src/control/quorum-reads.ts
@@ -111,7 +111,7 @@
     // Where answers take longer than we wait to ask again, those to a new nonce would never be in time: what is open goes
     // on with the answers that it has. Other voters are asked anew.
     if (this.#inFlight?.quorum.text === quorum.text) return this.#confirmation.retry(now);
-    return this.#confirmation.begin(now, this.#dependencies.elector.slowMs);
+    return this.#confirmation.begin(now, this.#dependencies.elector.extraRoundTripMs);
   }
 
   #sendRequests(now: Moment, { nonce, quorum, replies }: PendingRead): void {
--- a/src/control/replica-repair.ts
+++ b/src/control/replica-repair.ts
@@ -82,7 +82,7 @@
   onVotePersisted(version: Version): void {
     if (this.#healthyOnceStored === undefined || version.count < this.#healthyOnceStored) return;
     this.#healthyOnceStored = undefined;
-    this.#dependencies.replicaStatus.settle();
+    this.#dependencies.replicaStatus.resolve();
     this.#dependencies.effects.log({ event: 'replica became healthy' });
   }
 
--- a/src/control/state-messages.ts
+++ b/src/control/state-messages.ts
@@ -80,7 +80,7 @@
     const hasGranted = elector.record.grantEpoch > 0;
     effects.send(
       from,
-      replicaStatus.replyTo(message.nonce, elector.epoch, state.copies(), hasGranted),
+      replicaStatus.replyTo(message.nonce, elector.epoch, state.replicaMessages(), hasGranted),
     );
   }
 
@@ -90,14 +90,14 @@
       return;
     }
     const { replicaStatus, repair, voters } = this.#dependencies;
-    repair.resolve(now, replicaStatus.receive(now, from, message, voters.quorum));
+    repair.resolve(now, replicaStatus.onReadReply(now, from, message, voters.quorum));
   }
 
   #onStateMessage(now: Moment, from: NodeId, message: PartitionMessage): void {
     const { state, members, replicaStatus } = this.#dependencies;
     // Only a write's return names members.
     const named = message.kind === 'write' ? members.possible(now) : [];
-    state.receive(now, from, message, this.#grantedEpoch(), named, replicaStatus.name);
+    state.onMessage(now, from, message, this.#grantedEpoch(), named, replicaStatus.name);
   }
 
   /** The epoch granted here, on disk, and not moved on from; 0 if none is. */
--- a/src/control/testing/control-cluster.ts
+++ b/src/control/testing/control-cluster.ts
@@ -82,7 +82,7 @@
   }
 
   wipe(id: string): void {
-    this.node(id).store.wipe();
+    this.node(id).store.erase();
   }
 
   freeze(id: string): void {
@@ -160,7 +160,7 @@
         else if (effect.do === 'reply')
           node.answers.set(effect.id, { status: effect.status, body: effect.body });
         else if (effect.do === 'store' && node.disk === 'sound') {
-          node.store.keep(effect.partition, effect.version, effect.body);
+          node.store.persist(effect.partition, effect.version, effect.body);
           node.core.onPersisted(moment(this.#now), effect.partition, effect.version);
         }
       }
--- a/src/control/testing/duty-node.ts
+++ b/src/control/testing/duty-node.ts
@@ -25,7 +25,7 @@
     partition: VOTE_RECORD,
     version: { epoch: 0, count: 1 },
     body: JSON.stringify({ epoch: 0, grantEpoch: 0, grantLeader: '' }),
-    isSound: true,
+    isIntact: true,
   },
 ];
 
--- a/src/control/testing/fault-cluster.ts
+++ b/src/control/testing/fault-cluster.ts
@@ -119,9 +119,9 @@
   pingMs: 250,
   renewMs: 300,
   electionMs: 500,
-  spanMs: 1500,
-  deadMs: 1200,
-  leaseMs: 3000,
+  leaseMs: 1500,
+  peerTimeoutMs: 1200,
+  handoverGapMs: 3000,
 } as const;
 
 /**
@@ -262,7 +262,7 @@
   /** Brings back what was on a disk earlier; only for a node that is down. */
   restoreDisk(id: string, stored: readonly StoredPartition[]): void {
     const store = new MemoryStore();
-    for (const item of stored) store.keep(item.partition, item.version, item.body);
+    for (const item of stored) store.persist(item.partition, item.version, item.body);
     this.node(id).store = store;
   }
 
@@ -578,7 +578,7 @@
       node.stalled.push(() => this.#synced(id, incarnation, effect));
       return;
     }
-    node.store.keep(effect.partition, effect.version, effect.body);
+    node.store.persist(effect.partition, effect.version, effect.body);
     this.#input(id, () => this.#hearStored(id, effect));
   }
 
--- a/src/control/vote-storage.test.ts
+++ b/src/control/vote-storage.test.ts
@@ -7,8 +7,8 @@
 
 const RECORD: VoteRecord = { epoch: 4, grantEpoch: 3, grantLeader: 'b' };
 
-function file(body: string, isSound: boolean): StoredPartition {
-  return { partition: VOTE_RECORD, version: { epoch: 4, count: 7 }, body, isSound };
+function file(body: string, isIntact: boolean): StoredPartition {
+  return { partition: VOTE_RECORD, version: { epoch: 4, count: 7 }, body, isIntact };
 }
 test('only an empty folder is blank; a record that cannot be trusted is a lost one', () => {
   const sound = JSON.stringify(RECORD);
@@ -16,7 +16,7 @@
     partition: CONFIG_PARTITION,
     version: { epoch: 1, count: 1 },
     body: '',
-    isSound: true,
+    isIntact: true,
   };
   const lost = { status: 'lost', count: 7, record: undefined };
   expect(readVotes([])).toEqual({ status: 'blank', count: 0, record: undefined });
--- a/src/control/vote-storage.ts
+++ b/src/control/vote-storage.ts
@@ -29,7 +29,7 @@
   const file = stored.find(isVote);
   if (!file) return { status: stored.length === 0 ? 'blank' : 'lost', count: 0, record: undefined };
   const { count } = file.version;
-  const record = file.isSound ? parseAs(VoteRecordShape, file.body) : undefined;
+  const record = file.isIntact ? parseAs(VoteRecordShape, file.body) : undefined;
   return record ? { status: 'sound', count, record } : { status: 'lost', count, record: undefined };
 }
 
--- a/src/control/voter-membership.test.ts
+++ b/src/control/voter-membership.test.ts
@@ -94,7 +94,7 @@
     state.stored(partition, version, EPOCH, this.#now);
     for (const from of FOLLOWERS) {
       const message = { part: partition, ...version, good: true, members: [] };
-      state.receive(this.#now, from, { kind: 'writeReply', ...message }, EPOCH, [], 'sound');
+      state.onMessage(this.#now, from, { kind: 'writeReply', ...message }, EPOCH, [], 'sound');
     }
     state.drain();
     if (state.isWriting(partition)) throw new Error(`${partition} is still being written`);
@@ -103,9 +103,9 @@
   #readFollowers(): void {
     const { state } = this.replica;
     for (const from of FOLLOWERS) {
-      const copies = state.copies();
+      const copies = state.replicaMessages();
       const message = { epoch: EPOCH, nonce: 1, sound: true, copies, standing: 'sound' };
-      state.receive(this.#now, from, { kind: 'readReply', ...message }, EPOCH, [], 'sound');
+      state.onMessage(this.#now, from, { kind: 'readReply', ...message }, EPOCH, [], 'sound');
     }
   }
 
--- a/src/control/voter-membership.ts
+++ b/src/control/voter-membership.ts
@@ -87,7 +87,7 @@
   }
 
   idleMs(voter: string): number {
-    return this.#idleClock.idleMs(this.#now, this.#host.elector.heardAt(nodeId(voter)));
+    return this.#idleClock.idleMs(this.#now, this.#host.elector.lastHeardAt(nodeId(voter)));
   }
 
   isLeaving(id: string): boolean {
--- a/src/election/ballot.ts
+++ b/src/election/ballot.ts
@@ -2,15 +2,15 @@
 import type { ScoreReport } from '../common/messages.js';
 import type { Quorum } from '../common/quorum.js';
 import { Scores } from './scores.js';
-import type { VoterLinks } from './voter-links.js';
+import type { PeerMonitor } from './voter-links.js';
 import type { VoteSettings } from './vote-settings.js';
 
 /** How one voter judges proposals: by scores frozen at each epoch's start, with the deferrals of the present round. */
-export class Ballot {
+export class CandidateRanking {
   readonly #me: NodeId;
   readonly #settings: VoteSettings;
-  readonly #links: VoterLinks;
-  #frozen: Scores;
+  readonly #peerMonitor: PeerMonitor;
+  #frozenScores: Scores;
   #deferrals = new Set<NodeId>();
   #deferredTo: NodeId | undefined;
   /** The scores that came with the proposal deferred to. */
@@ -18,13 +18,13 @@
   /** Whether this process has followed somebody or led. */
   #hasKnownLeader = false;
   /** Who told us that it had won an epoch below ours, over slow links. */
-  #outrun: NodeId | undefined;
+  #overtakenLeader: NodeId | undefined;
 
-  constructor(me: NodeId, settings: VoteSettings, links: VoterLinks) {
+  constructor(me: NodeId, settings: VoteSettings, links: PeerMonitor) {
     this.#me = me;
     this.#settings = settings;
-    this.#links = links;
-    this.#frozen = links.scores.freeze();
+    this.#peerMonitor = links;
+    this.#frozenScores = links.scores.freeze();
   }
 
   /** Whom this voter has deferred to in the present round. */
@@ -38,15 +38,15 @@
   }
 
   /** Begins an epoch: later pings and merges do not change how its proposals are judged. */
-  freeze(): void {
-    this.#frozen = this.#links.scores.freeze();
+  freezeScores(): void {
+    this.#frozenScores = this.#peerMonitor.scores.freeze();
   }
 
   reports(): ScoreReport[] {
-    return this.#frozen.reports();
+    return this.#frozenScores.reports();
   }
 
-  clearRound(): void {
+  clearDeferrals(): void {
     this.#deferredTo = undefined;
     this.#deferredScores = undefined;
     this.#deferrals = new Set();
@@ -68,49 +68,49 @@
     this.#deferredScores = scores;
   }
 
-  noteLeader(): void {
+  onLeaderKnown(): void {
     this.#hasKnownLeader = true;
-    this.#outrun = undefined;
+    this.#overtakenLeader = undefined;
   }
 
   /** Somebody leads an epoch that our own proposals have passed: by the tie-break alone it is not to be outbid again. */
-  noteOutrun(leader: NodeId, quorum: Quorum): void {
-    if (this.#links.slowMs(quorum) > 0) this.#outrun = leader;
+  onOvertakenLeader(leader: NodeId, quorum: Quorum): void {
+    if (this.#peerMonitor.extraRoundTripMs(quorum) > 0) this.#overtakenLeader = leader;
   }
 
-  hasOutrun(leader: NodeId): boolean {
-    return this.#outrun === leader;
+  wasOvertaken(leader: NodeId): boolean {
+    return this.#overtakenLeader === leader;
   }
 
   /** Whether one is to lead rather than the other, by this voter's frozen scores. */
-  outbids(one: NodeId, other: NodeId, quorum: Quorum): boolean {
-    return this.#outbidsBy(this.#frozen, one, other, quorum);
+  isPreferred(one: NodeId, other: NodeId, quorum: Quorum): boolean {
+    return this.#isPreferredBy(this.#frozenScores, one, other, quorum);
   }
 
   /** The same by the scores of the one that this voter has deferred to, if any. */
-  outbidsByDeferred(one: NodeId, other: NodeId, quorum: Quorum): boolean {
-    return this.#outbidsBy(this.#deferredScores ?? this.#frozen, one, other, quorum);
+  isPreferredByDeferred(one: NodeId, other: NodeId, quorum: Quorum): boolean {
+    return this.#isPreferredBy(this.#deferredScores ?? this.#frozenScores, one, other, quorum);
   }
 
   /** Whether this voter's total is above the other's, leaving the tie-break aside. */
-  isAbove(peer: NodeId, quorum: Quorum): boolean {
-    return this.#frozen.isAbove(this.#me, peer, quorum.all);
+  outscores(peer: NodeId, quorum: Quorum): boolean {
+    return this.#frozenScores.hasHigherTotal(this.#me, peer, quorum.all);
   }
 
   /** Whether somebody's total is above the leader's; the tie-break alone is no reason to change a leader. */
   isOutscored(leader: NodeId | undefined, quorum: Quorum): boolean {
-    const { scores } = this.#links;
-    const top = scores.top(quorum.all);
+    const { scores } = this.#peerMonitor;
+    const top = scores.highestRanked(quorum.all);
     if (leader === undefined || top === undefined) return true;
-    return scores.isAbove(top, leader, quorum.all);
+    return scores.hasHigherTotal(top, leader, quorum.all);
   }
 
   /**
    * Over slow links few scores are known in the first election after a start, and each voter knows others: by these they
    * would defer to each other in a ring. Until a leader has been known the place among the voters decides there.
    */
-  #outbidsBy(view: Scores, one: NodeId, other: NodeId, quorum: Quorum): boolean {
-    if (!this.#hasKnownLeader && this.#links.slowMs(quorum) > 0) return one < other;
-    return view.isBetter(one, other, quorum.all);
+  #isPreferredBy(scores: Scores, one: NodeId, other: NodeId, quorum: Quorum): boolean {
+    if (!this.#hasKnownLeader && this.#peerMonitor.extraRoundTripMs(quorum) > 0) return one < other;
+    return scores.ranksAbove(one, other, quorum.all);
   }
 }
--- a/src/election/candidacy.test.ts
+++ b/src/election/candidacy.test.ts
@@ -5,7 +5,7 @@
 import { A, B, C, kindsOf, LoneVoter, reportOf } from './testing/lone-voter.js';
 import { VOTE_DEFAULTS } from './vote-settings.js';
 
-const { pingMs, electionMs, deadMs, renewMs, spanMs } = VOTE_DEFAULTS;
+const { pingMs, electionMs, peerTimeoutMs, renewMs, leaseMs } = VOTE_DEFAULTS;
 const NOBODY = { epoch: 0, grantEpoch: 0, grantLeader: '' };
 /** When a voter that both others answer proposes itself for the first time. */
 const FIRST_MS = pingMs;
@@ -90,7 +90,7 @@
 
   test('are not waited for of voters that are dead', () => {
     const voter = proposing();
-    for (let at = FIRST_MS + pingMs; at <= FIRST_MS + pingMs + deadMs; at += pingMs) {
+    for (let at = FIRST_MS + pingMs; at <= FIRST_MS + pingMs + peerTimeoutMs; at += pingMs) {
       voter.tickAt(at);
       voter.answerPings([A]);
     }
@@ -408,7 +408,7 @@
     voter.drain();
     const [[, granted] = []] = voter.receive(A, victory(10, ['a', 'b', 'c']));
     if (granted?.kind !== 'granted') throw new Error('nothing was granted');
-    expect(granted.wait).toBeGreaterThanOrEqual(spanMs + VOTE_DEFAULTS.leaseMs);
+    expect(granted.wait).toBeGreaterThanOrEqual(leaseMs + VOTE_DEFAULTS.handoverGapMs);
   });
 
   test('listens whether somebody leads before it proposes itself', () => {
--- a/src/election/elector.test.ts
+++ b/src/election/elector.test.ts
@@ -10,8 +10,8 @@
 
 test('a restarted voter listens whether somebody leads', () => {
   const elector = started();
-  elector.receive(moment(5), b, { kind: 'ping', nonce: 1, epoch: 0, reports: [], leader: 'b' });
-  elector.receive(moment(5), c, { kind: 'ping', nonce: 1, epoch: 0, reports: [], leader: 'b' });
+  elector.onMessage(moment(5), b, { kind: 'ping', nonce: 1, epoch: 0, reports: [], leader: 'b' });
+  elector.onMessage(moment(5), c, { kind: 'ping', nonce: 1, epoch: 0, reports: [], leader: 'b' });
   elector.tick(moment(50));
   expect(isProposing(elector)).toBe(false);
   elector.tick(moment(1150));
@@ -19,7 +19,7 @@
 });
 test('after all have restarted nobody listens for a leader', () => {
   const elector = started();
-  elector.receive(moment(5), b, { kind: 'ping', nonce: 1, epoch: 0, reports: [], leader: '' });
+  elector.onMessage(moment(5), b, { kind: 'ping', nonce: 1, epoch: 0, reports: [], leader: '' });
   // Another led before and goes first; then it is our turn, long before the listening would have ended.
   elector.tick(moment(50));
   expect(isProposing(elector)).toBe(false);
@@ -61,28 +61,28 @@
   election.run(9000);
   expect(election.node(a).isLeading()).toBe(true);
   election.restart();
-  expect(election.runUntilOrders()).toBeLessThan(VOTE_DEFAULTS.leaseMs);
+  expect(election.runUntilOrders()).toBeLessThan(VOTE_DEFAULTS.handoverGapMs);
   expect(election.node(a).isLeading()).toBe(true);
 });
 test('after all have restarted another holder waits, and so does one that had just taken over', () => {
-  const { spanMs, leaseMs } = VOTE_DEFAULTS;
+  const { leaseMs, handoverGapMs } = VOTE_DEFAULTS;
   const election = new Election();
   election.run(9000);
   election.restart();
-  expect(election.runUntilOrders(isNotA)).toBeGreaterThanOrEqual(spanMs + leaseMs);
+  expect(election.runUntilOrders(isNotA)).toBeGreaterThanOrEqual(leaseMs + handoverGapMs);
   // What was promised to the former holder may bind still where the record tells of the new one alone.
   const changed = new Election();
   changed.run(9000);
-  changed.run(spanMs + 1500, isNotA);
+  changed.run(leaseMs + 1500, isNotA);
   expect(changed.node(b).isLeading()).toBe(true);
   expect(changed.node(b).mayOrder(changed.now)).toBe(false);
   changed.restart();
-  expect(changed.runUntilOrders(isNotA)).toBeGreaterThanOrEqual(spanMs + leaseMs);
+  expect(changed.runUntilOrders(isNotA)).toBeGreaterThanOrEqual(leaseMs + handoverGapMs);
 });
 
 /** Of its new voters a majority has promised nothing to the holder before it. */
 test('a change of voters does not end the wait for the holder before', () => {
-  const { spanMs, leaseMs, renewMs, deadMs, electionMs } = VOTE_DEFAULTS;
+  const { leaseMs, handoverGapMs, renewMs, peerTimeoutMs: deadMs, electionMs } = VOTE_DEFAULTS;
   const election = new Election();
   election.run(9000);
   expect(election.node(a).mayOrder(election.now)).toBe(true);
@@ -100,7 +100,7 @@
   expect(election.node(b).isLeading()).toBe(true);
   election.runUntilOrders(isNotA);
   expect(election.node(b).mayOrder(election.now)).toBe(true);
-  expect(election.now - lostAt).toBeGreaterThanOrEqual(spanMs + leaseMs - renewMs);
+  expect(election.now - lostAt).toBeGreaterThanOrEqual(leaseMs + handoverGapMs - renewMs);
 });
 
 /** A voter that has voted before and was started at moment 0, with its pings to others answered. */
@@ -112,7 +112,7 @@
   });
   elector.tick(moment(0));
   for (const peer of [b, c])
-    elector.receive(moment(2), peer, {
+    elector.onMessage(moment(2), peer, {
       kind: 'pong',
       nonce: 0,
       epoch: 0,
@@ -175,15 +175,15 @@
       const mail = this.#mail;
       this.#mail = [];
       for (const { from, to, message } of mail)
-        if (isUp(to) && isUp(from)) this.node(to).receive(this.now, from, message);
+        if (isUp(to) && isUp(from)) this.node(to).onMessage(this.now, from, message);
       for (const [id, elector] of this.electors) {
         if (!isUp(id)) continue;
         if (this.#now % 50 === 0) elector.tick(this.now);
         for (let effects = elector.drain(); effects.length > 0; effects = elector.drain()) {
           for (const effect of effects) {
-            if (effect.do === 'keep') {
+            if (effect.do === 'persistVote') {
               this.#records.set(id, effect.record);
-              elector.kept(effect.token);
+              elector.onPersisted(effect.token);
             } else this.#mail.push({ from: id, to: effect.to, message: effect.message });
           }
         }
@@ -255,14 +255,14 @@
           at: this.now + 2,
           run: () => this.#deliver(id, effect.to, effect.message),
         });
-      else this.#queue.push({ at: this.now + 2, run: () => elector.kept(effect.token) });
+      else this.#queue.push({ at: this.now + 2, run: () => elector.onPersisted(effect.token) });
     }
   }
 
   #deliver(from: string, to: string, message: Message): void {
     // Who has not started yet hears nothing.
     if (this.now < (this.#startAt.get(to) ?? 0)) return;
-    this.electors.get(to)?.receive(moment(this.now), nodeId(from), message);
+    this.electors.get(to)?.onMessage(moment(this.now), nodeId(from), message);
   }
 }
 test('three voters that start again at about the same time have a leader within 400 ms', () => {
@@ -275,7 +275,14 @@
   ] as const) {
     const trio = new Trio(
       { a: 0, b: one, c: two },
-      { ...VOTE_DEFAULTS, pingMs: 250, renewMs: 300, electionMs: 500, spanMs: 1500, deadMs: 1200 },
+      {
+        ...VOTE_DEFAULTS,
+        pingMs: 250,
+        renewMs: 300,
+        electionMs: 500,
+        leaseMs: 1500,
+        peerTimeoutMs: 1200,
+      },
     );
     expect(trio.run(3000) - Math.max(one, two)).toBeLessThan(400);
   }
@@ -283,7 +290,14 @@
   for (const before of ['a', 'b', 'c']) {
     const trio = new Trio(
       { a: 0, b: 3, c: 1 },
-      { ...VOTE_DEFAULTS, pingMs: 250, renewMs: 300, electionMs: 500, spanMs: 1500, deadMs: 1200 },
+      {
+        ...VOTE_DEFAULTS,
+        pingMs: 250,
+        renewMs: 300,
+        electionMs: 500,
+        leaseMs: 1500,
+        peerTimeoutMs: 1200,
+      },
       before,
     );
     expect(trio.run(3000)).toBeLessThan(400);
--- a/src/election/elector.ts
+++ b/src/election/elector.ts
@@ -2,15 +2,15 @@
 import type { Message } from '../common/messages.js';
 import type { Quorum } from '../common/quorum.js';
 import { Candidacy } from './candidacy.js';
-import { Following } from './following.js';
-import { Leadership } from './leadership.js';
+import { FollowerRole } from './following.js';
+import { LeaderRole } from './leadership.js';
 import { ProposalTiming } from './proposal-timing.js';
 import type { Scores } from './scores.js';
 import type { VoteEffect, VoteRecord } from './vote-effect.js';
 import { VoterState, type Role } from './voter-state.js';
 import type { VoteSettings } from './vote-settings.js';
 
-const NOBODY: VoteRecord = { epoch: 0, grantEpoch: 0, grantLeader: '' };
+const EMPTY_RECORD: VoteRecord = { epoch: 0, grantEpoch: 0, grantLeader: '' };
 
 /**
  * One voter of the election: the design's proposals and deferrals, then our grant and lease on top.
@@ -20,22 +20,22 @@
   readonly #state: VoterState;
   readonly #timing: ProposalTiming;
   readonly #candidacy: Candidacy;
-  readonly #leadership: Leadership;
-  readonly #following: Following;
+  readonly #leaderRole: LeaderRole;
+  readonly #followerRole: FollowerRole;
 
   constructor(
     me: NodeId,
     quorum: Quorum,
     settings: VoteSettings,
     now: Moment,
-    record: VoteRecord = NOBODY,
+    record: VoteRecord = EMPTY_RECORD,
   ) {
     this.#state = new VoterState(me, quorum, settings, now, record);
-    this.#timing = new ProposalTiming(me, settings, this.#state.links, now);
-    this.#leadership = new Leadership(this.#state);
-    this.#candidacy = new Candidacy(this.#state, this.#timing, this.#leadership);
-    this.#following = new Following(this.#state, this.#candidacy);
-    if (record.epoch > 0) this.#timing.listen(now);
+    this.#timing = new ProposalTiming(me, settings, this.#state.peerMonitor, now);
+    this.#leaderRole = new LeaderRole(this.#state);
+    this.#candidacy = new Candidacy(this.#state, this.#timing, this.#leaderRole);
+    this.#followerRole = new FollowerRole(this.#state, this.#candidacy);
+    if (record.epoch > 0) this.#timing.beginStartupDelay(now);
   }
 
   get epoch(): Epoch {
@@ -48,14 +48,14 @@
     return this.#state.leader;
   }
   /** When the leader that is followed was heard last, by its victory or a renewal. */
-  get leaderHeardAt(): Moment {
-    return this.#following.heardAt;
+  get leaderLastHeardAt(): Moment {
+    return this.#followerRole.leaderLastHeardAt;
   }
   get quorumMembers(): ReadonlySet<NodeId> {
     return this.#state.quorumMembers;
   }
   get scores(): Scores {
-    return this.#state.links.scores;
+    return this.#state.peerMonitor.scores;
   }
   get record(): VoteRecord {
     return this.#state.record;
@@ -84,14 +84,14 @@
     const state = this.#state;
     state.isRetired = true;
     // We order nobody from here on: what we promised ourselves binds no successor any longer than this.
-    state.promises.release(now, state.me);
-    if (this.isLeading()) this.#leadership.release();
-    state.lose('looking');
+    state.grants.releaseLease(now, state.me);
+    if (this.isLeading()) this.#leaderRole.release();
+    state.abandonRole('looking');
   }
 
   /** Stops leading, as one that is no voter any more; what was promised to it binds until it runs out. */
   stepDown(): void {
-    if (this.isLeading()) this.#state.lose('looking');
+    if (this.isLeading()) this.#state.abandonRole('looking');
   }
 
   /** A node that lost its disk neither proposes nor grants until it has been repaired. */
@@ -100,32 +100,32 @@
     if (mayVote && !state.mayVote && record.epoch > 0) {
       // We may have granted that epoch to somebody and forgotten it: we take part again from the next one on.
       state.epoch = nextElecting(epochOf(Math.max(record.epoch, state.epoch)));
-      state.promises.forget(now);
+      state.grants.assumeUnknownLease(now);
       // Whoever leads hears by our return to its renewal that it must come to our epoch. Were we to lead, having lost
       // nothing but our disk, nobody could order until the former lease has run out.
-      this.#timing.listen(now);
+      this.#timing.beginStartupDelay(now);
     }
-    if (!mayVote) state.lose('looking');
+    if (!mayVote) state.abandonRole('looking');
     if (mayVote === state.mayVote) return;
     state.mayVote = mayVote;
-    state.keep(now);
+    state.persist(now);
   }
 
   setQuorum(quorum: Quorum): void {
     const state = this.#state;
-    if (this.isLeading() && quorum.text !== state.quorum.text) state.lease.keepWait();
+    if (this.isLeading() && quorum.text !== state.quorum.text) state.lease.retainHandoverWait();
     state.quorum = quorum;
-    if (state.isHolding) state.lease.settleOrderFrom(quorum);
+    if (state.hasWonEpoch) state.lease.updateOrderStart(quorum);
   }
 
   /** When a voter last returned a ping; nothing for one never pinged. */
-  heardAt(peer: NodeId): Moment | undefined {
-    return this.#state.links.heardAt(peer);
+  lastHeardAt(peer: NodeId): Moment | undefined {
+    return this.#state.peerMonitor.lastHeardAt(peer);
   }
 
   /** Elections that this node started since its process began. */
   get electionsStarted(): number {
-    return this.#candidacy.started;
+    return this.#candidacy.electionsStarted;
   }
 
   /** Terms that this node granted to a leader, itself included. */
@@ -135,7 +135,7 @@
 
   /** Voters that have lately returned a ping, this node included if it votes. */
   reachableVoters(now: Moment): number {
-    return this.#state.links.reachableVoters(now, this.#state.quorum);
+    return this.#state.peerMonitor.reachableVoters(now, this.#state.quorum);
   }
 
   /**
@@ -143,17 +143,17 @@
    * sent no earlier. Nothing if there was none since the process began.
    */
   majorityContact(now: Moment): Moment | undefined {
-    return this.#state.links.majorityContact(now, this.#state.quorum);
+    return this.#state.peerMonitor.majorityContact(now, this.#state.quorum);
   }
 
   /** By how much longer than on ordinary links an exchange with a majority of the voters takes, in milliseconds. */
-  get slowMs(): number {
-    return this.#state.links.slowMs(this.#state.quorum);
+  get extraRoundTripMs(): number {
+    return this.#state.peerMonitor.extraRoundTripMs(this.#state.quorum);
   }
 
   /** By how much longer than on an ordinary link an exchange with that voter takes, in milliseconds. */
-  slowMsOf(peer: NodeId): number {
-    return this.#state.links.slowMsOf(peer);
+  extraRoundTripMsOf(peer: NodeId): number {
+    return this.#state.peerMonitor.extraRoundTripMsOf(peer);
   }
 
   drain(): VoteEffect[] {
@@ -161,63 +161,63 @@
   }
 
   /** Told when the record with that token is on disk. */
-  kept(token: number): void {
-    this.#state.outbox.kept(token);
+  onPersisted(token: number): void {
+    this.#state.outbox.onPersisted(token);
   }
 
   tick(now: Moment): void {
     const state = this.#state;
-    state.links.tick(now, state.quorum, state.leader);
+    state.peerMonitor.tick(now, state.quorum, state.leader);
     if (!state.mayVote || state.isRetired) return;
     // Once what was promised to others has run out, the record says so; nothing said meanwhile waits for that.
-    if (state.promises.noteFree(now)) state.outbox.keepUnawaited(state.record);
+    if (state.grants.onLeasesExpired(now)) state.outbox.persistInBackground(state.record);
     if (!state.isVoter) {
-      this.#tickWithoutSeat(now);
+      this.#tickAsNonVoter(now);
       return;
     }
-    if (state.isHolding) this.#leadership.tick(now);
-    if (state.role === 'following') this.#following.tick(now);
+    if (state.hasWonEpoch) this.#leaderRole.tick(now);
+    if (state.role === 'following') this.#followerRole.tick(now);
     else this.#candidacy.tick(now);
   }
 
   /** One that leaves its seat leads until the others hold that: they renew it meanwhile, or its lease runs out. */
-  #tickWithoutSeat(now: Moment): void {
+  #tickAsNonVoter(now: Moment): void {
     const { role } = this.#state;
-    if (role === 'leading') this.#leadership.tick(now);
-    else if (role !== 'looking' && role !== 'following') this.#state.lose('looking');
+    if (role === 'leading') this.#leaderRole.tick(now);
+    else if (role !== 'looking' && role !== 'following') this.#state.abandonRole('looking');
   }
 
-  receive(now: Moment, from: NodeId, message: Message): void {
+  onMessage(now: Moment, from: NodeId, message: Message): void {
     switch (message.kind) {
       case 'ping':
-        this.#state.links.receivePing(from, message);
+        this.#state.peerMonitor.onPing(from, message);
         break;
       case 'pong':
-        this.#state.links.receivePong(now, from, message);
+        this.#state.peerMonitor.onPong(now, from, message);
         break;
       case 'propose':
-        this.#candidacy.receivePropose(now, from, epochOf(message.epoch), message.reports);
+        this.#candidacy.onPropose(now, from, epochOf(message.epoch), message.reports);
         break;
       case 'defer':
-        this.#candidacy.receiveDefer(now, from, epochOf(message.epoch), message.reports);
+        this.#candidacy.onDefer(now, from, epochOf(message.epoch), message.reports);
         break;
       case 'victory':
-        this.#following.receiveVictory(now, from, epochOf(message.epoch), message);
+        this.#followerRole.onVictory(now, from, epochOf(message.epoch), message);
         break;
       case 'granted':
-        this.#leadership.receiveGranted(now, from, epochOf(message.epoch), message);
+        this.#leaderRole.onGranted(now, from, epochOf(message.epoch), message);
         break;
       case 'behind':
-        this.#following.receiveBehind(now, epochOf(message.epoch), message.reports);
+        this.#followerRole.onBehind(now, epochOf(message.epoch), message.reports);
         break;
       case 'renew':
-        this.#following.receiveRenew(now, from, epochOf(message.epoch), message);
+        this.#followerRole.onRenew(now, from, epochOf(message.epoch), message);
         break;
       case 'released':
-        this.#following.receiveReleased(now, from, epochOf(message.epoch));
+        this.#followerRole.onReleased(now, from, epochOf(message.epoch));
         break;
       case 'renewed':
-        this.#leadership.receiveRenewed(from, message);
+        this.#leaderRole.onRenewed(from, message);
         break;
       default:
         break;
--- a/src/election/following.test.ts
+++ b/src/election/following.test.ts
@@ -4,11 +4,11 @@
 import { A, B, C, kindsOf, LoneVoter, type LoneVoterOptions } from './testing/lone-voter.js';
 import { VOTE_DEFAULTS } from './vote-settings.js';
 
-const { spanMs, leaseMs, drift, pingMs } = VOTE_DEFAULTS;
+const { leaseMs, handoverGapMs, drift, pingMs } = VOTE_DEFAULTS;
 /** How long another holder waits for one whose lease was renewed this moment, by the voter that renewed it. */
-const FULL_WAIT_MS = (spanMs + leaseMs) * (1 + 3 * drift) + 2 * drift * spanMs;
+const FULL_WAIT_MS = (leaseMs + handoverGapMs) * (1 + 3 * drift) + 2 * drift * leaseMs;
 /** The same where the one before has handed its lease back. */
-const SHORT_WAIT_MS = leaseMs * (1 + 3 * drift) + 2 * drift * spanMs;
+const SHORT_WAIT_MS = handoverGapMs * (1 + 3 * drift) + 2 * drift * leaseMs;
 
 function victory(epoch: number, nonce = 1): Message {
   return { kind: 'victory', epoch, reports: [], nonce, quorum: ['a', 'c'], sentAt: 0 };
@@ -64,8 +64,8 @@
     });
     voter.sync();
     expect(voter.drain()).toMatchObject([['a', { kind: 'granted', epoch: 2, wait: 0, nonce: 1 }]]);
-    const { role, leader, epoch, leaderHeardAt, quorumMembers } = voter.elector;
-    expect([role, leader, epoch, leaderHeardAt]).toEqual(['following', 'a', 2, 100]);
+    const { role, leader, epoch, leaderLastHeardAt, quorumMembers } = voter.elector;
+    expect([role, leader, epoch, leaderLastHeardAt]).toEqual(['following', 'a', 2, 100]);
     expect([...quorumMembers].sort()).toEqual(['a', 'b', 'c']);
   });
 
@@ -122,8 +122,8 @@
     expect(voter.receive(A, renewal(2, 9))).toEqual([
       ['a', { kind: 'renewed', epoch: 2, nonce: 9 }],
     ]);
-    const { leaderHeardAt, quorumMembers } = voter.elector;
-    expect(leaderHeardAt).toBe(1000);
+    const { leaderLastHeardAt, quorumMembers } = voter.elector;
+    expect(leaderLastHeardAt).toBe(1000);
     expect([...quorumMembers].sort()).toEqual(['a', 'b']);
     expect(waitOf(voter, C, victory(4))).toBeCloseTo(FULL_WAIT_MS);
   });
@@ -170,17 +170,17 @@
 describe('a leader that is no longer heard', () => {
   test('is given up after the span, and not before', () => {
     const voter = following();
-    hearOnlyC(voter, spanMs);
-    voter.tickAt(spanMs - 1);
+    hearOnlyC(voter, leaseMs);
+    voter.tickAt(leaseMs - 1);
     expect(voter.elector.role).toBe('following');
-    expect(kindsOf(voter.tickAt(spanMs))).toContain('propose to c');
+    expect(kindsOf(voter.tickAt(leaseMs))).toContain('propose to c');
     expect([voter.elector.role, voter.elector.epoch]).toEqual(['proposing', 3]);
   });
 
   test('is given up without a proposal where no majority is in reach', () => {
     const voter = following();
-    for (let at = pingMs; at < spanMs; at += pingMs) voter.tickAt(at);
-    expect(kindsOf(voter.tickAt(spanMs))).toEqual([]);
+    for (let at = pingMs; at < leaseMs; at += pingMs) voter.tickAt(at);
+    expect(kindsOf(voter.tickAt(leaseMs))).toEqual([]);
     expect([voter.elector.role, voter.elector.leader]).toEqual(['looking', undefined]);
   });
 });
--- a/src/election/following.ts
+++ b/src/election/following.ts
@@ -15,10 +15,10 @@
 type RenewMessage = Extract<Message, { kind: 'renew' }>;
 
 /** A follower's side: grants an epoch to the one that has won it, and returns its renewals. */
-export class Following {
+export class FollowerRole {
   readonly #state: VoterState;
   readonly #candidacy: Candidacy;
-  #heardLeader: Moment = moment(0);
+  #leaderLastHeardAt: Moment = moment(0);
 
   constructor(state: VoterState, candidacy: Candidacy) {
     this.#state = state;
@@ -26,63 +26,63 @@
   }
 
   /** When the leader that is followed was heard last, by its victory or a renewal. */
-  get heardAt(): Moment {
-    return this.#heardLeader;
+  get leaderLastHeardAt(): Moment {
+    return this.#leaderLastHeardAt;
   }
 
   /** Gives up a leader that was not heard for the span. */
   tick(now: Moment): void {
     const { role, settings } = this.#state;
-    if (role === 'following' && now >= later(this.#heardLeader, settings.spanMs))
+    if (role === 'following' && now >= later(this.#leaderLastHeardAt, settings.leaseMs))
       this.#startOver(now);
   }
 
-  receiveVictory(now: Moment, from: NodeId, epoch: Epoch, message: VictoryMessage): void {
+  onVictory(now: Moment, from: NodeId, epoch: Epoch, message: VictoryMessage): void {
     const state = this.#state;
-    state.links.scores.merge(message.reports);
+    state.peerMonitor.scores.merge(message.reports);
     if (!this.#isWinner(from, epoch)) return;
     if (epoch >= state.epoch) {
       this.#follow(now, from, epoch, message);
       return;
     }
-    state.ballot.noteOutrun(from, state.quorum);
+    state.ranking.onOvertakenLeader(from, state.quorum);
     state.sendBehind(from);
   }
 
-  receiveRenew(now: Moment, from: NodeId, epoch: Epoch, message: RenewMessage): void {
+  onRenew(now: Moment, from: NodeId, epoch: Epoch, message: RenewMessage): void {
     const state = this.#state;
     if (!this.#isWinner(from, epoch)) return;
     if (epoch < state.epoch) {
-      state.ballot.noteOutrun(from, state.quorum);
+      state.ranking.onOvertakenLeader(from, state.quorum);
       state.send(from, { kind: 'behind', epoch: state.epoch, reports: [] });
       return;
     }
-    const isGranted = state.promises.isGrantedTo(from, epoch);
+    const isGranted = state.grants.isGrantedTo(from, epoch);
     if (!isGranted || state.epoch !== epoch || state.leader !== from) {
       // We missed the victory (or restarted): joining late is a grant like any other.
       this.#follow(now, from, epoch, message);
       return;
     }
-    this.#noteHeard(now, from, message.quorum);
-    state.promises.promise(now, from);
+    this.#onLeaderHeard(now, from, message.quorum);
+    state.grants.extendLease(now, from);
     state.send(from, { kind: 'renewed', epoch, nonce: message.nonce });
   }
 
   /** The leader stops as planned and orders nobody any more. */
-  receiveReleased(now: Moment, from: NodeId, epoch: Epoch): void {
-    const { epoch: present, leader, promises } = this.#state;
+  onReleased(now: Moment, from: NodeId, epoch: Epoch): void {
+    const { epoch: present, leader, grants } = this.#state;
     if (epoch !== present || leader !== from) return;
-    promises.release(now, from);
+    grants.releaseLease(now, from);
     this.#startOver(now);
   }
 
   /** Somebody that we spoke to is in a newer epoch. */
-  receiveBehind(now: Moment, epoch: Epoch, reports: readonly ScoreReport[]): void {
+  onBehind(now: Moment, epoch: Epoch, reports: readonly ScoreReport[]): void {
     const state = this.#state;
-    state.links.scores.merge(reports);
+    state.peerMonitor.scores.merge(reports);
     if (epoch <= state.epoch || !state.mayVote || state.role === 'following') return;
-    state.lose('looking');
-    state.adopt(epoch, now);
+    state.abandonRole('looking');
+    state.adoptEpoch(epoch, now);
     this.#candidacy.startIfReachable(now);
   }
 
@@ -93,27 +93,27 @@
 
   #follow(now: Moment, from: NodeId, epoch: Epoch, message: VictoryMessage | RenewMessage): void {
     const state = this.#state;
-    if (!state.promises.mayGrant(from, epoch)) return;
+    if (!state.grants.mayGrant(from, epoch)) return;
     if (epoch > state.epoch || state.leader !== from) {
-      state.lose('following');
-      state.adopt(epoch, now);
+      state.abandonRole('following');
+      state.adoptEpoch(epoch, now);
     }
     state.role = 'following';
     state.leader = from;
-    state.ballot.noteLeader();
-    this.#noteHeard(now, from, message.quorum);
+    state.ranking.onLeaderKnown();
+    this.#onLeaderHeard(now, from, message.quorum);
     const wait = state.grant(now, from);
-    const reports = state.links.scores.reports();
+    const reports = state.peerMonitor.scores.reports();
     state.send(from, { kind: 'granted', epoch: state.epoch, wait, nonce: message.nonce, reports });
   }
 
-  #noteHeard(now: Moment, leader: NodeId, quorum: readonly string[]): void {
-    this.#heardLeader = now;
+  #onLeaderHeard(now: Moment, leader: NodeId, quorum: readonly string[]): void {
+    this.#leaderLastHeardAt = now;
     this.#state.quorumMembers = new Set([this.#state.me, leader, ...quorum.map(nodeId)]);
   }
 
   #startOver(now: Moment): void {
-    this.#state.lose('looking');
+    this.#state.abandonRole('looking');
     this.#candidacy.startIfReachable(now);
   }
 }
--- a/src/election/leadership.test.ts
+++ b/src/election/leadership.test.ts
@@ -5,7 +5,7 @@
 import { A, B, C, kindsOf, LoneVoter, THREE } from './testing/lone-voter.js';
 import { VOTE_DEFAULTS } from './vote-settings.js';
 
-const { spanMs, renewMs, pingMs, electionMs } = VOTE_DEFAULTS;
+const { leaseMs, renewMs, pingMs, electionMs } = VOTE_DEFAULTS;
 
 function granted(epoch: number, wait = 0, nonce = 1): Message {
   return { kind: 'granted', epoch, wait, nonce, reports: [] };
@@ -42,7 +42,7 @@
 }
 
 /** When the lease that was asked for with the victory ends. */
-const FIRST_END = pingMs + spanMs;
+const FIRST_END = pingMs + leaseMs;
 
 function answerRenewal(voter: LoneVoter, peers: readonly NodeId[], nonce: number): void {
   for (const peer of peers) voter.receive(peer, renewed(2, nonce));
@@ -142,7 +142,7 @@
     ]);
     expect(voter.elector.leaseEnd).toBe(FIRST_END);
     answerRenewal(voter, [C], 2);
-    expect(voter.elector.leaseEnd).toBe(at + spanMs);
+    expect(voter.elector.leaseEnd).toBe(at + leaseMs);
   });
 
   test('counts no return of a renewal of another epoch', () => {
--- a/src/election/leadership.ts
+++ b/src/election/leadership.ts
@@ -6,7 +6,7 @@
 type RenewedMessage = Extract<Message, { kind: 'renewed' }>;
 
 /** The holder's side: asks for grants of the epoch that it has won, and renews its lease. */
-export class Leadership {
+export class LeaderRole {
   readonly #state: VoterState;
 
   constructor(state: VoterState) {
@@ -17,17 +17,17 @@
   begin(now: Moment): void {
     const state = this.#state;
     const { me } = state;
-    const members = new Set(state.ballot.deferrals);
-    state.adopt(nextLeading(state.epoch), now);
+    const members = new Set(state.ranking.deferrals);
+    state.adoptEpoch(nextLeading(state.epoch), now);
     state.role = 'won';
     state.leader = me;
     state.quorumMembers = members;
-    state.waitRounds(now, 2);
+    state.startElectionTimeout(now, 2);
     const nonce = state.lease.begin(now);
     const { epoch } = state;
     const wait = state.grant(now, me);
-    state.outbox.afterKept(() => this.#countGrant(now, me, epoch, wait, nonce));
-    const reports = state.links.scores.reports();
+    state.outbox.whenPersisted(() => this.#countGrant(now, me, epoch, wait, nonce));
+    const reports = state.peerMonitor.scores.reports();
     const quorum = [...members];
     for (const peer of state.others)
       state.send(peer, { kind: 'victory', epoch, reports, nonce, quorum, sentAt: now });
@@ -37,14 +37,14 @@
     const state = this.#state;
     if (state.role === 'leading' && now >= state.lease.end) {
       // No majority renews us any more: whoever they follow now, it is not us.
-      state.lose('looking');
+      state.abandonRole('looking');
       return;
     }
     const nonce = state.lease.renew(now);
     if (nonce === undefined) return;
-    state.promises.promise(now, state.me);
+    state.grants.extendLease(now, state.me);
     // Our own renewal counts only once our own grant of this epoch is on disk.
-    state.outbox.afterKept(() => this.#countRenewal(state.me, nonce));
+    state.outbox.whenPersisted(() => this.#countRenewal(state.me, nonce));
     const { epoch } = state;
     const quorum = [...state.quorumMembers];
     for (const peer of state.others)
@@ -57,28 +57,28 @@
     for (const peer of others) this.#state.send(peer, { kind: 'released', epoch });
   }
 
-  receiveGranted(now: Moment, from: NodeId, epoch: Epoch, message: GrantedMessage): void {
-    this.#state.links.scores.merge(message.reports);
+  onGranted(now: Moment, from: NodeId, epoch: Epoch, message: GrantedMessage): void {
+    this.#state.peerMonitor.scores.merge(message.reports);
     this.#countGrant(now, from, epoch, message.wait, message.nonce);
   }
 
-  receiveRenewed(from: NodeId, message: RenewedMessage): void {
+  onRenewed(from: NodeId, message: RenewedMessage): void {
     if (message.epoch === this.#state.epoch) this.#countRenewal(from, message.nonce);
   }
 
   #countGrant(now: Moment, from: NodeId, epoch: Epoch, wait: number, nonce: number): void {
     const state = this.#state;
-    if (epoch !== state.epoch || !state.isHolding) return;
+    if (epoch !== state.epoch || !state.hasWonEpoch) return;
     state.quorumMembers.add(from);
     state.lease.countGrant(now, from, wait, state.quorum);
     state.lease.countRenewal(from, nonce, state.quorum);
     if (state.role !== 'won' || !state.lease.isGranted(state.quorum)) return;
     state.role = 'leading';
-    state.ballot.noteLeader();
+    state.ranking.onLeaderKnown();
   }
 
   #countRenewal(from: NodeId, nonce: number): void {
     const state = this.#state;
-    if (state.isHolding) state.lease.countRenewal(from, nonce, state.quorum);
+    if (state.hasWonEpoch) state.lease.countRenewal(from, nonce, state.quorum);
   }
 }
--- a/src/election/lease-renewals.test.ts
+++ b/src/election/lease-renewals.test.ts
@@ -6,7 +6,7 @@
 
 const [a, b, c] = [nodeId('a'), nodeId('b'), nodeId('c')];
 const QUORUM = new Quorum([a, b, c]);
-const { spanMs, renewMs } = VOTE_DEFAULTS;
+const { leaseMs, renewMs } = VOTE_DEFAULTS;
 
 /** A lease that `a` and `b` granted at moment 0, each with so many milliseconds to wait for a former holder. */
 function grantedAfter(waitMs: number): Lease {
@@ -36,9 +36,9 @@
   const first = lease.renew(moment(renewMs)) ?? 0;
   const second = lease.renew(moment(renewMs * 2)) ?? 0;
   renewedBy(lease, [a, b], first);
-  expect(lease.end).toBe(renewMs + spanMs);
+  expect(lease.end).toBe(renewMs + leaseMs);
   renewedBy(lease, [a, c], second);
-  expect(lease.end).toBe(renewMs * 2 + spanMs);
+  expect(lease.end).toBe(renewMs * 2 + leaseMs);
 });
 
 test('returns of different renewals make no majority together', () => {
@@ -47,7 +47,7 @@
   const second = lease.renew(moment(renewMs * 2)) ?? 0;
   lease.countRenewal(a, first, QUORUM);
   lease.countRenewal(b, second, QUORUM);
-  expect(lease.end).toBe(spanMs);
+  expect(lease.end).toBe(leaseMs);
 });
 
 test('a promise to a former holder that ends earlier than was said binds no longer', () => {
@@ -64,9 +64,9 @@
 
 test('the wait for a former holder outlasts every later change of voters', () => {
   const lease = grantedAfter(900);
-  lease.keepWait();
+  lease.retainHandoverWait();
   const nonce = lease.begin(moment(100));
-  lease.keepWait();
+  lease.retainHandoverWait();
   for (const voter of [a, b]) lease.countGrant(moment(100), voter, 0, QUORUM);
   renewedBy(lease, [a, b], nonce);
   expect(lease.mayOrder(moment(899), QUORUM)).toBe(false);
--- a/src/election/lease.test.ts
+++ b/src/election/lease.test.ts
@@ -6,7 +6,7 @@
 
 const [a, b, c] = [nodeId('a'), nodeId('b'), nodeId('c')];
 const QUORUM = new Quorum([a, b, c]);
-const { spanMs, renewMs } = VOTE_DEFAULTS;
+const { leaseMs, renewMs } = VOTE_DEFAULTS;
 
 /** A lease of `a`, granted at moment 10 by itself and `b`, with both free to let it order at once. */
 function granted(): Lease {
@@ -20,16 +20,16 @@
 }
 test('a lease ends a span after the sending of the newest renewal that a majority returned', () => {
   const lease = granted();
-  expect(lease.end).toBe(spanMs);
+  expect(lease.end).toBe(leaseMs);
   const nonce = lease.renew(moment(renewMs)) ?? 0;
   expect(lease.renew(moment(renewMs + 1))).toBeUndefined();
   // However late a majority returns it: the span counts from the sending.
   lease.countRenewal(a, nonce, QUORUM);
-  expect(lease.end).toBe(spanMs);
+  expect(lease.end).toBe(leaseMs);
   lease.countRenewal(c, nonce, QUORUM);
-  expect(lease.end).toBe(renewMs + spanMs);
-  expect(lease.mayOrder(moment(renewMs + spanMs - 1), QUORUM)).toBe(true);
-  expect(lease.mayOrder(moment(renewMs + spanMs), QUORUM)).toBe(false);
+  expect(lease.end).toBe(renewMs + leaseMs);
+  expect(lease.mayOrder(moment(renewMs + leaseMs - 1), QUORUM)).toBe(true);
+  expect(lease.mayOrder(moment(renewMs + leaseMs), QUORUM)).toBe(false);
 });
 test('a renewal returned late shortens nothing, and none outlives the lead', () => {
   const lease = granted();
@@ -37,7 +37,7 @@
   const second = lease.renew(moment(renewMs * 2)) ?? 0;
   for (const voter of [a, b]) lease.countRenewal(voter, second, QUORUM);
   for (const voter of [a, b]) lease.countRenewal(voter, first, QUORUM);
-  expect(lease.end).toBe(renewMs * 2 + spanMs);
+  expect(lease.end).toBe(renewMs * 2 + leaseMs);
   lease.clear();
   for (const voter of [a, b]) lease.countRenewal(voter, second, QUORUM);
   expect(lease.mayOrder(moment(renewMs * 2), QUORUM)).toBe(false);
--- a/src/election/lease.ts
+++ b/src/election/lease.ts
@@ -3,8 +3,8 @@
 import type { VoteSettings } from './vote-settings.js';
 
 interface Renewal {
-  readonly sent: Moment;
-  readonly by: Set<NodeId>;
+  readonly sentAt: Moment;
+  readonly acknowledgedBy: Set<NodeId>;
 }
 
 /**
@@ -17,11 +17,11 @@
   readonly #grants = new Map<NodeId, Moment>();
   readonly #renewals = new Map<number, Renewal>();
   #nonce = 0;
-  #orderFrom: Moment = moment(0);
+  #ordersAllowedFrom: Moment = moment(0);
   /** What voters of before said when the voters changed: a former holder may be bound to some of those alone. */
-  #notBefore: Moment = moment(0);
+  #earliestOrder: Moment = moment(0);
   #end: Moment = moment(-1);
-  #renewedAt: Moment = moment(0);
+  #lastRenewalAt: Moment = moment(0);
 
   constructor(settings: VoteSettings) {
     this.#settings = settings;
@@ -38,15 +38,15 @@
 
   mayOrder(now: Moment, quorum: Quorum): boolean {
     // The voters may be others by now than those that granted: a former holder may be bound to some of these alone.
-    return this.isGranted(quorum) && now >= this.#orderFrom && now < this.#end;
+    return this.isGranted(quorum) && now >= this.#ordersAllowedFrom && now < this.#end;
   }
 
   /** Begins an epoch that was won; returns the nonce of the first renewal, which asks for grants as well. */
   begin(now: Moment): number {
     this.clear();
-    this.#orderFrom = now;
-    this.#renewedAt = now;
-    return this.#open(now);
+    this.#ordersAllowedFrom = now;
+    this.#lastRenewalAt = now;
+    return this.#openRenewal(now);
   }
 
   clear(): void {
@@ -56,21 +56,22 @@
   }
 
   /** Counts a voter's grant; `wait` is how long its promises to others still bind, in milliseconds. */
-  countGrant(now: Moment, from: NodeId, wait: number, quorum: Quorum): void {
+  countGrant(now: Moment, from: NodeId, waitMs: number, quorum: Quorum): void {
     const known = this.#grants.get(from);
     // Told again by a later renewal, a promise still ends when it was first said to.
-    if (known === undefined || later(now, wait) < known) this.#grants.set(from, later(now, wait));
-    this.settleOrderFrom(quorum);
+    if (known === undefined || later(now, waitMs) < known)
+      this.#grants.set(from, later(now, waitMs));
+    this.updateOrderStart(quorum);
   }
 
   /** Any majority of grants shares a voter with the one that renewed the holder before us: the one free first is enough. */
-  settleOrderFrom(quorum: Quorum): void {
-    const ends = [...this.#grants].sort(byEnd);
+  updateOrderStart(quorum: Quorum): void {
+    const ends = [...this.#grants].sort(byTime);
     const free = new Set<NodeId>();
     for (const [peer, end] of ends) {
       free.add(peer);
       if (!quorum.isMajority(free)) continue;
-      this.#orderFrom = end > this.#notBefore ? end : this.#notBefore;
+      this.#ordersAllowedFrom = end > this.#earliestOrder ? end : this.#earliestOrder;
       return;
     }
   }
@@ -79,38 +80,39 @@
    * Keeps the wait for a former holder when the voters change, in later terms of this process as well. Voters that come in
    * have promised nobody anything: by them alone a former holder's lease would count for nothing.
    */
-  keepWait(): void {
-    if (this.#orderFrom > this.#notBefore) this.#notBefore = this.#orderFrom;
+  retainHandoverWait(): void {
+    if (this.#ordersAllowedFrom > this.#earliestOrder)
+      this.#earliestOrder = this.#ordersAllowedFrom;
   }
 
   /** The nonce of a renewal that is to be sent now; nothing where none is due. */
   renew(now: Moment): number | undefined {
-    const { renewMs, spanMs } = this.#settings;
-    if (now < later(this.#renewedAt, renewMs)) return undefined;
-    this.#renewedAt = now;
-    const nonce = this.#open(now);
+    const { renewMs, leaseMs } = this.#settings;
+    if (now < later(this.#lastRenewalAt, renewMs)) return undefined;
+    this.#lastRenewalAt = now;
+    const nonce = this.#openRenewal(now);
     for (const [old, renewal] of this.#renewals)
-      if (now - renewal.sent > spanMs) this.#renewals.delete(old);
+      if (now - renewal.sentAt > leaseMs) this.#renewals.delete(old);
     return nonce;
   }
 
   countRenewal(from: NodeId, nonce: number, quorum: Quorum): void {
     const renewal = this.#renewals.get(nonce);
     if (!renewal) return;
-    renewal.by.add(from);
-    if (!quorum.isMajority(renewal.by)) return;
-    const end = later(renewal.sent, this.#settings.spanMs);
+    renewal.acknowledgedBy.add(from);
+    if (!quorum.isMajority(renewal.acknowledgedBy)) return;
+    const end = later(renewal.sentAt, this.#settings.leaseMs);
     if (end > this.#end) this.#end = end;
     for (const old of this.#renewals.keys()) if (old <= nonce) this.#renewals.delete(old);
   }
 
-  #open(now: Moment): number {
+  #openRenewal(now: Moment): number {
     this.#nonce += 1;
-    this.#renewals.set(this.#nonce, { sent: now, by: new Set() });
+    this.#renewals.set(this.#nonce, { sentAt: now, acknowledgedBy: new Set() });
     return this.#nonce;
   }
 }
 
-function byEnd(a: readonly [NodeId, Moment], b: readonly [NodeId, Moment]): number {
+function byTime(a: readonly [NodeId, Moment], b: readonly [NodeId, Moment]): number {
   return a[1] - b[1];
 }
--- a/src/election/round-trips.test.ts
+++ b/src/election/round-trips.test.ts
@@ -13,13 +13,13 @@
 }
 test('the shortest of the last eight round trips counts', () => {
   const roundTrips = new RoundTrips();
-  expect(roundTrips.of(b)).toBe(undefined);
+  expect(roundTrips.shortestMs(b)).toBe(undefined);
   roundTrips.add(b, 10);
   // A process that stood still answers late several times.
   for (const late of [1000, 750, 500, 250]) roundTrips.add(b, late);
-  expect(roundTrips.of(b)).toBe(10);
+  expect(roundTrips.shortestMs(b)).toBe(10);
   for (let pings = 0; pings < 8; pings += 1) roundTrips.add(b, 400);
-  expect(roundTrips.of(b)).toBe(400);
+  expect(roundTrips.shortestMs(b)).toBe(400);
 });
 test('the slowest of the fastest majority counts, among those that are there', () => {
   const quorum = new Quorum([a, b, c, d, e]);
--- a/src/election/round-trips.ts
+++ b/src/election/round-trips.ts
@@ -2,7 +2,7 @@
 import type { Quorum } from '../common/quorum.js';
 
 /** Pings of so many last answers are kept for each peer: two seconds' worth in a deployment. */
-const SAMPLES_KEPT = 8;
+const MAX_SAMPLES = 8;
 
 /** How long pings took to come back, by peer, in milliseconds on this node's monotonic clock. */
 export class RoundTrips {
@@ -11,7 +11,7 @@
   add(peer: NodeId, millis: number): void {
     const samples = this.#samples.get(peer) ?? [];
     samples.push(millis);
-    if (samples.length > SAMPLES_KEPT) samples.shift();
+    if (samples.length > MAX_SAMPLES) samples.shift();
     this.#samples.set(peer, samples);
   }
 
@@ -19,7 +19,7 @@
    * The shortest recent round trip; nothing for a peer that never answered. A process that stands still and a busy machine
    * only make single answers later, so that the shortest one shows the link.
    */
-  of(peer: NodeId): number | undefined {
+  shortestMs(peer: NodeId): number | undefined {
     const samples = this.#samples.get(peer);
     return samples && Math.min(...samples);
   }
@@ -31,7 +31,7 @@
   majorityMs(me: NodeId, quorum: Quorum, isCounted: (peer: NodeId) => boolean): number {
     const measured: { readonly peer: NodeId; readonly millis: number }[] = [];
     for (const peer of quorum.all) {
-      const millis = peer === me || !isCounted(peer) ? undefined : this.of(peer);
+      const millis = peer === me || !isCounted(peer) ? undefined : this.shortestMs(peer);
       if (millis !== undefined) measured.push({ peer, millis });
     }
     measured.sort(byMillis);
--- a/src/election/score-order.test.ts
+++ b/src/election/score-order.test.ts
@@ -25,13 +25,13 @@
 
 test('a score goes on from where it was, up and down', () => {
   const scores = new Scores(a, HALF_LIFE);
-  scores.reportDead(b, 10);
+  scores.recordDead(b, 10);
   expect(ownScore(scores, b)).toBe(0);
-  scores.reportLive(b, 2);
+  scores.recordAlive(b, 2);
   expect(ownScore(scores, b)).toBeCloseTo(0.1);
-  scores.reportLive(b, 2);
+  scores.recordAlive(b, 2);
   expect(ownScore(scores, b)).toBeCloseTo(0.19);
-  scores.reportDead(b, 1);
+  scores.recordDead(b, 1);
   expect(ownScore(scores, b)).toBeCloseTo(0.19 * 0.95 - 0.05);
 });
 
@@ -43,7 +43,7 @@
 
 test("a restarted owner trusts its own pings alone for which links are alive, and its report's scores", () => {
   const scores = new Scores(a, HALF_LIFE);
-  scores.reportLive(b, 1);
+  scores.recordAlive(b, 1);
   scores.merge([reportOf(a, 90, { b: 0.4, c: 0.6 })]);
   expect(scores.reports()).toEqual([
     {
@@ -67,28 +67,40 @@
 
 test('the higher total is better, and among equals the lower id', () => {
   const worse = viewOf({ a: 0.4, b: 0.5 });
-  expect([worse.isBetter(a, b, VOTERS), worse.isBetter(b, a, VOTERS)]).toEqual([false, true]);
+  expect([worse.ranksAbove(a, b, VOTERS), worse.ranksAbove(b, a, VOTERS)]).toEqual([false, true]);
   const better = viewOf({ a: 0.5, b: 0.4 });
-  expect([better.isBetter(a, b, VOTERS), better.isBetter(b, a, VOTERS)]).toEqual([true, false]);
+  expect([better.ranksAbove(a, b, VOTERS), better.ranksAbove(b, a, VOTERS)]).toEqual([true, false]);
   const equal = viewOf({ a: 0.5, b: 0.5 });
-  expect([equal.isBetter(a, b, VOTERS), equal.isBetter(b, a, VOTERS)]).toEqual([true, false]);
+  expect([equal.ranksAbove(a, b, VOTERS), equal.ranksAbove(b, a, VOTERS)]).toEqual([true, false]);
 });
 
 test('one is above another by its total alone, and by no less than a thousandth', () => {
   const higher = viewOf({ a: 0.4, b: 0.5 });
-  expect([higher.isAbove(b, a, VOTERS), higher.isAbove(a, b, VOTERS)]).toEqual([true, false]);
+  expect([higher.hasHigherTotal(b, a, VOTERS), higher.hasHigherTotal(a, b, VOTERS)]).toEqual([
+    true,
+    false,
+  ]);
   const equal = viewOf({ a: 0.5, b: 0.5 });
-  expect([equal.isAbove(b, a, VOTERS), equal.isAbove(a, b, VOTERS)]).toEqual([false, false]);
+  expect([equal.hasHigherTotal(b, a, VOTERS), equal.hasHigherTotal(a, b, VOTERS)]).toEqual([
+    false,
+    false,
+  ]);
   const close = viewOf({ a: 0.5, b: 0.5004 });
-  expect([close.isAbove(b, a, VOTERS), close.isBetter(b, a, VOTERS)]).toEqual([false, false]);
+  expect([close.hasHigherTotal(b, a, VOTERS), close.ranksAbove(b, a, VOTERS)]).toEqual([
+    false,
+    false,
+  ]);
   const apart = viewOf({ a: 0.5, b: 0.501 });
-  expect([apart.isAbove(b, a, VOTERS), apart.isBetter(b, a, VOTERS)]).toEqual([true, true]);
+  expect([apart.hasHigherTotal(b, a, VOTERS), apart.ranksAbove(b, a, VOTERS)]).toEqual([
+    true,
+    true,
+  ]);
 });
 
 test('the top is the best of the voters, wherever it stands among them', () => {
   const voters = [nodeId('d'), a, b];
-  expect(viewOf({ a: 0.4, b: 0.5, d: 0.3 }).top([...voters, c])).toBe(b);
-  expect(viewOf({ a: 0.4, b: 0.3, d: 0.5 }).top([...voters, c])).toBe('d');
-  expect(viewOf({ a: 0.5, b: 0.3, d: 0.5 }).top([...voters, c])).toBe(a);
-  expect(viewOf({}).top([])).toBe(undefined);
+  expect(viewOf({ a: 0.4, b: 0.5, d: 0.3 }).highestRanked([...voters, c])).toBe(b);
+  expect(viewOf({ a: 0.4, b: 0.3, d: 0.5 }).highestRanked([...voters, c])).toBe('d');
+  expect(viewOf({ a: 0.5, b: 0.3, d: 0.5 }).highestRanked([...voters, c])).toBe(a);
+  expect(viewOf({}).highestRanked([])).toBe(undefined);
 });
--- a/src/election/scores.test.ts
+++ b/src/election/scores.test.ts
@@ -6,20 +6,20 @@
 const voters = [a, b, c];
 test("a score moves by the design's formula and never below 0", () => {
   const scores = new Scores(a, 10);
-  scores.reportLive(b, 1);
-  scores.reportDead(b, 2);
+  scores.recordAlive(b, 1);
+  scores.recordDead(b, 2);
   const link = scores.reports()[0]?.links[0];
   expect(link).toEqual({ peer: b, score: 1 * (1 - 0.1) - 0.1, alive: false });
-  scores.reportDead(b, 1000);
+  scores.recordDead(b, 1000);
   expect(scores.reports()[0]?.links[0]?.score).toBe(0);
-  scores.reportLive(b, 1);
+  scores.recordAlive(b, 1);
   expect(scores.reports()[0]?.links[0]?.score).toBeCloseTo(0.05);
 });
 test('a down link counts 0', () => {
   const scores = new Scores(a, 10);
-  scores.reportLive(b, 1);
+  scores.recordAlive(b, 1);
   expect(scores.total(b, voters)).toBe(1);
-  scores.reportDead(b, 0.1);
+  scores.recordDead(b, 0.1);
   expect(scores.total(b, voters)).toBe(0);
 });
 test('scores never go backward, and a frozen copy stays', () => {
@@ -33,9 +33,9 @@
 });
 test('a restarted owner goes on from its own last version', () => {
   const scores = new Scores(a, 10);
-  scores.reportLive(b, 1);
+  scores.recordAlive(b, 1);
   scores.merge([{ owner: 'a', version: 90, links: [{ peer: 'b', score: 0.4, alive: false }] }]);
-  scores.reportLive(b, 0);
+  scores.recordAlive(b, 0);
   expect(scores.reports()[0]).toEqual({
     owner: 'a',
     version: 92,
--- a/src/election/scores.ts
+++ b/src/election/scores.ts
@@ -1,16 +1,16 @@
 import type { ScoreReport } from '../common/messages.js';
 import { nodeId, type NodeId } from '../common/ids.js';
 
-interface LinkScore {
+interface PeerScore {
   readonly score: number;
   readonly isAlive: boolean;
 }
 interface OwnerReport {
   readonly version: number;
-  readonly links: ReadonlyMap<NodeId, LinkScore>;
+  readonly peers: ReadonlyMap<NodeId, PeerScore>;
 }
 
-const NO_REPORT: OwnerReport = { version: 0, links: new Map() };
+const NO_REPORT: OwnerReport = { version: 0, peers: new Map() };
 
 /**
  * Connection scores: one report an owner, versioned by that owner, merged so that none goes backward.
@@ -18,35 +18,35 @@
  */
 export class Scores {
   readonly #me: NodeId;
-  readonly #halfLife: number;
+  readonly #halfLifeSeconds: number;
   readonly #reports: Map<NodeId, OwnerReport>;
 
   constructor(me: NodeId, halfLife: number, reports: ReadonlyMap<NodeId, OwnerReport> = new Map()) {
     this.#me = me;
-    this.#halfLife = halfLife;
+    this.#halfLifeSeconds = halfLife;
     this.#reports = new Map(reports);
   }
 
   /** A copy that later pings and merges do not touch. */
   freeze(): Scores {
-    return new Scores(this.#me, this.#halfLife, this.#reports);
+    return new Scores(this.#me, this.#halfLifeSeconds, this.#reports);
   }
 
-  reportLive(peer: NodeId, units: number): void {
+  recordAlive(peer: NodeId, elapsedSeconds: number): void {
     // A link first heard of starts at full score: the design gives no start, and a newcomer must be electable.
-    const current = this.#own(peer)?.score ?? 1;
-    const step = this.#step(units);
-    this.#put(peer, { score: Math.min(1, current * (1 - step) + step), isAlive: true });
+    const current = this.#ownScoreOf(peer)?.score ?? 1;
+    const step = this.#stepOf(elapsedSeconds);
+    this.#putOwnScore(peer, { score: Math.min(1, current * (1 - step) + step), isAlive: true });
   }
 
-  reportDead(peer: NodeId, units: number): void {
-    const current = this.#own(peer)?.score ?? 1;
-    const step = this.#step(units);
-    this.#put(peer, { score: Math.max(0, current * (1 - step) - step), isAlive: false });
+  recordDead(peer: NodeId, elapsedSeconds: number): void {
+    const current = this.#ownScoreOf(peer)?.score ?? 1;
+    const step = this.#stepOf(elapsedSeconds);
+    this.#putOwnScore(peer, { score: Math.max(0, current * (1 - step) - step), isAlive: false });
   }
 
   isAlive(peer: NodeId): boolean {
-    return peer === this.#me || this.#own(peer)?.isAlive === true;
+    return peer === this.#me || this.#ownScoreOf(peer)?.isAlive === true;
   }
 
   merge(reports: readonly ScoreReport[]): void {
@@ -54,7 +54,7 @@
       const owner = nodeId(report.owner);
       const known = this.#reports.get(owner) ?? NO_REPORT;
       if (report.version <= known.version) continue;
-      const links = new Map<NodeId, LinkScore>();
+      const links = new Map<NodeId, PeerScore>();
       for (const link of report.links)
         links.set(nodeId(link.peer), { score: link.score, isAlive: link.alive });
       if (owner === this.#me) {
@@ -62,11 +62,11 @@
         for (const [peer, link] of links)
           links.set(peer, {
             score: link.score,
-            isAlive: known.links.get(peer)?.isAlive ?? false,
+            isAlive: known.peers.get(peer)?.isAlive ?? false,
           });
-        this.#reports.set(owner, { version: report.version + 1, links });
+        this.#reports.set(owner, { version: report.version + 1, peers: links });
       } else {
-        this.#reports.set(owner, { version: report.version, links });
+        this.#reports.set(owner, { version: report.version, peers: links });
       }
     }
   }
@@ -75,7 +75,7 @@
     const list: ScoreReport[] = [];
     for (const [owner, report] of this.#reports) {
       const links = [];
-      for (const [peer, link] of report.links)
+      for (const [peer, link] of report.peers)
         links.push({ peer, score: link.score, alive: link.isAlive });
       list.push({ owner, version: report.version, links });
     }
@@ -86,43 +86,43 @@
   total(peer: NodeId, voters: readonly NodeId[]): number {
     let sum = 0;
     for (const owner of voters) {
-      const link = owner === peer ? undefined : this.#reports.get(owner)?.links.get(peer);
+      const link = owner === peer ? undefined : this.#reports.get(owner)?.peers.get(peer);
       if (link?.isAlive) sum += link.score;
     }
     return sum;
   }
 
   // Totals are compared in thousandths: views that differ by the last ping alone must still agree, then the lower id leads.
-  isBetter(a: NodeId, b: NodeId, voters: readonly NodeId[]): boolean {
+  ranksAbove(a: NodeId, b: NodeId, voters: readonly NodeId[]): boolean {
     const difference =
       Math.round(this.total(a, voters) * 1000) - Math.round(this.total(b, voters) * 1000);
     return difference > 0 || (difference === 0 && a < b);
   }
 
   /** Whether one's total is above another's, in thousandths, leaving the tie-break aside. */
-  isAbove(a: NodeId, b: NodeId, voters: readonly NodeId[]): boolean {
+  hasHigherTotal(a: NodeId, b: NodeId, voters: readonly NodeId[]): boolean {
     return Math.round(this.total(a, voters) * 1000) > Math.round(this.total(b, voters) * 1000);
   }
 
-  top(voters: readonly NodeId[]): NodeId | undefined {
+  highestRanked(voters: readonly NodeId[]): NodeId | undefined {
     let best: NodeId | undefined;
     for (const voter of voters)
-      if (best === undefined || this.isBetter(voter, best, voters)) best = voter;
+      if (best === undefined || this.ranksAbove(voter, best, voters)) best = voter;
     return best;
   }
 
-  #own(peer: NodeId): LinkScore | undefined {
-    return this.#reports.get(this.#me)?.links.get(peer);
+  #ownScoreOf(peer: NodeId): PeerScore | undefined {
+    return this.#reports.get(this.#me)?.peers.get(peer);
   }
 
-  #step(units: number): number {
-    return Math.min(1, Math.max(0, units) / (2 * this.#halfLife));
+  #stepOf(elapsedSeconds: number): number {
+    return Math.min(1, Math.max(0, elapsedSeconds) / (2 * this.#halfLifeSeconds));
   }
 
-  #put(peer: NodeId, link: LinkScore): void {
+  #putOwnScore(peer: NodeId, link: PeerScore): void {
     const known = this.#reports.get(this.#me) ?? NO_REPORT;
-    const links = new Map(known.links);
+    const links = new Map(known.peers);
     links.set(peer, link);
-    this.#reports.set(this.#me, { version: known.version + 1, links });
+    this.#reports.set(this.#me, { version: known.version + 1, peers: links });
   }
 }
--- a/src/election/slow-links-election.test.ts
+++ b/src/election/slow-links-election.test.ts
@@ -43,9 +43,9 @@
 }
 
 test('the elector tells by how much longer an exchange takes', () => {
-  expect(voterOver(ROUND_TRIP_MS).elector.slowMs).toBe(SLOW_MS);
-  expect(voterOver(ROUND_TRIP_MS).elector.slowMsOf(A)).toBe(SLOW_MS);
-  expect(voterOver(50).elector.slowMs).toBe(0);
+  expect(voterOver(ROUND_TRIP_MS).elector.extraRoundTripMs).toBe(SLOW_MS);
+  expect(voterOver(ROUND_TRIP_MS).elector.extraRoundTripMsOf(A)).toBe(SLOW_MS);
+  expect(voterOver(50).elector.extraRoundTripMs).toBe(0);
 });
 
 describe('over slow links', () => {
--- a/src/election/synced-outbox.test.ts
+++ b/src/election/synced-outbox.test.ts
@@ -11,12 +11,12 @@
 
 test('what is sent after a record leaves once that record is on disk', () => {
   const outbox = new SyncedOutbox(moment(0));
-  outbox.keep(RECORD, moment(0));
+  outbox.persist(RECORD, moment(0));
   outbox.send(b, MESSAGE);
-  expect(outbox.drain()).toEqual([{ do: 'keep', token: 1, record: RECORD }]);
-  outbox.kept(0);
+  expect(outbox.drain()).toEqual([{ do: 'persistVote', token: 1, record: RECORD }]);
+  outbox.onPersisted(0);
   expect(outbox.drain()).toEqual([]);
-  outbox.kept(1);
+  outbox.onPersisted(1);
   expect(outbox.drain()).toEqual([SEND]);
   expect(outbox.drain()).toEqual([]);
 });
@@ -24,26 +24,26 @@
 test('what is sent after two records waits for the second, and what was sent before it does not', () => {
   const outbox = new SyncedOutbox(moment(0));
   const released: Message = { kind: 'released', epoch: 4 };
-  outbox.keep(RECORD, moment(0));
+  outbox.persist(RECORD, moment(0));
   outbox.send(b, MESSAGE);
-  outbox.keep(RECORD, moment(0));
+  outbox.persist(RECORD, moment(0));
   outbox.send(b, released);
   outbox.drain();
-  outbox.kept(1);
+  outbox.onPersisted(1);
   expect(outbox.drain()).toEqual([SEND]);
-  outbox.kept(2);
+  outbox.onPersisted(2);
   expect(outbox.drain()).toEqual([{ ...SEND, message: released }]);
 });
 
 test('a newer record on disk stands for the older ones, and an older one told late takes nothing back', () => {
   const outbox = new SyncedOutbox(moment(0));
-  outbox.keep(RECORD, moment(0));
-  outbox.keep(RECORD, moment(0));
+  outbox.persist(RECORD, moment(0));
+  outbox.persist(RECORD, moment(0));
   outbox.send(b, MESSAGE);
   outbox.drain();
-  outbox.kept(2);
+  outbox.onPersisted(2);
   expect(outbox.drain()).toEqual([SEND]);
-  outbox.kept(1);
+  outbox.onPersisted(1);
   outbox.send(b, MESSAGE);
   expect(outbox.drain()).toEqual([SEND]);
 });
@@ -56,27 +56,27 @@
 
 test('what rests on no record is sent at once, and a record that nobody awaits holds nothing up', () => {
   const outbox = new SyncedOutbox(moment(0));
-  outbox.keepUnawaited(RECORD);
+  outbox.persistInBackground(RECORD);
   outbox.send(b, MESSAGE);
-  expect(outbox.drain()).toEqual([{ do: 'keep', token: 0, record: RECORD }, SEND]);
-  outbox.keep(RECORD, moment(0));
-  outbox.sendUnsynced(b, MESSAGE);
-  expect(outbox.drain()).toEqual([{ do: 'keep', token: 1, record: RECORD }, SEND]);
+  expect(outbox.drain()).toEqual([{ do: 'persistVote', token: 0, record: RECORD }, SEND]);
+  outbox.persist(RECORD, moment(0));
+  outbox.sendImmediately(b, MESSAGE);
+  expect(outbox.drain()).toEqual([{ do: 'persistVote', token: 1, record: RECORD }, SEND]);
 });
 
 test('a disk is stalled once the oldest record that it owes has waited for longer than the limit', () => {
   const outbox = new SyncedOutbox(moment(0));
   expect(outbox.isStalled(moment(50_000), STALL_MS)).toBe(false);
-  outbox.keep(RECORD, moment(10_000));
+  outbox.persist(RECORD, moment(10_000));
   // A second record does not begin the wait anew.
-  outbox.keep(RECORD, moment(10_900));
+  outbox.persist(RECORD, moment(10_900));
   expect(outbox.isStalled(moment(11_000), STALL_MS)).toBe(false);
   expect(outbox.isStalled(moment(11_001), STALL_MS)).toBe(true);
-  outbox.kept(1);
+  outbox.onPersisted(1);
   expect(outbox.isStalled(moment(11_001), STALL_MS)).toBe(true);
-  outbox.kept(2);
+  outbox.onPersisted(2);
   expect(outbox.isStalled(moment(11_001), STALL_MS)).toBe(false);
-  outbox.keep(RECORD, moment(20_000));
+  outbox.persist(RECORD, moment(20_000));
   expect(outbox.isStalled(moment(21_000), STALL_MS)).toBe(false);
   expect(outbox.isStalled(moment(21_001), STALL_MS)).toBe(true);
 });
--- a/src/election/synced-outbox.ts
+++ b/src/election/synced-outbox.ts
@@ -2,7 +2,7 @@
 import type { Message } from '../common/messages.js';
 import type { VoteEffect, VoteRecord } from './vote-effect.js';
 
-interface Held {
+interface PendingAction {
   readonly token: number;
   readonly run: () => void;
 }
@@ -13,13 +13,13 @@
  */
 export class SyncedOutbox {
   #effects: VoteEffect[] = [];
-  #held: Held[] = [];
-  #token = 0;
-  #kept = 0;
-  #keepSince: Moment;
+  #pending: PendingAction[] = [];
+  #lastToken = 0;
+  #persistedToken = 0;
+  #pendingSince: Moment;
 
   constructor(now: Moment) {
-    this.#keepSince = now;
+    this.#pendingSince = now;
   }
 
   drain(): VoteEffect[] {
@@ -29,46 +29,46 @@
   }
 
   /** Writes a record; what is sent from now on waits for it. */
-  keep(record: VoteRecord, now: Moment): void {
-    if (this.#kept === this.#token) this.#keepSince = now;
-    this.#token += 1;
-    this.keepUnawaited(record);
+  persist(record: VoteRecord, now: Moment): void {
+    if (this.#persistedToken === this.#lastToken) this.#pendingSince = now;
+    this.#lastToken += 1;
+    this.persistInBackground(record);
   }
 
   /** Writes a record for which nothing waits. */
-  keepUnawaited(record: VoteRecord): void {
-    this.#effects.push({ do: 'keep', token: this.#token, record });
+  persistInBackground(record: VoteRecord): void {
+    this.#effects.push({ do: 'persistVote', token: this.#lastToken, record });
   }
 
   /** Told when the record with that token is on disk. */
-  kept(token: number): void {
-    this.#kept = Math.max(this.#kept, token);
-    const held = this.#held;
-    this.#held = [];
-    for (const item of held) {
-      if (item.token <= this.#kept) item.run();
-      else this.#held.push(item);
+  onPersisted(token: number): void {
+    this.#persistedToken = Math.max(this.#persistedToken, token);
+    const pending = this.#pending;
+    this.#pending = [];
+    for (const item of pending) {
+      if (item.token <= this.#persistedToken) item.run();
+      else this.#pending.push(item);
     }
   }
 
   /** Whether a record has been waiting for the disk for longer than that, in milliseconds. */
   isStalled(now: Moment, stallMs: number): boolean {
-    return this.#kept < this.#token && now - this.#keepSince > stallMs;
+    return this.#persistedToken < this.#lastToken && now - this.#pendingSince > stallMs;
   }
 
   /** Runs once every record written so far is on disk: at once where they are. */
-  afterKept(run: () => void): void {
-    if (this.#kept >= this.#token) run();
-    else this.#held.push({ token: this.#token, run });
+  whenPersisted(run: () => void): void {
+    if (this.#persistedToken >= this.#lastToken) run();
+    else this.#pending.push({ token: this.#lastToken, run });
   }
 
   /** Sends after every record written so far. */
   send(to: NodeId, message: Message): void {
-    this.afterKept(() => this.sendUnsynced(to, message));
+    this.whenPersisted(() => this.sendImmediately(to, message));
   }
 
   /** Sends at once: for what rests on no record, as pings do. */
-  sendUnsynced(to: NodeId, message: Message): void {
+  sendImmediately(to: NodeId, message: Message): void {
     this.#effects.push({ do: 'send', to, message });
   }
 }
--- a/src/election/testing/lone-voter.ts
+++ b/src/election/testing/lone-voter.ts
@@ -56,7 +56,7 @@
 
   /** What it does on a message. */
   receive(from: NodeId, message: Message): readonly Sent[] {
-    this.elector.receive(this.#now, from, message);
+    this.elector.onMessage(this.#now, from, message);
     return this.drain();
   }
 
@@ -74,7 +74,7 @@
     const sent: Sent[] = [];
     for (let effects = this.elector.drain(); effects.length > 0; effects = this.elector.drain()) {
       for (const effect of effects) {
-        if (effect.do === 'keep') {
+        if (effect.do === 'persistVote') {
           this.records.push(effect.record);
           this.#unsynced.push(effect.token);
         } else if (effect.message.kind !== 'ping' && effect.message.kind !== 'pong')
@@ -87,7 +87,7 @@
 
   /** All records written so far reach the disk. */
   sync(): void {
-    for (const token of this.#unsynced.splice(0)) this.elector.kept(token);
+    for (const token of this.#unsynced.splice(0)) this.elector.onPersisted(token);
   }
 }
 
--- a/src/election/vote-effect.ts
+++ b/src/election/vote-effect.ts
@@ -13,4 +13,4 @@
 export type VoteEffect =
   | { readonly do: 'send'; readonly to: NodeId; readonly message: Message }
   /** Sync this record, then call kept(token). A later record replaces an earlier one that is still waiting. */
-  | { readonly do: 'keep'; readonly token: number; readonly record: VoteRecord };
+  | { readonly do: 'persistVote'; readonly token: number; readonly record: VoteRecord };
--- a/src/election/voter-links.test.ts
+++ b/src/election/voter-links.test.ts
@@ -2,21 +2,21 @@
 import { moment, nodeId, type NodeId } from '../common/ids.js';
 import { Quorum } from '../common/quorum.js';
 import { SyncedOutbox } from './synced-outbox.js';
-import { VoterLinks } from './voter-links.js';
+import { PeerMonitor } from './voter-links.js';
 import { VOTE_DEFAULTS } from './vote-settings.js';
 
 const [a, b, c] = [nodeId('a'), nodeId('b'), nodeId('c')];
 const QUORUM = new Quorum([a, b, c]);
 
 /** Links of `a` after one ping at moment 0. */
-function pinged(): VoterLinks {
-  const links = new VoterLinks(a, VOTE_DEFAULTS, new SyncedOutbox(moment(0)), moment(0));
+function pinged(): PeerMonitor {
+  const links = new PeerMonitor(a, VOTE_DEFAULTS, new SyncedOutbox(moment(0)), moment(0));
   links.tick(moment(0), QUORUM, undefined);
   return links;
 }
 
-function answer(links: VoterLinks, peer: NodeId, at: number, sent: number = 0): void {
-  links.receivePong(moment(at), peer, {
+function answer(links: PeerMonitor, peer: NodeId, at: number, sent: number = 0): void {
+  links.onPong(moment(at), peer, {
     kind: 'pong',
     nonce: sent,
     epoch: 0,
@@ -26,34 +26,38 @@
 }
 test('up to a round trip of 100 ms nothing is added', () => {
   const links = pinged();
-  expect(links.slowMs(QUORUM)).toBe(0);
+  expect(links.extraRoundTripMs(QUORUM)).toBe(0);
   answer(links, b, 100);
-  expect([links.slowMs(QUORUM), links.slowMsOf(b)]).toEqual([0, 0]);
+  expect([links.extraRoundTripMs(QUORUM), links.extraRoundTripMsOf(b)]).toEqual([0, 0]);
 });
 test('twice what a round trip exceeds that is added', () => {
   const links = pinged();
   answer(links, b, 600);
-  expect([links.slowMs(QUORUM), links.slowMsOf(b), links.slowMsOf(c)]).toEqual([1000, 1000, 0]);
+  expect([
+    links.extraRoundTripMs(QUORUM),
+    links.extraRoundTripMsOf(b),
+    links.extraRoundTripMsOf(c),
+  ]).toEqual([1000, 1000, 0]);
   // The nearer one completes the majority: the far one makes nobody wait.
   answer(links, c, 650, 640);
-  expect([links.slowMs(QUORUM), links.slowMsOf(b)]).toEqual([0, 1000]);
+  expect([links.extraRoundTripMs(QUORUM), links.extraRoundTripMsOf(b)]).toEqual([0, 1000]);
 });
 test('what proves no contact measures nothing', () => {
   const links = pinged();
-  answer(links, b, VOTE_DEFAULTS.deadMs);
-  expect([links.slowMs(QUORUM), links.reachesMajority(QUORUM)]).toEqual([0, false]);
+  answer(links, b, VOTE_DEFAULTS.peerTimeoutMs);
+  expect([links.extraRoundTripMs(QUORUM), links.reachesMajority(QUORUM)]).toEqual([0, false]);
   // A pong to a former incarnation names a moment that this one has not had yet.
   answer(links, c, 100, 5000);
-  expect([links.slowMs(QUORUM), links.slowMsOf(c)]).toEqual([0, 0]);
+  expect([links.extraRoundTripMs(QUORUM), links.extraRoundTripMsOf(c)]).toEqual([0, 0]);
 });
 test('one that is away does not count', () => {
   const links = pinged();
   answer(links, b, 10);
   answer(links, c, 600);
-  expect(links.slowMs(QUORUM)).toBe(0);
-  const later = moment(600 + VOTE_DEFAULTS.deadMs);
+  expect(links.extraRoundTripMs(QUORUM)).toBe(0);
+  const later = moment(600 + VOTE_DEFAULTS.peerTimeoutMs);
   answer(links, c, later, later - 600);
   // Dead to us from the next ping on: the majority is then one with the far voter.
   links.tick(later, QUORUM, undefined);
-  expect(links.slowMs(QUORUM)).toBe(1000);
+  expect(links.extraRoundTripMs(QUORUM)).toBe(1000);
 });
--- a/src/election/voter-state.ts
+++ b/src/election/voter-state.ts
@@ -1,12 +1,12 @@
 import { epochOf, later, moment, type Epoch, type Moment, type NodeId } from '../common/ids.js';
 import type { Message } from '../common/messages.js';
 import type { Quorum } from '../common/quorum.js';
-import { Ballot } from './ballot.js';
+import { CandidateRanking } from './ballot.js';
 import { Lease } from './lease.js';
-import { Promises } from './promises.js';
+import { VoteGrants } from './promises.js';
 import { SyncedOutbox } from './synced-outbox.js';
 import type { VoteRecord } from './vote-effect.js';
-import { VoterLinks } from './voter-links.js';
+import { PeerMonitor } from './voter-links.js';
 import type { VoteSettings } from './vote-settings.js';
 
 /** What the elector is doing: waiting for a majority to be in reach, proposing itself, having deferred, or knowing a leader. */
@@ -17,10 +17,10 @@
   readonly me: NodeId;
   readonly settings: VoteSettings;
   readonly outbox: SyncedOutbox;
-  readonly links: VoterLinks;
-  readonly ballot: Ballot;
+  readonly peerMonitor: PeerMonitor;
+  readonly ranking: CandidateRanking;
   readonly lease: Lease;
-  readonly promises: Promises;
+  readonly grants: VoteGrants;
   quorum: Quorum;
   epoch: Epoch;
   role: Role = 'looking';
@@ -31,7 +31,7 @@
   /** Who takes part in the present epoch, as far as this voter knows. */
   quorumMembers = new Set<NodeId>();
   /** When waiting in the present role is given up. */
-  limit: Moment = moment(0);
+  roleDeadline: Moment = moment(0);
   /** Terms that this node granted to a leader, itself included. */
   votesGranted = 0;
 
@@ -41,15 +41,15 @@
     this.settings = settings;
     this.epoch = epochOf(record.epoch);
     this.outbox = new SyncedOutbox(now);
-    this.links = new VoterLinks(me, settings, this.outbox, now);
-    this.ballot = new Ballot(me, settings, this.links);
+    this.peerMonitor = new PeerMonitor(me, settings, this.outbox, now);
+    this.ranking = new CandidateRanking(me, settings, this.peerMonitor);
     this.lease = new Lease(settings);
-    this.promises = new Promises(settings, now, record);
+    this.grants = new VoteGrants(settings, now, record);
   }
 
   /** What must be on disk before anything of the present epoch is said. */
   get record(): VoteRecord {
-    return this.promises.record(this.epoch);
+    return this.grants.record(this.epoch);
   }
 
   /** All voters but this node. */
@@ -63,54 +63,59 @@
   }
 
   /** Whether this node leads an epoch, or has won one and waits for its grants. */
-  get isHolding(): boolean {
+  get hasWonEpoch(): boolean {
     return this.role === 'leading' || this.role === 'won';
   }
 
   /** Our exception: a node that cannot reach a majority, or whose disk stalls, could only run the epoch up for the others. */
-  isAble(now: Moment): boolean {
-    const { stallMs } = this.settings;
-    return this.links.reachesMajority(this.quorum) && !this.outbox.isStalled(now, stallMs);
+  canCampaign(now: Moment): boolean {
+    const { diskStallMs } = this.settings;
+    return (
+      this.peerMonitor.reachesMajority(this.quorum) && !this.outbox.isStalled(now, diskStallMs)
+    );
   }
 
   /** Waits in the present role for so many rounds of the election, and for what slow links need. */
-  waitRounds(now: Moment, rounds: number): void {
+  startElectionTimeout(now: Moment, rounds: number): void {
     const { electionMs } = this.settings;
-    this.limit = later(now, electionMs * rounds + this.links.slowMs(this.quorum));
+    this.roleDeadline = later(
+      now,
+      electionMs * rounds + this.peerMonitor.extraRoundTripMs(this.quorum),
+    );
   }
 
   /** Gives up what the present role had, and takes on another. */
-  lose(role: Role): void {
+  abandonRole(role: Role): void {
     this.role = role;
     this.leader = undefined;
     this.quorumMembers = new Set();
-    this.ballot.clearRound();
+    this.ranking.clearDeferrals();
     this.lease.clear();
   }
 
   /** Takes on an epoch: scores are frozen anew, and nothing is said in it before it is on disk. */
-  adopt(epoch: Epoch, now: Moment): void {
+  adoptEpoch(epoch: Epoch, now: Moment): void {
     if (epoch !== this.epoch) {
       this.epoch = epoch;
-      this.keep(now);
+      this.persist(now);
     }
-    this.ballot.freeze();
+    this.ranking.freezeScores();
   }
 
   /** Grants the present epoch and promises the span; returns how long promises to others bind, in milliseconds. */
   grant(now: Moment, leader: NodeId): number {
-    const wait = this.promises.waitFor(now, leader);
-    if (this.promises.epoch !== this.epoch) {
+    const waitMs = this.grants.remainingLeaseMs(now, leader);
+    if (this.grants.epoch !== this.epoch) {
       this.votesGranted += 1;
-      this.promises.grant(now, leader, this.epoch, wait);
-      this.keep(now);
+      this.grants.grant(now, leader, this.epoch, waitMs);
+      this.persist(now);
     }
-    this.promises.promise(now, leader);
-    return wait;
+    this.grants.extendLease(now, leader);
+    return waitMs;
   }
 
-  keep(now: Moment): void {
-    this.outbox.keep(this.record, now);
+  persist(now: Moment): void {
+    this.outbox.persist(this.record, now);
   }
 
   send(to: NodeId, message: Message): void {
@@ -119,7 +124,7 @@
 
   /** Tells a sender of an older epoch the present one. */
   sendBehind(to: NodeId): void {
-    const reports = this.links.scores.reports();
+    const reports = this.peerMonitor.scores.reports();
     this.send(to, { kind: 'behind', epoch: this.epoch, reports });
   }
 }
--- a/src/rehearsal/scale-control.ts
+++ b/src/rehearsal/scale-control.ts
@@ -61,7 +61,13 @@
 const LIST_MS = 1000;
 const CALL_MS = 5000;
 const LIST_LAG_MS = 800;
-const VOTE = { pingMs: 250, renewMs: 300, electionMs: 500, spanMs: 1500, deadMs: 1200 } as const;
+const VOTE = {
+  pingMs: 250,
+  renewMs: 300,
+  electionMs: 500,
+  leaseMs: 1500,
+  peerTimeoutMs: 1200,
+} as const;
 
 function listedOf(runner: Infer<typeof ListedShape>): ListedRunner {
   return { ...runner, remainingMs: runner.remainingMs };
--- a/src/rehearsal/sim-control.ts
+++ b/src/rehearsal/sim-control.ts
@@ -83,7 +83,7 @@
   }
 
   wipe(): void {
-    this.#store.wipe();
+    this.#store.erase();
   }
 
   /** A planned stop: says whether it handed over. */
@@ -96,7 +96,7 @@
   }
 
   rot(partition: PartitionName): void {
-    this.#store.rot(partition);
+    this.#store.corrupt(partition);
   }
 
   unstall(): void {
@@ -303,7 +303,7 @@
       this.#wrong === 'yes-unsynced' ? (run: () => void) => this.later(3000, run) : undefined;
     this.#trace.write(partition, version, body);
     function keep(): void {
-      store.keep(partition, version, body);
+      store.persist(partition, version, body);
     }
     const write = this.later.bind(this, this.#seeded.between(0.5, this.diskMs), () => {
       if (late) late(keep);
--- a/src/rehearsal/simulation.ts
+++ b/src/rehearsal/simulation.ts
@@ -237,7 +237,7 @@
       this.#outside,
       seeds,
       this.#settings.wrong === 'no-gap-between-holders'
-        ? { ...VOTE_DEFAULTS, leaseMs: 0 }
+        ? { ...VOTE_DEFAULTS, handoverGapMs: 0 }
         : VOTE_DEFAULTS,
       this.#settings.wrong ?? '',
     );
--- a/src/simulation/control-node.ts
+++ b/src/simulation/control-node.ts
@@ -206,7 +206,7 @@
       foundMs: 0,
       deployed,
     };
-    const vote = { ...VOTE_DEFAULTS, ...DEPLOYED_VOTE, leaseMs: LEASE_MS };
+    const vote = { ...VOTE_DEFAULTS, ...DEPLOYED_VOTE, handoverGapMs: LEASE_MS };
     this.#operators.open();
     const inputs = { settings, stored: this.disk.list(), now: this.process.now(), vote };
     this.#core = this.#around.build.control(inputs);
--- a/src/simulation/exhaustive/control-node.ts
+++ b/src/simulation/exhaustive/control-node.ts
@@ -29,14 +29,14 @@
 /** The deployed proportions on few moments, as in the model of the election alone. */
 const VOTE: VoteSettings = {
   pingMs: CONTROL_STEP_MS,
-  deadMs: 3 * CONTROL_STEP_MS,
+  peerTimeoutMs: 3 * CONTROL_STEP_MS,
   halfLifeSeconds: 12 * 3600,
   electionMs: CONTROL_STEP_MS,
   renewMs: CONTROL_STEP_MS / 10,
-  spanMs: 2 * CONTROL_STEP_MS,
-  leaseMs: CONTROL_STEP_MS,
+  leaseMs: 2 * CONTROL_STEP_MS,
+  handoverGapMs: CONTROL_STEP_MS,
   drift: 0,
-  stallMs: 2 * CONTROL_STEP_MS,
+  diskStallMs: 2 * CONTROL_STEP_MS,
 };
 
 /** Apart from what any other life counts. */
@@ -244,5 +244,5 @@
 }
 
 function storedPartition({ slot, epoch, count, body }: DiskWrite): StoredPartition {
-  return { partition: partitionName(slot), version: { epoch, count }, body, isSound: true };
+  return { partition: partitionName(slot), version: { epoch, count }, body, isIntact: true };
 }
--- a/src/simulation/exhaustive/election-protocol.ts
+++ b/src/simulation/exhaustive/election-protocol.ts
@@ -38,14 +38,14 @@
  */
 const SETTINGS: VoteSettings = {
   pingMs: 2 * CLOCK_STEP_MS,
-  deadMs: 1000 * CLOCK_STEP_MS,
+  peerTimeoutMs: 1000 * CLOCK_STEP_MS,
   halfLifeSeconds: 12 * 3600,
   electionMs: CLOCK_STEP_MS,
   renewMs: CLOCK_STEP_MS / 10,
-  spanMs: 2 * CLOCK_STEP_MS,
-  leaseMs: LEASE_CLOCK_STEPS * CLOCK_STEP_MS,
+  leaseMs: 2 * CLOCK_STEP_MS,
+  handoverGapMs: LEASE_CLOCK_STEPS * CLOCK_STEP_MS,
   drift: 0,
-  stallMs: 1000 * CLOCK_STEP_MS,
+  diskStallMs: 1000 * CLOCK_STEP_MS,
 };
 
 /** Deliberate mistakes that the invariants must find. */
@@ -90,7 +90,7 @@
     this.#mistake = mistake;
     const me = nodes[node];
     if (me === undefined) throw new RangeError(`no node ${node}`);
-    const settings = mistake === 'no-lease-gap' ? { ...SETTINGS, leaseMs: 0 } : SETTINGS;
+    const settings = mistake === 'no-lease-gap' ? { ...SETTINGS, handoverGapMs: 0 } : SETTINGS;
     this.#firstToken = disk[0]?.count ?? 0;
     const record = recordOf(disk, mistake);
     this.#elector = new Elector(me, quorum, settings, now, record);
@@ -99,7 +99,7 @@
     for (const peer of nodes) {
       if (peer === me) continue;
       const pong: Message = { kind: 'pong', nonce: now, epoch: 0, reports: [], standing: '' };
-      this.#elector.receive(now, peer, pong);
+      this.#elector.onMessage(now, peer, pong);
     }
     this.#elector.drain();
   }
@@ -112,10 +112,10 @@
     if (input.kind === 'tick') this.#elector.tick(now);
     else if (input.kind === 'receive') {
       for (const message of input.messages) {
-        this.#elector.receive(now, nodeId(input.from), message);
+        this.#elector.onMessage(now, nodeId(input.from), message);
       }
     } else if (input.kind === 'stored') {
-      this.#elector.kept(input.write.count - this.#firstToken);
+      this.#elector.onPersisted(input.write.count - this.#firstToken);
     }
     return this.#output();
   }
@@ -125,11 +125,11 @@
     const writes: DiskWrite[] = [];
     for (let effects = this.#elector.drain(); effects.length > 0; effects = this.#elector.drain()) {
       for (const effect of effects) {
-        if (effect.do === 'keep') {
+        if (effect.do === 'persistVote') {
           const { record, token } = effect;
           const count = this.#firstToken + token;
           writes.push({ slot: VOTE_SLOT, epoch: 0, count, body: JSON.stringify(record) });
-          if (this.#mistake === 'speaks-unsynced') this.#elector.kept(token);
+          if (this.#mistake === 'speaks-unsynced') this.#elector.onPersisted(token);
         } else if (effect.message.kind !== 'ping' && effect.message.kind !== 'pong') {
           sends.push({ to: effect.to, message: effect.message });
         }
--- a/src/simulation/exhaustive/replica.ts
+++ b/src/simulation/exhaustive/replica.ts
@@ -154,7 +154,7 @@
 
   #receive(now: Moment, from: NodeId, message: Message): void {
     if (message.kind === 'read' && message.epoch === 0) {
-      const copies = this.#replicatedState.copies();
+      const copies = this.#replicatedState.replicaMessages();
       const hasGranted = this.#grantEpoch > 0;
       const reply = this.#replicaStatus.replyTo(message.nonce, this.#epoch, copies, hasGranted);
       this.#sends.push({ to: from, message: reply });
@@ -165,11 +165,11 @@
           this.#settle({ become: 'repaired', epoch, copies });
         return;
       }
-      this.#settle(this.#replicaStatus.receive(now, from, message, this.#quorum));
+      this.#settle(this.#replicaStatus.onReadReply(now, from, message, this.#quorum));
     } else {
       const isOld = this.#mistake === 'old-epoch-written' && message.kind === 'write';
       const granted = isOld ? message.epoch : this.#granted();
-      this.#replicatedState.receive(now, from, message, granted, [], this.#replicaStatus.name);
+      this.#replicatedState.onMessage(now, from, message, granted, [], this.#replicaStatus.name);
     }
   }
 
@@ -183,7 +183,7 @@
     this.#keptGrant = parseAs(VoteShape, write.body)?.grantEpoch ?? 0;
     if (this.#settlesAt === undefined || write.count < this.#settlesAt) return;
     this.#settlesAt = undefined;
-    this.#replicaStatus.settle();
+    this.#replicaStatus.resolve();
   }
 
   #command(now: Moment, command: ReplicaCommand): void {
@@ -276,7 +276,7 @@
 }
 
 function storedPartition({ slot, epoch, count, body }: DiskWrite): StoredPartition {
-  return { partition: partitionName(slot), version: { epoch, count }, body, isSound: true };
+  return { partition: partitionName(slot), version: { epoch, count }, body, isIntact: true };
 }
 
 /** A record of votes as the disk holds it. */
--- a/src/simulation/mutants/election-mutants.ts
+++ b/src/simulation/mutants/election-mutants.ts
@@ -16,7 +16,7 @@
 /** Leaves no span without orders between two holders. */
 export class LeavesNoGap extends InterceptedControl {
   constructor(inputs: ControlInputs) {
-    super({ ...inputs, vote: { ...inputs.vote, leaseMs: 0 } });
+    super({ ...inputs, vote: { ...inputs.vote, handoverGapMs: 0 } });
   }
 }
 
--- a/src/simulation/mutants/state-mutants.ts
+++ b/src/simulation/mutants/state-mutants.ts
@@ -143,7 +143,7 @@
   partition: VOTE_RECORD,
   version: { epoch: 0, count: 1 },
   body: JSON.stringify({ epoch: 0, grantEpoch: 0, grantLeader: '' }),
-  isSound: true,
+  isIntact: true,
 };
 
 /** A write with the moment of its beginning. */
@@ -192,7 +192,7 @@
   protected override carryOut(effect: ControlEffect): readonly ControlEffect[] {
     if (effect.do === 'store') {
       const { partition, version, body } = effect;
-      this.#snapshots.note(this.#me, this.now, { partition, version, body, isSound: true });
+      this.#snapshots.note(this.#me, this.now, { partition, version, body, isIntact: true });
     }
     return [effect];
   }
--- a/src/simulation/sim-disk.ts
+++ b/src/simulation/sim-disk.ts
@@ -163,7 +163,7 @@
       partition: write.partition,
       version: write.version,
       body: write.body,
-      isSound: true,
+      isIntact: true,
     };
     this.#log.push({ at: this.#scheduler.now, stored });
     if (this.#log.length > MOST_LOGGED) this.#forgetOld();
--- a/src/state/copy-mending.ts
+++ b/src/state/copy-mending.ts
@@ -1,61 +1,68 @@
 import { later, moment, type Moment, type NodeId } from '../common/ids.js';
 import type { Message } from '../common/messages.js';
-import type { ReplicaCopies } from './replica-copies.js';
+import type { LocalPartitions } from './replica-copies.js';
 import type { StateEffects } from './replicated-state-effect.js';
-import type { StateOwner } from './state-owner.js';
+import type { QuorumCoordinator } from './state-owner.js';
 
 type DigestMessage = Extract<Message, { kind: 'digest' }>;
 type DigestReply = Extract<Message, { kind: 'digestReply' }>;
 
-const MEND_MS = 2000;
+const ANTI_ENTROPY_INTERVAL_MS = 2000;
 
 /** Compares copies by digests over ranges of parts, halving one that differs; the owner sends its newer copy of a part. */
-export class CopyMending {
+export class AntiEntropy {
   readonly #me: NodeId;
-  readonly #copies: ReplicaCopies;
-  readonly #owner: StateOwner;
+  readonly #partitions: LocalPartitions;
+  readonly #coordinator: QuorumCoordinator;
   readonly #effects: StateEffects;
-  #comparedAt: Moment = moment(0);
-  #mends = 0;
+  #lastComparedAt: Moment = moment(0);
+  #repairs = 0;
 
-  constructor(me: NodeId, copies: ReplicaCopies, owner: StateOwner, effects: StateEffects) {
+  constructor(
+    me: NodeId,
+    copies: LocalPartitions,
+    owner: QuorumCoordinator,
+    effects: StateEffects,
+  ) {
     this.#me = me;
-    this.#copies = copies;
-    this.#owner = owner;
+    this.#partitions = copies;
+    this.#coordinator = owner;
     this.#effects = effects;
   }
 
   /** How many copies at others were sent anew. */
-  get mends(): number {
-    return this.#mends;
+  get repairs(): number {
+    return this.#repairs;
   }
 
   tick(now: Moment): void {
-    if (!this.#owner.isServing || now < later(this.#comparedAt, MEND_MS)) return;
-    this.#comparedAt = now;
-    for (const peer of this.#owner.quorum.all)
-      if (peer !== this.#me) this.#compare(peer, 0, this.#copies.names.length);
+    if (!this.#coordinator.isServing || now < later(this.#lastComparedAt, ANTI_ENTROPY_INTERVAL_MS))
+      return;
+    this.#lastComparedAt = now;
+    for (const peer of this.#coordinator.quorum.all)
+      if (peer !== this.#me) this.#compare(peer, 0, this.#partitions.names.length);
   }
 
-  receiveDigest(from: NodeId, { nonce, low, high, digest }: DigestMessage): void {
-    const isSame = this.#copies.digest(low, high) === digest;
+  onDigest(from: NodeId, { nonce, low, high, digest }: DigestMessage): void {
+    const isSame = this.#partitions.digest(low, high) === digest;
     this.#effects.send(from, { kind: 'digestReply', nonce, low, high, same: isSame, sound: true });
   }
 
-  receiveReply(from: NodeId, { same, low, high }: DigestReply): void {
-    if (same || !this.#owner.isServing) return;
+  onDigestReply(from: NodeId, { same, low, high }: DigestReply): void {
+    if (same || !this.#coordinator.isServing) return;
     if (high - low > 1) {
       const middle = Math.floor((low + high) / 2);
       this.#compare(from, low, middle);
       this.#compare(from, middle, high);
       return;
     }
-    const partition = this.#copies.names[low];
-    if (partition !== undefined && this.#owner.sendCopy(from, partition)) this.#mends += 1;
+    const partition = this.#partitions.names[low];
+    if (partition !== undefined && this.#coordinator.repairReplica(from, partition))
+      this.#repairs += 1;
   }
 
   #compare(peer: NodeId, low: number, high: number): void {
-    const digest = this.#copies.digest(low, high);
+    const digest = this.#partitions.digest(low, high);
     this.#effects.send(peer, { kind: 'digest', nonce: 0, low, high, digest });
   }
 }
--- a/src/state/file-store-versions.test.ts
+++ b/src/state/file-store-versions.test.ts
@@ -73,7 +73,7 @@
   const names = await readdir(join(root, PARTITION));
   expect(names.sort()).toEqual([...others, '2.3.json', '2.4.json'].sort());
   const [stored] = await new FileStore(root, ignore).readAll();
-  expect([stored?.version, stored?.isSound]).toEqual([version(2, 4), true]);
+  expect([stored?.version, stored?.isIntact]).toEqual([version(2, 4), true]);
 });
 
 test('of writes that wait for a slow disk only the newest is written, in whatever order they came', async () => {
@@ -96,7 +96,7 @@
   await store.write(other, version(2, 1), 'of another');
   await rename(join(root, other), join(root, PARTITION));
   expect(await new FileStore(root, ignore).readAll()).toMatchObject([
-    { version: { epoch: 0, count: 0 }, body: '', isSound: false },
+    { version: { epoch: 0, count: 0 }, body: '', isIntact: false },
   ]);
 });
 
@@ -105,7 +105,9 @@
   const store = new FileStore(root, ignore);
   await store.write(PARTITION, version(2, 1), 'x');
   await rename(join(root, PARTITION, '2.1.json'), join(root, PARTITION, '2.2.json'));
-  expect(await new FileStore(root, ignore).readAll()).toMatchObject([{ body: '', isSound: false }]);
+  expect(await new FileStore(root, ignore).readAll()).toMatchObject([
+    { body: '', isIntact: false },
+  ]);
 });
 
 test('a partition without any version is not there', async () => {
--- a/src/state/file-store.test.ts
+++ b/src/state/file-store.test.ts
@@ -28,7 +28,7 @@
       partition,
       version: { epoch: 4, count: 1 },
       body: 'new',
-      isSound: true,
+      isIntact: true,
     });
     expect(all).toHaveLength(2);
   }
@@ -151,7 +151,7 @@
   }
   const [stored] = await new FileStore(root, tell).readAll();
   // Neither was told as kept. A torn write aside is invisible; a rename whose folder sync failed may be seen, whole.
-  expect(stored?.isSound).toBe(true);
+  expect(stored?.isIntact).toBe(true);
   expect(['kept', 'torn']).toContain(stored?.body);
 });
 test('a bad newest file is named and its part shown as unsound', async () => {
@@ -163,7 +163,7 @@
   await writeFile(path, (await readFile(path, 'utf8')).replace('second', 'secomd'));
   told.length = 0;
   expect(await new FileStore(root, tell).readAll()).toEqual([
-    { partition, version: { epoch: 2, count: 1 }, body: 'first', isSound: false },
+    { partition, version: { epoch: 2, count: 1 }, body: 'first', isIntact: false },
   ]);
   expect(told.map(kindOf)).toEqual(['bad-file']);
 });
--- a/src/state/file-store.ts
+++ b/src/state/file-store.ts
@@ -20,15 +20,15 @@
   body: string(),
 });
 
-interface Waiting {
+interface PendingWrite {
   readonly version: Version;
   readonly body: string;
-  readonly done: (() => void)[];
-  readonly fail: ((thrown: unknown) => void)[];
+  readonly resolve: (() => void)[];
+  readonly reject: ((thrown: unknown) => void)[];
 }
 
 /** How many versions of a part stay on disk: the newest, and the one before it to look at after a defect. */
-const KEPT_FILES = 2;
+const RETAINED_VERSIONS = 2;
 
 export function digestOf(partition: string, version: Version, body: string): string {
   return createHash('sha256')
@@ -36,7 +36,7 @@
     .digest('hex');
 }
 
-function isName(name: string): boolean {
+function isPartitionFolder(name: string): boolean {
   return /^[a-z0-9-]+$/.test(name);
 }
 
@@ -76,15 +76,15 @@
 export class FileStore implements Store {
   readonly #root: string;
   readonly #disk: Disk;
-  readonly #waiting = new Map<PartitionName, Waiting>();
+  readonly #pending = new Map<PartitionName, PendingWrite>();
   readonly #busy = new Set<PartitionName>();
   /** Parts whose folder is known to last, with all folders above it that we may have made. */
-  readonly #lasting = new Set<PartitionName>();
-  readonly #tell: (defect: HaretrackError) => void;
+  readonly #syncedFolders = new Set<PartitionName>();
+  readonly #report: (defect: HaretrackError) => void;
 
   constructor(root: string, tell: (defect: HaretrackError) => void, disk: Disk = new NodeDisk()) {
     this.#root = root;
-    this.#tell = tell;
+    this.#report = tell;
     this.#disk = disk;
   }
 
@@ -92,7 +92,7 @@
     await mkdir(this.#root, { recursive: true });
     const partitions: StoredPartition[] = [];
     for (const entry of await readdir(this.#root, { withFileTypes: true })) {
-      if (!entry.isDirectory() || !isName(entry.name)) continue;
+      if (!entry.isDirectory() || !isPartitionFolder(entry.name)) continue;
       const stored = await this.#readPartition(partitionName(entry.name));
       if (stored) partitions.push(stored);
     }
@@ -109,7 +109,7 @@
       if (match) versions.push({ epoch: Number(match[1]), count: Number(match[2]) });
     }
     versions.sort(compareVersions).reverse();
-    let isSound = true;
+    let isIntact = true;
     for (const version of versions) {
       const name = `${version.epoch}.${version.count}.json`;
       try {
@@ -120,53 +120,53 @@
           raw.digest !== digestOf(partition, version, raw.body)
         )
           throw new Error('its digest does not match');
-        return { partition, version, body: raw.body, isSound };
+        return { partition, version, body: raw.body, isIntact };
       } catch (thrown) {
         // The newest version was told as kept: an older one may be shown, but must not stand in for it.
-        isSound = false;
-        this.#tell(new CorruptFileError(`${partition}/${name}: ${reasonOf(thrown)}`));
+        isIntact = false;
+        this.#report(new CorruptFileError(`${partition}/${name}: ${reasonOf(thrown)}`));
       }
     }
-    return isSound ? undefined : { partition, version: NO_VERSION, body: '', isSound };
+    return isIntact ? undefined : { partition, version: NO_VERSION, body: '', isIntact };
   }
 
   write(partition: PartitionName, version: Version, body: string): Promise<void> {
-    return new Promise((done, fail) => this.#announce(partition, version, body, done, fail));
+    return new Promise((done, fail) => this.#enqueue(partition, version, body, done, fail));
   }
 
-  #announce(
+  #enqueue(
     partition: PartitionName,
     version: Version,
     body: string,
     done: () => void,
     fail: (thrown: unknown) => void,
   ): void {
-    const before = this.#waiting.get(partition);
+    const before = this.#pending.get(partition);
     // A slow disk owes only the newest version of a part; those that wait with an older one are served by it.
     if (before && compareVersions(before.version, version) > 0) {
-      before.done.push(done);
-      before.fail.push(fail);
+      before.resolve.push(done);
+      before.reject.push(fail);
     } else {
-      this.#waiting.set(partition, {
+      this.#pending.set(partition, {
         version,
         body,
-        done: [...(before?.done ?? []), done],
-        fail: [...(before?.fail ?? []), fail],
+        resolve: [...(before?.resolve ?? []), done],
+        reject: [...(before?.reject ?? []), fail],
       });
     }
-    if (!this.#busy.has(partition)) void this.#work(partition);
+    if (!this.#busy.has(partition)) void this.#writePending(partition);
   }
 
-  async #work(partition: PartitionName): Promise<void> {
+  async #writePending(partition: PartitionName): Promise<void> {
     this.#busy.add(partition);
-    for (let next = this.#waiting.get(partition); next; next = this.#waiting.get(partition)) {
-      this.#waiting.delete(partition);
+    for (let next = this.#pending.get(partition); next; next = this.#pending.get(partition)) {
+      this.#pending.delete(partition);
       try {
         await this.#writeFile(partition, next.version, next.body);
-        for (const done of next.done) done();
+        for (const done of next.resolve) done();
       } catch (thrown) {
-        this.#tell(new DiskWriteError(`${partition}: ${reasonOf(thrown)}`));
-        for (const fail of next.fail) fail(thrown);
+        this.#report(new DiskWriteError(`${partition}: ${reasonOf(thrown)}`));
+        for (const fail of next.reject) fail(thrown);
       }
     }
     this.#busy.delete(partition);
@@ -176,10 +176,10 @@
     const folder = join(this.#root, partition);
     await mkdir(folder, { recursive: true });
     // Not only when we make it: making it may have gone well, and syncing the folder above it not.
-    if (!this.#lasting.has(partition)) {
+    if (!this.#syncedFolders.has(partition)) {
       for (const above of [this.#root, join(this.#root, '..'), join(this.#root, '..', '..')])
         await this.#disk.syncFolder(above);
-      this.#lasting.add(partition);
+      this.#syncedFolders.add(partition);
     }
     const name = `${version.epoch}.${version.count}.json`;
     const text = JSON.stringify({
@@ -191,17 +191,17 @@
     await this.#disk.writeSynced(join(folder, `${name}.aside`), text);
     await this.#disk.rename(join(folder, `${name}.aside`), join(folder, name));
     await this.#disk.syncFolder(folder);
-    await this.#sweep(folder);
+    await this.#removeOldVersions(folder);
   }
 
-  async #sweep(folder: string): Promise<void> {
+  async #removeOldVersions(folder: string): Promise<void> {
     const versions: Version[] = [];
     for (const name of await readdir(folder)) {
       const match = /^(\d+)\.(\d+)\.json$/.exec(name);
       if (match) versions.push({ epoch: Number(match[1]), count: Number(match[2]) });
     }
     versions.sort(compareVersions).reverse();
-    for (const old of versions.slice(KEPT_FILES))
+    for (const old of versions.slice(RETAINED_VERSIONS))
       await rm(join(folder, `${old.epoch}.${old.count}.json`), { force: true });
   }
 }
--- a/src/state/memory-store.ts
+++ b/src/state/memory-store.ts
@@ -4,50 +4,50 @@
 
 /** A store for the simulator: what was kept outlasts crash(), what was not is gone; wipe() loses all. */
 export class MemoryStore implements Store {
-  readonly #kept = new Map<PartitionName, StoredPartition>();
-  readonly #before = new Map<PartitionName, StoredPartition>();
-  #age = 0;
+  readonly #stored = new Map<PartitionName, StoredPartition>();
+  readonly #previous = new Map<PartitionName, StoredPartition>();
+  #incarnation = 0;
 
   async readAll(): Promise<readonly StoredPartition[]> {
     return this.list();
   }
 
   list(): readonly StoredPartition[] {
-    return [...this.#kept.values()];
+    return [...this.#stored.values()];
   }
 
   async write(partition: PartitionName, version: Version, body: string): Promise<void> {
-    const age = this.#age;
+    const incarnation = this.#incarnation;
     await Promise.resolve();
-    if (age === this.#age) this.keep(partition, version, body);
+    if (incarnation === this.#incarnation) this.persist(partition, version, body);
   }
 
   /** The simulator's own way in: it decides on virtual time when a write has reached the disk. */
-  keep(partition: PartitionName, version: Version, body: string): void {
-    const known = this.#kept.get(partition);
-    if (known && known.isSound && compareVersions(version, known.version) < 0) return;
-    if (known?.isSound) this.#before.set(partition, known);
-    this.#kept.set(partition, { partition, version, body, isSound: true });
+  persist(partition: PartitionName, version: Version, body: string): void {
+    const known = this.#stored.get(partition);
+    if (known && known.isIntact && compareVersions(version, known.version) < 0) return;
+    if (known?.isIntact) this.#previous.set(partition, known);
+    this.#stored.set(partition, { partition, version, body, isIntact: true });
   }
 
   /** The newest file of a part goes bad: what is left is the one before it, and the knowledge that it is not the newest. */
-  rot(partition: PartitionName): void {
-    if (!this.#kept.has(partition)) return;
-    const before = this.#before.get(partition) ?? {
+  corrupt(partition: PartitionName): void {
+    if (!this.#stored.has(partition)) return;
+    const before = this.#previous.get(partition) ?? {
       partition,
       version: NO_VERSION,
       body: '',
-      isSound: false,
+      isIntact: false,
     };
-    this.#kept.set(partition, { ...before, isSound: false });
+    this.#stored.set(partition, { ...before, isIntact: false });
   }
 
   crash(): void {
-    this.#age += 1;
+    this.#incarnation += 1;
   }
 
-  wipe(): void {
+  erase(): void {
     this.crash();
-    this.#kept.clear();
+    this.#stored.clear();
   }
 }
--- a/src/state/replica-copies.test.ts
+++ b/src/state/replica-copies.test.ts
@@ -1,16 +1,19 @@
 import { expect, test } from 'vitest';
 import { partitionName } from '../common/ids.js';
-import { ReplicaCopies } from './replica-copies.js';
+import { LocalPartitions } from './replica-copies.js';
 import { StateEffects } from './replicated-state-effect.js';
 
 /** The last is no part of ours. */
 const [FIRST, SECOND, OTHER] = [partitionName('p0'), partitionName('p1'), partitionName('p9')];
 const VERSION = { epoch: 2, count: 4 };
 
-/** Two parts, the first of which is on disk; `isSound` says whether its file is what was written. */
-function copiesWith(isSound: boolean, effects: StateEffects = new StateEffects()): ReplicaCopies {
-  const stored = { partition: FIRST, version: VERSION, body: 'old', isSound };
-  return new ReplicaCopies([FIRST, SECOND], [stored], effects);
+/** Two parts, the first of which is on disk; `isIntact` says whether its file is what was written. */
+function copiesWith(
+  isIntact: boolean,
+  effects: StateEffects = new StateEffects(),
+): LocalPartitions {
+  const stored = { partition: FIRST, version: VERSION, body: 'old', isIntact };
+  return new LocalPartitions([FIRST, SECOND], [stored], effects);
 }
 test('only what is newer and sound is taken for a repair', () => {
   const effects = new StateEffects();
@@ -53,6 +56,6 @@
   effects.add({ do: 'serving' });
   effects.store(FIRST, VERSION, '');
   effects.add({ do: 'voters', version: VERSION, body: '' });
-  effects.dropOwners();
+  effects.dropCoordinatorEffects();
   expect(effects.drain()).toEqual([{ do: 'store', partition: FIRST, version: VERSION, body: '' }]);
 });
--- a/src/state/replica-copies.ts
+++ b/src/state/replica-copies.ts
@@ -6,20 +6,20 @@
 import type { StoredPartition } from './store.js';
 
 /** One part as it is held here, on disk or on its way there. */
-export interface Copy {
+export interface LocalPartition {
   readonly version: Version;
   readonly body: string;
   /** Whether the file is what was written; a copy that is not counts for nothing. */
-  readonly isSound: boolean;
+  readonly isIntact: boolean;
 }
 
-const NO_COPY: Copy = { version: NO_VERSION, body: '', isSound: true };
+const NO_PARTITION: LocalPartition = { version: NO_VERSION, body: '', isIntact: true };
 
 /** This voter's copies of all parts. */
-export class ReplicaCopies {
+export class LocalPartitions {
   readonly #names: readonly PartitionName[];
   readonly #effects: StateEffects;
-  readonly #copies = new Map<PartitionName, Copy>();
+  readonly #partitions = new Map<PartitionName, LocalPartition>();
 
   constructor(
     names: readonly PartitionName[],
@@ -28,9 +28,10 @@
   ) {
     this.#names = names;
     this.#effects = effects;
-    for (const partition of names) this.#copies.set(partition, NO_COPY);
-    for (const { partition, version, body, isSound } of stored)
-      if (this.#copies.has(partition)) this.#copies.set(partition, { version, body, isSound });
+    for (const partition of names) this.#partitions.set(partition, NO_PARTITION);
+    for (const { partition, version, body, isIntact } of stored)
+      if (this.#partitions.has(partition))
+        this.#partitions.set(partition, { version, body, isIntact });
   }
 
   get names(): readonly PartitionName[] {
@@ -38,13 +39,13 @@
   }
 
   /** Nothing for a part that is not one of ours. */
-  of(partition: PartitionName): Copy | undefined {
-    return this.#copies.get(partition);
+  of(partition: PartitionName): LocalPartition | undefined {
+    return this.#partitions.get(partition);
   }
 
   /** Holds a version from here on, without storing it. */
   put(partition: PartitionName, version: Version, body: string): void {
-    this.#copies.set(partition, { version, body, isSound: true });
+    this.#partitions.set(partition, { version, body, isIntact: true });
   }
 
   /** Holds and stores a version, unless what is held is newer. */
@@ -56,16 +57,16 @@
   }
 
   corruptPartitions(): readonly PartitionName[] {
-    const unsound: PartitionName[] = [];
-    for (const [partition, copy] of this.#copies) if (!copy.isSound) unsound.push(partition);
-    return unsound;
+    const corrupt: PartitionName[] = [];
+    for (const [partition, copy] of this.#partitions) if (!copy.isIntact) corrupt.push(partition);
+    return corrupt;
   }
 
   /** All of them, as they are told to others. */
-  list(): StoredReplica[] {
+  toMessages(): StoredReplica[] {
     const list: StoredReplica[] = [];
-    for (const [partition, copy] of this.#copies)
-      list.push({ part: partition, ...copy.version, body: copy.body, sound: copy.isSound });
+    for (const [partition, copy] of this.#partitions)
+      list.push({ part: partition, ...copy.version, body: copy.body, sound: copy.isIntact });
     return list;
   }
 
@@ -88,7 +89,7 @@
     const hash = createHash('sha256');
     for (const partition of this.#names.slice(low, high)) {
       const copy = this.of(partition);
-      hash.update(`${partition} ${copy?.version.epoch} ${copy?.version.count} ${copy?.isSound}\n`);
+      hash.update(`${partition} ${copy?.version.epoch} ${copy?.version.count} ${copy?.isIntact}\n`);
     }
     return hash.digest('hex');
   }
@@ -96,6 +97,6 @@
   #isWanted(partition: PartitionName, item: StoredReplica): boolean {
     const known = this.of(partition);
     if (!known || !item.sound) return false;
-    return !known.isSound || isNewer(item, known.version);
+    return !known.isIntact || isNewer(item, known.version);
   }
 }
--- a/src/state/replica-founding.test.ts
+++ b/src/state/replica-founding.test.ts
@@ -63,7 +63,7 @@
 ): ReplicaStatusOutcome | undefined {
   let outcome: ReplicaStatusOutcome | undefined;
   for (const [from, message] of replies)
-    outcome = status.receive(LATE, nodeId(from), message, quorum);
+    outcome = status.onReadReply(LATE, nodeId(from), message, quorum);
   return outcome;
 }
 
@@ -101,8 +101,8 @@
   test('waits for the time of the settings from the start', () => {
     const status = started();
     const [early, due] = [moment(FOUND_MS - 1), moment(FOUND_MS)];
-    status.receive(early, B, reply('blank'), THREE);
-    expect(status.receive(early, C, reply('blank'), THREE)).toBeUndefined();
+    status.onReadReply(early, B, reply('blank'), THREE);
+    expect(status.onReadReply(early, C, reply('blank'), THREE)).toBeUndefined();
     expect(status.outcome(due, THREE)).toEqual(founded);
   });
 
@@ -123,20 +123,20 @@
       ['c', reply('blank', 4)],
     ] as const;
     expect(outcomeOf(status, replies)).toBeUndefined();
-    expect(status.isMemberHolding).toBe(true);
-    status.force();
+    expect(status.hasMemberEpoch).toBe(true);
+    status.forceNewCluster();
     expect(status.outcome(LATE, THREE)).toEqual({ become: 'founded', epoch: 6 });
   });
 
   test('is not held up by the epoch of a peer that is not blank', () => {
     const status = started();
-    status.receive(LATE, B, reply('fresh', 6), THREE);
-    expect(status.isMemberHolding).toBe(false);
+    status.onReadReply(LATE, B, reply('fresh', 6), THREE);
+    expect(status.hasMemberEpoch).toBe(false);
   });
 
   test('of an operator still needs every other voter to be blank or fresh', () => {
     const status = started();
-    status.force();
+    status.forceNewCluster();
     expect(outcomeOf(status, [['b', reply('blank')]])).toBeUndefined();
   });
 });
@@ -146,8 +146,8 @@
     const five = quorumOf('a', 'b', 'c', 'd', 'e');
     const status = started({ quorum: five });
     for (const from of [B, C])
-      expect(status.receive(LATE, from, reply('sound', 8), five)).toBeUndefined();
-    expect(status.receive(LATE, D, reply('sound', 6), five)).toMatchObject({
+      expect(status.onReadReply(LATE, from, reply('sound', 8), five)).toBeUndefined();
+    expect(status.onReadReply(LATE, D, reply('sound', 6), five)).toMatchObject({
       become: 'repaired',
       epoch: 8,
     });
@@ -184,13 +184,13 @@
     const status = started({ mayFound: false });
     const older = configOf(2, 9, 'a', 'b', 'c');
     const newer = configOf(4, 1, 'a', 'd', 'e');
-    status.receive(LATE, B, reply('sound', 8, [older]), THREE);
-    expect(status.receive(LATE, C, reply('sound', 8, [newer]), THREE)).toBeUndefined();
+    status.onReadReply(LATE, B, reply('sound', 8, [older]), THREE);
+    expect(status.onReadReply(LATE, C, reply('sound', 8, [newer]), THREE)).toBeUndefined();
     expect(askedAt(status, LATE + 10_000)).toEqual(['d', 'e']);
     const nonce = NONCE + 1;
     const of = (epoch: number) => reply('sound', epoch, [], nonce);
-    expect(status.receive(LATE, D, of(10), THREE)).toBeUndefined();
-    expect(status.receive(LATE, E, of(12), THREE)).toEqual({
+    expect(status.onReadReply(LATE, D, of(10), THREE)).toBeUndefined();
+    expect(status.onReadReply(LATE, E, of(12), THREE)).toEqual({
       become: 'repaired',
       epoch: 12,
       copies: [],
@@ -207,21 +207,21 @@
       ]),
     ).toMatchObject({ become: 'repaired' });
     const status = started({ mayFound: false });
-    status.receive(LATE, B, reply('lost', 8, [foreign]), THREE);
+    status.onReadReply(LATE, B, reply('lost', 8, [foreign]), THREE);
     expect(askedAt(status, LATE + 10_000)).toEqual(['b', 'c']);
   });
 
   test('by an operator goes by whoever is left, in the newest epoch that members hold', () => {
     const status = started({ mayFound: false });
-    status.force();
+    status.forceNewCluster();
     expect(status.outcome(LATE, THREE)).toBeUndefined();
-    status.noteMember(4);
+    status.onMemberEpoch(4);
     expect(outcomeOf(status, [['b', reply('sound', 2)]])).toEqual({
       become: 'repaired',
       epoch: 4,
       copies: [],
     });
-    status.noteMember(1);
+    status.onMemberEpoch(1);
     expect(status.outcome(LATE, THREE)).toMatchObject({ epoch: 4 });
   });
 
@@ -236,7 +236,7 @@
 
   test('is over once the node counts', () => {
     const status = started();
-    status.settle();
+    status.resolve();
     expect(status.name).toBe('sound');
     expect(
       outcomeOf(status, [
@@ -305,8 +305,8 @@
 
   test('go to a peer that holds nothing 200 ms after its answer, and to one that counts no more', () => {
     const status = started({ mayFound: false });
-    status.receive(moment(0), B, reply('blank'), THREE);
-    status.receive(moment(0), C, reply('sound', 8), THREE);
+    status.onReadReply(moment(0), B, reply('blank'), THREE);
+    status.onReadReply(moment(0), C, reply('sound', 8), THREE);
     expect(askedAt(status, 199)).toEqual([]);
     expect(askedAt(status, 200)).toEqual(['b']);
     expect(askedAt(status, 599)).toEqual([]);
@@ -333,7 +333,7 @@
     expect(started({ name: 'lost' }).replyTo(7, 4, copies, true)).toEqual(reply('lost', 4, [], 7));
     expect(started().replyTo(7, 4, empty, false)).toEqual(reply('blank', 0, [], 7));
     const blank = started();
-    blank.noteMember(6);
+    blank.onMemberEpoch(6);
     expect(blank.replyTo(7, 4, empty, false)).toEqual(reply('blank', 6, [], 7));
   });
 });
--- a/src/state/replica-status.test.ts
+++ b/src/state/replica-status.test.ts
@@ -16,8 +16,8 @@
 }
 test('blank seeds found together', () => {
   const standing = start();
-  expect(standing.receive(moment(1600), b, returned('blank', 0), quorum)).toBeUndefined();
-  expect(standing.receive(moment(1600), c, returned('blank', 0), quorum)).toEqual({
+  expect(standing.onReadReply(moment(1600), b, returned('blank', 0), quorum)).toBeUndefined();
+  expect(standing.onReadReply(moment(1600), c, returned('blank', 0), quorum)).toEqual({
     become: 'founded',
     epoch: 0,
   });
@@ -25,26 +25,26 @@
 test('a seed that is slow to found still founds beside one that was not', () => {
   // A peer that founded first has already run its epoch up alone.
   const standing = start();
-  standing.receive(moment(1600), b, returned('fresh', 23), quorum);
-  expect(standing.receive(moment(1600), c, returned('blank', 0), quorum)).toEqual({
+  standing.onReadReply(moment(1600), b, returned('fresh', 23), quorum);
+  expect(standing.onReadReply(moment(1600), c, returned('blank', 0), quorum)).toEqual({
     become: 'founded',
     epoch: 0,
   });
 });
 test('nothing is founded over what a member still holds, but by an operator', () => {
   const standing = start();
-  standing.noteMember(4);
-  standing.receive(moment(1600), b, returned('blank', 0), quorum);
-  expect(standing.receive(moment(1600), c, returned('blank', 0), quorum)).toBeUndefined();
-  standing.force();
+  standing.onMemberEpoch(4);
+  standing.onReadReply(moment(1600), b, returned('blank', 0), quorum);
+  expect(standing.onReadReply(moment(1600), c, returned('blank', 0), quorum)).toBeUndefined();
+  standing.forceNewCluster();
   expect(standing.outcome(moment(1700), quorum)).toEqual({ become: 'founded', epoch: 4 });
 });
 test('a lost disk counts again only after all others were read', () => {
   const standing = start();
   // One peer alone may not know what we decided with the other.
-  expect(standing.receive(moment(1600), b, returned('sound', 8), quorum)).toBeUndefined();
-  expect(standing.receive(moment(1600), c, returned('blank', 0), quorum)).toBeUndefined();
-  expect(standing.receive(moment(1600), c, returned('sound', 6), quorum)).toEqual({
+  expect(standing.onReadReply(moment(1600), b, returned('sound', 8), quorum)).toBeUndefined();
+  expect(standing.onReadReply(moment(1600), c, returned('blank', 0), quorum)).toBeUndefined();
+  expect(standing.onReadReply(moment(1600), c, returned('sound', 6), quorum)).toEqual({
     become: 'repaired',
     epoch: 8,
     copies: [],
--- a/src/state/replica-status.ts
+++ b/src/state/replica-status.ts
@@ -7,7 +7,7 @@
 /** blank: an empty folder. lost: the record of our votes is unreadable. sound: we may vote and count. */
 export type ReplicaStatusName = 'blank' | 'lost' | 'sound';
 
-interface Return {
+interface RepairReply {
   readonly standing: string;
   readonly epoch: number;
   readonly copies: readonly StoredReplica[];
@@ -30,10 +30,10 @@
 }
 
 /** A peer that does not answer is asked again after so long, then after twice as long, up to the most. */
-const LEAST_ASK_MS = 100;
-const MOST_ASK_MS = 800;
+const MIN_REQUEST_DELAY_MS = 100;
+const MAX_REQUEST_DELAY_MS = 800;
 /** One that holds nothing yet is asked again after so long. */
-const BLANK_ASK_MS = 200;
+const BLANK_REQUEST_DELAY_MS = 200;
 
 /**
  * Decides when a node with an empty folder may count: by founding together with blank peers,
@@ -45,13 +45,16 @@
   /** Each reply to one of ours counts: all numbers above the first were given out in this incarnation. */
   readonly #firstNonce: number;
   #nonce: number;
-  readonly #bootAt: Moment;
+  readonly #startedAt: Moment;
   readonly #foundMs: number;
-  readonly #replies = new Map<NodeId, Return>();
-  readonly #requests = new Map<NodeId, { readonly askAgainAt: Moment; readonly waitMs: number }>();
+  readonly #replies = new Map<NodeId, RepairReply>();
+  readonly #requests = new Map<
+    NodeId,
+    { readonly nextRequestAt: Moment; readonly delayMs: number }
+  >();
   readonly #quorumOf: (configBody: string) => Quorum | undefined;
   #memberEpoch = 0;
-  #isForced = false;
+  #isNewClusterForced = false;
   readonly #mayFound: boolean;
 
   constructor(
@@ -65,7 +68,7 @@
   ) {
     this.#me = me;
     this.#name = name;
-    this.#bootAt = now;
+    this.#startedAt = now;
     this.#foundMs = foundMs;
     this.#firstNonce = incarnation;
     this.#nonce = incarnation;
@@ -76,21 +79,21 @@
   get name(): ReplicaStatusName {
     return this.#name;
   }
-  get isMemberHolding(): boolean {
+  get hasMemberEpoch(): boolean {
     return this.#memberEpoch > 0;
   }
 
   /** A member came that holds a configuration: what stood before must not be founded over by itself. */
-  noteMember(epoch: number): void {
+  onMemberEpoch(epoch: number): void {
     this.#memberEpoch = Math.max(this.#memberEpoch, epoch);
   }
 
   /** An operator's word that nothing better than this is left. */
-  force(): void {
-    this.#isForced = true;
+  forceNewCluster(): void {
+    this.#isNewClusterForced = true;
   }
 
-  settle(): void {
+  resolve(): void {
     this.#name = 'sound';
     this.#replies.clear();
   }
@@ -98,7 +101,7 @@
   /** What is to be asked of whom now: of the voters known here, and of those that a copy read so far names. */
   tick(now: Moment, quorum: Quorum): Send[] {
     if (this.#name === 'sound') return [];
-    const peers = new Set([...quorum.all, ...(this.#votersRead()?.all ?? [])]);
+    const peers = new Set([...quorum.all, ...(this.#votersOfNewestConfig()?.all ?? [])]);
     peers.delete(this.#me);
     const due = [...peers].filter((peer) => this.#isRequestDue(now, peer));
     if (due.length === 0) return [];
@@ -110,10 +113,10 @@
         message: { kind: 'read', epoch: 0, nonce: this.#nonce, parts: [] },
       });
       const waitMs = Math.min(
-        MOST_ASK_MS,
-        (this.#requests.get(peer)?.waitMs ?? LEAST_ASK_MS / 2) * 2,
+        MAX_REQUEST_DELAY_MS,
+        (this.#requests.get(peer)?.delayMs ?? MIN_REQUEST_DELAY_MS / 2) * 2,
       );
-      this.#requests.set(peer, { askAgainAt: later(now, waitMs), waitMs });
+      this.#requests.set(peer, { nextRequestAt: later(now, waitMs), delayMs: waitMs });
     }
     return sends;
   }
@@ -122,7 +125,7 @@
     // What a sound peer held after we started is all that it could know of us: we decide nothing with it meanwhile.
     if (this.#replies.get(peer)?.standing === 'sound') return false;
     const request = this.#requests.get(peer);
-    return request === undefined || now >= request.askAgainAt;
+    return request === undefined || now >= request.nextRequestAt;
   }
 
   /** The return to a node that asks how we stand. */
@@ -140,19 +143,22 @@
     };
   }
 
-  receive(
+  onReadReply(
     now: Moment,
     from: NodeId,
     message: ReadReply,
     quorum: Quorum,
   ): ReplicaStatusOutcome | undefined {
     if (this.#name === 'sound' || !this.#isReplyToUs(message)) return undefined;
-    if (message.standing === 'blank') this.noteMember(message.epoch);
+    if (message.standing === 'blank') this.onMemberEpoch(message.epoch);
     // Later answers of one that was sound before we had read enough add nothing.
     if (this.#replies.get(from)?.standing !== 'sound') {
       const { standing, epoch, copies } = message;
       this.#replies.set(from, { standing, epoch, copies });
-      this.#requests.set(from, { askAgainAt: later(now, BLANK_ASK_MS), waitMs: BLANK_ASK_MS });
+      this.#requests.set(from, {
+        nextRequestAt: later(now, BLANK_REQUEST_DELAY_MS),
+        delayMs: BLANK_REQUEST_DELAY_MS,
+      });
     }
     return this.outcome(now, quorum);
   }
@@ -163,7 +169,7 @@
   }
 
   /** The voters that the newest configuration read so far names: the settings may name fewer, or older ones. */
-  #votersRead(): Quorum | undefined {
+  #votersOfNewestConfig(): Quorum | undefined {
     let version: Version = NO_VERSION;
     let body = '';
     for (const { standing, copies } of this.#replies.values()) {
@@ -175,7 +181,7 @@
     return this.#quorumOf(body);
   }
 
-  #isAllFresh(quorum: Quorum): boolean {
+  #arePeersUnfounded(quorum: Quorum): boolean {
     for (const peer of quorum.all) {
       if (peer === this.#me) continue;
       const standing = this.#replies.get(peer)?.standing;
@@ -190,7 +196,7 @@
     let epoch = 0;
     const copies: StoredReplica[] = [];
     // Whoever decided anything with us did so among the voters that the newest copy names, or that copy would not be it.
-    const voters = this.#votersRead() ?? quorum;
+    const voters = this.#votersOfNewestConfig() ?? quorum;
     for (const peer of voters.all) {
       const known = this.#replies.get(peer);
       if (peer === this.#me || !known) continue;
@@ -203,15 +209,15 @@
       this.#mayFound &&
       this.#name === 'blank' &&
       quorum.includes(this.#me) &&
-      this.#isAllFresh(quorum) &&
-      now >= later(this.#bootAt, this.#foundMs);
-    if (mayFound && (!this.isMemberHolding || this.#isForced))
+      this.#arePeersUnfounded(quorum) &&
+      now >= later(this.#startedAt, this.#foundMs);
+    if (mayFound && (!this.hasMemberEpoch || this.#isNewClusterForced))
       return { become: 'founded', epoch: this.#memberEpoch };
     // Whatever was decided with us is also held by one of those others: all of them but ourselves must have been read.
     if (epoch > 0 && voters.coversWithout(this.#me, holders))
       return { become: 'repaired', epoch, copies };
     // An operator's word: whoever is left tells all that can be known, and members may still know a newer table.
-    if (this.#isForced && epoch > 0)
+    if (this.#isNewClusterForced && epoch > 0)
       return { become: 'repaired', epoch: Math.max(epoch, this.#memberEpoch), copies };
     return undefined;
   }
--- a/src/state/replicated-state-effect.ts
+++ b/src/state/replicated-state-effect.ts
@@ -27,10 +27,10 @@
 
 /** The effects that are still to be taken up, in the order in which they were decided. */
 export class StateEffects {
-  #waiting: ReplicatedStateEffect[] = [];
+  #pending: ReplicatedStateEffect[] = [];
 
   add(effect: ReplicatedStateEffect): void {
-    this.#waiting.push(effect);
+    this.#pending.push(effect);
   }
 
   send(to: NodeId, message: Message): void {
@@ -42,13 +42,13 @@
   }
 
   /** Drops what was decided as the owner of the parts. */
-  dropOwners(): void {
-    this.#waiting = this.#waiting.filter(isOfReplica);
+  dropCoordinatorEffects(): void {
+    this.#pending = this.#pending.filter(isOfReplica);
   }
 
   drain(): ReplicatedStateEffect[] {
-    const effects = this.#waiting;
-    this.#waiting = [];
+    const effects = this.#pending;
+    this.#pending = [];
     return effects;
   }
 }
--- a/src/state/replicated-state.test.ts
+++ b/src/state/replicated-state.test.ts
@@ -51,7 +51,7 @@
       if (!this.deaf.has(effect.to) && !this.deaf.has(id))
         this.parts
           .get(effect.to)
-          ?.receive(moment(this.now), id, effect.message, this.granted, [], 'sound');
+          ?.onMessage(moment(this.now), id, effect.message, this.granted, [], 'sound');
     }
   }
 
@@ -70,8 +70,8 @@
     return parts;
   }
 }
-function storedAs(version: Version, isSound: boolean, partition: PartitionName): StoredPartition {
-  return { partition, version, body: 'x', isSound };
+function storedAs(version: Version, isIntact: boolean, partition: PartitionName): StoredPartition {
+  return { partition, version, body: 'x', isIntact };
 }
 function isUnsound(copy: StoredReplica): boolean {
   return !copy.sound;
@@ -117,7 +117,7 @@
   // What the old owner still sends is turned away.
   trio.parts
     .get(c)
-    ?.receive(
+    ?.onMessage(
       moment(trio.now),
       a,
       { kind: 'write', part: 'p0', epoch: 2, count: 99, body: 'late' },
@@ -146,7 +146,7 @@
   ]);
   const trio = new Trio(stored);
   expect(trio.parts.get(c)?.corruptPartitions()).toEqual(['p1']);
-  const copies = trio.parts.get(c)?.copies() ?? [];
+  const copies = trio.parts.get(c)?.replicaMessages() ?? [];
   expect(copies.filter(isUnsound).map(partitionOf)).toEqual(['p1']);
   trio.granted = 4;
   trio.deaf.add(c);
--- a/src/state/state-owner.test.ts
+++ b/src/state/state-owner.test.ts
@@ -46,10 +46,10 @@
   partition: PartitionName,
   version: Version,
   body: string,
-  isSound = true,
+  isIntact = true,
 ): Message {
   const copies = PARTITIONS.map((name) =>
-    name === partition ? copyOf(partition, version, body, isSound) : copyOf(name),
+    name === partition ? copyOf(partition, version, body, isIntact) : copyOf(name),
   );
   return readReply(copies);
 }
@@ -78,8 +78,8 @@
 
   test('rewrites the newest copy of each part in its own epoch', () => {
     const replica = new LoneReplica([
-      { partition: P0, version: versionAt(9, 2), body: 'own', isSound: true },
-      { partition: P1, version: versionAt(3, 2), body: 'own', isSound: true },
+      { partition: P0, version: versionAt(9, 2), body: 'own', isIntact: true },
+      { partition: P1, version: versionAt(3, 2), body: 'own', isIntact: true },
     ]);
     replica.lead();
     const sent = replica.receive(
@@ -128,7 +128,7 @@
 
   test('counts a bad copy of its own for nothing', () => {
     const replica = new LoneReplica([
-      { partition: P0, version: versionAt(7, 2), body: 'bad', isSound: false },
+      { partition: P0, version: versionAt(7, 2), body: 'bad', isIntact: false },
     ]);
     replica.lead();
     expect(replica.receive(B, readReply(PARTITIONS.map((partition) => copyOf(partition))))).toEqual(
@@ -301,7 +301,7 @@
     replica.write(P0, 'x');
     replica.write(P1, 'y');
     for (const from of [B, C])
-      replica.state.receive(replica.now, from, acked(P1, versionAt(2)), EPOCH, [], 'sound');
+      replica.state.onMessage(replica.now, from, acked(P1, versionAt(2)), EPOCH, [], 'sound');
     replica.state.release();
     replica.drain();
     replica.granted = EPOCH + 2;
@@ -369,11 +369,11 @@
       ['b', 1, 2],
       ['b', 2, 3],
     ]);
-    expect(replica.state.mends).toBe(0);
+    expect(replica.state.repairs).toBe(0);
     expect(writesOf(P0, replica.receive(B, differs(1, 2)))).toEqual(['b 4.1 ']);
-    expect(replica.state.mends).toBe(1);
+    expect(replica.state.repairs).toBe(1);
     expect(replica.receive(B, differs(1, 2, true))).toEqual([]);
-    expect(replica.state.mends).toBe(1);
+    expect(replica.state.repairs).toBe(1);
   });
 
   test('leaves a part that is being written to that write', () => {
@@ -381,7 +381,7 @@
     replica.write(P0, 'x');
     replica.sent();
     expect(replica.receive(B, differs(1, 2))).toEqual([]);
-    expect(replica.state.mends).toBe(0);
+    expect(replica.state.repairs).toBe(0);
   });
 
   test('is left to whoever serves', () => {
@@ -455,7 +455,7 @@
     expect(stalled.receive(B, write)).toEqual([]);
     expect(stalled.stored).toHaveLength(2);
     const bad = new LoneReplica([
-      { partition: P0, version: versionAt(2), body: 'bad', isSound: false },
+      { partition: P0, version: versionAt(2), body: 'bad', isIntact: false },
     ]);
     bad.isDiskStalled = true;
     expect(bad.receive(B, write)).toEqual([]);
@@ -464,7 +464,7 @@
   });
 
   test('stores a write that came again after a restart before it answers', () => {
-    const stored = { partition: P0, version: versionAt(2), body: 'x', isSound: true };
+    const stored = { partition: P0, version: versionAt(2), body: 'x', isIntact: true };
     const replica = new LoneReplica([stored]);
     replica.isDiskStalled = true;
     expect(replica.receive(B, write)).toEqual([]);
--- a/src/state/state-owner.ts
+++ b/src/state/state-owner.ts
@@ -10,7 +10,7 @@
 import type { Quorum } from '../common/quorum.js';
 import { compareVersions, isNewer, NO_VERSION, type Version } from '../common/version.js';
 import { CONFIG_PARTITION } from './partition-names.js';
-import type { ReplicaCopies } from './replica-copies.js';
+import type { LocalPartitions } from './replica-copies.js';
 import type { StateEffects } from './replicated-state-effect.js';
 
 type ReadReply = Extract<Message, { kind: 'readReply' }>;
@@ -24,50 +24,50 @@
   readonly body: string;
 }
 
-interface Write extends VersionedBody {
+interface PendingWrite extends VersionedBody {
   readonly tokens: readonly number[];
-  readonly acked: Set<NodeId>;
+  readonly acknowledgedBy: Set<NodeId>;
   readonly members: MemberVersion[];
   sentAt: Moment;
   /** When a majority had it; the last voter is then given a moment more. */
   majorityAt: Moment | undefined;
 }
 
-interface Owned {
+interface CoordinatedPartition {
   /** As last written here; nothing before the first write of the epoch is committed. */
-  copy: VersionedBody | undefined;
-  readonly read: Set<NodeId>;
+  written: VersionedBody | undefined;
+  readonly readFrom: Set<NodeId>;
   newest: VersionedBody;
-  writing: Write | undefined;
-  next: { body: string; tokens: number[] } | undefined;
+  pendingWrite: PendingWrite | undefined;
+  queuedWrite: { body: string; tokens: number[] } | undefined;
 }
 
-const RESEND_MS = 300;
-const PROMPT_MS = 60;
+const RESEND_INTERVAL_MS = 300;
+const LAST_REPLICA_WAIT_MS = 60;
 
 /** The parts at the voter that leads: read from a majority and rewritten in its epoch, then written by it alone. */
-export class StateOwner {
+export class QuorumCoordinator {
   readonly #me: NodeId;
-  readonly #copies: ReplicaCopies;
+  readonly #replica: LocalPartitions;
   readonly #effects: StateEffects;
   readonly #quorumOf: QuorumOf;
   #quorum: Quorum;
   #epoch = 0;
-  readonly #owned = new Map<PartitionName, Owned>();
+  readonly #partitions = new Map<PartitionName, CoordinatedPartition>();
   #isServing = false;
   #nonce = 0;
-  #readSentAt: Moment = moment(0);
+  #lastReadSentAt: Moment = moment(0);
 
   constructor(
     me: NodeId,
     quorum: Quorum,
-    copies: ReplicaCopies,
+    copies: LocalPartitions,
     effects: StateEffects,
     quorumOf: QuorumOf,
   ) {
     this.#me = me;
     this.#quorum = quorum;
-    this.#copies = copies;
+    this.#replica = copies;
     this.#effects = effects;
     this.#quorumOf = quorumOf;
   }
@@ -91,112 +91,121 @@
   lead(now: Moment, epoch: number): void {
     this.#epoch = epoch;
     this.#isServing = false;
-    this.#owned.clear();
-    for (const partition of this.#copies.names) this.#owned.set(partition, newlyOwned());
+    this.#partitions.clear();
+    for (const partition of this.#replica.names) this.#partitions.set(partition, unreadPartition());
     this.#nonce += 1;
-    this.#askAll(now);
+    this.#sendReads(now);
   }
 
   /** Gives up owning: writes under way get no yes from us any more; whether they hold is for the next owner to find. */
   release(): void {
     this.#epoch = 0;
     this.#isServing = false;
-    this.#owned.clear();
+    this.#partitions.clear();
   }
 
   /** The body as last written here, committed or not. */
   body(partition: PartitionName): string {
-    return this.#owned.get(partition)?.copy?.body ?? '';
+    return this.#partitions.get(partition)?.written?.body ?? '';
   }
 
   /** Whether a write of this part is still without its majority. */
   isWriting(partition: PartitionName): boolean {
-    return this.#owned.get(partition)?.writing !== undefined;
+    return this.#partitions.get(partition)?.pendingWrite !== undefined;
   }
 
   /** One write of a part is under way at a time; what comes meanwhile is one next write, of the newest body. Returns its count. */
   write(now: Moment, partition: PartitionName, body: string, token: number): number {
-    const owned = this.#owned.get(partition);
-    if (!owned?.copy) throw new Error(`${partition} is not owned here`);
-    const count = (owned.writing?.version.count ?? owned.copy.version.count) + 1;
-    if (owned.writing) owned.next = { body, tokens: [...(owned.next?.tokens ?? []), token] };
+    const owned = this.#partitions.get(partition);
+    if (!owned?.written) throw new Error(`${partition} is not owned here`);
+    const count = (owned.pendingWrite?.version.count ?? owned.written.version.count) + 1;
+    if (owned.pendingWrite)
+      owned.queuedWrite = { body, tokens: [...(owned.queuedWrite?.tokens ?? []), token] };
     else
-      this.#send(now, partition, owned, { version: { epoch: this.#epoch, count }, body }, [token]);
-    owned.copy = { version: owned.copy.version, body };
+      this.#startWrite(now, partition, owned, { version: { epoch: this.#epoch, count }, body }, [
+        token,
+      ]);
+    owned.written = { version: owned.written.version, body };
     return count;
   }
 
   tick(now: Moment): void {
     if (this.#epoch === 0) return;
     let isReading = false;
-    for (const [partition, owned] of this.#owned) {
-      if (!owned.copy && !owned.writing) isReading = true;
-      if (owned.writing) this.#tickWrite(now, partition, owned, owned.writing);
+    for (const [partition, owned] of this.#partitions) {
+      if (!owned.written && !owned.pendingWrite) isReading = true;
+      if (owned.pendingWrite) this.#resendIfDue(now, partition, owned, owned.pendingWrite);
     }
-    if (isReading && now >= later(this.#readSentAt, RESEND_MS)) this.#askAll(now);
+    if (isReading && now >= later(this.#lastReadSentAt, RESEND_INTERVAL_MS)) this.#sendReads(now);
   }
 
-  receiveReadReply(now: Moment, from: NodeId, message: ReadReply): void {
+  onReadReply(now: Moment, from: NodeId, message: ReadReply): void {
     if (message.epoch !== this.#epoch || this.#epoch === 0) return;
-    if (message.nonce === this.#nonce) this.#takeRead(now, from, message.copies);
+    if (message.nonce === this.#nonce) this.#onRead(now, from, message.copies);
   }
 
-  receiveWriteReply(now: Moment, from: NodeId, message: WriteReply): void {
+  onWriteReply(now: Moment, from: NodeId, message: WriteReply): void {
     if (message.good && message.epoch === this.#epoch)
-      this.ack(now, from, partitionName(message.part), message, message.members);
+      this.onAck(now, from, partitionName(message.part), message, message.members);
   }
 
   /** A voter has this version of a part on its disk. */
-  ack(
+  onAck(
     now: Moment,
     from: NodeId,
     partition: PartitionName,
     version: Version,
     members: readonly MemberVersion[],
   ): void {
-    const owned = this.#owned.get(partition);
-    const writing = owned?.writing;
+    const owned = this.#partitions.get(partition);
+    const writing = owned?.pendingWrite;
     if (!owned || !writing || compareVersions(writing.version, version) !== 0) return;
-    writing.acked.add(from);
+    writing.acknowledgedBy.add(from);
     writing.members.push(...members);
-    this.#settle(now, partition, owned);
+    this.#commitIfReplicated(now, partition, owned);
   }
 
   /** Sends a voter the committed copy of a part; says whether it did. */
-  sendCopy(to: NodeId, partition: PartitionName): boolean {
-    const owned = this.#owned.get(partition);
+  repairReplica(to: NodeId, partition: PartitionName): boolean {
+    const owned = this.#partitions.get(partition);
     // A write under way brings the newest by itself.
-    if (!owned?.copy || owned.writing) return false;
-    this.#sendWrite(to, partition, owned.copy);
+    if (!owned?.written || owned.pendingWrite) return false;
+    this.#sendWrite(to, partition, owned.written);
     return true;
   }
 
-  #tickWrite(now: Moment, partition: PartitionName, owned: Owned, writing: Write): void {
-    this.#settle(now, partition, owned);
-    if (owned.writing !== writing || now < later(writing.sentAt, RESEND_MS)) return;
+  #resendIfDue(
+    now: Moment,
+    partition: PartitionName,
+    owned: CoordinatedPartition,
+    writing: PendingWrite,
+  ): void {
+    this.#commitIfReplicated(now, partition, owned);
+    if (owned.pendingWrite !== writing || now < later(writing.sentAt, RESEND_INTERVAL_MS)) return;
     writing.sentAt = now;
     for (const peer of this.#quorum.all)
-      if (!writing.acked.has(peer) && peer !== this.#me) this.#sendWrite(peer, partition, writing);
+      if (!writing.acknowledgedBy.has(peer) && peer !== this.#me)
+        this.#sendWrite(peer, partition, writing);
   }
 
-  #askAll(now: Moment): void {
-    this.#readSentAt = now;
+  #sendReads(now: Moment): void {
+    this.#lastReadSentAt = now;
     const message = { kind: 'read', epoch: this.#epoch, nonce: this.#nonce } as const;
     for (const peer of this.#quorum.all) {
-      if (peer === this.#me) this.#takeRead(now, this.#me, this.#copies.list());
+      if (peer === this.#me) this.#onRead(now, this.#me, this.#replica.toMessages());
       else this.#effects.send(peer, { ...message, parts: [] });
     }
   }
 
-  #takeRead(now: Moment, from: NodeId, copies: readonly StoredReplica[]): void {
+  #onRead(now: Moment, from: NodeId, copies: readonly StoredReplica[]): void {
     for (const item of copies) {
-      const owned = this.#owned.get(partitionName(item.part));
+      const owned = this.#partitions.get(partitionName(item.part));
       if (!owned || isRead(owned) || !item.sound) continue;
-      owned.read.add(from);
+      owned.readFrom.add(from);
       if (isNewer(item, owned.newest.version))
         owned.newest = { version: { epoch: item.epoch, count: item.count }, body: item.body };
     }
-    this.#endReading(now);
+    this.#rewriteOnceRead(now);
   }
 
   /**
@@ -204,45 +213,45 @@
    * majority of the voters known here before may have taken part in nothing for long: what newer ones decided would be
    * written over.
    */
-  #endReading(now: Moment): void {
-    const owners = [...this.#owned.values()];
-    if (owners.some(isRead) || !owners.every(this.#isReadByMost, this)) return;
-    const config = this.#owned.get(CONFIG_PARTITION)?.newest;
+  #rewriteOnceRead(now: Moment): void {
+    const owners = [...this.#partitions.values()];
+    if (owners.some(isRead) || !owners.every(this.#isReadFromMajority, this)) return;
+    const config = this.#partitions.get(CONFIG_PARTITION)?.newest;
     const named = config && this.#quorumOf(config.body);
     if (config && named && named.text !== this.#quorum.text) {
       this.#quorum = named;
       this.#effects.add({ do: 'voters', version: config.version, body: config.body });
-      if (!owners.every(this.#isReadByMost, this)) return;
+      if (!owners.every(this.#isReadFromMajority, this)) return;
     }
-    for (const [partition, owned] of this.#owned) {
+    for (const [partition, owned] of this.#partitions) {
       const version = { epoch: this.#epoch, count: owned.newest.version.count + 1 };
-      this.#send(now, partition, owned, { version, body: owned.newest.body }, []);
+      this.#startWrite(now, partition, owned, { version, body: owned.newest.body }, []);
     }
   }
 
-  #isReadByMost(owned: Owned): boolean {
-    return this.#quorum.isMajority(owned.read);
+  #isReadFromMajority(owned: CoordinatedPartition): boolean {
+    return this.#quorum.isMajority(owned.readFrom);
   }
 
-  #send(
+  #startWrite(
     now: Moment,
     partition: PartitionName,
-    owned: Owned,
+    owned: CoordinatedPartition,
     { version, body }: VersionedBody,
     tokens: readonly number[],
   ): void {
-    const writing: Write = {
+    const writing: PendingWrite = {
       version,
       body,
       tokens,
-      acked: new Set(),
+      acknowledgedBy: new Set(),
       members: [],
       sentAt: now,
       majorityAt: undefined,
     };
-    owned.writing = writing;
+    owned.pendingWrite = writing;
     for (const peer of this.#quorum.all) {
-      if (peer === this.#me) this.#copies.store(partition, version, body);
+      if (peer === this.#me) this.#replica.store(partition, version, body);
       else this.#sendWrite(peer, partition, writing);
     }
   }
@@ -251,52 +260,58 @@
     this.#effects.send(to, { kind: 'write', part: partition, ...version, body });
   }
 
-  #settle(now: Moment, partition: PartitionName, owned: Owned): void {
-    const { writing } = owned;
-    if (!writing || !this.#isHeld(now, writing)) return;
-    const { version, body, tokens, members } = writing;
-    const { next } = owned;
-    owned.writing = undefined;
-    owned.next = undefined;
-    owned.copy = { version, body: next?.body ?? body };
+  #commitIfReplicated(now: Moment, partition: PartitionName, owned: CoordinatedPartition): void {
+    const { pendingWrite } = owned;
+    if (!pendingWrite || !this.#isReplicated(now, pendingWrite)) return;
+    const { version, body, tokens, members } = pendingWrite;
+    const { queuedWrite } = owned;
+    owned.pendingWrite = undefined;
+    owned.queuedWrite = undefined;
+    owned.written = { version, body: queuedWrite?.body ?? body };
     this.#effects.add({ do: 'committed', partition, version, body, tokens, members });
-    if (next) {
+    if (queuedWrite) {
       const following = { epoch: this.#epoch, count: version.count + 1 };
-      this.#send(now, partition, owned, { version: following, body: next.body }, next.tokens);
+      this.#startWrite(
+        now,
+        partition,
+        owned,
+        { version: following, body: queuedWrite.body },
+        queuedWrite.tokens,
+      );
     }
-    this.#serveIfOwned();
+    this.#serveOnceRewritten();
   }
 
-  #isHeld(now: Moment, writing: Write): boolean {
-    if (!this.#quorum.isMajority(writing.acked)) return false;
+  #isReplicated(now: Moment, writing: PendingWrite): boolean {
+    if (!this.#quorum.isMajority(writing.acknowledgedBy)) return false;
     writing.majorityAt ??= now;
     // The yes waits a moment for the last copy, so that a disk lost right after it still leaves two.
-    const isAll = this.#quorum.all.every(writing.acked.has, writing.acked);
-    return isAll || now >= later(writing.majorityAt, PROMPT_MS);
+    const isAll = this.#quorum.all.every(writing.acknowledgedBy.has, writing.acknowledgedBy);
+    return isAll || now >= later(writing.majorityAt, LAST_REPLICA_WAIT_MS);
   }
 
-  #serveIfOwned(): void {
-    if (this.#isServing || ![...this.#owned.values()].every(isOwned)) return;
+  #serveOnceRewritten(): void {
+    if (this.#isServing || ![...this.#partitions.values()].every(isRewritten)) return;
     this.#isServing = true;
     this.#effects.add({ do: 'serving' });
   }
 }
 
-function newlyOwned(): Owned {
+function unreadPartition(): CoordinatedPartition {
   return {
-    copy: undefined,
-    read: new Set(),
+    written: undefined,
+    readFrom: new Set(),
     newest: { version: NO_VERSION, body: '' },
-    writing: undefined,
-    next: undefined,
+    pendingWrite: undefined,
+    queuedWrite: undefined,
   };
 }
 
-function isOwned(owned: Owned): boolean {
-  return owned.copy !== undefined;
+function isRewritten(owned: CoordinatedPartition): boolean {
+  return owned.written !== undefined;
 }
 
 /** Whether a part was read and is being rewritten, or was. */
-function isRead(owned: Owned): boolean {
-  return owned.copy !== undefined || owned.writing !== undefined;
+function isRead(owned: CoordinatedPartition): boolean {
+  return owned.written !== undefined || owned.pendingWrite !== undefined;
 }
--- a/src/state/store.ts
+++ b/src/state/store.ts
@@ -6,7 +6,7 @@
   readonly partition: PartitionName;
   readonly version: Version;
   readonly body: string;
-  readonly isSound: boolean;
+  readonly isIntact: boolean;
 }
 
 /** The disk, as the cores see it: whole versions, written one file each. */
--- a/src/state/testing/lone-replica.ts
+++ b/src/state/testing/lone-replica.ts
@@ -63,7 +63,7 @@
   }
 
   receive(from: NodeId, message: Message): readonly Sent[] {
-    this.state.receive(this.now, from, message, this.granted, [], 'sound');
+    this.state.onMessage(this.now, from, message, this.granted, [], 'sound');
     return this.sent();
   }
 
