--- a/eslint.config.js
+++ b/eslint.config.js
@@ -20,7 +20,6 @@
 
 /** Files with functions that still exceed MOST_FUNCTION_LINES. */
 const LONG_FUNCTIONS = [
-  'platform/settings.ts',
   'platform/testbed/testbed.ts',
   'src/agent/agent-core.ts',
   'src/policy/language.ts',
@@ -36,7 +35,6 @@
 
 /** Files with functions that still exceed MOST_BRANCHES. */
 const COMPLEX_FUNCTIONS = [
-  'platform/config.ts',
   'platform/testbed/answer-parser.ts',
   'platform/testbed/shelf.ts',
   'platform/testbed/stub-client.ts',
@@ -117,11 +115,6 @@
 
 /** Files with exported items that lack a doc comment. */
 const UNDOCUMENTED = [
-  'platform/agent.ts',
-  'platform/control.ts',
-  'platform/provider.ts',
-  'platform/proxy.ts',
-  'platform/settings.ts',
   'platform/testbed/answer-parser.ts',
   'platform/testbed/batch-engine.ts',
   'platform/testbed/client-connection.ts',
