--- a/src/control/command-answers.ts
+++ b/src/control/command-answers.ts
@@ -2,7 +2,7 @@
 import { versionText, type Version } from '../common/version.js';
 import { ConfigError, TableError } from './config-edits.js';
 
-/** Where a command came from, and so where its answer goes: `from` is empty for this node's own API. */
+/** Where a command came from, and where its answer goes: `from` is empty for this node's own API. */
 export interface Origin {
   readonly from: string;
   readonly id: number;
@@ -14,7 +14,7 @@
   readonly body: string;
 }
 
-/** The order is on a majority of the voters, as configuration `number`. */
+/** The edit is on a majority of the voters, as configuration `number`. */
 export function acceptedAnswer(id: string, number: number, version: Version): CommandAnswer {
   return {
     status: 200,
@@ -22,12 +22,12 @@
   };
 }
 
-/** The order was never taken, and never will be. */
+/** The edit was never accepted, and never will be. */
 export function closedAnswer(id: string): CommandAnswer {
   return { status: 200, body: JSON.stringify({ outcome: 'turned-away', id }) };
 }
 
-/** A refusal, or an outcome that cannot be told, by the kind of the error. */
+/** A rejection or an unknown outcome, as the error says. */
 export function errorAnswer(error: HaretrackError): CommandAnswer {
   const faults =
     error instanceof TableError || error instanceof ConfigError ? { faults: error.faults } : {};
@@ -38,7 +38,7 @@
   };
 }
 
-/** The leader was lost: of an order with an id nobody here can tell what became of it, anything else was not done. */
+/** The leader became unreachable: the outcome of an edit, which has an id, is unknown; anything else was not done. */
 export function leaderLostAnswer(id: string): CommandAnswer {
   const kind: ErrorCode = id === '' ? 'no-leader' : 'unsure-edit';
   const outcome = id === '' ? 'turned-away' : 'unsure';
--- a/src/control/command-forwarding.ts
+++ b/src/control/command-forwarding.ts
@@ -6,16 +6,17 @@
 import type { ControlCounters, UnclearReason } from './control-metrics.js';
 import { leaderLostAnswer, type CommandAnswer, type Origin } from './command-answers.js';
 
-/** A moment of the leader's own clock, as it told it in an epoch. */
+/** A moment of the leader's own monotonic clock, as a message of that epoch carried it; milliseconds. */
 export interface LeaderClock {
   readonly epoch: number;
   readonly at: number;
 }
 
+/** What forwarding needs of the control node. */
 export interface ForwardingHost {
-  /** Whom this node follows; nothing while nobody leads. */
+  /** The leader that this node follows; `undefined` without one, or if this node itself leads. */
   leader(): string | undefined;
-  /** By how much longer than on an ordinary link an exchange with that node takes, in milliseconds. */
+  /** By how much longer than over an ordinary link a round trip to that node takes, in milliseconds. */
   extraRoundTripMs(id: string): number;
   send(to: string, message: Message): void;
   answer(origin: Origin, answer: CommandAnswer): void;
@@ -25,67 +26,72 @@
   readonly origin: Origin;
   readonly to: string;
   readonly at: Moment;
+  /** The id of the edit; empty for a read. */
   readonly editId: string;
 }
 
 type CommandMessage = Extract<Message, { kind: 'command' }>;
 type CommandReply = Extract<Message, { kind: 'commandReply' }>;
 
+/** How long the reply to a forwarded edit is awaited. */
 const EDIT_TIMEOUT_MS = 9000;
-/** A read may be asked again at once, so it is not waited for long. */
+/** How long the reply to a forwarded read is awaited; a client can retry it at once. */
 const READ_TIMEOUT_MS = 1500;
-/** Callers wait a second for an answer; what is older may have been sent again, and something else since. */
+/** Clients wait a second for an answer; an older command may have been retried, and overridden since. */
 const MAX_COMMAND_AGE_MS = 1500;
-/** A process that did not tick for so long stood still: what it reads next may be as old as that. */
+/** A longer gap between ticks means that the process was stalled: what it reads next may be that old. */
 const EVENT_LOOP_STALL_MS = 1000;
-/** After a standstill everything that waited has been read by then. */
+/** After a stall the backlog of input has been read within this time. */
 const BACKLOG_DRAIN_MS = 300;
 const UNKNOWN_CLOCK: LeaderClock = { epoch: 0, at: 0 };
 const READ_VERBS = new Set(['read', 'fleet', 'live']);
-/** Orders that build on no version: only their age tells a late copy from a new order. */
+/** Commands without a base version: only their age tells a late duplicate from a new command. */
 const UNVERSIONED_VERBS = new Set(['zone']);
 
 /**
- * Commands that this node passes on to the leader, and the age of orders.
+ * Forwards commands to the leader, and bounds the age of commands.
  *
- * An order that builds on no version could be carried out long after it was sent again and taken back. Its age is
- * therefore bounded, without comparing clocks: the node that takes it adds the last moment that the leader told of its own
- * clock, which is earlier than the order came; the leader refuses what may be older than a caller waits, by that clock.
- * A node that stood still itself cannot tell how old its input is, and takes no such order until it has read its backlog.
+ * A command without a base version could be executed long after it was retried and reverted. Its age is therefore bounded,
+ * without comparing clocks of two nodes: the node that accepts it adds the last moment of the leader's clock that it
+ * received, which is earlier than the command arrived; the leader rejects commands that may be older than clients wait, by
+ * that clock. A node that was stalled cannot tell how old its input is, and rejects such commands until it has read its
+ * backlog.
  */
 export class CommandForwarding {
   readonly #host: ForwardingHost;
   readonly #counters: ControlCounters;
   readonly #forwards = new Map<number, ForwardedCommand>();
-  /** Nodes whose line closed and from which nothing came since: what is sent there now is lost. */
+  /** Nodes whose connection closed and from which nothing arrived since: a message sent there would not arrive. */
   readonly #closed = new Set<string>();
   #forwardId: number;
   #leaderClock = UNKNOWN_CLOCK;
-  #tickedAt: Moment;
+  #lastTickAt: Moment;
   #backlogUntil: Moment;
 
-  /** Ids begin at a number of this life's own, so that no answer to a former incarnation is taken for one of ours. */
+  /** Ids begin at the incarnation's number, so that a reply to a former incarnation is not mistaken for one to us. */
   constructor(host: ForwardingHost, counters: ControlCounters, incarnation: number, now: Moment) {
     this.#host = host;
     this.#counters = counters;
     this.#forwardId = incarnation;
-    this.#tickedAt = now;
+    this.#lastTickAt = now;
     this.#backlogUntil = now;
   }
 
-  /** The leader told its clock with a renewal of its lease. */
-  onLeaderClock(time: LeaderClock): void {
-    this.#leaderClock = time;
+  /** The leader sent its clock with its victory or a renewal of its lease. */
+  onLeaderClock(clock: LeaderClock): void {
+    this.#leaderClock = clock;
   }
 
+  /** A message of that node arrived. */
   onHeard(from: string): void {
     this.#closed.delete(from);
   }
 
+  /** Detects a stall of this process, and answers forwarded commands whose reply timed out. */
   tick(now: Moment): void {
-    if (now - this.#tickedAt > EVENT_LOOP_STALL_MS)
+    if (now - this.#lastTickAt > EVENT_LOOP_STALL_MS)
       this.#backlogUntil = later(now, BACKLOG_DRAIN_MS);
-    this.#tickedAt = now;
+    this.#lastTickAt = now;
     for (const [id, forwarded] of this.#forwards) {
       if (now < this.#deadlineOf(forwarded)) continue;
       this.#forwards.delete(id);
@@ -95,14 +101,14 @@
 
   #deadlineOf(forwarded: ForwardedCommand): Moment {
     if (forwarded.editId !== '') return later(forwarded.at, EDIT_TIMEOUT_MS);
-    // There and back, and at the leader up to two quorum reads, which take about as long each.
+    // A round trip, and up to two quorum reads of the leader, which take about as long each.
     return later(forwarded.at, READ_TIMEOUT_MS + 2 * this.#host.extraRoundTripMs(forwarded.to));
   }
 
-  /** Throws where an order without a version may be a late copy, as far as this node can tell. */
+  /** Throws a `NoLeaderError` if a command without a base version may be a late duplicate, as far as this node can tell. */
   checkAge(now: Moment, verb: string): void {
     if (!UNVERSIONED_VERBS.has(verb)) return;
-    if (now < this.#backlogUntil || now - this.#tickedAt > EVENT_LOOP_STALL_MS) {
+    if (now < this.#backlogUntil || now - this.#lastTickAt > EVENT_LOOP_STALL_MS) {
       this.#counters.countRefused('too-old');
       throw new NoLeaderError(
         'this node stood still and cannot tell how old the order is; nothing was done',
@@ -110,7 +116,7 @@
     }
   }
 
-  /** Throws where a command that another node passed on may not be carried out here any more. */
+  /** Throws a `NoLeaderError` if a forwarded command is too old, or was forwarded to the leader of another epoch. */
   checkForwarded(now: Moment, epoch: number, message: CommandMessage): void {
     if (!UNVERSIONED_VERBS.has(message.verb)) return;
     if (message.epoch !== epoch || now - message.leaderTime > MAX_COMMAND_AGE_MS) {
@@ -121,9 +127,10 @@
     }
   }
 
+  /** Forwards a command to the leader; throws a `NoLeaderError` if there is none to forward it to. */
   forward(now: Moment, origin: Origin, verb: string, body: string): void {
     const leader = this.#host.leader();
-    // Passed on once at most: two nodes that take each other for leader must not play ball with it.
+    // Forwarded at most once: two nodes that take each other for the leader must not forward it back and forth.
     if (leader === undefined || origin.from !== '' || this.#closed.has(leader)) {
       if (!READ_VERBS.has(verb)) this.#counters.countUnserved();
       throw new NoLeaderError('no leader is known; nothing was done');
@@ -143,6 +150,7 @@
     });
   }
 
+  /** The leader's reply to a forwarded command; a reply of another node is ignored. */
   onReply(from: string, message: CommandReply): void {
     const forwarded = this.#forwards.get(message.id);
     if (!forwarded || forwarded.to !== from) return;
@@ -150,7 +158,7 @@
     this.#host.answer(forwarded.origin, { status: message.status, body: message.body });
   }
 
-  /** The line to a node closed: what was passed on to it may or may not have been done. */
+  /** The connection to a node closed: commands forwarded to it may or may not have been executed. */
   onDisconnect(from: string): void {
     this.#closed.add(from);
     for (const [id, forwarded] of this.#forwards) {
@@ -160,14 +168,14 @@
     }
   }
 
-  /** Nobody here can tell what became of a command that was passed on. */
+  /** The outcome of a forwarded command is unknown here. */
   #answerUnclear(forwarded: ForwardedCommand, reason: UnclearReason): void {
     if (forwarded.editId !== '') this.#counters.countUnclear(reason);
     this.#host.answer(forwarded.origin, leaderLostAnswer(forwarded.editId));
   }
 }
 
-/** The leader's clock as a message of its own told it. */
+/** The leader's clock as one of its messages carried it. */
 export function leaderClockOf(message: {
   readonly epoch: number;
   readonly sentAt: number;
--- a/src/control/command-handler.ts
+++ b/src/control/command-handler.ts
@@ -16,7 +16,7 @@
 import type { TableManager } from './table-manager.js';
 import type { Takeover } from './takeover.js';
 
-/** Who carries out commands. */
+/** The components that execute commands. */
 export interface CommandDependencies {
   readonly elector: Elector;
   readonly leadership: Leadership;
@@ -35,15 +35,15 @@
 
 type CommandMessage = Extract<Message, { kind: 'command' }>;
 
-/** Commands of operators, at this node's own API or passed on by another: carried out, passed on, or refused. */
+/** Executes, forwards or rejects the commands of operators, from this node's own API or forwarded by another node. */
 export class CommandHandler {
   readonly #dependencies: CommandDependencies;
 
-  constructor(parts: CommandDependencies) {
-    this.#dependencies = parts;
+  constructor(dependencies: CommandDependencies) {
+    this.#dependencies = dependencies;
   }
 
-  /** A command that another node passed on. */
+  /** A command that another node forwarded. */
   onForwardedCommand(now: Moment, from: string, message: CommandMessage): void {
     const origin = { from, id: message.id };
     try {
@@ -74,7 +74,7 @@
     else this.#executeAtLeader(now, origin, verb, body);
   }
 
-  /** What the leader alone can do. */
+  /** Executes a command that only the leader can execute, or forwards it to the leader. */
   #executeAtLeader(now: Moment, origin: Origin, verb: string, body: string): void {
     const { forwarding, takeover, elector, leadership } = this.#dependencies;
     forwarding.checkAge(now, verb);
@@ -92,7 +92,7 @@
     else orders.submit(now, origin, verb, body);
   }
 
-  /** An operator's word that nothing better is left than what this node can find. */
+  /** An operator declares that no better replica is left than those this node can reach. */
   #forceNewCluster(now: Moment, origin: Origin): void {
     const { replicaStatus, takeover, repair, voters } = this.#dependencies;
     if (replicaStatus.name === 'sound') {
--- a/src/control/config-codec.ts
+++ b/src/control/config-codec.ts
@@ -3,20 +3,20 @@
 import { parseAs } from '../common/json.js';
 import { ConfigDocShape, type ConfigDoc } from './config-shapes.js';
 
-/** The remembered edits by columns: as objects, a thousand of them were most of each write and of each copy sent. */
+/** The remembered edits by columns: as objects, a thousand of them would make up most of each write and message. */
 const EditColumnsShape = type({
   ids: array(string()),
   numbers: array(number()),
-  /** Places in the other columns of the edits that were closed; all others were accepted. */
+  /** Indexes in the other columns of the edits that were closed; all others were accepted. */
   closed: array(number()),
-  /** The operators' version of the routing right after each edit; columns from before do not tell it. */
+  /** The operators' version of the routing right after each edit; documents of older builds lack the column. */
   versions: optional(array(number())),
 });
-/** In place of a version that an older document did not tell. */
+/** In place of a version that an older document lacks. */
 const UNKNOWN_VERSION = -1;
 type EditColumns = Infer<typeof EditColumnsShape>;
 
-/** The document as it is stored and sent. Documents from before have their edits as objects and no columns. */
+/** The document as stored and sent. Documents of older builds have their edits as objects and no columns. */
 const StoredDocShape = assign(ConfigDocShape, type({ editColumns: optional(EditColumnsShape) }));
 
 type Edits = ConfigDoc['edits'];
@@ -24,11 +24,11 @@
 function columnsOf(edits: Edits): EditColumns {
   const versions: number[] = [];
   const columns: EditColumns = { ids: [], numbers: [], closed: [], versions };
-  for (const [place, edit] of edits.entries()) {
+  for (const [index, edit] of edits.entries()) {
     columns.ids.push(edit.id);
     columns.numbers.push(edit.number);
     versions.push(edit.version ?? UNKNOWN_VERSION);
-    if (edit.outcome === 'closed') columns.closed.push(place);
+    if (edit.outcome === 'closed') columns.closed.push(index);
   }
   return columns;
 }
@@ -36,20 +36,21 @@
 function editsOf(columns: EditColumns): Edits {
   const closed = new Set(columns.closed);
   const edits: Edits = [];
-  for (const [place, id] of columns.ids.entries()) {
-    const outcome = closed.has(place) ? 'closed' : 'accepted';
-    const version = columns.versions?.[place] ?? UNKNOWN_VERSION;
-    const told = version === UNKNOWN_VERSION ? {} : { version };
-    edits.push({ id, number: columns.numbers[place] ?? 0, outcome, ...told });
+  for (const [index, id] of columns.ids.entries()) {
+    const outcome = closed.has(index) ? 'closed' : 'accepted';
+    const version = columns.versions?.[index] ?? UNKNOWN_VERSION;
+    const known = version === UNKNOWN_VERSION ? {} : { version };
+    edits.push({ id, number: columns.numbers[index] ?? 0, outcome, ...known });
   }
   return edits;
 }
 
+/** The text by which a document is stored and sent. */
 export function encodeConfigDoc(doc: ConfigDoc): string {
   return JSON.stringify({ ...doc, edits: [], editColumns: columnsOf(doc.edits) });
 }
 
-/** Nothing where the text is no such document. */
+/** Reads a stored document, also of older builds; `undefined` if the text is malformed. */
 export function decodeConfigDoc(text: string): ConfigDoc | undefined {
   const stored = parseAs(StoredDocShape, text);
   if (!stored) return undefined;
@@ -57,6 +58,7 @@
   return editColumns ? { ...doc, edits: [...doc.edits, ...editsOf(editColumns)] } : doc;
 }
 
+/** Like `decodeConfigDoc`, but throws a `MalformedRequestError` if the text is malformed. */
 export function mustDecodeConfigDoc(text: string): ConfigDoc {
   const doc = decodeConfigDoc(text);
   if (!doc) throw new MalformedRequestError('the configuration part is not what it should be');
--- a/src/control/config-shapes.ts
+++ b/src/control/config-shapes.ts
@@ -11,34 +11,37 @@
 } from 'superstruct';
 import { EMPTY_TABLE, TableShape } from '../policy/table.js';
 
-/** The operators' routing: their own number of it, and its text as they sent it or as their changes made it. */
+/** The operators' routing: their version number, and its text as they sent it or as amended since. */
 const RoutingDocShape = type({ version: number(), text: string() });
 
+/** An edit whose outcome is remembered, so that it is applied once however often it is sent. */
 const EditRecord = type({
   id: string(),
-  /** The number of the table right after it. */
+  /** The number of the table right after the edit. */
   number: number(),
   outcome: enums(['accepted', 'closed']),
-  /** The operators' version of the routing right after it; older files do not tell it. */
+  /** The operators' version of the routing right after the edit; files of older builds lack it. */
   version: optional(number()),
 });
 
-/** What the configuration part holds. */
+/** The configuration document, as stored in the configuration partition. */
 export const ConfigDocShape = type({
   /** Counts accepted tables; an edit names the one it was made from. */
   number: number(),
   table: TableShape,
+  /** Zones that operators evacuated. */
   emptied: array(string()),
   edits: array(EditRecord),
-  /** One set of voters, or two while a swap is under way. */
+  /** One set of voters, or two during a joint configuration. */
   voters: array(array(string())),
   routing: optional(RoutingDocShape),
-  /** How many voters are wanted, where some that are gone were left out; others are taken in up to that number. */
+  /** How many voters are wanted, if departed ones were removed: spares are added up to this number. */
   seats: optional(number()),
 });
+/** The configuration document: table, evacuated zones, remembered edits, voters and routing. */
 export type ConfigDoc = Infer<typeof ConfigDocShape>;
 
-/** What of it the data plane is told. */
+/** The configuration as published to the data plane: the document without what only the control nodes need. */
 export const ConfigUpdateShape = type({
   number: number(),
   table: TableShape,
@@ -46,17 +49,18 @@
   voters: array(array(string())),
   routing: optional(RoutingDocShape),
 });
+/** The published configuration. */
 export type ConfigUpdate = Infer<typeof ConfigUpdateShape>;
 
-/** So many edits are remembered by id. */
+/** How many edits are remembered by id. */
 export const MAX_EDITS = 1000;
 
-/** What an edit's base counts: accepted tables, or the operators' own versions of the routing. */
+/** What the `base` of an edit counts: accepted tables, or the operators' own versions of the routing. */
 export type BaseKind = 'table' | 'routing';
 
 /**
- * Whether an edit that is not remembered may have been accepted and forgotten since. One made from `base` would have
- * raised that number, and is remembered if anything from no later than its base still is.
+ * Whether an edit that is not remembered may have been accepted and forgotten since. An accepted edit raises the number
+ * that its `base` counts, so it is still remembered if a record no later than its base is.
  */
 export function mayBeForgotten(
   doc: ConfigDoc,
@@ -69,13 +73,14 @@
   return base === undefined || oldestBase === undefined || oldestBase > base;
 }
 
+/** The document of a new cluster with these voters. */
 export function initialDoc(voters: readonly string[]): ConfigDoc {
   return { number: 0, table: EMPTY_TABLE, emptied: [], edits: [], voters: [[...voters]] };
 }
 
 const Value = union([string(), number(), boolean()]);
 
-/** The operators' edits, as the API takes them. */
+/** The bodies of the operators' edits, as the API accepts them. */
 export const EditShapes = {
   table: type({
     id: string(),
@@ -86,9 +91,9 @@
   cell: type({ id: string(), base: number(), row: string(), column: string(), value: Value }),
   rows: type({ id: string(), base: number(), put: array(type({})), remove: array(string()) }),
   zone: type({ id: string(), zone: string(), empty: boolean() }),
-  /** A whole document, or a change of the one in force; `base` is the number of the document it was made from, 0 for none. */
+  /** A complete document, or an amendment; `base` is the version of the document that it was made from, 0 for none. */
   configure: type({ id: string(), base: number(), text: string() }),
   swap: type({ id: string(), old: string(), new: string() }),
-  /** `base`, the table it was made from, tells whether it would still be remembered. */
+  /** A query for the outcome of an edit; its `base` shows whether the edit would still be remembered. */
   edit: type({ id: string(), base: optional(number()) }),
 } as const;
--- a/src/control/config-store.ts
+++ b/src/control/config-store.ts
@@ -13,7 +13,7 @@
 } from './config-shapes.js';
 import type { PartitionWriter } from './partition-writer.js';
 
-/** Where the configuration is kept and told. */
+/** Where the configuration is stored and published. */
 export interface ConfigStoreDependencies {
   readonly seeds: readonly string[];
   readonly state: ReplicatedState;
@@ -21,49 +21,49 @@
   readonly relay: Relay;
 }
 
-/** The configuration at the leader: as last written, and as last committed. */
+/** The configuration document at the leader: as last written, and as last committed. */
 export class ConfigStore {
   readonly #dependencies: ConfigStoreDependencies;
   #newest: ConfigDoc;
   #committed: ConfigDoc;
 
-  constructor(parts: ConfigStoreDependencies) {
-    this.#dependencies = parts;
-    this.#newest = initialDoc(parts.seeds);
+  constructor(dependencies: ConfigStoreDependencies) {
+    this.#dependencies = dependencies;
+    this.#newest = initialDoc(dependencies.seeds);
     this.#committed = this.#newest;
   }
 
-  /** As last written here, committed or not. */
+  /** The document as last written by this leader, committed or not. */
   newest(): ConfigDoc {
     return this.#newest;
   }
 
-  /** The newest that is known to be on a majority; the same object as `newest()` where nothing else is written. */
+  /** The newest document known to be on a majority; the same object as `newest()` if no write is in flight. */
   committed(): ConfigDoc {
     return this.#committed;
   }
 
-  /** Whether a write of it is still without its majority. */
+  /** Whether a write is not yet on a majority. */
   get isWriting(): boolean {
     return this.#dependencies.state.isWriting(CONFIG_PARTITION);
   }
 
-  /** Takes what was read while beginning to lead; says whether there was any. */
+  /** Loads the document that was read while taking over; returns whether there was one. Throws if it is malformed. */
   load(): boolean {
     const body = this.#dependencies.state.body(CONFIG_PARTITION);
     this.#newest = body === '' ? initialDoc(this.#dependencies.seeds) : mustDecodeConfigDoc(body);
-    // It was rewritten by a majority in our epoch before we serve.
+    // A majority rewrote it in our epoch before this node serves.
     this.#committed = this.#newest;
     return body !== '';
   }
 
-  /** Writes a configuration; `token` comes back with its commit. */
+  /** Writes a document; `token` is returned with its commit, 0 if nobody waits for that. */
   write(now: Moment, doc: ConfigDoc, token: number): void {
     this.#newest = doc;
     this.#dependencies.writer.write(now, CONFIG_PARTITION, encodeConfigDoc(doc), token);
   }
 
-  /** A write was committed as this version: it is told to every node. */
+  /** A write was committed as this version: it is published to every node. */
   onCommitted(version: Version): void {
     const doc = decodeConfigDoc(this.#dependencies.writer.takeCommitted(CONFIG_PARTITION, version));
     if (!doc) return;
@@ -71,20 +71,23 @@
     this.#committed = this.isWriting ? doc : this.#newest;
   }
 
-  /** Tells every node what was loaded. */
+  /** Publishes the loaded document to every node. */
   publishLoaded(): void {
     this.#publish(this.#dependencies.state.versionOf(CONFIG_PARTITION), this.#newest);
   }
 
-  /** A configuration told here that is newer than the one held: no majority has it any more. */
+  /** A published configuration that is newer than the stored document: no majority stores it any more. */
   unstoredUpdate(): ConfigUpdate | undefined {
-    const told = parseAs(ConfigUpdateShape, this.#dependencies.relay.latest('config')?.body ?? '');
-    return told && told.number > this.#newest.number ? told : undefined;
+    const published = parseAs(
+      ConfigUpdateShape,
+      this.#dependencies.relay.latest('config')?.body ?? '',
+    );
+    return published && published.number > this.#newest.number ? published : undefined;
   }
 
-  /** Writes what is held anew, with what was told and lost laid over it. */
-  recover(now: Moment, lost: ConfigUpdate | undefined): void {
-    this.write(now, lost ? withUpdate(this.#newest, lost) : this.#newest, 0);
+  /** Rewrites the document, with a published configuration that is missing in the replicas merged into it. */
+  recover(now: Moment, update: ConfigUpdate | undefined): void {
+    this.write(now, update ? withUpdate(this.#newest, update) : this.#newest, 0);
   }
 
   #publish(version: Version, doc: ConfigDoc): void {
@@ -94,8 +97,8 @@
   }
 }
 
-/** The voters stay: who votes is not for members to tell. */
-function withUpdate(doc: ConfigDoc, news: ConfigUpdate): ConfigDoc {
-  const { number: count, table, emptied, routing } = news;
+/** The voters of the document stay: members do not decide who votes. */
+function withUpdate(doc: ConfigDoc, update: ConfigUpdate): ConfigDoc {
+  const { number: count, table, emptied, routing } = update;
   return { ...doc, number: count, table, emptied, ...(routing ? { routing } : {}) };
 }
--- a/src/control/config-voters.ts
+++ b/src/control/config-voters.ts
@@ -5,7 +5,10 @@
 
 const VotersShape = type({ voters: array(array(string())) });
 
-/** The voters that a configuration names, in the form in which it is stored or told; nothing where it names none. */
+/**
+ * The voters named by the text of a configuration, stored or published: one set, or two during a joint configuration.
+ * `undefined` if the text is empty or names none.
+ */
 export function quorumOf(configBody: string): Quorum | undefined {
   if (configBody === '') return undefined;
   const voters = parseAs(VotersShape, configBody)?.voters;
--- a/src/control/control-components.ts
+++ b/src/control/control-components.ts
@@ -1,6 +1,5 @@
 import { nodeId, type Moment, type NodeId } from '../common/ids.js';
 import type { Message } from '../common/messages.js';
-import type { Quorum } from '../common/quorum.js';
 import { Sessions } from '../dissemination/sessions.js';
 import type { PlacerSettings } from '../placement/placer-types.js';
 import { CommandHandler } from './command-handler.js';
@@ -28,17 +27,17 @@
 import type { VotersChange } from './voter-plan.js';
 import { VoterSetWriter } from './voter-set-writer.js';
 
-/** What the duties need of the core that they belong to. */
+/** What the components need of the core that they belong to. */
 export interface CoreHooks {
   /** Whether orders may be given to runners at this moment. */
-  mayOrder(now: Moment): boolean;
-  /** Takes up what the election and the replicated state decided. */
-  drainEffects(now: Moment): void;
-  /** Everybody to whom this node keeps a connection. */
-  peers(): readonly string[];
+  readonly mayOrder: (now: Moment) => boolean;
+  /** Applies what the election and the replicated state have decided. */
+  readonly drainEffects: (now: Moment) => void;
+  /** All nodes to which this node wants a connection. */
+  readonly peers: () => readonly string[];
 }
 
-/** What a control node does, each duty in a class of its own, made here and handed to each other. */
+/** The components of a control node, each with one concern: constructed here and wired to each other. */
 export class ControlComponents {
   readonly sessions: Sessions;
   readonly members: KnownMembers;
@@ -52,9 +51,9 @@
   readonly forwarding: CommandForwarding;
   readonly reads: QuorumReads;
   readonly voterSet: VoterSetWriter;
-  /** Set in a deployment, where voters change by themselves. */
+  /** Only in a deployment, where voters are replaced without an operator. */
   readonly membership: VoterMembership | undefined;
-  /** Set in a deployment, where the leader alone reads the list of runners. */
+  /** Only in a deployment, where only the leader polls the list of runners. */
   readonly drainingRunners: DrainingRunnersReader | undefined;
   readonly repair: ReplicaRepair;
   readonly takeover: Takeover;
@@ -103,7 +102,7 @@
     this.memberMessages = this.#makeMemberMessages();
   }
 
-  /** What operators see of this node. */
+  /** The status of this node as operators see it. */
   status(now: Moment): ControlStatus {
     const { members, tree, placement } = this;
     return statusOf(now, {
@@ -116,7 +115,7 @@
     });
   }
 
-  /** What the leader writes by. */
+  /** The components by which the leader writes. */
   #writers(): { readonly writer: PartitionWriter; readonly document: ConfigStore } {
     return { writer: this.writer, document: this.document };
   }
@@ -129,7 +128,7 @@
     });
   }
 
-  /** While it leads, a node feeds the other voters as well. */
+  /** The leader sends updates to the other voters as well. */
   #updatedVoters(): readonly NodeId[] {
     const { elector, voters, me } = this.#replica;
     if (!elector.isLeading()) return [];
@@ -164,37 +163,29 @@
       newest: () => document.newest(),
       committed: () => document.committed(),
       write: (now: Moment, doc: ConfigDoc, token: number) => document.write(now, doc, token),
-      confirm: () => this.#confirmRefusal(),
+      requestConfirmation: () => this.reads.confirmRefusal(),
       answer: (origin: Origin, answer: CommandAnswer) => effects.answer(origin, answer),
       isInForce: (now: Moment, commit: Commit) => this.#isInForce(now, commit),
     };
     return new OperatorEdits(host, this.#settings.deployed?.dialect, counters);
   }
 
-  #confirmRefusal(): number {
-    return this.reads.confirmRefusal();
-  }
-
   #isInForce(now: Moment, commit: Commit): boolean {
-    // In a deployment the yes says that it is held for good; the machines have their own span to follow.
+    // In a deployment an acknowledgement means durable on a majority; how soon proxies follow is bounded separately.
     return this.#isDeployed || this.members.isInForce(now, commit);
   }
 
   #makeForwarding(now: Moment): CommandForwarding {
-    const { counters, effects } = this.#replica;
+    const { counters, effects, elector } = this.#replica;
     const host = {
       leader: () => this.#otherLeader(),
-      extraRoundTripMs: (id: string) => this.#extraRoundTripMs(id),
+      extraRoundTripMs: (id: string) => elector.extraRoundTripMsOf(nodeId(id)),
       send: (to: string, message: Message) => effects.send(to, message),
       answer: (origin: Origin, answer: CommandAnswer) => effects.answer(origin, answer),
     };
     return new CommandForwarding(host, counters, this.#settings.incarnation, now);
   }
 
-  #extraRoundTripMs(id: string): number {
-    return this.#replica.elector.extraRoundTripMsOf(nodeId(id));
-  }
-
   #otherLeader(): string | undefined {
     const { elector, me } = this.#replica;
     return elector.leader === me ? undefined : elector.leader;
@@ -214,10 +205,9 @@
 
   #makeMembership(now: Moment): VoterMembership {
     const { document, zones, voterSet } = this;
-    const { effects, replicaStatus } = this.#replica;
+    const { effects } = this.#replica;
     const host = {
       ...this.#replica,
-      replicaStatus,
       zone: this.#settings.zone,
       isFirstStart: this.#settings.deployed?.isFirstStart ?? false,
       peers: this.#hooks.peers,
@@ -231,11 +221,11 @@
   }
 
   #makeDrainingRunnersReader(now: Moment): DrainingRunnersReader {
-    const { effects } = this.#replica;
+    const { effects, voters, leadership } = this.#replica;
     const host = {
       ...this.#replica,
-      quorum: () => this.#currentQuorum(),
-      isServing: () => this.#isServing(),
+      quorum: () => voters.quorum,
+      isServing: () => leadership.isServing,
       children: () => this.tree.children(),
       pollRunnerList: () => effects.add({ do: 'askList' }),
       send: (to: string, message: Message) => effects.send(to, message),
@@ -243,14 +233,6 @@
     return new DrainingRunnersReader(host, now);
   }
 
-  #currentQuorum(): Quorum {
-    return this.#replica.voters.quorum;
-  }
-
-  #isServing(): boolean {
-    return this.#replica.leadership.isServing;
-  }
-
   #makeRepair(): ReplicaRepair {
     return new ReplicaRepair({
       ...this.#replica,
--- a/src/control/control-core.ts
+++ b/src/control/control-core.ts
@@ -28,9 +28,9 @@
 type CommittedEffect = Extract<ReplicatedStateEffect, { do: 'committed' }>;
 
 /**
- * The core of a control node: election, shared state, sessions, updates, configuration and placement, as one pure state
- * machine. It is told messages, ticks and what the outside returned, and drains effects. The work is done by its duties;
- * here is who hears what, and in which order.
+ * The core of a control node: election, replicated state, sessions, updates, configuration and placement, as one pure state
+ * machine. Its inputs (`on…` and `tick`) are messages, timer ticks and the results of effects; `drain` returns the effects
+ * to carry out. The work is done by its components; the core decides which of them get an input, and in which order.
  */
 export class ControlCore {
   readonly #replica: ControlReplica;
@@ -52,22 +52,25 @@
     this.#components = new ControlComponents(settings, placer, this.#replica, now, {
       mayOrder: (now) => this.mayOrder(now),
       drainEffects: (now) => this.#drainEffects(now),
-      peers: () => this.#listPeers(),
+      peers: () => this.peers,
     });
     this.#replica.voters.follow();
     this.#drainEffects(now);
   }
 
+  /** The election, at this voter. */
   get elector(): Elector {
     return this.#replica.elector;
   }
+  /** The replicated state, at this voter. */
   get state(): ReplicatedState {
     return this.#replica.state;
   }
+  /** The updates that this node has and sends on to its children. */
   get relay(): Relay {
     return this.#replica.relay;
   }
-  /** Whether this node's replica may count. */
+  /** Whether this node's replica may count in majorities. */
   get replicaStatus(): ReplicaStatus {
     return this.#replica.replicaStatus;
   }
@@ -75,17 +78,20 @@
   get isServing(): boolean {
     return this.#replica.leadership.isServing;
   }
+  /** All voters by the newest configuration known here; both sets during a joint configuration. */
   get voters(): readonly NodeId[] {
     return this.#replica.voters.quorum.all;
   }
+  /** How many orders this node has sent to runners since its start. */
   get ordersSent(): number {
     return this.#components.placement.ordersSent;
   }
+  /** How many writes of the placement this node has begun since its start. */
   get placementWrites(): number {
     return this.#components.placement.writes;
   }
 
-  /** One look at this node, for its metrics; nothing changes by it. */
+  /** A snapshot of this node for its metrics. */
   metrics(now: Moment): ControlMetrics {
     const { repair, sessions, drainingRunners } = this.#components;
     const mayOrder = (now: Moment) => this.mayOrder(now);
@@ -98,28 +104,28 @@
     });
   }
 
-  /** Takes the effects that are to be carried out, in their order. */
+  /** Removes and returns the effects to carry out, in order. */
   drain(): ControlEffect[] {
     return this.#replica.effects.drain();
   }
 
-  /** Asked by the executor right before an order is written. */
+  /** Whether an order may be written to a runner at this moment; checked again right before each write. */
   mayOrder(now: Moment): boolean {
     const { elector, leadership } = this.#replica;
     return !this.#isRetiring && elector.mayOrder(now) && leadership.isServing;
   }
 
-  /** Until when orders may be given, unless the lease is renewed. */
+  /** Until when orders may be sent, unless the lease is renewed. */
   leaseEnd(): Moment {
     return this.#replica.elector.leaseEnd;
   }
 
-  /** Whom the settings name now; they are asked for voters where none is heard of. */
+  /** The seed nodes of changed settings; they are contacted while no leader is known. */
   setSeeds(seeds: readonly string[]): void {
     this.#seeds = seeds;
   }
 
-  /** Everybody that this node wants a connection to. */
+  /** All nodes to which this node wants a connection. */
   get peers(): readonly string[] {
     const ids = new Set<string>(this.voters);
     if (this.#isWithoutLeader()) for (const seed of this.#seeds) ids.add(seed);
@@ -127,13 +133,14 @@
     return [...ids];
   }
 
-  /** Whether a planned stop waits for this node's seat to be taken over. */
+  /** Whether a planned stop waits for this voter to be replaced. */
   get isHandingOver(): boolean {
     return this.#components.membership?.isHandingOver ?? false;
   }
 
   // ---- inputs
 
+  /** Advances all timers; called every 50 ms. */
   tick(now: Moment): void {
     const { stateMessages, memberMessages, takeover, forwarding, orders, placement } =
       this.#components;
@@ -151,17 +158,17 @@
     this.#drainEffects(now);
   }
 
-  /** A message of another node; `zone` is where that one is, '' if it did not say. */
+  /** A message of another node; `zone` is that node's zone, '' if it is unknown. */
   onMessage(now: Moment, from: string, message: Message, zone: string = ''): void {
     const { forwarding, zones, stateMessages, memberMessages } = this.#components;
     forwarding.onHeard(from);
     if (zone !== '' && this.#isVoter(from)) zones.onZoneReported(from, zone);
-    const isTaken =
+    const isHandled =
       stateMessages.onMessage(now, nodeId(from), message) ||
       memberMessages.onMessage(now, from, message) ||
       this.#onMembershipMessage(now, from, message) ||
       this.#onCommandMessage(now, from, message);
-    if (!isTaken) this.#onElectionMessage(now, from, message);
+    if (!isHandled) this.#onElectionMessage(now, from, message);
     this.#drainEffects(now);
   }
 
@@ -173,7 +180,7 @@
     this.#drainEffects(now);
   }
 
-  /** A version of a part is on disk. */
+  /** The store effect of this version of a partition is on disk. */
   onPersisted(now: Moment, partition: PartitionName, version: Version): void {
     const { votes, elector } = this.#replica;
     if (partition === VOTE_RECORD) {
@@ -185,13 +192,13 @@
     this.#drainEffects(now);
   }
 
-  /** The platform's list of machines. */
+  /** The platform's list of machines, as a deployment with the policy table polls it. */
   onMachines(now: Moment, machines: Machines): void {
     this.#components.updates.onMachineList(machines);
     this.#drainEffects(now);
   }
 
-  /** The platform's list of runners. */
+  /** The platform's list of runners, as polled. */
   onRunnerList(now: Moment, runners: readonly ListedRunner[]): void {
     const { placement, drainingRunners } = this.#components;
     placement.onRunnerList(now, runners);
@@ -200,7 +207,7 @@
     this.#drainEffects(now);
   }
 
-  /** A runner's own report, asked for at that moment; nothing if it gave none. */
+  /** A runner's status, polled at `askedAt`; `undefined` if the poll failed. */
   onRunnerStatus(
     now: Moment,
     runner: string,
@@ -211,31 +218,31 @@
     this.#drainEffects(now);
   }
 
-  /** What the weight store holds. */
+  /** The catalog of the weight store, as polled. */
   onCatalog(_now: Moment, catalog: Catalog): void {
     this.#components.placement.table.onCatalog(catalog);
   }
 
-  /** What a runner returned to an ask sent at that moment; nothing if it did not. */
+  /** A runner's report, polled at `askedAt`; `undefined` if the poll failed. */
   onRunnerReport(now: Moment, id: string, askedAt: Moment, report: RunnerReport | undefined): void {
     this.#components.placement.table.onReport(now, id, askedAt, report);
   }
 
-  /** What became of an order: taken, turned away for good, or unsure. */
+  /** The outcome of an order that was sent to a runner. */
   onOrderOutcome(now: Moment, intent: string, outcome: OrderResult | 'turnedAway'): void {
     this.#components.placement.onOrderOutcome(now, intent, outcome);
     if (this.#isDeployed) this.#drainEffects(now);
   }
 
-  /** A command at this node's own API. */
+  /** A command at this node's own API; the answer is a `reply` effect with this id. */
   onCommand(now: Moment, id: number, verb: string, body: string): void {
     this.#components.commands.onCommand(now, id, verb, body);
     this.#drainEffects(now);
   }
 
   /**
-   * Before a planned stop: hands the lease back, if no order's outcome is open. Says whether it may stop now.
-   * An order that may still be under way keeps the lease bound until it runs out by itself.
+   * Begins or continues a planned stop: waits for a replacement and for the outcomes of orders, then gives the lease back.
+   * Returns whether the node may stop now. While an order may still be in flight the lease is not given back: it expires.
    */
   retire(now: Moment): boolean {
     const { membership, placement } = this.#components;
@@ -250,7 +257,7 @@
 
   // ---- messages by family
 
-  /** Voters of a deployment announce themselves, say when they leave, and who leaves while nobody leads. */
+  /** Announcements and departures of voters in a deployment, and of draining runners while there is no leader. */
   #onMembershipMessage(now: Moment, from: string, message: Message): boolean {
     const { membership, drainingRunners } = this.#components;
     switch (message.kind) {
@@ -289,19 +296,19 @@
     this.#onCandidate(from, message);
     elector.onMessage(now, nodeId(from), message);
     if (message.kind !== 'victory' && message.kind !== 'renew') return;
-    // A renewal tells the leader's clock; what is known of it bounds the age of the orders passed on.
+    // These carry the leader's clock, which bounds the age of forwarded commands.
     if (elector.leader === from && elector.epoch === message.epoch)
       this.#components.forwarding.onLeaderClock(leaderClockOf(message));
   }
 
-  /** One that is not among the voters known here stands for election: there may be a newer configuration. */
+  /** A node that is no voter as known here is a candidate: there may be a newer configuration. */
   #onCandidate(from: string, { kind }: Message): void {
     const isOfCandidate = kind === 'propose' || kind === 'victory' || kind === 'renew';
     if (this.#isDeployed && isOfCandidate && !this.#isVoter(from))
       this.#components.updates.request(from);
   }
 
-  // ---- what the election and the replicated state decide
+  // ---- effects of the election and of the replicated state
 
   #drainEffects(now: Moment): void {
     const { elector, state, voters } = this.#replica;
@@ -347,26 +354,22 @@
     document.onCommitted(version);
     voters.follow();
     orders.onCommitted(now, version, tokens, [...named, ...members.possible(now)]);
-    // Let go by the voters: a seat that is handed over as planned gives the lease back itself, any other leader steps down.
+    // No longer a voter: in a planned stop the lease is given back by `retire`, any other leader steps down.
     if (!this.#isRetiring && !voters.quorum.includes(me)) elector.stepDown();
   }
 
-  /** Where an operator exchanges voters, their change is ended here; in a deployment by the membership. */
+  /** Ends an operator's replacement of a voter; in a deployment the membership does so. */
   #completeReplacement(now: Moment): void {
     if (!this.#isDeployed && this.isServing) this.#components.voterSet.completeReplacement(now);
   }
 
   // ---- who votes
 
-  #listPeers(): readonly string[] {
-    return this.peers;
-  }
-
   #isVoter(id: string): boolean {
     return this.#replica.voters.quorum.includes(nodeId(id));
   }
 
-  /** No voter as far as we know, or without a leader. */
+  /** Whether this node is no voter as far as it knows, or knows no leader. */
   #isWithoutLeader(): boolean {
     const { me, elector } = this.#replica;
     return !this.#isVoter(me) || elector.leader === undefined;
--- a/src/control/departing-voters.ts
+++ b/src/control/departing-voters.ts
@@ -1,20 +1,23 @@
 import type { Moment } from '../common/ids.js';
 
-/** A voter that leaves says so five times a second; one that no longer does has stopped, or gave up. */
+/** A departing voter announces it five times a second; one that no longer does has stopped, or gave up. */
 const DEPARTURE_TIMEOUT_MS = 1000;
 
-/** Who is told to stop, as the leader hears it. */
+/** Voters in a planned stop, as far as the leader has been notified. */
 export class DepartingVoters {
   readonly #announcedAt = new Map<string, Moment>();
 
-  add(now: Moment, id: string): void {
+  /** The voter announced that it is to stop. */
+  onDeparture(now: Moment, id: string): void {
     this.#announcedAt.set(id, now);
   }
 
+  /** Whether the voter announced a planned stop within the last second. */
   has(id: string): boolean {
     return this.#announcedAt.has(id);
   }
 
+  /** Forgets voters that no longer announce it. */
   tick(now: Moment): void {
     for (const [id, at] of this.#announcedAt)
       if (now - at > DEPARTURE_TIMEOUT_MS) this.#announcedAt.delete(id);
--- a/src/control/followed-voters.ts
+++ b/src/control/followed-voters.ts
@@ -7,28 +7,28 @@
 import { quorumOf } from './config-voters.js';
 import type { ControlCounters } from './control-metrics.js';
 
-/** A configuration as it is stored or told. */
+/** The text of a stored or published configuration, with its version. */
 export interface VersionedConfig {
   readonly version: Version;
   readonly body: string;
 }
 
-/** Where configurations are found, and who has to know the voters that they name. */
+/** Where configurations are found, and what has to follow the voters that they name. */
 export interface VoterSources {
   readonly elector: Elector;
   readonly state: ReplicatedState;
-  /** What the leader told as committed; nothing where a node follows the voters of its own copy alone. */
+  /** Committed configurations that the leader published; `undefined` where only the local replica is followed. */
   readonly relay: Relay | undefined;
   readonly counters: ControlCounters;
 }
 
-/** Who votes, by the newest configuration known to this node. */
+/** The quorum of voters by the newest configuration that this node knows, as joint consensus requires. */
 export class FollowedVoters {
   readonly #sources: VoterSources;
   #quorum: Quorum;
   /** The configuration whose voters are followed. */
   #followed = '';
-  /** The newest configuration read while beginning to lead, where it names other voters. */
+  /** The newest configuration read while taking over the leadership, if it names other voters. */
   #read: VersionedConfig | undefined;
 
   constructor(seeds: Quorum, sources: VoterSources) {
@@ -36,11 +36,12 @@
     this.#sources = sources;
   }
 
+  /** The voters that decide now. */
   get quorum(): Quorum {
     return this.#quorum;
   }
 
-  /** Takes up the voters of the newest configuration, if it is another one than before. */
+  /** Applies the voters of the newest configuration, if it changed. */
   follow(): void {
     const body = this.#newestConfig();
     if (body === this.#followed) return;
@@ -49,7 +50,7 @@
     if (quorum) this.useQuorum(quorum);
   }
 
-  /** From here on these decide. */
+  /** From here on these voters decide, in elections and in the replicated state. */
   useQuorum(quorum: Quorum): void {
     if (quorum.text === this.#quorum.text) return;
     this.#quorum = quorum;
@@ -58,17 +59,17 @@
     this.#sources.state.setQuorum(quorum);
   }
 
-  /** A configuration was read from a majority while beginning to lead. */
+  /** A configuration was read from a majority while taking over the leadership. */
   onConfigRead(config: VersionedConfig): void {
     this.#read = config;
   }
 
-  /** This node no longer begins to lead. */
+  /** This node no longer takes over: what it read is no longer followed. */
   clearConfigRead(): void {
     this.#read = undefined;
   }
 
-  /** Our own copy, one told as committed, or one read while beginning to lead. */
+  /** The newest of the local replica, the published one, and the one read while taking over. */
   #newestConfig(): string {
     let version = this.#sources.state.versionOf(CONFIG_PARTITION);
     let body = this.#sources.state.replicaBody(CONFIG_PARTITION);
--- a/src/control/member-messages.ts
+++ b/src/control/member-messages.ts
@@ -14,10 +14,10 @@
 import type { RelayTree } from './relay-tree.js';
 import type { UpdateExchange } from './update-exchange.js';
 
-/** Who is told what members say, and what other nodes say of theirs. */
+/** The components that handle messages of members, and of other control nodes on their members. */
 export interface MemberMessageDependencies {
   readonly me: NodeId;
-  /** Whether this is a deployment: nobody works by being confirmed fresh there, and agents are told of all voters. */
+  /** Whether this is a deployment: there freshness needs no confirmation, and agents are notified of all voters. */
   readonly isDeployed: boolean;
   readonly elector: Elector;
   readonly replicaStatus: ReplicaStatus;
@@ -38,23 +38,23 @@
 type AckMessage = Extract<Message, { kind: 'ack' }>;
 type FreshnessRequest = Extract<Message, { kind: 'freshnessRequest' }>;
 
-/** How often the leader is told of our members, and asked for updates. */
+/** How often this node reports its members to the leader, and requests updates from it. */
 const REPORT_INTERVAL_MS = 250;
 const DEPLOYED_REPORT_INTERVAL_MS = 500;
 const NEVER = moment(-1e12);
 
-/** Messages of agents, and of control nodes on what agents are told and do. */
+/** Routes messages of agents, and messages of control nodes on what their agents have acknowledged and need. */
 export class MemberMessages {
   readonly #dependencies: MemberMessageDependencies;
   readonly #reportMs: number;
   #reportedAt: Moment = NEVER;
 
-  constructor(parts: MemberMessageDependencies) {
-    this.#dependencies = parts;
-    this.#reportMs = parts.isDeployed ? DEPLOYED_REPORT_INTERVAL_MS : REPORT_INTERVAL_MS;
+  constructor(dependencies: MemberMessageDependencies) {
+    this.#dependencies = dependencies;
+    this.#reportMs = dependencies.isDeployed ? DEPLOYED_REPORT_INTERVAL_MS : REPORT_INTERVAL_MS;
   }
 
-  /** Says whether the message was of this family. */
+  /** Handles a message; returns false if it is not about members. */
   onMessage(now: Moment, from: string, message: Message): boolean {
     switch (message.kind) {
       case 'join':
@@ -89,6 +89,7 @@
     }
   }
 
+  /** Expires sessions, repeats quorum reads, and reports to the leader when that is due. */
   tick(now: Moment): void {
     const { sessions, members, reads } = this.#dependencies;
     sessions.tick(now);
@@ -131,14 +132,14 @@
     this.#dependencies.members.onAck(from, message);
   }
 
-  #onAcked(now: Moment, from: string, list: readonly MemberVersion[]): void {
+  #onAcked(now: Moment, from: string, acknowledged: readonly MemberVersion[]): void {
     const { members, isDeployed } = this.#dependencies;
-    for (const member of list) members.onAck(member.id, member);
-    // Elsewhere the rounds of confirmation name them.
-    if (isDeployed) members.onMembersReported(now, from, list);
+    for (const member of acknowledged) members.onAck(member.id, member);
+    // Without a deployment, quorum reads name the members that are alive.
+    if (isDeployed) members.onMembersReported(now, from, acknowledged);
   }
 
-  /** From below: by a link of the tree, by one that cannot reach its parent, or by a peer for updates alone. */
+  /** From a child of the relay tree, an agent that cannot reach its parent, or, with a negative nonce, a peer that wants updates alone. */
   #onFreshnessRequest(now: Moment, from: string, message: FreshnessRequest): void {
     const { relay, updates, reads, drainingRunners, isDeployed } = this.#dependencies;
     const { nonce, members, have } = message;
@@ -149,7 +150,7 @@
     else reads.confirmFreshness(now, { child: from, nonce, members });
   }
 
-  /** Nobody here works by being confirmed fresh: the ask was for updates, and its return says that we are there. */
+  /** Freshness needs no confirmation in a deployment: the request was for updates, and the reply shows that we are alive. */
   #replyUnconfirmed(to: string, nonce: number): void {
     const version = this.#dependencies.relay.version('config');
     this.#dependencies.effects.send(to, { kind: 'freshnessReply', nonce, ...version, marks: 0 });
--- a/src/control/operator-edits.ts
+++ b/src/control/operator-edits.ts
@@ -23,39 +23,40 @@
   type Origin,
 } from './command-answers.js';
 
-/** What the orders of operators need of the control node that leads. */
+/** What the edits of operators need of the control node that leads. */
 export interface EditHost {
-  /** The configuration as last written here, committed or not. */
+  /** The configuration document as last written by this leader, committed or not. */
   newest(): ConfigDoc;
-  /** The newest configuration that this leader knows to be on a majority of the voters. */
+  /** The newest document that this leader knows to be on a majority of the voters. */
   committed(): ConfigDoc;
-  /** Writes a configuration; `token` comes back with its commit. */
+  /** Writes a document; `token` is returned with its commit. */
   write(now: Moment, doc: ConfigDoc, token: number): void;
-  /** Asks for a quorum read that begins after this call; its end is told by `confirmed` with the same id. */
-  confirm(): number;
+  /** Requests a quorum read that begins after this call; `onConfirmation` gets the returned id. */
+  requestConfirmation(): number;
   answer(origin: Origin, answer: CommandAnswer): void;
-  /** Whether every member that may still work by an older configuration has acknowledged this one, or has surely gone blind. */
+  /** Whether each member that may still use an older configuration has acknowledged this one, or is stale beyond the freshness bound. */
   isInForce(now: Moment, commit: Commit): boolean;
 }
 
-/** A write that is on a majority, and the members that had to hear of it. */
+/** A committed write, and the members that had to acknowledge it. */
 export interface Commit {
   readonly version: Version;
   readonly at: Moment;
   readonly members: ReadonlySet<string>;
 }
 
+/** An edit, or the outcome of one, that was written and is not acknowledged yet. */
 interface WrittenEdit {
   readonly origin: Origin;
   readonly id: string;
   readonly number: number;
   readonly outcome: 'accepted' | 'closed';
-  /** Whether it is the order, the order once more, or a question what became of it. */
+  /** Whether it is the edit itself, a retry of it, or a query for its outcome. */
   readonly occasion: 'first' | 'again' | 'question';
   commit: Commit | undefined;
 }
 
-/** An order that looks wrong by what this node holds; nothing is said of it before that is proved to be the newest. */
+/** An edit to be rejected by this node's configuration, which first has to be proved to be the newest. */
 interface UnconfirmedRefusal {
   readonly origin: Origin;
   readonly verb: string;
@@ -63,25 +64,25 @@
   readonly arrivedAt: Moment;
 }
 
-/** How long proof is waited for; callers have moved on to another node by then. */
+/** How long a confirmation is awaited; clients have moved on to another node by then. */
 const CONFIRMATION_TIMEOUT_MS = 3000;
 const NO_MAJORITY = 'no majority was reached; nothing was done';
 
 /**
- * The orders of operators at the leader: each is written and acknowledged once it is on a majority, or refused.
+ * Decides the edits of operators at the leader: each is written and acknowledged once it is committed, or rejected.
  *
- * A refusal needs as much proof as an acknowledgement. What this node holds may be stale (cut off, or just thawed, while
- * a successor took the very order) or not committed (a loser would be refused for a winner that never was). A refusal
- * therefore rests on a committed configuration, confirmed by a quorum read that began after the order had come.
+ * A rejection needs as much proof as an acknowledgement. This node's configuration may be stale (isolated, or just thawed,
+ * while a successor accepted the same edit) or uncommitted (the edit would lose to one that never took effect). A
+ * rejection therefore rests on a committed configuration, confirmed by a quorum read that began after the edit arrived.
  */
 export class OperatorEdits {
   readonly #host: EditHost;
   readonly #dialect: ConfigDialect | undefined;
   readonly #counters: ControlCounters;
   readonly #written = new Map<number, WrittenEdit>();
-  /** By the id of the quorum read that is to prove them. */
+  /** By the id of the quorum read that is to confirm them. */
   readonly #unconfirmed = new Map<number, UnconfirmedRefusal>();
-  /** Refused by what is written here but not committed: judged again after the commit. */
+  /** To be rejected by a write that is not committed yet: decided again after its commit. */
   #awaitingCommit: UnconfirmedRefusal[] = [];
   #token = 0;
 
@@ -91,6 +92,7 @@
     this.#counters = counters;
   }
 
+  /** An edit or a query for the outcome of one, from a client that awaits the answer at `origin`. */
   submit(now: Moment, origin: Origin, verb: string, body: string): void {
     try {
       if (verb === 'edit')
@@ -98,14 +100,14 @@
       else this.#applyAndWrite(now, origin, verb, body);
     } catch (thrown) {
       const error = toHaretrackError(thrown);
-      // What is already unsure, or does not depend on what we hold, needs no proof.
+      // An unknown outcome, and an error that does not depend on our state, need no confirmation.
       if (error.response.isOutcomeUnknown || error instanceof MalformedRequestError)
-        this.#refuse(origin, error);
+        this.#reject(origin, error);
       else this.#requestConfirmation({ origin, verb, body, arrivedAt: now });
     }
   }
 
-  /** The quorum read with this id ended; `isNewest` says that no later leader has written anything. */
+  /** The quorum read with this id completed; `isNewest` says that no later leader has written anything. */
   onConfirmation(now: Moment, id: number, isNewest: boolean): void {
     const refusal = this.#unconfirmed.get(id);
     if (!refusal) return;
@@ -119,6 +121,7 @@
       );
   }
 
+  /** A write with these tokens was committed; `members` are those that may still use an older configuration. */
   onCommitted(
     now: Moment,
     version: Version,
@@ -128,8 +131,8 @@
     const ids = new Set<string>();
     for (const member of members) ids.add(member.id);
     for (const token of tokens) {
-      const order = this.#written.get(token);
-      if (order) order.commit = { version, at: now, members: ids };
+      const edit = this.#written.get(token);
+      if (edit) edit.commit = { version, at: now, members: ids };
     }
     this.#acknowledge(now);
     const refusals = this.#awaitingCommit;
@@ -138,6 +141,7 @@
       this.#retry(now, { origin, verb, body, arrivedAt });
   }
 
+  /** Acknowledges edits that have come into force, and answers rejections whose confirmation timed out. */
   tick(now: Moment): void {
     this.#acknowledge(now);
     for (const [id, refusal] of this.#unconfirmed) {
@@ -147,11 +151,11 @@
     }
   }
 
-  /** This node leads no longer: whether its writes hold is for the next leader to find. */
+  /** This node no longer leads: whether its writes are committed is for the next leader to find out. */
   abandon(): void {
-    for (const order of this.#written.values()) {
+    for (const edit of this.#written.values()) {
       this.#counters.countUnclear('leader-lost');
-      this.#host.answer(order.origin, leaderLostAnswer(order.id));
+      this.#host.answer(edit.origin, leaderLostAnswer(edit.id));
     }
     this.#written.clear();
     for (const refusal of [...this.#unconfirmed.values(), ...this.#awaitingCommit])
@@ -165,15 +169,15 @@
     this.#host.answer(refusal.origin, errorAnswer(new NoLeaderError(text)));
   }
 
-  /** Answers with an error that stands: a refusal, or that the outcome is no longer known. */
-  #refuse(origin: Origin, error: HaretrackError): void {
+  /** Answers with a definite error: a rejection, or that the outcome is no longer known. */
+  #reject(origin: Origin, error: HaretrackError): void {
     if (error.response.isOutcomeUnknown) this.#counters.countUnclear('forgotten');
     else this.#counters.countRefused(refusalReason(error.code));
     this.#host.answer(origin, errorAnswer(error));
   }
 
   #requestConfirmation(refusal: UnconfirmedRefusal): void {
-    this.#unconfirmed.set(this.#host.confirm(), refusal);
+    this.#unconfirmed.set(this.#host.requestConfirmation(), refusal);
   }
 
   #retry(now: Moment, refusal: UnconfirmedRefusal): void {
@@ -182,27 +186,24 @@
     else this.#requestConfirmation(refusal);
   }
 
-  /** The committed configuration is proved to be the newest: the order is judged anew by it. */
+  /** The committed configuration is confirmed to be the newest: the edit is decided again by it. */
   #decide(now: Moment, refusal: UnconfirmedRefusal): void {
     const { origin, verb, body } = refusal;
     try {
       this.#applyAndWrite(now, origin, verb, body);
     } catch (thrown) {
       const error = toHaretrackError(thrown);
-      // By what is written but not committed it may only lose once that holds.
+      // Against an uncommitted write the edit may be rejected only once that is committed.
       if (error.response.isOutcomeUnknown || !this.#isAcceptable(verb, body))
-        this.#refuse(origin, error);
+        this.#reject(origin, error);
       else this.#awaitingCommit.push(refusal);
     }
   }
 
-  /** Whether the order could still be taken, by what is committed. */
+  /** Whether the edit could be accepted if the uncommitted writes failed. */
   #isAcceptable(verb: string, body: string): boolean {
-    const { newest, committed } = {
-      newest: this.#host.newest(),
-      committed: this.#host.committed(),
-    };
-    if (newest === committed) return false;
+    const committed = this.#host.committed();
+    if (this.#host.newest() === committed) return false;
     try {
       this.#apply(committed, verb, body);
       return true;
@@ -214,9 +215,9 @@
   #applyAndWrite(now: Moment, origin: Origin, verb: string, body: string): void {
     const doc = this.#host.newest();
     const { id } = mustParseAs(EditShapes.edit, body, 'the edit');
-    const before = doc.edits.find((edit) => hasId(id, edit));
+    const before = doc.edits.find((edit) => edit.id === id);
     if (before) {
-      // The same id again is the same edit: it is told what became of it, and done once.
+      // A retry has the same id: it gets the outcome of the edit, which is applied once.
       if (before.outcome === 'closed')
         throw new VersionConflictError(`edit ${id} was asked about before it came, and closed`);
       this.#write(now, { origin, id, outcome: 'accepted', occasion: 'again' }, doc);
@@ -230,14 +231,14 @@
     );
   }
 
-  /** An edit that loses by its base may be one that was accepted long ago, sent once more. */
+  /** Applies an edit. One that conflicts by its base may be the retry of one that was accepted long ago. */
   #apply(
     doc: ConfigDoc,
     verb: string,
     body: string,
   ): { readonly id: string; readonly doc: ConfigDoc } {
     try {
-      return verb === 'swap' ? swapVoter(doc, body) : applyEdit(doc, verb, body, this.#dialect);
+      return verb === 'swap' ? replaceVoter(doc, body) : applyEdit(doc, verb, body, this.#dialect);
     } catch (thrown) {
       if (!(thrown instanceof VersionConflictError)) throw thrown;
       const edit = parseAs(EditShapes.edit, body);
@@ -255,47 +256,46 @@
     { id, base }: { readonly id: string; readonly base?: number | undefined },
   ): void {
     const doc = this.#host.newest();
-    const known = doc.edits.find((edit) => hasId(id, edit));
+    const known = doc.edits.find((edit) => edit.id === id);
     if (!known && mayBeForgotten(doc, base))
       throw new OutcomeUnknownError(
         `edit ${id} is not among the last ${MAX_EDITS}: whether it was accepted before is no longer known`,
       );
-    // Whether known or not, the word given must outlast us: it is written like an edit before it is told.
+    // Known or not, the answer must stay true after us: it is committed like an edit before it is given.
     const occasion = 'question';
     if (known) this.#write(now, { origin, id, outcome: known.outcome, occasion }, doc);
     else
       this.#write(now, { origin, id, outcome: 'closed', occasion }, recordEdit(doc, id, 'closed'));
   }
 
-  #write(now: Moment, order: Omit<WrittenEdit, 'number' | 'commit'>, doc: ConfigDoc): void {
+  #write(now: Moment, edit: Omit<WrittenEdit, 'number' | 'commit'>, doc: ConfigDoc): void {
     this.#token += 1;
-    this.#written.set(this.#token, { ...order, number: doc.number, commit: undefined });
+    this.#written.set(this.#token, { ...edit, number: doc.number, commit: undefined });
     this.#host.write(now, doc, this.#token);
   }
 
   #acknowledge(now: Moment): void {
-    for (const [token, order] of this.#written) {
-      const { commit } = order;
+    for (const [token, edit] of this.#written) {
+      const { commit } = edit;
       if (!commit || !this.#host.isInForce(now, commit)) continue;
       this.#written.delete(token);
-      if (order.occasion === 'first') this.#counters.countAccepted();
-      else if (order.occasion === 'again') this.#counters.countAcknowledgedAgain();
+      if (edit.occasion === 'first') this.#counters.countAccepted();
+      else if (edit.occasion === 'again') this.#counters.countAcknowledgedAgain();
       this.#host.answer(
-        order.origin,
-        order.outcome === 'accepted'
-          ? acceptedAnswer(order.id, order.number, commit.version)
-          : closedAnswer(order.id),
+        edit.origin,
+        edit.outcome === 'accepted'
+          ? acceptedAnswer(edit.id, edit.number, commit.version)
+          : closedAnswer(edit.id),
       );
     }
   }
 }
 
-function hasId(id: string, edit: { readonly id: string }): boolean {
-  return edit.id === id;
-}
-
-/** The exchange of one voter, as two sets that decide together until the new one holds everything. */
-function swapVoter(doc: ConfigDoc, body: string): { readonly id: string; readonly doc: ConfigDoc } {
+/** Replaces one voter through a joint configuration, until the new set stores the complete state. */
+function replaceVoter(
+  doc: ConfigDoc,
+  body: string,
+): { readonly id: string; readonly doc: ConfigDoc } {
   const edit = mustParseAs(EditShapes.swap, body, 'the swap');
   const [current] = doc.voters;
   if (!current || doc.voters.length !== 1)
--- a/src/control/partition-writer.ts
+++ b/src/control/partition-writer.ts
@@ -1,11 +1,11 @@
 import type { Moment, PartitionName } from '../common/ids.js';
 import type { Version } from '../common/version.js';
 
-/** The replicated state at a leader, as far as it is written. */
+/** What of the replicated state the leader writes. */
 export interface WritableState {
-  /** Returns the count of the version that it will be. */
+  /** Replicates a body; returns the count within the epoch of the version that it becomes. */
   write(now: Moment, partition: PartitionName, body: string, token: number): number;
-  /** The copy of this node. */
+  /** The body stored in this node's own replica. */
   replicaBody(partition: PartitionName): string;
 }
 
@@ -14,38 +14,38 @@
   readonly body: string;
 }
 
-/** Writes parts of the replicated state, and remembers what was written until it is committed. */
+/** Writes partitions of the replicated state at the leader, and remembers each body until it is committed. */
 export class PartitionWriter {
   readonly #state: WritableState;
-  /** By part; what comes while a write is under way replaces what waits for its end. */
+  /** By partition: the write in flight, and the one queued behind it, which a later write replaces. */
   readonly #written = new Map<PartitionName, readonly PendingBody[]>();
 
   constructor(state: WritableState) {
     this.#state = state;
   }
 
-  /** `token` comes back with the commit; 0 where nobody waits for it. */
+  /** Writes a body; `token` is returned with its commit, 0 if nobody waits for that. */
   write(now: Moment, partition: PartitionName, body: string, token: number): void {
     const count = this.#state.write(now, partition, body, token);
-    const underWay = this.#bodiesOf(partition)
-      .filter((written) => isAfter(count - 2, written))
+    const inFlight = this.#bodiesOf(partition)
+      .filter((written) => written.count > count - 2)
       .filter((written) => written.count < count);
-    this.#written.set(partition, [...underWay, { count, body }]);
+    this.#written.set(partition, [...inFlight, { count, body }]);
   }
 
-  /** The body that was committed as this version; it and earlier ones are forgotten. */
+  /** Returns the body that was committed as this version, and forgets it and all earlier ones. */
   takeCommitted(partition: PartitionName, version: Version): string {
-    // The replica here was written with this version first; a later one may already be under way.
+    // The local replica was written first, and may by now have the body of a later write in flight.
     const bodies = this.#bodiesOf(partition);
     const found = bodies.find((written) => written.count === version.count);
     this.#written.set(
       partition,
-      bodies.filter((written) => isAfter(version.count, written)),
+      bodies.filter((written) => written.count > version.count),
     );
     return found?.body ?? this.#state.replicaBody(partition);
   }
 
-  /** This node leads no longer. */
+  /** Forgets all writes: this node is no longer the leader. */
   clear(): void {
     this.#written.clear();
   }
@@ -54,6 +54,3 @@
     return this.#written.get(partition) ?? [];
   }
 }
-function isAfter(count: number, written: PendingBody): boolean {
-  return written.count > count;
-}
--- a/src/control/peer-idle-clock.ts
+++ b/src/control/peer-idle-clock.ts
@@ -1,29 +1,30 @@
 import type { Moment } from '../common/ids.js';
 
-/** Ticks come every 50 ms; a process that got none for so long stood still, or was kept from running. */
+/** Ticks come every 50 ms; a longer gap means that this process was not scheduled or its event loop was blocked. */
 const EVENT_LOOP_STALL_MS = 400;
 
 /**
- * How long others have been silent, as far as this process can tell. While it stood still itself it heard nobody, which
- * shows nothing of the others: their silence counts from the end of the last standstill.
+ * Measures how long peers have been idle. While this process was stalled it received nothing, which proves nothing about
+ * its peers: their idle time counts from the end of the last stall.
  */
 export class PeerIdleClock {
   #tickedAt: Moment;
-  #awakeSince: Moment;
+  #runningSince: Moment;
 
   constructor(now: Moment) {
     this.#tickedAt = now;
-    this.#awakeSince = now;
+    this.#runningSince = now;
   }
 
+  /** Detects a stall by the time since the previous tick. */
   tick(now: Moment): void {
-    if (now - this.#tickedAt > EVENT_LOOP_STALL_MS) this.#awakeSince = now;
+    if (now - this.#tickedAt > EVENT_LOOP_STALL_MS) this.#runningSince = now;
     this.#tickedAt = now;
   }
 
-  /** For one last heard at that moment; one that was never asked is not silent. */
+  /** Milliseconds since the peer was last heard, without our own stalls; 0 for a peer that was never pinged. */
   idleMs(now: Moment, heardAt: Moment | undefined): number {
     if (heardAt === undefined) return 0;
-    return now - Math.max(heardAt, this.#awakeSince);
+    return now - Math.max(heardAt, this.#runningSince);
   }
 }
--- a/src/control/quorum-reads.ts
+++ b/src/control/quorum-reads.ts
@@ -20,7 +20,7 @@
 import type { TableManager } from './table-manager.js';
 import type { UpdateExchange } from './update-exchange.js';
 
-/** What a quorum read is made of, and what it reads here. */
+/** The components by which quorum reads are made and answered. */
 export interface QuorumReadDependencies {
   readonly me: NodeId;
   readonly incarnation: number;
@@ -34,24 +34,24 @@
   readonly table: TableManager;
   readonly updates: UpdateExchange;
   readonly effects: EffectQueue;
-  /** Whether a node without any list of machines says nothing, as where the table is placed by. */
+  /** Whether a node that has no list of machines yet must not answer: the policy table is placed by that list. */
   readonly needsMachines: boolean;
-  /** A quorum read for the refusal of an order ended; `isNewest` says that no later leader has written anything. */
+  /** A quorum read for a rejection completed; `isNewest` says that no later leader has written anything. */
   readonly onConfirmation: (now: Moment, id: number, isNewest: boolean) => void;
 }
 
-/** What a quorum read that this node asked for itself is to prove. */
+/** What a quorum read that this node needs itself is for: a client's read, or the rejection of an edit. */
 type Purpose = { readonly do: 'read'; readonly origin: Origin } | { readonly do: 'refusal' };
 
 interface ReadReply {
   readonly version: Version;
-  /** The revision of the list of machines. */
+  /** The revision of the list of machines; `marks` on the wire. */
   readonly evacuations: number;
 }
 
 interface PendingRead {
   readonly nonce: number;
-  /** Who is asked. */
+  /** The voters that are read from. */
   readonly quorum: Quorum;
   readonly replies: Map<NodeId, ReadReply>;
 }
@@ -59,13 +59,13 @@
 type QuorumReadMessage = Extract<Message, { kind: 'quorumRead' }>;
 type QuorumReadReply = Extract<Message, { kind: 'quorumReadReply' }>;
 
-/** The `child` of an ask that this node makes for itself. */
+/** The `child` of a request that this node makes for itself. */
 const OWN = '';
 
 /**
- * Asks a majority of the voters for the newest configuration that they hold. By that the members below are confirmed
- * fresh, a read of the leader is answered, and an order may be refused. One round is under way at a time; it proves
- * only what was asked for before it began.
+ * Reads the version of the newest configuration from a majority of the voters. That confirms the freshness of members,
+ * lets the leader answer a linearizable read, and lets it reject an edit. One read is in flight at a time; it serves only
+ * requests made before it began.
  */
 export class QuorumReads {
   readonly #dependencies: QuorumReadDependencies;
@@ -74,42 +74,42 @@
   #lastId = 0;
   #inFlight: PendingRead | undefined;
 
-  constructor(parts: QuorumReadDependencies) {
-    this.#dependencies = parts;
-    this.#confirmation = new FreshnessConfirmation(parts.incarnation);
+  constructor(dependencies: QuorumReadDependencies) {
+    this.#dependencies = dependencies;
+    this.#confirmation = new FreshnessConfirmation(dependencies.incarnation);
   }
 
-  /** Asks for a quorum read that begins after this call, for a refusal; returns its id. */
+  /** Requests a quorum read that begins after this call, for a rejection; returns its id. */
   confirmRefusal(): number {
     return this.#request({ do: 'refusal' });
   }
 
-  /** Answers with the newest configuration, once it is proved to be that. */
+  /** Answers a client's read with the newest configuration, once a quorum read has proved it to be the newest. */
   read(origin: Origin): void {
     this.#request({ do: 'read', origin });
   }
 
-  /** A member, or a node on behalf of many, asks to be confirmed fresh. */
-  confirmFreshness(now: Moment, ask: ChildRequest): void {
-    this.#dependencies.members.onRequest(now, ask.members);
-    this.#confirmation.enqueue(ask);
+  /** A member, or a control node on behalf of many, requests that its freshness is confirmed. */
+  confirmFreshness(now: Moment, request: ChildRequest): void {
+    this.#dependencies.members.onRequest(now, request.members);
+    this.#confirmation.enqueue(request);
     this.tick(now);
   }
 
-  /** Begins a round, if something waits for one, or asks those again that have not answered. */
+  /** Begins a quorum read if one is requested, or repeats the requests that have no reply yet. */
   tick(now: Moment): void {
     const { quorum } = this.#dependencies.voters;
     const nonce = this.#nextNonce(now, quorum);
     if (nonce === undefined) return;
-    const round =
+    const read =
       this.#inFlight?.nonce === nonce ? this.#inFlight : { nonce, quorum, replies: new Map() };
-    this.#inFlight = round;
-    this.#sendRequests(now, round);
+    this.#inFlight = read;
+    this.#sendRequests(now, read);
   }
 
   #nextNonce(now: Moment, quorum: Quorum): number | undefined {
-    // Where answers take longer than we wait to ask again, those to a new nonce would never be in time: what is open goes
-    // on with the answers that it has. Other voters are asked anew.
+    // Over slow links replies take longer than the retry interval, and those to a new nonce would never be in time: the read
+    // in flight goes on with the replies that it has. Another set of voters needs a new read.
     if (this.#inFlight?.quorum.text === quorum.text) return this.#confirmation.retry(now);
     return this.#confirmation.begin(now, this.#dependencies.elector.extraRoundTripMs);
   }
@@ -131,20 +131,20 @@
   }
 
   onQuorumReadReply(now: Moment, from: NodeId, message: QuorumReadReply): void {
-    const round = this.#inFlight;
-    if (!round || round.nonce !== message.nonce) return;
+    const read = this.#inFlight;
+    if (!read || read.nonce !== message.nonce) return;
     const version = { epoch: message.epoch, count: message.count };
-    round.replies.set(from, { version, evacuations: message.marks });
-    if (!this.#dependencies.voters.quorum.isMajority(new Set(round.replies.keys()))) return;
+    read.replies.set(from, { version, evacuations: message.marks });
+    if (!this.#dependencies.voters.quorum.isMajority(new Set(read.replies.keys()))) return;
     this.#inFlight = undefined;
-    this.#complete(now, round.nonce, newestOf(round.replies.values()));
+    this.#complete(now, read.nonce, newestOf(read.replies.values()));
     this.tick(now);
   }
 
-  /** This node leads no longer: whoever reads is told so. Refusals are answered by whoever asked for their proof. */
+  /** This node no longer leads: pending reads fail. Rejections are answered by the component that requested their confirmation. */
   abandon(): void {
     for (const purpose of this.#purposes.values())
-      if (purpose.do === 'read') this.#refuse(purpose.origin, 'the leader changed');
+      if (purpose.do === 'read') this.#reject(purpose.origin, 'the leader changed');
     this.#purposes.clear();
   }
 
@@ -165,14 +165,14 @@
     if (reply) this.onQuorumReadReply(now, this.#dependencies.me, reply);
   }
 
-  /** What this node holds; nothing while it cannot tell. */
+  /** The version stored at this node; `undefined` while it cannot tell. */
   #reply(now: Moment, nonce: number): QuorumReadReply | undefined {
     const { replicaStatus, state, table, updates, needsMachines } = this.#dependencies;
-    // A node whose disk is lost, or whose copy is bad, may have held something newer than it can tell.
+    // A node that lost its disk, or whose partition is corrupt, may have acknowledged a newer version than it can tell.
     if (replicaStatus.name !== 'sound' || state.corruptPartitions().includes(CONFIG_PARTITION))
       return undefined;
     const marks = table.machines.revision;
-    // Without any list we cannot tell which machines are leaving, though somebody may have known before we started.
+    // Without a list we cannot tell which machines are leaving, though a node may have known before we started.
     if (needsMachines && marks === 0) {
       updates.requestMachineList(now);
       return undefined;
@@ -181,26 +181,26 @@
   }
 
   #complete(now: Moment, nonce: number, newest: ReadReply): void {
-    const { version, evacuations: marks } = newest;
-    for (const ask of this.#confirmation.complete(nonce)) {
-      if (ask.child === OWN) this.#fulfil(now, ask.nonce, version);
+    const { version, evacuations } = newest;
+    for (const request of this.#confirmation.complete(nonce)) {
+      if (request.child === OWN) this.#onOwnReadDone(now, request.nonce, version);
       else
-        this.#dependencies.effects.send(ask.child, {
+        this.#dependencies.effects.send(request.child, {
           kind: 'freshnessReply',
-          nonce: ask.nonce,
+          nonce: request.nonce,
           ...version,
-          marks,
+          marks: evacuations,
         });
     }
   }
 
-  /** `newest` is the newest version that a majority holds, committed or not. */
-  #fulfil(now: Moment, id: number, newest: Version): void {
+  /** `newest` is the newest version stored at a majority, committed or not. */
+  #onOwnReadDone(now: Moment, id: number, newest: Version): void {
     const purpose = this.#purposes.get(id);
     if (!purpose) return;
     this.#purposes.delete(id);
     const { leadership } = this.#dependencies;
-    // Of our own epoch nobody but us commits anything: with nothing later around, what we know to be committed is the newest.
+    // In our epoch only we commit: if no later epoch was seen, the newest that we know to be committed is the newest of all.
     const isNewest = leadership.isServing && newest.epoch <= leadership.epoch;
     if (purpose.do === 'refusal') this.#dependencies.onConfirmation(now, id, isNewest);
     else this.#answerRead(purpose.origin, newest, isNewest);
@@ -211,21 +211,21 @@
     const item = relay.latest('config');
     const isOurs = isNewest && item?.version.epoch === leadership.epoch;
     if (!leadership.isServing || !item || (!isOurs && isNewer(newest, item.version)))
-      this.#refuse(origin, 'a newer configuration is being written; ask again');
+      this.#reject(origin, 'a newer configuration is being written; ask again');
     else effects.answer(origin, { status: 200, body: item.body });
   }
 
-  #refuse(origin: Origin, text: string): void {
+  #reject(origin: Origin, text: string): void {
     this.#dependencies.effects.answer(origin, errorAnswer(new NoLeaderError(text)));
   }
 }
 
 function newestOf(replies: Iterable<ReadReply>): ReadReply {
   let version = NO_VERSION;
-  let marks = 0;
+  let evacuations = 0;
   for (const reply of replies) {
     if (isNewer(reply.version, version)) version = reply.version;
-    marks = Math.max(marks, reply.evacuations);
+    evacuations = Math.max(evacuations, reply.evacuations);
   }
-  return { version, evacuations: marks };
+  return { version, evacuations };
 }
--- a/src/control/replica-repair.ts
+++ b/src/control/replica-repair.ts
@@ -8,7 +8,7 @@
 import type { FollowedVoters } from './followed-voters.js';
 import type { VoteStorage } from './vote-storage.js';
 
-/** What takes part in a repair. */
+/** The components that take part in a repair. */
 export interface RepairDependencies {
   readonly me: NodeId;
   readonly elector: Elector;
@@ -18,45 +18,45 @@
   readonly voters: FollowedVoters;
   readonly counters: ControlCounters;
   readonly effects: EffectQueue;
-  /** Whether a node that is no voter may be repaired as well, as in a deployment. */
+  /** Whether a node that is no voter is repaired as well, as in a deployment. */
   readonly hasSpares: boolean;
-  /** Takes up what the election decided meanwhile. */
+  /** Applies what the election has decided in the meantime. */
   readonly drainEffects: (now: Moment) => void;
 }
 
-/** Copies read for a repair that are not on disk yet. */
+/** Partitions read for a repair that are not on disk yet. */
 interface PendingRepair {
   readonly epoch: number;
   readonly pending: Set<PartitionName>;
 }
 
 /**
- * Carries out what was decided on a replica that may not count yet: it founds, or stores what it read. It counts once a
- * record of its votes is on disk, which is written after all copies.
+ * Makes a replica healthy that may not count yet: it starts a new cluster, or stores the partitions that it read from its
+ * peers. It counts once a vote record is on disk, which is written after all partitions.
  */
 export class ReplicaRepair {
   readonly #dependencies: RepairDependencies;
   #repair: PendingRepair | undefined;
-  /** The count of the record of votes after which this node counts. */
+  /** This node counts once the vote record of this count is on disk. */
   #healthyOnceStored: number | undefined;
 
-  constructor(parts: RepairDependencies) {
-    this.#dependencies = parts;
+  constructor(dependencies: RepairDependencies) {
+    this.#dependencies = dependencies;
   }
 
-  /** Whether it was decided how this node comes to count, and it does not yet. */
+  /** Whether the outcome is decided, and not yet on disk. */
   get isInProgress(): boolean {
     return this.#repair !== undefined || this.#healthyOnceStored !== undefined;
   }
 
-  /** Whether votes are kept: not before every copy is on disk. */
+  /** Whether votes may be written: not before every partition is on disk. */
   get mayPersistVotes(): boolean {
     return (
       this.#dependencies.replicaStatus.name === 'sound' || this.#healthyOnceStored !== undefined
     );
   }
 
-  /** Founds or begins to repair, where that was decided and is not under way. */
+  /** Starts a new cluster or begins to store a repair, if that is decided and not yet in progress. */
   resolve(now: Moment, outcome: ReplicaStatusOutcome | undefined): void {
     if (!outcome || this.isInProgress) return;
     if (outcome.become === 'founded') {
@@ -64,21 +64,21 @@
       this.#beginToVote(now, outcome.epoch);
     } else {
       this.#dependencies.effects.log({ event: 'replica read from peers', epoch: outcome.epoch });
-      // Only what is newer than ours is stored anew, and only that is waited for.
-      const waiting = new Set(this.#dependencies.state.adopt(outcome.copies));
+      // Only partitions newer than ours are stored, and waited for.
+      const pending = new Set(this.#dependencies.state.adopt(outcome.copies));
       this.#dependencies.voters.follow();
-      this.#repair = { epoch: outcome.epoch, pending: waiting };
+      this.#repair = { epoch: outcome.epoch, pending };
       this.#completeIfStored(now);
     }
     this.#dependencies.drainEffects(now);
   }
 
-  /** A copy is on disk. */
+  /** A partition is on disk. */
   onPersisted(now: Moment, partition: PartitionName): void {
     if (this.#repair?.pending.delete(partition)) this.#completeIfStored(now);
   }
 
-  /** A record of votes is on disk. */
+  /** A vote record is on disk. */
   onVotePersisted(version: Version): void {
     if (this.#healthyOnceStored === undefined || version.count < this.#healthyOnceStored) return;
     this.#healthyOnceStored = undefined;
@@ -92,7 +92,7 @@
     this.#repair = undefined;
     this.#dependencies.counters.countRepair();
     const { hasSpares, voters, me } = this.#dependencies;
-    // One that is no voter has granted nothing that binds here: it joins the epoch that stands, and no election is due for it.
+    // A spare has granted nothing that binds here: it joins the current epoch, and needs no election.
     this.#beginToVote(now, hasSpares && !voters.quorum.includes(me) ? 0 : repair.epoch);
   }
 
--- a/src/control/state-messages.ts
+++ b/src/control/state-messages.ts
@@ -10,7 +10,7 @@
 import type { ReplicaRepair } from './replica-repair.js';
 import type { VoteStorage } from './vote-storage.js';
 
-/** Who is told what concerns the replicated state. */
+/** The components that handle messages on the replicated state. */
 export interface StateMessageDependencies {
   readonly elector: Elector;
   readonly state: ReplicatedState;
@@ -29,15 +29,15 @@
   { kind: 'read' | 'readReply' | 'write' | 'writeReply' | 'digest' | 'digestReply' }
 >;
 
-/** Messages between control nodes on the replicated state, and what reached the disk of it. */
+/** Routes messages between control nodes on the replicated state, and its completed disk writes. */
 export class StateMessages {
   readonly #dependencies: StateMessageDependencies;
 
-  constructor(parts: StateMessageDependencies) {
-    this.#dependencies = parts;
+  constructor(dependencies: StateMessageDependencies) {
+    this.#dependencies = dependencies;
   }
 
-  /** Says whether the message was of this family. */
+  /** Handles a message; returns false if it is not about the replicated state. */
   onMessage(now: Moment, from: NodeId, message: Message): boolean {
     switch (message.kind) {
       case 'read':
@@ -57,20 +57,20 @@
     }
   }
 
-  /** Asks whoever this node must have read before it counts. */
+  /** Requests the replicas that this node must read before it may count, and acts once there are enough. */
   tick(now: Moment): void {
     const { replicaStatus, repair, voters, effects } = this.#dependencies;
     for (const { to, message } of replicaStatus.tick(now, voters.quorum)) effects.send(to, message);
     repair.resolve(now, replicaStatus.outcome(now, voters.quorum));
   }
 
-  /** A copy reached the disk. */
+  /** This version of a partition is on disk. */
   onPersisted(now: Moment, partition: PartitionName, version: Version): void {
     this.#dependencies.state.stored(partition, version, this.#grantedEpoch(), now);
     this.#dependencies.repair.onPersisted(now, partition);
   }
 
-  /** Without an epoch it is asked for a repair, by one that does not count yet. */
+  /** A read without an epoch is for a repair, by a node that does not count yet. */
   #onRead(now: Moment, from: NodeId, message: ReadMessage): void {
     if (message.epoch !== 0) {
       this.#onStateMessage(now, from, message);
@@ -95,12 +95,12 @@
 
   #onStateMessage(now: Moment, from: NodeId, message: PartitionMessage): void {
     const { state, members, replicaStatus } = this.#dependencies;
-    // Only a write's return names members.
+    // Only the reply to a write names members.
     const named = message.kind === 'write' ? members.possible(now) : [];
     state.onMessage(now, from, message, this.#grantedEpoch(), named, replicaStatus.name);
   }
 
-  /** The epoch granted here, on disk, and not moved on from; 0 if none is. */
+  /** The epoch that this voter granted, persisted, and has not left since; 0 if there is none. */
   #grantedEpoch(): number {
     const { replicaStatus, elector, votes } = this.#dependencies;
     const isBinding = replicaStatus.name === 'sound' && votes.persistedGrant === elector.epoch;
--- a/src/control/takeover.ts
+++ b/src/control/takeover.ts
@@ -18,7 +18,7 @@
 import type { UpdateExchange } from './update-exchange.js';
 import type { VoterMembership } from './voter-membership.js';
 
-/** What begins and ends with the lead. */
+/** The components that begin and end their work with the leadership. */
 export interface TakeoverDependencies {
   readonly elector: Elector;
   readonly leadership: Leadership;
@@ -36,63 +36,64 @@
   readonly effects: EffectQueue;
 }
 
-/** How long members are waited for when the table is recovered from them. */
+/** How long the leader waits for members when it recovers the policy table from them. */
 const RECOVERY_MS = 2000;
 
-/** Follows who leads: takes over the state when this node does, and stands down when it does no longer. */
+/** Follows the elected leader: this node takes over the state when it is elected, and steps down when it no longer leads. */
 export class Takeover {
   readonly #dependencies: TakeoverDependencies;
   #leader = '';
-  /** Whether a majority's copies may be older than what members hold. */
+  /** Whether members may have a newer configuration than any majority of the replicas. */
   #hasMissingWrites = false;
   #recoverUntil: Moment | undefined;
 
-  constructor(parts: TakeoverDependencies) {
-    this.#dependencies = parts;
+  constructor(dependencies: TakeoverDependencies) {
+    this.#dependencies = dependencies;
   }
 
-  /** Whether the table is being recovered from the members; nothing is ordered or placed meanwhile. */
+  /** Whether the policy table is being recovered from the members; until then nothing is ordered or placed. */
   get isRecovering(): boolean {
     return this.#recoverUntil !== undefined;
   }
 
-  /** An operator's word that copies were lost: members are asked for newer ones before this node serves. */
+  /** An operator declared replicas as lost: newer configurations are requested from members before this node serves. */
   expectMissingWrites(): void {
     this.#hasMissingWrites = true;
   }
 
-  /** Acts upon a change of the leader, if there was one. */
+  /** Acts upon a change of the leader, if there was one. Called after every input and effect. */
   update(now: Moment): void {
     const { elector, leadership, state, tree } = this.#dependencies;
     this.#onLeader(elector.leader ?? '');
     const epoch = elector.isLeading() ? elector.epoch : 0;
     if (epoch === leadership.epoch) return;
     leadership.begin(epoch);
-    // One that leads feeds the other voters as well.
+    // The leader sends updates to the other voters too.
     tree.reassignParents();
     this.#stepDown();
     if (epoch > 0) state.lead(now, epoch);
   }
 
-  /** The whole state was read from a majority and rewritten. */
+  /** The complete state was read from a majority and rewritten in this epoch: from now on this node serves. */
   beginServing(now: Moment): void {
     const { leadership, document, membership, placement, effects } = this.#dependencies;
     leadership.serve();
     effects.log({ event: SERVING_STARTED, epoch: leadership.epoch });
     const isFound = document.load();
-    // Only committed tables are ever told: one told here that no majority holds any more was lost with their disks.
+    // Only committed tables are published: one that was published and that no majority stores was lost with their disks.
     if (document.unstoredUpdate()) this.#hasMissingWrites = true;
     if (this.#hasMissingWrites) this.#beginRecovery(now);
     else document.publishLoaded();
     const docs = this.#readServices();
     if (membership) {
-      // Whoever comes later must find the voters written down, whatever seeds it is told.
+      // Nodes that start later must find the voters stored, whatever seeds they are given.
       if (!isFound) document.write(now, document.newest(), 0);
       membership.onTakeover();
     }
     placement.beginLeading(now, docs);
   }
 
+  /** Ends the recovery of the policy table when its time is over. */
   tick(now: Moment): void {
     if (this.#recoverUntil === undefined || now < this.#recoverUntil) return;
     if (this.#dependencies.leadership.isServing) this.#endRecovery(now);
@@ -139,8 +140,8 @@
     const { document, effects } = this.#dependencies;
     this.#hasMissingWrites = false;
     this.#recoverUntil = undefined;
-    const lost = document.unstoredUpdate();
-    if (lost) effects.log({ event: 'configuration recovered', number: lost.number });
-    document.recover(now, lost);
+    const recovered = document.unstoredUpdate();
+    if (recovered) effects.log({ event: 'configuration recovered', number: recovered.number });
+    document.recover(now, recovered);
   }
 }
--- a/src/control/vote-storage.ts
+++ b/src/control/vote-storage.ts
@@ -14,36 +14,35 @@
   isFree: optional(boolean()),
 });
 
-/** What a node finds of its votes on its disk when it starts. */
+/** The votes that a node finds on its disk when it starts. */
 export interface StoredVotes {
-  /** Whether the replica beside them may count. */
+  /** Whether the replica stored beside them may count in majorities. */
   readonly status: ReplicaStatusName;
-  /** The count of the newest record; 0 if there is none. */
+  /** The count of the newest record; 0 if there is none. Counts grow with each record. */
   readonly count: number;
-  /** The newest record, if it can be trusted. */
+  /** The newest record, if it is intact. */
   readonly record: VoteRecord | undefined;
 }
 
-/** No record of votes at all is an empty folder; one that cannot be trusted is a lost disk. */
+/**
+ * Reads this node's vote record. An empty disk is `blank`: the node may never have voted. Partitions without a vote
+ * record, or with a corrupt one, are `lost`: the node may have granted votes that it no longer knows.
+ */
 export function readVotes(stored: readonly StoredPartition[]): StoredVotes {
-  const file = stored.find(isVote);
+  const file = stored.find((item) => item.partition === VOTE_RECORD);
   if (!file) return { status: stored.length === 0 ? 'blank' : 'lost', count: 0, record: undefined };
   const { count } = file.version;
   const record = file.isIntact ? parseAs(VoteRecordShape, file.body) : undefined;
   return record ? { status: 'sound', count, record } : { status: 'lost', count, record: undefined };
 }
 
-function isVote(item: StoredPartition): boolean {
-  return item.partition === VOTE_RECORD;
-}
-
-/** A record on its way to the disk. */
+/** A record that is being written to the disk. */
 interface PendingVote {
   readonly token: number;
   readonly grantEpoch: number;
 }
 
-/** Keeps this node's votes on its disk, and knows which of them are there. */
+/** Writes this node's vote records to its disk, and knows which of them are persisted. */
 export class VoteStorage {
   readonly #effects: EffectQueue;
   /** By the count of the record. */
@@ -58,17 +57,17 @@
     this.#persistedGrant = keptGrant;
   }
 
-  /** The epoch granted by the newest record on disk; 0 if none is. */
+  /** The epoch granted by the newest record on disk; 0 if there is none. */
   get persistedGrant(): number {
     return this.#persistedGrant;
   }
 
-  /** The count of the record that comes next. */
+  /** The count that the next record will get. */
   get nextCount(): number {
     return this.#count + 1;
   }
 
-  /** Stores a record; its token is returned once it is on disk. */
+  /** Writes a record; `onPersisted` returns its token once it is on disk. */
   persist(token: number, record: VoteRecord): void {
     this.#count += 1;
     this.#pendingVotes.set(this.#count, { token, grantEpoch: record.grantEpoch });
@@ -82,11 +81,11 @@
 
   /** This record is on disk, and with it all before it; `kept` is told the token of each. */
   onPersisted(version: Version, kept: (token: number) => void): void {
-    for (const [count, waiting] of this.#pendingVotes) {
+    for (const [count, pending] of this.#pendingVotes) {
       if (count > version.count) continue;
       this.#pendingVotes.delete(count);
-      if (count === version.count) this.#persistedGrant = waiting.grantEpoch;
-      kept(waiting.token);
+      if (count === version.count) this.#persistedGrant = pending.grantEpoch;
+      kept(pending.token);
     }
   }
 }
--- a/src/control/voter-handover.ts
+++ b/src/control/voter-handover.ts
@@ -1,47 +1,51 @@
 import { later, type Moment } from '../common/ids.js';
 
-/** A planned stop waits so long for its seat to be taken over: half of what a stop may take, the rest is for calls. */
+/** How long a planned stop waits for a replacement: half of the time that a stop may take, the rest is for open requests. */
 const HANDOVER_TIMEOUT_MS = 4000;
-/** The leader answers at once: without any word for so long, and without a spare known here, nobody takes the seat. */
+/** The leader replies at once: without a reply within this time, and without a known spare, there is no replacement. */
 const REPLY_TIMEOUT_MS = 600;
-/** How often the leader is told, since it may change meanwhile. */
+/** How often the leader is notified: it may change in the meantime. */
 const NOTIFY_INTERVAL_MS = 200;
 
 /**
- * The stop of a voter as planned: it stays until its seat has been taken over by a spare, through the joint set, so that
- * the number of voters alive never falls. It does not stay where no spare has announced itself.
+ * The planned stop of a voter. It stays until a spare has replaced it, by way of a joint configuration, so that the number
+ * of live voters never falls. It does not wait if no spare has announced itself.
  */
 export class VoterHandover {
   readonly #beganAt: Moment;
   #notifiedAt: Moment | undefined;
-  #isAnswered = false;
+  #hasReply = false;
   #isOver = false;
 
   constructor(now: Moment) {
     this.#beganAt = now;
   }
 
+  /** Whether the voter may stop: it is replaced, nobody can replace it, or the wait timed out. */
   get isOver(): boolean {
     return this.#isOver;
   }
 
-  /** Whether the leader is to be told now that this voter leaves. */
+  /** Whether the leader has to be notified now that this voter is to stop. */
   isNotifyDue(now: Moment): boolean {
-    if (this.#notifiedAt !== undefined && now < later(this.#notifiedAt, NOTIFY_INTERVAL_MS))
-      return false;
+    return this.#notifiedAt === undefined || now >= later(this.#notifiedAt, NOTIFY_INTERVAL_MS);
+  }
+
+  /** The leader was notified. */
+  onNotified(now: Moment): void {
     this.#notifiedAt = now;
-    return true;
   }
 
-  /** The leader's answer: whether the voter may stop, since its seat is taken over or nobody is there to take it. */
+  /** The leader's reply: whether the voter may stop, since it is replaced or nobody can replace it. */
   onReply(mayStop: boolean): void {
-    this.#isAnswered = true;
+    this.#hasReply = true;
     if (mayStop) this.#isOver = true;
   }
 
+  /** Ends the wait when it timed out; `hasSpare` says whether a spare is known here. */
   tick(now: Moment, hasSpare: boolean): void {
-    const isUnanswered =
-      !this.#isAnswered && !hasSpare && now >= later(this.#beganAt, REPLY_TIMEOUT_MS);
-    if (isUnanswered || now >= later(this.#beganAt, HANDOVER_TIMEOUT_MS)) this.#isOver = true;
+    const hasNoReplacement =
+      !this.#hasReply && !hasSpare && now >= later(this.#beganAt, REPLY_TIMEOUT_MS);
+    if (hasNoReplacement || now >= later(this.#beganAt, HANDOVER_TIMEOUT_MS)) this.#isOver = true;
   }
 }
--- a/src/control/voter-membership.ts
+++ b/src/control/voter-membership.ts
@@ -13,27 +13,30 @@
 import { PeerIdleClock } from './peer-idle-clock.js';
 import { VoterPlan, type AnnouncedNode, type VotersChange, type VoterView } from './voter-plan.js';
 
-/** What membership needs of the control node that it belongs to. */
+/** What the membership needs of its control node. */
 export interface MembershipHost {
   readonly me: string;
   readonly zone: string;
+  /** Whether this node was started with the cluster, and not as a later replacement. */
   readonly isFirstStart: boolean;
   readonly elector: Elector;
   readonly state: ReplicatedState;
   readonly relay: Relay;
   readonly replicaStatus: ReplicaStatus;
-  /** Who votes, by the newest configuration known here. */
+  /** The voters by the newest configuration known here. */
   readonly voters: { readonly quorum: Quorum };
-  /** Everybody to whom this node keeps a connection. */
+  /** All nodes to which this node has a connection or wants one. */
   peers(): readonly string[];
   /** Whether this node leads and has taken over the state. */
   readonly leadership: { readonly isServing: boolean };
   /** The configuration as last written by this leader, committed or not. */
   document(): ConfigDoc;
+  /** The zone of a control node; '' if unknown. */
   zoneOf(id: string): string;
   send(to: string, message: Message): void;
-  /** Writes all parts but the configuration anew, so that a majority of each set holds them. */
+  /** Rewrites all partitions but the configuration, so that they are stored at a majority of each set. */
   rewritePartitions(now: Moment): void;
+  /** Writes a new set of voters, or two that form a joint configuration. */
   writeVoters(now: Moment, change: VotersChange): void;
 }
 
@@ -41,16 +44,16 @@
 type LeaveMessage = Extract<Message, { kind: 'leave' }>;
 type LeaveReply = Extract<Message, { kind: 'leaveReply' }>;
 
-/** How often a node that is no voter announces itself, and for how long that is remembered. */
+/** How often a spare announces itself, and for how long the announcement is valid. */
 const ANNOUNCE_INTERVAL_MS = 500;
 const ANNOUNCEMENT_TIMEOUT_MS = 1500;
-/** A voter without a leader for so long announces itself as well: it may be one no longer. */
+/** A voter without a leader for this long announces itself as well: it may have been removed. */
 const LEADERLESS_MS = 1000;
 const NEVER = moment(-1e12);
 
 /**
- * Who votes in a deployment: nodes that are no voters announce themselves, voters that are told to stop say so, and the
- * leader changes the set of voters accordingly.
+ * Changes the voters of a deployment: spares announce themselves, voters in a planned stop announce their departure, and
+ * the leader changes the set of voters accordingly.
  */
 export class VoterMembership implements VoterView {
   readonly #host: MembershipHost;
@@ -71,7 +74,7 @@
     this.#now = now;
   }
 
-  // ---- what the plan is told
+  // ---- what the plan is based on: `VoterView`
 
   get me(): string {
     return this.#host.me;
@@ -100,11 +103,12 @@
 
   // ---- inputs
 
-  /** A new leader knows nothing of how far the former one came with a change. */
+  /** This node has taken over the leadership: it cannot tell how far its predecessor came with a change. */
   onTakeover(): void {
     this.#plan.reset();
   }
 
+  /** Announces this node if that is due, and continues or begins a change of voters at the leader. */
   tick(now: Moment): void {
     this.#now = now;
     this.#idleClock.tick(now);
@@ -116,6 +120,7 @@
     this.#changeVoters(now);
   }
 
+  /** A spare announced itself: it is remembered, sent a newer configuration, and reported to the leader. */
   onAnnounce(now: Moment, from: string, message: AnnounceMessage): void {
     const { id, zone, isFirst, isSound } = message;
     const host = this.#host;
@@ -124,28 +129,31 @@
     const config = host.relay.latest('config');
     if (config && from === id && isNewer(config.version, message))
       host.send(id, { kind: 'update', topic: 'config', ...config.version, body: config.body });
-    // Passed on once: whoever came to us by another is not passed on again.
+    // Forwarded once: an announcement that another node forwarded is not forwarded again.
     const leader = host.elector.leader;
     if (leader !== undefined && leader !== host.me && from === id) host.send(leader, message);
   }
 
+  /** A voter announced its planned stop; the leader replies whether it may stop. */
   onLeave(now: Moment, from: string, message: LeaveMessage): void {
     if (!this.#host.leadership.isServing) return;
-    this.#departing.add(now, message.id);
+    this.#departing.onDeparture(now, message.id);
     this.#now = now;
     this.#changeVoters(now);
     this.#host.send(from, { kind: 'leaveReply', mayStop: this.#mayStop(message.id) });
   }
 
+  /** The leader's reply to our own planned stop. */
   onLeaveReply(message: LeaveReply): void {
     this.#handover?.onReply(message.mayStop);
   }
 
+  /** Whether a planned stop waits for a replacement. */
   get isHandingOver(): boolean {
     return this.#handover !== undefined && !this.#handover.isOver;
   }
 
-  /** For a planned stop: whether this node has to stay, since its seat is being taken over. */
+  /** Begins or continues a planned stop; returns whether this node has to stay until it is replaced. */
   mustStayVoter(now: Moment): boolean {
     const host = this.#host;
     if (!this.#handover) {
@@ -159,16 +167,16 @@
       handover.onReply(this.#mayStop(host.me));
     } else {
       const leader = host.elector.leader;
-      if (leader !== undefined && leader !== host.me && handover.isNotifyDue(now))
+      if (leader !== undefined && leader !== host.me && handover.isNotifyDue(now)) {
+        handover.onNotified(now);
         host.send(leader, { kind: 'leave', id: host.me });
+      }
     }
     handover.tick(now, this.#hasSpare(host.voters.quorum.all));
     return !handover.isOver;
   }
 
-  // ---- parts
-
-  /** No voter as far as we know, or without a leader. */
+  /** Whether this node is no voter as far as it knows, or knows no leader. */
   #isWithoutLeader(): boolean {
     const { me } = this.#host;
     return (
@@ -184,7 +192,7 @@
     const host = this.#host;
     const isVoter = host.voters.quorum.includes(nodeId(host.me));
     if (isVoter) this.#hasVoted = true;
-    // One that is told to stop must not be taken in again.
+    // A node in a planned stop must not become a voter again.
     if (this.#handover || now < later(this.#announcedAt, ANNOUNCE_INTERVAL_MS)) return;
     if (isVoter && now < later(this.#leaderSeenAt, LEADERLESS_MS)) return;
     this.#announcedAt = now;
@@ -195,7 +203,7 @@
       zone: host.zone,
       epoch,
       count,
-      // One that voted before has had its seat: while it was away somebody else may have taken that.
+      // A node that was a voter before may have been replaced while it was away.
       isFirst: host.isFirstStart && !this.#hasVoted,
       isSound: this.#isHealthy(),
     } as const;
@@ -205,22 +213,23 @@
   #changeVoters(now: Moment): void {
     const host = this.#host;
     if (!host.leadership.isServing || host.state.isWriting(CONFIG_PARTITION)) return;
-    // What the old voters hold must be on a majority of the new ones too before those stand alone.
+    // The state must be on a majority of the new voters too before the new set alone decides.
     const isRewriting =
-      this.voters.length === 2 && allPartitions().some(host.state.isWriting, host.state);
+      this.voters.length === 2 &&
+      allPartitions().some((partition) => host.state.isWriting(partition));
     const change = this.#plan.next(this);
     if (change.do === 'rewrite') host.rewritePartitions(now);
     else if (change.do === 'voters' && !isRewriting) host.writeVoters(now, change);
   }
 
-  /** Whether the seat of a voter that leaves is taken over, or nobody is there to take it. */
+  /** Whether a voter in a planned stop is replaced, or nobody can replace it. */
   #mayStop(id: string): boolean {
     const [current, following] = this.voters;
     if (!current || following || this.#host.state.isWriting(CONFIG_PARTITION)) return false;
     return !current.includes(id) || !this.#hasSpare(current);
   }
 
-  /** Whether somebody announced itself that could take a seat, if not yet, then once it is repaired. */
+  /** Whether a node announced itself that could become a voter, possibly after a repair. */
   #hasSpare(voters: readonly string[]): boolean {
     for (const id of this.#announced.keys()) {
       if (!voters.includes(id) && !this.isLeaving(id)) return true;
--- a/src/control/voter-plan.ts
+++ b/src/control/voter-plan.ts
@@ -1,68 +1,77 @@
 import type { Moment } from '../common/ids.js';
 
-/** A control node that announced itself lately and is heard of as no voter, or as one without a leader. */
+/** A control node that announced itself recently: a spare, or a voter that has no leader. */
 export interface AnnouncedNode {
   readonly id: string;
   readonly zone: string;
+  /** Whether it was started with the cluster and has never been a voter. */
   readonly isFirst: boolean;
+  /** Whether its replica may count; otherwise it has to be repaired first. */
   readonly isHealthy: boolean;
+  /** When the announcement arrived. */
   readonly at: Moment;
 }
 
-/** What the leader knows of the voters and of those that could become some. */
+/** What the leader knows of the voters and the spares. */
 export interface VoterView {
   readonly me: string;
-  /** One set, or two while a change is under way. */
+  /** One set, or two during a joint configuration: the old one, then the new one. */
   readonly voters: readonly (readonly string[])[];
-  /** How many voters are wanted, where some had to be left out. */
+  /** How many voters are wanted, if departed ones were removed; stored as `seats`. */
   readonly voterCount: number | undefined;
   readonly announced: readonly AnnouncedNode[];
-  /** For how long a voter has been silent. */
+  /** Milliseconds since the voter was last heard. */
   idleMs(voter: string): number;
-  /** Whether a node is told to stop. */
+  /** Whether a node is in a planned stop. */
   isLeaving(id: string): boolean;
+  /** The zone of a voter; '' if unknown. */
   zoneOf(voter: string): string;
 }
 
+/** The next set of voters, or two sets that form a joint configuration, is to be written. */
 export interface VotersChange {
   readonly do: 'voters';
   readonly voters: readonly (readonly string[])[];
   readonly voterCount: number | undefined;
 }
 
+/** The next step of a change of voters. */
 export type VoterChange =
+  /** The voters stay as they are. */
   | { readonly do: 'nothing' }
-  /** All parts are to be written anew, by a majority of both sets. */
+  /** All partitions are to be rewritten, to a majority of both sets. */
   | { readonly do: 'rewrite' }
   | VotersChange;
 
-/** A voter silent for so long is replaced where a spare is there: a seat held by nobody alive is worth less. */
+/** A voter idle for this long is replaced if there is a spare: a dead voter makes majorities harder to reach. */
 const UNREACHABLE_MS = 2000;
 /**
- * A voter silent for so long counts as gone for good, and the others may go on without it. Restarts, freezes and repairs
- * end sooner, and a return costs a change of voters. Waiting longer would leave the ones that are left without a majority
- * at the next loss for longer: losses that may come one after the other do so no faster than this.
+ * A voter idle for this long counts as departed, and may be removed without a replacement. Restarts, freezes and repairs end
+ * sooner, and a return costs another change of voters. A longer time would leave the remaining voters at risk for longer:
+ * the fault model allows the next failure after this time.
  */
 const DEPARTED_MS = 10_000;
 const NOTHING: VoterChange = { do: 'nothing' };
 
-/** How many more of so many alive may be lost until they are no majority of so many voters. */
+/** How many of `alive` voters may fail while the rest is a majority of `voters`. */
 function toleratedFailures(voters: number, alive: number): number {
   return alive - (Math.floor(voters / 2) + 1);
 }
 
 /**
- * Which voters there should be: all nodes of the first start; a spare in the place of whoever leaves or fell silent; and
- * without spares those alone that are alive, where they bear more losses by themselves, until others are back.
+ * Decides who should vote: all nodes of the first start; a spare in place of a voter that stops or is unreachable; without
+ * spares the live voters alone, if they tolerate more failures by themselves, until others are back.
  */
 export class VoterPlan {
+  /** The joint configuration for which all partitions were rewritten by this leader. */
   #rewritten = '';
 
-  /** A new leader knows nothing of how far the former one came with a change, and does it again. */
+  /** A new leader cannot tell how far its predecessor came with a change, and rewrites the partitions again. */
   reset(): void {
     this.#rewritten = '';
   }
 
+  /** The next step, by what the leader knows now. One step at a time: the caller asks again once it is committed. */
   next(view: VoterView): VoterChange {
     const [current, following] = view.voters;
     if (!current) return NOTHING;
@@ -73,7 +82,7 @@
     return { do: 'voters', voters: [[...current], next.voters], voterCount: next.voterCount };
   }
 
-  /** A change that is under way: all parts reach a majority of both sets before the old one is let go. */
+  /** Continues a change: all partitions reach a majority of both sets before the new set alone decides. */
   #continueChange(view: VoterView, following: readonly string[]): VoterChange {
     const change = view.voters.join(' | ');
     if (this.#rewritten === change) {
@@ -89,18 +98,18 @@
   readonly voterCount: number | undefined;
 }
 
-/** Those that could vote: one that must still be repaired can hold nothing for us, and one that leaves is no gain. */
+/** The nodes that could vote: neither those that need a repair, nor those in a planned stop. */
 function sparesFor(view: VoterView, current: readonly string[]): readonly AnnouncedNode[] {
   return view.announced.filter(
     (node) => node.isHealthy && !current.includes(node.id) && !view.isLeaving(node.id),
   );
 }
 
-/** A spare takes the seat of a voter that leaves, or of one that fell silent; one of its zone, if there is any. */
+/** Replaces a voter that stops or is unreachable by a spare, of the same zone if possible. */
 function withReplacement(view: VoterView, current: readonly string[]): NextVoters | undefined {
   const spares = sparesFor(view, current);
   const old =
-    current.find(view.isLeaving, view) ??
+    current.find((voter) => view.isLeaving(voter)) ??
     current.find((voter) => voter !== view.me && view.idleMs(voter) > UNREACHABLE_MS);
   if (old === undefined) return undefined;
   const spare = spares.find((node) => node.zone === view.zoneOf(old ?? '')) ?? spares[0];
@@ -111,37 +120,33 @@
   };
 }
 
-/** Seats that stand empty are filled; one more is opened for a node of the first start, or to make the number odd. */
+/** Adds a spare up to the wanted number, to make the number odd, or if it is a node of the first start. */
 function withAddition(view: VoterView, current: readonly string[]): NextVoters | undefined {
-  // An even number bears no more losses than the odd one below it, so that it is filled up whoever comes.
+  // An even number tolerates no more failures than the odd one below it, so any spare makes it odd.
   const isWanted = current.length % 2 === 0 || current.length < (view.voterCount ?? 0);
-  function votersBeside(node: AnnouncedNode): number {
-    return current.filter((voter) => view.zoneOf(voter) === node.zone).length;
-  }
+  const votersInZoneOf = (node: AnnouncedNode): number =>
+    current.filter((voter) => view.zoneOf(voter) === node.zone).length;
   let spare: AnnouncedNode | undefined;
   for (const node of sparesFor(view, current).filter((node) => isWanted || node.isFirst)) {
-    // The zone with the fewest voters goes first, so that the loss of a zone takes as few as possible.
-    if (!spare || votersBeside(node) < votersBeside(spare)) spare = node;
+    // The zone with the fewest voters goes first, so that a zone failure affects as few voters as possible.
+    if (!spare || votersInZoneOf(node) < votersInZoneOf(spare)) spare = node;
   }
   return spare && { voters: [...current, spare.id], voterCount: view.voterCount };
 }
 
-/** Those alive alone, if they then bear more losses than as a part of all; the number wanted stays what it was. */
+/** Removes departed voters, if the others then tolerate more failures; the wanted number of voters stays. */
 function withRemoval(view: VoterView, current: readonly string[]): NextVoters | undefined {
-  const staying = current.filter((voter) => silentMs(voter) <= DEPARTED_MS);
+  const idleMs = (voter: string): number => (voter === view.me ? 0 : view.idleMs(voter));
+  const staying = current.filter((voter) => idleMs(voter) <= DEPARTED_MS);
   const gain =
     toleratedFailures(staying.length, staying.length) -
     toleratedFailures(current.length, staying.length);
-  // One that is silent, though not for long, may be lost as well: then the count would be wrong.
+  // A voter that is idle, though not for long, may have failed as well: then the gain would be wrong.
   if (
     staying.length === current.length ||
     gain <= 0 ||
-    !staying.every((voter) => silentMs(voter) <= UNREACHABLE_MS)
+    !staying.every((voter) => idleMs(voter) <= UNREACHABLE_MS)
   )
     return undefined;
   return { voters: staying, voterCount: Math.max(view.voterCount ?? 0, current.length) };
-
-  function silentMs(voter: string): number {
-    return voter === view.me ? 0 : view.idleMs(voter);
-  }
 }
--- a/src/control/voter-set-writer.ts
+++ b/src/control/voter-set-writer.ts
@@ -10,7 +10,7 @@
 import type { PartitionWriter } from './partition-writer.js';
 import type { VotersChange } from './voter-plan.js';
 
-/** What a change of the voters is written by. */
+/** The components by which a change of the voters is written. */
 export interface VoterSetDependencies {
   readonly elector: Elector;
   readonly state: ReplicatedState;
@@ -20,15 +20,15 @@
   readonly effects: EffectQueue;
 }
 
-/** Writes changes of the set of voters, at the leader. */
+/** Writes changes of the set of voters at the leader, through a joint configuration. */
 export class VoterSetWriter {
   readonly #dependencies: VoterSetDependencies;
 
-  constructor(parts: VoterSetDependencies) {
-    this.#dependencies = parts;
+  constructor(dependencies: VoterSetDependencies) {
+    this.#dependencies = dependencies;
   }
 
-  /** Writes another set, or two that decide together. */
+  /** Writes a new set of voters, or two that form a joint configuration. */
   writeVoters(now: Moment, change: VotersChange): void {
     const { document, effects, voters } = this.#dependencies;
     const doc = document.newest();
@@ -38,21 +38,22 @@
       to: change.voters.join(' | '),
     });
     const seats = change.voterCount === undefined ? {} : { seats: change.voterCount };
-    const changed = { ...doc, voters: change.voters.map(copyOf), ...seats };
-    // Two sets decide together from here on, also on this very change. One alone is told to those let go as well.
+    const changed = { ...doc, voters: change.voters.map((set) => [...set]), ...seats };
+    // A joint configuration decides from here on, also on its own commit. A single set applies once it is committed, so that
+    // the voters that are let go learn of it.
     const joint = change.voters.length === 2 ? quorumOf(encodeConfigDoc(changed)) : undefined;
     if (joint) voters.useQuorum(joint);
     document.write(now, changed, 0);
   }
 
-  /** Writes all parts but the configuration anew, so that a majority of each set holds them. */
+  /** Rewrites all partitions but the configuration, so that they are stored at a majority of each set. */
   rewritePartitions(now: Moment): void {
     const { writer, state } = this.#dependencies;
     for (const partition of allPartitions())
       if (partition !== CONFIG_PARTITION) writer.write(now, partition, state.body(partition), 0);
   }
 
-  /** A spare that an operator put in a voter's place is taken in once it holds everything; then the old set is let go. */
+  /** Ends an operator's replacement of a voter: once all new voters take part in the quorum, the new set alone decides. */
   completeReplacement(now: Moment): void {
     const { document } = this.#dependencies;
     const doc = document.newest();
@@ -63,7 +64,3 @@
       document.write(now, { ...doc, voters: [next] }, 0);
   }
 }
-
-function copyOf(set: readonly string[]): string[] {
-  return [...set];
-}
