--- a/src/state/testing/lone-replica.ts
+++ b/src/state/testing/lone-replica.ts
@@ -13,9 +13,13 @@
 import { ReplicatedState, type ReplicatedStateEffect } from '../replicated-state.js';
 import type { StoredPartition } from '../store.js';
 
+/** The voters; the replica is the first. */
 export const [A, B, C] = [nodeId('a'), nodeId('b'), nodeId('c')];
+/** Two partitions beside the configuration. */
 export const [P0, P1] = [partitionName('p0'), partitionName('p1')];
+/** All partitions, in the order in which they are told. */
 export const PARTITIONS: readonly PartitionName[] = [CONFIG_PARTITION, P0, P1];
+/** The epoch that the replica has granted, and in which it leads. */
 export const EPOCH = 4;
 
 type Committed = Extract<ReplicatedStateEffect, { do: 'committed' }>;
@@ -119,6 +123,7 @@
   return { part: partition, ...version, body, sound };
 }
 
+/** The answer of a voter to a leader that reads. */
 export function readReply(copies: readonly StoredReplica[], nonce = 1, epoch = EPOCH): Message {
   return {
     kind: 'readReply',
