--- a/eslint.config.js
+++ b/eslint.config.js
@@ -284,7 +284,7 @@
   'src/simulation/state-rules.ts',
   'src/simulation/violation.ts',
   'src/state/file-store.ts',
-  'src/state/part-names.ts',
+  'src/state/partition-names.ts',
   'src/state/replica-status.ts',
 ];
 
@@ -323,7 +323,7 @@
   'src/control/voter-set-writer.ts',
   'src/control/voter-troubles.test.ts',
   'src/control/voters.test.ts',
-  'src/election/voter-links.ts',
+  'src/election/peer-monitor.ts',
   'src/operator/operator-command.ts',
   'src/policy/table.ts',
   'src/proxy/byte-relay.ts',
@@ -357,7 +357,7 @@
   'src/simulation/holder-rules.ts',
   'src/simulation/mutants/exchanged-parts.ts',
   'src/simulation/mutants/mutants.test.ts',
-  'src/state/state-owner.ts',
+  'src/state/quorum-coordinator.ts',
 ];
 
 const PENDING_TYPE_RULES = [
--- a/src/election/candidacy.ts
+++ b/src/election/candidacy.ts
@@ -1,6 +1,6 @@
 import { isElecting, nextElecting, type Epoch, type Moment, type NodeId } from '../common/ids.js';
 import type { ScoreReport } from '../common/messages.js';
-import type { LeaderRole } from './leadership.js';
+import type { LeaderRole } from './leader-role.js';
 import type { ProposalTiming } from './proposal-timing.js';
 import type { Role, VoterState } from './voter-state.js';
 
--- a/src/election/ballot.ts
+++ b/src/election/candidate-ranking.ts
@@ -2,7 +2,7 @@
 import type { ScoreReport } from '../common/messages.js';
 import type { Quorum } from '../common/quorum.js';
 import { Scores } from './scores.js';
-import type { PeerMonitor } from './voter-links.js';
+import type { PeerMonitor } from './peer-monitor.js';
 import type { VoteSettings } from './vote-settings.js';
 
 /** How one voter judges proposals: by scores frozen at each epoch's start, with the deferrals of the present round. */
--- a/src/election/elector.ts
+++ b/src/election/elector.ts
@@ -2,8 +2,8 @@
 import type { Message } from '../common/messages.js';
 import type { Quorum } from '../common/quorum.js';
 import { Candidacy } from './candidacy.js';
-import { FollowerRole } from './following.js';
-import { LeaderRole } from './leadership.js';
+import { FollowerRole } from './follower-role.js';
+import { LeaderRole } from './leader-role.js';
 import { ProposalTiming } from './proposal-timing.js';
 import type { Scores } from './scores.js';
 import type { VoteEffect, VoteRecord } from './vote-effect.js';
--- a/src/election/voter-links.test.ts
+++ b/src/election/peer-monitor.test.ts
@@ -2,7 +2,7 @@
 import { moment, nodeId, type NodeId } from '../common/ids.js';
 import { Quorum } from '../common/quorum.js';
 import { SyncedOutbox } from './synced-outbox.js';
-import { PeerMonitor } from './voter-links.js';
+import { PeerMonitor } from './peer-monitor.js';
 import { VOTE_DEFAULTS } from './vote-settings.js';
 
 const [a, b, c] = [nodeId('a'), nodeId('b'), nodeId('c')];
--- a/src/election/proposal-timing.ts
+++ b/src/election/proposal-timing.ts
@@ -1,6 +1,6 @@
 import { later, type Moment, type NodeId } from '../common/ids.js';
 import type { Quorum } from '../common/quorum.js';
-import type { PeerMonitor } from './voter-links.js';
+import type { PeerMonitor } from './peer-monitor.js';
 import type { VoteSettings } from './vote-settings.js';
 
 /** Long enough for a proposal to reach the next in turn, on ordinary links. */
--- a/src/election/promises.test.ts
+++ b/src/election/vote-grants.test.ts
@@ -1,6 +1,6 @@
 import { expect, test } from 'vitest';
 import { epochOf, moment, nodeId } from '../common/ids.js';
-import { VoteGrants } from './promises.js';
+import { VoteGrants } from './vote-grants.js';
 import { VOTE_DEFAULTS } from './vote-settings.js';
 
 const [b, c] = [nodeId('b'), nodeId('c')];
--- a/src/election/voter-state.ts
+++ b/src/election/voter-state.ts
@@ -1,12 +1,12 @@
 import { epochOf, later, moment, type Epoch, type Moment, type NodeId } from '../common/ids.js';
 import type { Message } from '../common/messages.js';
 import type { Quorum } from '../common/quorum.js';
-import { CandidateRanking } from './ballot.js';
+import { CandidateRanking } from './candidate-ranking.js';
 import { Lease } from './lease.js';
-import { VoteGrants } from './promises.js';
+import { VoteGrants } from './vote-grants.js';
 import { SyncedOutbox } from './synced-outbox.js';
 import type { VoteRecord } from './vote-effect.js';
-import { PeerMonitor } from './voter-links.js';
+import { PeerMonitor } from './peer-monitor.js';
 import type { VoteSettings } from './vote-settings.js';
 
 /** What the elector is doing: waiting for a majority to be in reach, proposing itself, having deferred, or knowing a leader. */
--- a/src/state/copy-mending.ts
+++ b/src/state/anti-entropy.ts
@@ -1,8 +1,8 @@
 import { later, moment, type Moment, type NodeId } from '../common/ids.js';
 import type { Message } from '../common/messages.js';
-import type { LocalPartitions } from './replica-copies.js';
+import type { LocalPartitions } from './local-partitions.js';
 import type { StateEffects } from './replicated-state-effect.js';
-import type { QuorumCoordinator } from './state-owner.js';
+import type { QuorumCoordinator } from './quorum-coordinator.js';
 
 type DigestMessage = Extract<Message, { kind: 'digest' }>;
 type DigestReply = Extract<Message, { kind: 'digestReply' }>;
--- a/src/state/replica-copies.test.ts
+++ b/src/state/local-partitions.test.ts
@@ -1,6 +1,6 @@
 import { expect, test } from 'vitest';
 import { partitionName } from '../common/ids.js';
-import { LocalPartitions } from './replica-copies.js';
+import { LocalPartitions } from './local-partitions.js';
 import { StateEffects } from './replicated-state-effect.js';
 
 /** The last is no part of ours. */
--- a/src/state/state-owner.ts
+++ b/src/state/quorum-coordinator.ts
@@ -10,7 +10,7 @@
 import type { Quorum } from '../common/quorum.js';
 import { compareVersions, isNewer, NO_VERSION, type Version } from '../common/version.js';
 import { CONFIG_PARTITION } from './partition-names.js';
-import type { LocalPartitions } from './replica-copies.js';
+import type { LocalPartitions } from './local-partitions.js';
 import type { StateEffects } from './replicated-state-effect.js';
 
 type ReadReply = Extract<Message, { kind: 'readReply' }>;
--- a/src/state/replicated-state.ts
+++ b/src/state/replicated-state.ts
@@ -2,10 +2,10 @@
 import type { StoredReplica, MemberVersion, Message } from '../common/messages.js';
 import type { Quorum } from '../common/quorum.js';
 import { compareVersions, NO_VERSION, type Version } from '../common/version.js';
-import { AntiEntropy } from './copy-mending.js';
-import { LocalPartitions } from './replica-copies.js';
+import { AntiEntropy } from './anti-entropy.js';
+import { LocalPartitions } from './local-partitions.js';
 import { StateEffects, type ReplicatedStateEffect } from './replicated-state-effect.js';
-import { QuorumCoordinator, type QuorumOf } from './state-owner.js';
+import { QuorumCoordinator, type QuorumOf } from './quorum-coordinator.js';
 import type { StoredPartition } from './store.js';
 
 export type { ReplicatedStateEffect } from './replicated-state-effect.js';
