--- a/eslint.config.js
+++ b/eslint.config.js
@@ -78,7 +78,6 @@
   'src/control/vote-storage.test.ts',
   'src/control/voter-swaps.test.ts',
   'src/control/voters.test.ts',
-  'src/dissemination/exchange.test.ts',
   'src/placement/placer.ts',
   'src/proxy/executor.test.ts',
   'src/proxy/load-wait.ts',
--- a/src/dissemination/draining-runner-ids.ts
+++ b/src/dissemination/draining-runner-ids.ts
@@ -1,67 +1,68 @@
 import type { Moment } from '../common/ids.js';
 import type { KnownVersion } from '../common/messages.js';
 
-/** The name under which the set is compared with what another node holds; it is no topic of the relay. */
+/** The name under which the set is compared with that of another node; it is no topic of the relay. */
 const TOPIC = 'leaving';
-/** How long an id is kept after it was told last, ms: by then every word on the fleet says so as well. */
+/** How long an id is retained after it was received last: by then every update of the fleet carries it as well. */
 const RETENTION_MS = 60_000;
 
 /**
- * The ids of runners that the platform has listed as leaving, as told past the leader. An id is one life of a runner, and
- * one that leaves never comes back: the union of what any nodes hold is right, so the set needs no leader and no version.
+ * Ids of the runners that the platform lists as draining, spread without the leader.
+ *
+ * An id stands for one incarnation of a runner, and a runner that drains never comes back. The set is therefore a grow-only
+ * set (CRDT): the union of what any nodes know is right, and it needs neither leader nor version.
  */
 export class DrainingRunnerIds {
   readonly #lastSeenAt = new Map<string, Moment>();
 
+  /** All known ids. */
   get ids(): readonly string[] {
     return [...this.#lastSeenAt.keys()];
   }
 
-  /** Takes ids, and returns those that were not known: only these are passed on, so that nothing travels in circles. */
+  /** Adds ids and returns those that were unknown. Only these are forwarded, so that none travels in circles. */
   add(now: Moment, ids: readonly string[]): readonly string[] {
-    const fresh: string[] = [];
+    const unknown: string[] = [];
     for (const id of ids) {
-      if (!this.#lastSeenAt.has(id)) fresh.push(id);
+      if (!this.#lastSeenAt.has(id)) unknown.push(id);
       this.#lastSeenAt.set(id, now);
     }
-    return fresh;
+    return unknown;
   }
 
-  /** Forgets what was told long ago. */
+  /** Removes ids that were not received for `RETENTION_MS`. */
   tick(now: Moment): void {
     for (const [id, at] of this.#lastSeenAt)
       if (now - at > RETENTION_MS) this.#lastSeenAt.delete(id);
   }
 
-  /** What a node says of its set when it asks for news; nothing for an empty one, as at nearly all times. */
+  /**
+   * A summary of the set (size as `epoch`, digest as `count`) that a node sends when it requests updates. It is left out
+   * for an empty set, which is the usual case.
+   */
   summary(): readonly KnownVersion[] {
     const { size } = this.#lastSeenAt;
-    return size === 0
-      ? []
-      : [{ topic: TOPIC, epoch: size, count: digestOf(this.#lastSeenAt.keys()) }];
+    if (size === 0) return [];
+    return [{ topic: TOPIC, epoch: size, count: digestOf(this.#lastSeenAt.keys()) }];
   }
 
-  /** What a node that asked with this lacks: all ids if its set is another one, since some may have been lost on the way. */
+  /** The ids to send to a node that sent this summary: all if its set differs, none if it is the same. */
   missingFrom(have: readonly KnownVersion[]): readonly string[] {
     const [own] = this.summary();
     if (!own) return [];
-    const other = have.find(isOfSet);
+    const other = have.find(({ topic }) => topic === TOPIC);
     return other?.epoch === own.epoch && other.count === own.count ? [] : this.ids;
   }
 }
 
-function isOfSet(item: KnownVersion): boolean {
-  return item.topic === TOPIC;
-}
-
-/** The same for the same ids in any order. */
+/** A digest that does not depend on the order of the ids. */
 function digestOf(ids: Iterable<string>): number {
   let digest = 0;
   for (const id of ids) digest = (digest + hashOf(id)) >>> 0;
   return digest;
 }
 
-/** FNV-1a. */
+/** The FNV-1a hash, 32 bits. */
 function hashOf(text: string): number {
   let hash = 0x811c9dc5;
   for (let index = 0; index < text.length; index += 1)
--- a/src/dissemination/exchange.test.ts
+++ b/src/dissemination/exchange.test.ts
@@ -8,23 +8,22 @@
 import { Exchange, type Incoming } from './exchange.js';
 
 function ignore(): void {
-  /* nothing to say */
+  /* the close is what is tested */
 }
 
-const told: HaretrackError[] = [];
-function tell(defect: HaretrackError): void {
-  told.push(defect);
-}
+const errors: HaretrackError[] = [];
 function make(id: string, listen: string): Exchange {
-  return new Exchange({ id, role: 'test', zone: 'z', listen, reach: {} }, tell);
+  return new Exchange({ id, role: 'test', zone: 'z', listen, reach: {} }, (error) =>
+    errors.push(error),
+  );
 }
 function kindOf(incoming: Incoming): string {
   return incoming.message.kind;
 }
-function isBadFrame(defect: HaretrackError): boolean {
-  return defect.code === 'bad-frame';
+function isBadFrame(error: HaretrackError): boolean {
+  return error.code === 'bad-frame';
 }
-test('messages come whole and in order both ways, and a closed line is told', async () => {
+test('messages arrive complete and in order both ways, and a closed connection is notified', async () => {
   const server = make('server', '127.0.0.1:0');
   const port = await server.open();
   const client = make('client', '');
@@ -32,7 +31,7 @@
   client.dial(id);
   const got = firstValueFrom(server.incoming$.pipe(take(3), toArray()));
   const heard = firstValueFrom(client.incoming$);
-  // The listener knows a dialler by its hello; the large body must come whole and in its place.
+  // The listener knows a dialler by its hello; the large body must arrive complete and in order.
   const large = 'x'.repeat(3_000_000);
   function sendAll(): void {
     client.send(id, { kind: 'update', topic: 'a', epoch: 1, count: 1, body: large });
@@ -54,7 +53,7 @@
   expect(await gone).toBe('client');
   server.close();
 });
-test('garbage closes its line alone', async () => {
+test('a malformed frame closes its own connection alone', async () => {
   const server = make('server', '127.0.0.1:0');
   const port = await server.open();
   const socket = connect({ host: '127.0.0.1', port });
@@ -65,7 +64,7 @@
   });
   socket.write(Buffer.from([0, 0, 0, 2, 255, 255]));
   await closed;
-  expect(told.some(isBadFrame)).toBe(true);
+  expect(errors.some(isBadFrame)).toBe(true);
   server.close();
 });
 
@@ -75,8 +74,8 @@
   });
 }
 
-test('a line that falls silent is given up and may be dialled anew', async () => {
-  // It takes the line and says who it is, and then nothing more: as behind a cut.
+test('an idle connection is closed after the timeout and may be dialled anew', async () => {
+  // A server that accepts, introduces itself and then sends nothing more, as behind a network partition.
   const sockets: Socket[] = [];
   const server: Server = createServer((socket: Socket) => {
     sockets.push(socket);
@@ -108,25 +107,25 @@
   client.close();
   server.close();
 });
-test('a line on which nothing is said stays up by its empty frames', async () => {
+test('a connection without messages stays open by its heartbeats', async () => {
   const server = make('server', '127.0.0.1:0');
   const port = await server.open();
   const client = make('client', '');
-  const lost: string[] = [];
-  client.disconnected$.subscribe(lost.push.bind(lost));
+  const closed: string[] = [];
+  client.disconnected$.subscribe((id) => closed.push(id));
   client.dial(`127.0.0.1:${port}`);
   await wait(2500);
-  expect(lost).toEqual([]);
+  expect(closed).toEqual([]);
   expect(client.isConnected(`127.0.0.1:${port}`)).toBe(true);
   client.close();
   server.close();
 });
-test('what is said while a line is being dialled comes with it', async () => {
+test('messages sent while a node is dialled are delivered once it is connected', async () => {
   const server = make('server', '127.0.0.1:0');
   const port = await server.open();
   const client = make('client', '');
   const heard = firstValueFrom(server.incoming$);
-  // No line stands yet: the first word of a session comes with the line, not with the next tick.
+  // Nothing is connected yet: the first message of a session does not wait for its next tick.
   client.send(`127.0.0.1:${port}`, { kind: 'demand', body: 'first' });
   expect((await heard).message).toEqual({ kind: 'demand', body: 'first' });
   client.close();
--- a/src/dissemination/freshness-confirmation.test.ts
+++ b/src/dissemination/freshness-confirmation.test.ts
@@ -1,7 +1,7 @@
 import { expect, test } from 'vitest';
 import { moment } from '../common/ids.js';
 import { FreshnessConfirmation } from './freshness-confirmation.js';
-test('a round is begun anew only after a span in which slow links would have ended it', () => {
+test('a request is replaced only after a time in which slow links would have answered it', () => {
   const confirmation = new FreshnessConfirmation(0);
   confirmation.enqueue({ child: 'a', nonce: 1, members: [] });
   const first = confirmation.begin(moment(0), 500);
@@ -13,27 +13,27 @@
   expect(confirmation.complete(second ?? 0)).toEqual([]);
   expect(confirmation.complete(third ?? 0)).toEqual([{ child: 'a', nonce: 2, members: [] }]);
 });
-test('a round that is asked again returns what it began with', () => {
+test('a request that is sent again confirms the batch that it began with', () => {
   const confirmation = new FreshnessConfirmation(0);
   expect(confirmation.retry(moment(0))).toBeUndefined();
-  const ask = { child: 'a', nonce: 1, members: [] };
-  confirmation.enqueue(ask);
+  const request = { child: 'a', nonce: 1, members: [] };
+  confirmation.enqueue(request);
   const nonce = confirmation.begin(moment(0));
   confirmation.enqueue({ child: 'b', nonce: 2, members: [] });
   expect(confirmation.retry(moment(100))).toBeUndefined();
   expect(confirmation.retry(moment(250))).toBe(nonce);
   expect(confirmation.retry(moment(300))).toBeUndefined();
-  expect(confirmation.complete(nonce ?? 0)).toEqual([ask]);
+  expect(confirmation.complete(nonce ?? 0)).toEqual([request]);
 });
 
-test('an ask is returned only by a round begun after it', () => {
+test('a request is confirmed only by one that was sent upward after it came in', () => {
   const confirmation = new FreshnessConfirmation(0);
   confirmation.enqueue({ child: 'a', nonce: 1, members: ['a'] });
   const first = confirmation.begin(moment(0));
   confirmation.enqueue({ child: 'b', nonce: 2, members: [] });
   expect(confirmation.begin(moment(10))).toBeUndefined();
   expect(confirmation.complete(first ?? 0)).toEqual([{ child: 'a', nonce: 1, members: ['a'] }]);
-  // An ask that came in while the round was under way is not returned by it.
+  // A request that came in while another was in flight is not confirmed by it.
   const second = confirmation.begin(moment(20));
   expect(confirmation.complete(first ?? 0)).toEqual([]);
   expect(confirmation.complete(second ?? 0)).toEqual([{ child: 'b', nonce: 2, members: [] }]);
--- a/src/dissemination/freshness-confirmation.ts
+++ b/src/dissemination/freshness-confirmation.ts
@@ -1,93 +1,107 @@
 import { later, type Moment } from '../common/ids.js';
 
+/** A request to confirm that the configuration known below is still the newest. */
 export interface ChildRequest {
+  /** The node that sent it; empty for a request of this node's own. */
   readonly child: string;
+  /** The child's own number for it, returned with the reply. */
   readonly nonce: number;
-  /** Every member that will be fresh by what this ask is returned. */
+  /** Ids of all members that count as fresh once it is confirmed. */
   readonly members: readonly string[];
 }
+
+/** The one request that is under way upward, for a batch of requests from below. */
 interface ConfirmationRequest {
   readonly nonce: number;
   readonly sentAt: Moment;
   readonly requests: readonly ChildRequest[];
 }
 
-/** On ordinary links a round that takes so long is taken for lost. */
+/** A request that was not answered for this long is taken as dropped, on links of ordinary round trips. */
 const RETRY_DELAY_MS = 250;
 
 /**
- * Gathers asks for freshness from below into one ask upward at a time. An ask is only ever returned
- * by a round begun after it came in, so that its age counts from the asker's own sending.
+ * Batches the freshness requests from below into one request upward at a time.
+ *
+ * A child's request is only ever confirmed by a request that was sent after it came in, since the freshness bound counts
+ * from when the child sent its own (docs/design.md).
  */
 export class FreshnessConfirmation {
   #queued: ChildRequest[] = [];
   #inFlight: ConfirmationRequest | undefined;
   #nonce: number;
 
-  /** Nonces begin at a number of this life's own: what is returned to a former incarnation ends no round of ours. */
+  /** Nonces start at the incarnation, so that a reply to an earlier incarnation of this process completes nothing. */
   constructor(incarnation: number) {
     this.#nonce = incarnation;
   }
 
-  enqueue(ask: ChildRequest): void {
-    this.#queued.push(ask);
+  /** Adds a request; it goes upward with the next `begin`. */
+  enqueue(request: ChildRequest): void {
+    this.#queued.push(request);
   }
 
   /**
-   * Begins a round if some ask waits and none is under way, or the one under way seems lost; returns its nonce. `slowMs` is
-   * by how much longer than on ordinary links a round takes: one that is begun anew before its end would never end.
+   * Starts a request upward and returns its nonce; `undefined` if nothing is queued or the one in flight is not overdue.
+   * `extraRoundTripMs` is by how much a round trip exceeds that of ordinary links: a request that is replaced
+   * before its reply can come would never complete.
    */
-  begin(now: Moment, slowMs: number = 0): number | undefined {
-    if (this.#inFlight && now < later(this.#inFlight.sentAt, RETRY_DELAY_MS + slowMs))
-      return undefined;
-    const asks = [...(this.#inFlight?.requests ?? []), ...this.#queued];
-    if (asks.length === 0) {
+  begin(now: Moment, extraRoundTripMs: number = 0): number | undefined {
+    if (this.#inFlight && !this.#isOverdue(this.#inFlight, now, extraRoundTripMs)) return undefined;
+    const requests = [...(this.#inFlight?.requests ?? []), ...this.#queued];
+    if (requests.length === 0) {
       this.#inFlight = undefined;
       return undefined;
     }
     this.#queued = [];
     this.#nonce += 1;
-    this.#inFlight = { nonce: this.#nonce, sentAt: now, requests: newestRequests(asks) };
+    this.#inFlight = { nonce: this.#nonce, sentAt: now, requests: newestRequests(requests) };
     return this.#nonce;
   }
 
   /**
-   * The nonce of the round under way, where it is time to ask those again that have not answered. Its asks stay as they
-   * are: an answer to its first sending may come at any time, and shows nothing for what came in since.
+   * The nonce of the request in flight if it is time to send it again to those that have not replied. Its batch stays the
+   * same: a reply to the first sending proves nothing for requests that came in since.
    */
   retry(now: Moment): number | undefined {
-    if (!this.#inFlight || now < later(this.#inFlight.sentAt, RETRY_DELAY_MS)) return undefined;
+    if (!this.#inFlight || !this.#isOverdue(this.#inFlight, now, 0)) return undefined;
     this.#inFlight = { ...this.#inFlight, sentAt: now };
     return this.#inFlight.nonce;
   }
 
-  /** Everybody that the round under way will make fresh. */
+  /** Ids of all members that the request in flight covers. */
   members(): string[] {
     const ids = new Set<string>();
-    for (const ask of this.#inFlight?.requests ?? []) for (const id of ask.members) ids.add(id);
+    for (const request of this.#inFlight?.requests ?? [])
+      for (const id of request.members) ids.add(id);
     return [...ids];
   }
 
-  /** The asks that this round's confirmation returns. */
+  /** Ends the request in flight if this is its nonce, and returns the requests from below that it confirms. */
   complete(nonce: number): readonly ChildRequest[] {
-    const round = this.#inFlight;
-    if (!round || round.nonce !== nonce) return [];
+    const request = this.#inFlight;
+    if (!request || request.nonce !== nonce) return [];
     this.#inFlight = undefined;
-    return round.requests;
+    return request.requests;
   }
 
-  /** Gives up the round under way, as when we hang under another node, and returns all asks that wait. */
+  /** Abandons the request in flight, as after a change of parent, and returns all requests not yet confirmed. */
   abort(): readonly ChildRequest[] {
-    const asks = newestRequests([...(this.#inFlight?.requests ?? []), ...this.#queued]);
+    const requests = newestRequests([...(this.#inFlight?.requests ?? []), ...this.#queued]);
     this.#inFlight = undefined;
     this.#queued = [];
-    return asks;
+    return requests;
+  }
+
+  #isOverdue(request: ConfirmationRequest, now: Moment, extraRoundTripMs: number): boolean {
+    return now >= later(request.sentAt, RETRY_DELAY_MS + extraRoundTripMs);
   }
 }
 
-/** A child that asks again needs only its newest ask returned; what this node asks for itself is returned each. */
-function newestRequests(asks: readonly ChildRequest[]): ChildRequest[] {
-  const byAsker = new Map<string, ChildRequest>();
-  for (const ask of asks) byAsker.set(ask.child === '' ? `own ${ask.nonce}` : ask.child, ask);
-  return [...byAsker.values()];
+/** Only the newest request of each child needs a reply; each of this node's own does. */
+function newestRequests(requests: readonly ChildRequest[]): ChildRequest[] {
+  const bySender = new Map<string, ChildRequest>();
+  for (const request of requests)
+    bySender.set(request.child === '' ? `own ${request.nonce}` : request.child, request);
+  return [...bySender.values()];
 }
--- a/src/dissemination/relay.test.ts
+++ b/src/dissemination/relay.test.ts
@@ -1,12 +1,12 @@
 import { expect, test, vi } from 'vitest';
 import { Relay } from './relay.js';
-test('no topic steps back a version', () => {
+test('no topic goes back a version', () => {
   const relay = new Relay();
   expect(relay.offer('config', { epoch: 4, count: 1 }, 'new')).toBe(true);
   expect(relay.offer('config', { epoch: 2, count: 9 }, 'old')).toBe(false);
   expect(relay.latest('config')?.body).toBe('new');
 });
-test('a burst goes down as its newest, and what got lost goes again', () => {
+test('of a burst only the newest is sent, and what was dropped is sent again', () => {
   const relay = new Relay();
   relay.addChild('x');
   for (let count = 1; count <= 50; count += 1)
@@ -18,11 +18,11 @@
   relay.onKnownVersions('x', [{ topic: 'config', epoch: 2, count: 3 }]);
   expect(relay.flush()).toHaveLength(1);
 });
-/** A large fleet takes long to read: changes are laid over it together, or each would cost as much as the whole. */
-test('many changes are laid over the whole together', () => {
+/** A large fleet takes long to parse: applied one by one, each delta would cost as much as a snapshot. */
+test('many deltas are applied to the snapshot together', () => {
   const relay = new Relay();
-  const whole = JSON.stringify({ flows: 1, runners: [], waits: [] });
-  relay.offer('fleet', { epoch: 2, count: 1 }, whole);
+  const snapshot = JSON.stringify({ flows: 1, runners: [], waits: [] });
+  relay.offer('fleet', { epoch: 2, count: 1 }, snapshot);
   const read = vi.spyOn(JSON, 'parse');
   for (let count = 2; count <= 60; count += 1)
     expect(
--- a/src/dissemination/sessions.test.ts
+++ b/src/dissemination/sessions.test.ts
@@ -11,7 +11,7 @@
     });
   return sessions;
 }
-test('the tree reaches 200 nodes in few steps with bounded fan-out', () => {
+test('the relay tree of 200 nodes is shallow, with bounded fan-out', () => {
   const tree = fill(200).relayParents();
   const children = new Map<string, number>();
   for (const [id, parent] of tree) {
@@ -22,7 +22,7 @@
   }
   for (const count of children.values()) expect(count).toBeLessThanOrEqual(FAN_OUT);
 });
-test('nobody hangs under a node that was lost or not reached', () => {
+test('a node that is disconnected or unreachable is no parent', () => {
   const sessions = fill(10);
   sessions.onUnreachable(moment(0), 'n000');
   expect([...sessions.relayParents().values()]).not.toContain('n000');
