--- a/eslint.config.js
+++ b/eslint.config.js
@@ -42,7 +42,6 @@
   'platform/testbed/wire-judge.ts',
   'src/agent/agent-core.ts',
   'src/check/table-check.ts',
-  'src/control/table-manager.ts',
   'src/placement/adapter-choice.ts',
   'src/placement/order-queue.ts',
   'src/rehearsal/judge.ts',
