--- a/src/control/control-command.ts
+++ b/src/control/control-command.ts
@@ -5,6 +5,7 @@
 import { untilStopped } from '../common/shutdown.js';
 import { TableControlProcess } from './table-control-process.js';
 
+/** `haretrack control`: runs a control node that places by the policy table. */
 export class ControlCommand extends ProgramCommand {
   static override aliases = ['mind'];
   static override deprecateAliases = true;
@@ -21,6 +22,7 @@
     }),
   };
 
+  /** Runs until the process is told to stop, then hands over and exits with 0. */
   async run(): Promise<void> {
     const { flags } = await this.parse(ControlCommand);
     const settings = this.parseSettings(TableControlSettingsShape, flags);
--- a/src/control/control-metrics.ts
+++ b/src/control/control-metrics.ts
@@ -1,5 +1,5 @@
 /**
- * What a control node tells about itself as plain numbers: counters of what it decided, and a read-only snapshot of its
+ * The metrics of a control node as plain numbers: counters of what it decided, and a read-only snapshot of its
  * state. Nothing here knows a metrics library, a clock or the network, so the core that owns it stays pure.
  */
 
@@ -8,6 +8,7 @@
 
 /** Why an order of an operator was refused: it was not carried out and never will be. */
 export const REFUSAL_REASONS = ['base-changed', 'invalid', 'too-old', 'other'] as const;
+/** One of the reasons. */
 export type RefusalReason = (typeof REFUSAL_REASONS)[number];
 
 const REASON_OF: ReadonlyMap<ErrorCode, RefusalReason> = new Map([
@@ -24,22 +25,24 @@
 
 /** Why an order got no clear answer: it may be carried out, or may have been. */
 export const UNCLEAR_REASONS = ['no-majority', 'leader-lost', 'timeout', 'forgotten'] as const;
+/** One of the reasons. */
 export type UnclearReason = (typeof UNCLEAR_REASONS)[number];
 
 /** Whether a replica may count: `blank` began empty, `lost` has a record that cannot be trusted. */
 export const REPLICA_STATES = ['sound', 'blank', 'lost', 'repairing'] as const;
+/** One of the states. */
 export type ReplicaState = (typeof REPLICA_STATES)[number];
 
 /** Orders of operators since the start of this process, each counted by the node that decided on it. */
 export interface OrderCounts {
   readonly accepted: number;
-  /** Of the accepted ones: an order sent again after it had been taken. */
+  /** Of the accepted ones: an order that was repeated after it had been committed. */
   readonly acknowledgedAgain: number;
   readonly refused: Readonly<Record<RefusalReason, number>>;
   readonly unclear: Readonly<Record<UnclearReason, number>>;
-  /** Nothing was done, and the caller was told so: no leader was known. */
+  /** Rejected without effect: no leader was known. */
   readonly unserved: number;
-  /** Passed on to the leader by this node, which is where they are counted by outcome. */
+  /** Forwarded by this node to the leader, which counts them by outcome. */
   readonly forwarded: number;
 }
 
@@ -48,13 +51,13 @@
   readonly electionsStarted: number;
   readonly votesGranted: number;
   readonly leaderChanges: number;
-  /** Changes of the voter set that this node took up; a swap of one voter is two, by way of a joint set. */
+  /** Voter sets that came into force here; a replacement of one voter counts two, by way of a joint set. */
   readonly voterChanges: number;
   /** Repairs of this node's own replica that were completed. */
   readonly repairs: number;
-  /** Copies at other voters that this node found different and sent anew. */
+  /** Partitions at other voters that this node found different and sent anew. */
   readonly copiesMended: number;
-  /** Times that this node asked for the list of runners since no leader did. */
+  /** Times that this node read the list of runners because no leader did. */
   readonly leaderlessReadings: number;
 }
 
@@ -62,7 +65,7 @@
 export interface VoterNumbers {
   /** All voters; of both sets while a joint change is under way. */
   readonly members: number;
-  /** Voters, this node included, that have lately answered it. */
+  /** Voters, this node included, that have recently answered it. */
   readonly reachable: number;
   readonly isVoter: boolean;
   /** Whether a joint change is under way: a majority is then one of the old set and of the new. */
@@ -72,7 +75,7 @@
 /** The agents that have a session with this node. */
 export interface SessionNumbers {
   readonly open: number;
-  /** Of those, the ones that work by an older configuration than the newest one known to be committed. */
+  /** Of those, the ones with an older configuration than the newest one known to be committed. */
   readonly behind: number;
   /** How many versions the last of them is behind. */
   readonly versionsBehind: number;
@@ -83,16 +86,16 @@
   readonly epoch: number;
   readonly isLeaderKnown: boolean;
   readonly isLeading: boolean;
-  /** Whether this node leads and holds the whole state, so that it may decide on orders. */
+  /** Whether this node leads and has read the complete state, so that it may decide on orders. */
   readonly isServing: boolean;
-  /** Whether it may give orders to runners at this moment. */
+  /** Whether it may send orders to runners at this moment. */
   readonly mayOrder: boolean;
   readonly leaseLeftMs: number;
-  /** Time since a majority of the voters, this node included, was last proven in contact; nothing if it never was. */
+  /** Time since a majority of the voters, this node included, was last in contact; undefined if it never was. */
   readonly majorityContactAgeMs: number | undefined;
   readonly voters: VoterNumbers;
   readonly replica: ReplicaState;
-  /** Parts of the state whose copy here cannot be trusted. */
+  /** Partitions of the state whose stored data here is corrupt. */
   readonly corruptPartitions: number;
   /** The configuration in this node's own replica, committed or not. */
   readonly configHeld: Version;
@@ -105,7 +108,7 @@
 
 type Counts<Key extends string> = Record<Key, number>;
 
-/** Counts what a control node decides. It only ever grows; whoever reads it takes differences. */
+/** Counts what a control node decides. Counters only ever grow. */
 export class ControlCounters {
   #accepted = 0;
   #acknowledgedAgain = 0;
@@ -127,12 +130,12 @@
     forgotten: 0,
   };
 
-  /** An order was committed and its caller told so. */
+  /** An order was committed and acknowledged. */
   countAccepted(): void {
     this.#accepted += 1;
   }
 
-  /** An order that had been taken came again and was acknowledged again. */
+  /** An order that had been committed was repeated and acknowledged again. */
   countAcknowledgedAgain(): void {
     this.#accepted += 1;
     this.#acknowledgedAgain += 1;
@@ -148,12 +151,12 @@
     this.#unclear[reason] += 1;
   }
 
-  /** A call was turned away since no leader was known; nothing was done. */
+  /** A call was rejected without effect since no leader was known. */
   countUnserved(): void {
     this.#unserved += 1;
   }
 
-  /** An order was passed on to the leader. */
+  /** An order was forwarded to the leader. */
   countForwarded(): void {
     this.#forwarded += 1;
   }
@@ -168,11 +171,12 @@
     this.#voterChanges += 1;
   }
 
-  /** Everything that the others hold is in this node's replica, on disk. */
+  /** A repair of this node's replica was completed: all that the peers have is on its disk. */
   countRepair(): void {
     this.#repairs += 1;
   }
 
+  /** Orders of operators, by outcome. */
   get orders(): OrderCounts {
     return {
       accepted: this.#accepted,
@@ -184,7 +188,7 @@
     };
   }
 
-  /** With what the election and the replica count by themselves. */
+  /** Events, with those that the election and the replica count by themselves. */
   eventsWith(own: {
     readonly electionsStarted: number;
     readonly votesGranted: number;
--- a/src/control/control-report.ts
+++ b/src/control/control-report.ts
@@ -1,5 +1,3 @@
-/** The metrics of a control node's process: what its core tells of itself, and the writes that the process measures. */
-
 import { monotonicNow } from '../common/clock.js';
 import type { Moment } from '../common/ids.js';
 import { renderMetrics, type Exposition } from '../metrics/exposition.js';
@@ -7,11 +5,12 @@
 import { controlFamilies } from './control-families.js';
 import type { ControlMetrics } from './control-metrics.js';
 
-/** A core that can be looked at. */
+/** A core, as far as its metrics are read. */
 interface Observed {
   metrics(now: Moment): ControlMetrics;
 }
 
+/** Renders the metrics of a control node's process: those of its core, and the latency of writes, measured here. */
 export class ControlReport {
   readonly #writes = new WriteLatency();
 
@@ -27,7 +26,7 @@
     }
   }
 
-  /** Nothing while the core has not started. */
+  /** The metrics as text; undefined while the core has not started. */
   async render(core: Observed | undefined): Promise<Exposition | undefined> {
     if (!core) return undefined;
     const now = monotonicNow();
--- a/src/control/control-runtime.ts
+++ b/src/control/control-runtime.ts
@@ -1,4 +1,4 @@
-/** The frame that every program around a control node's core shares. */
+/** Runs a control node's core: inputs in, one at a time, and effects out. Real programs and simulations use it alike. */
 
 import { interval, Subscription } from 'rxjs';
 import { monotonicNow } from '../common/clock.js';
@@ -7,47 +7,54 @@
 import type { ControlEffect } from './control-effect.js';
 import type { ControlCore } from './control-core.js';
 
+/** A write that failed is tried again after so long. */
 export const DISK_RETRY_MS = 500;
 /** How long a planned stop waits for orders whose outcome is open. */
 export const RETIRE_TIMEOUT_MS = 1000;
 
-/** What the runtime uses of an exchange; one that counts what passes has the same members. */
+/** What the runtime uses of an exchange; an exchange that counts messages has the same members. */
 export type ControlExchange = Pick<
   Exchange,
   'incoming$' | 'disconnected$' | 'open' | 'close' | 'dial' | 'send'
 >;
 
-/** One input of the core, run in its turn. */
+/** One input of the core. */
 export type CoreCommand = (core: ControlCore) => void;
 
+/** A write of a partition to disk. */
 export type StoreEffect = Extract<ControlEffect, { do: 'store' }>;
+/** An order to a runner. */
 export type OrderEffect = Extract<ControlEffect, { do: 'order' }>;
-/** What the runtime leaves to its program: calls to the outside, and notes. */
+/** Effects that the runtime leaves to its program: calls to the outside, and log lines. */
 export type OutsideEffect = Exclude<ControlEffect, { do: 'send' | 'store' | 'reply' }>;
 
 /** What the core replied to a command. */
 export interface CommandReply {
+  /** HTTP status. */
   readonly status: number;
+  /** JSON. */
   readonly body: string;
 }
 
 /** What differs between programs. */
 export interface ControlRuntimePorts {
+  /** Interval between ticks of the core, in milliseconds. */
   readonly tickMs: number;
-  /** Whether a planned stop gives open orders their time anew while the seat is handed over, which bounds itself. */
+  /** Whether the time that a planned stop gives to open orders begins after the node's voter seat is handed over. */
   readonly waitsForHandover: boolean;
   /** The nodes to keep a connection to. */
   peers(core: ControlCore): readonly string[];
-  /** Looks at a message as it arrives, and returns the command that hands it to the core. */
+  /** A message arrived; returns the command that hands it to the core. */
   onMessage(incoming: Incoming): CoreCommand;
-  /** Stores a part; fails where it could not be synced. */
+  /** Writes a partition to disk; rejects where it could not be synced. */
   write(effect: StoreEffect): Promise<void>;
+  /** Carries out an effect. */
   perform(effect: OutsideEffect, core: ControlCore): void;
-  /** What a command threw; where this throws in turn, its effects are not carried out. */
+  /** A command threw; where this throws in turn, the command's effects are not carried out. */
   onCommandFailed(thrown: unknown): void;
 }
 
-/** Hands a message on with the zone of the control node that sent it. */
+/** Hands a message to the core, with its sender's zone if that is a control node. */
 export function deliverWithZone(incoming: Incoming, core: ControlCore): void {
   const zone = incoming.role === 'mind' ? incoming.zone : '';
   core.onMessage(monotonicNow(), incoming.from, incoming.message, zone);
@@ -68,7 +75,7 @@
     this.#ports = ports;
   }
 
-  /** Nothing until it was opened. */
+  /** The core; undefined until it is opened. */
   get core(): ControlCore | undefined {
     return this.#core;
   }
@@ -85,52 +92,47 @@
     await this.#exchange.open();
   }
 
+  /** Ticks the core from now on. */
   startTicks(): void {
     this.#subscription.add(interval(this.#ports.tickMs).subscribe(() => this.tick()));
   }
 
-  /** A tick out of turn. */
+  /** Ticks the core now, beside the regular ticks. */
   tick(): void {
     this.submit((core) => this.#tick(core));
   }
 
-  /** Hands over what the core leads, if no order is open; over after a bounded time either way. */
+  /** Hands over the lease and the voter seat, if no order is open; ends after a bounded time either way. */
   async retire(): Promise<void> {
-    const { tickMs, waitsForHandover } = this.#ports;
-    function afterTick(done: () => void): void {
-      setTimeout(done, tickMs);
-    }
-    let end = monotonicNow() + RETIRE_TIMEOUT_MS;
-    for (let isRetired = false; !isRetired && monotonicNow() < end;) {
-      this.submit((core: ControlCore) => {
-        isRetired = core.retire(monotonicNow());
-        // The seat's taking over bounds itself; the time for open orders begins after it.
-        if (waitsForHandover && core.isHandingOver) end = monotonicNow() + RETIRE_TIMEOUT_MS;
-      });
-      if (!isRetired) await new Promise<void>(afterTick);
-    }
-    // What was said last must leave the process before its connections close.
-    await new Promise<void>(afterTick);
+    const { tickMs } = this.#ports;
+    const nextTick = () => new Promise<void>((resolve) => setTimeout(resolve, tickMs));
+    let deadline = monotonicNow() + RETIRE_TIMEOUT_MS;
+    const extendDeadline = () => {
+      deadline = monotonicNow() + RETIRE_TIMEOUT_MS;
+    };
+    while (monotonicNow() < deadline && !this.#retireCore(extendDeadline)) await nextTick();
+    // The last messages must leave the process before its connections close.
+    await nextTick();
   }
 
+  /** Stops ticks and messages. */
   close(): void {
     this.#subscription.unsubscribe();
     this.#exchange.close();
   }
 
-  /** Every input is a command of the core's one owner; its effects are carried out before the next. */
+  /** Runs a command once all earlier ones have run and their effects are carried out; dropped while there is no core. */
   submit(command: CoreCommand): void {
     const core = this.#core;
     if (core) this.#commands.submit(() => this.#run(core, command));
   }
 
-  /** Hands a verb of the core and its JSON body on to it. */
+  /** Submits an operator's command, a verb with its JSON body, and resolves with the core's reply. */
   request(verb: string, body: string): Promise<CommandReply> {
     this.#commandId += 1;
     const id = this.#commandId;
-    const replies = this.#pendingReplies;
-    const reply = new Promise<CommandReply>((done: (reply: CommandReply) => void) => {
-      replies.set(id, done);
+    const reply = new Promise<CommandReply>((resolve) => {
+      this.#pendingReplies.set(id, resolve);
     });
     this.submit((core: ControlCore) => {
       core.onCommand(monotonicNow(), id, verb, body);
@@ -138,6 +140,16 @@
     return reply;
   }
 
+  /** Whether the core may stop. A handover of its voter seat has a time-out of its own; open orders get theirs after it. */
+  #retireCore(onHandingOver: () => void): boolean {
+    let isRetired = false;
+    this.submit((core) => {
+      isRetired = core.retire(monotonicNow());
+      if (this.#ports.waitsForHandover && core.isHandingOver) onHandingOver();
+    });
+    return isRetired;
+  }
+
   #run(core: ControlCore, command: CoreCommand): void {
     try {
       command(core);
@@ -185,8 +197,8 @@
     try {
       await this.#ports.write(effect);
     } catch {
-      // Named by the store. It is tried again for as long as we run: until then nobody hears a yes from us.
-      setTimeout(() => this.#store(effect), DISK_RETRY_MS).unref();
+      // The store has reported it. Until a retry succeeds nothing that depends on this write is acknowledged.
+      setTimeout(() => void this.#store(effect), DISK_RETRY_MS).unref();
       return;
     }
     this.submit((core: ControlCore) => {
--- a/src/control/lease.ts
+++ b/src/control/lease.ts
@@ -1,25 +1,28 @@
-/** What the lease allows whoever orders runners, right before a write and while one is under way. */
+/** What the lease allows the sender of orders: right before an order is written, and while it is in flight. */
 
 import type { Moment } from '../common/ids.js';
 
+/** The lease of the node that orders runners. */
 export interface Lease {
+  /** Whether the node leads, serves and holds the lease at this moment. */
   mayOrder(now: Moment): boolean;
+  /** Until when orders may be sent, unless the lease is renewed. */
   leaseEnd(): Moment;
 }
 
 /**
- * No order is written so shortly before the lease ends, in ms, and one under way is cut off then. What is written after a
- * check that left more than this, and taken within the span that a runner is told, is taken in the lease, however long we
- * were frozen in between.
+ * No order is written within this time, in milliseconds, before the lease ends, and one in flight is cancelled then. It
+ * is longer than a runner may take to accept an order (`ACCEPT_WITHIN_MS`): an order that was checked right before it
+ * was written is accepted within the lease, even if this process was suspended in between.
  */
 export const LEASE_MARGIN_MS = 350;
 
-/** Looked at right before the write itself. */
+/** Whether an order may be written now; to be called right before the write itself. */
 export function mayWrite(lease: Lease, now: Moment): boolean {
   return lease.mayOrder(now) && lease.leaseEnd() - now > LEASE_MARGIN_MS;
 }
 
-/** How long from now an order under way may go on, in ms. */
+/** For how long from now, in milliseconds, an order may stay in flight. */
 export function remainingOrderTimeMs(lease: Lease, now: Moment): number {
   return Math.max(0, lease.leaseEnd() - now - LEASE_MARGIN_MS);
 }
--- a/src/control/order-sender.test.ts
+++ b/src/control/order-sender.test.ts
@@ -3,7 +3,7 @@
 import { type Moment, moment } from '../common/ids.js';
 import type { Intent } from '../placement/shapes.js';
 import { OrderSender } from './order-sender.js';
-import { type IncomingMessage, createServer } from 'node:http';
+import { type IncomingMessage, type ServerResponse, createServer } from 'node:http';
 
 const intent: Intent = {
   id: 'i1',
@@ -18,16 +18,15 @@
   run: (address: string, bodies: string[]) => Promise<void>,
 ): Promise<void> {
   const bodies: string[] = [];
-  const server = createServer(
-    async (asked: IncomingMessage, returned: import('node:http').ServerResponse): Promise<void> => {
-      try {
-        bodies.push(await readBody(asked));
-      } catch {
-        return;
-      }
-      returned.writeHead(202).end();
-    },
-  );
+  const accept = async (asked: IncomingMessage, returned: ServerResponse): Promise<void> => {
+    try {
+      bodies.push(await readBody(asked));
+    } catch {
+      return;
+    }
+    returned.writeHead(202).end();
+  };
+  const server = createServer((asked, returned) => void accept(asked, returned));
   await new Promise<void>((done: () => void) => {
     server.listen(0, '127.0.0.1', done);
   });
--- a/src/control/order-sender.ts
+++ b/src/control/order-sender.ts
@@ -5,14 +5,19 @@
 import { parseAddress } from '../common/listen.js';
 import { mayWrite, remainingOrderTimeMs, type Lease } from './lease.js';
 
+/**
+ * How an order ended. `taken`: the runner accepted it. `turnedAway`: it never will. `unsure`: it was written, and no clear
+ * response came. `unsent`: nothing of it was written. The words are part of the names of the operators' counters.
+ */
 export type OrderOutcome = 'taken' | 'turnedAway' | 'unsure' | 'unsent';
 
+/** A runner that does not ask for the body of an order within this time does not get it. */
 const CONTINUE_TIMEOUT_MS = 1000;
-/** So long after it was told to go on a runner may take the order, on its own clock, in ms. */
+/** So long after it asked for the body a runner may accept the order, on its own clock, in milliseconds. */
 export const ACCEPT_WITHIN_MS = 300;
 
 /**
- * Sends one order. The head goes first and asks to be told to go on, so that a runner that is dark or slow
+ * Sends orders to runners. The head goes first and expects `100 Continue`, so that a runner that is unreachable or slow
  * never finds an order waiting in its socket; the lease is checked right before the order itself is written.
  */
 export class OrderSender {
@@ -24,6 +29,7 @@
     this.#now = now;
   }
 
+  /** Sends one order to the runner at `address`; `holder` and `epoch`, the fencing token, say who orders. Never rejects. */
   send(intent: Intent, address: string, holder: string, epoch: number): Promise<OrderOutcome> {
     const { host, port } = parseAddress(address);
     const body = JSON.stringify({
@@ -43,52 +49,84 @@
       'x-take-within-ms': ACCEPT_WITHIN_MS,
     };
     const sent = request({ host, port, method: 'POST', path: '/orders', headers, agent: false });
-    return new Promise((done) => this.#run(sent, body, done));
+    const attempt = new OrderAttempt(sent, body, this.#lease, this.#now);
+    return attempt.run();
   }
+}
 
-  #run(sent: ClientRequest, body: string, done: (outcome: OrderOutcome) => void): void {
-    const lease = this.#lease;
-    const now = this.#now;
-    let isWritten = false;
-    let isOver = false;
-    const ticks: NodeJS.Timeout[] = [];
-    function end(outcome: OrderOutcome): void {
-      if (isOver) return;
-      isOver = true;
-      for (const tick of ticks) clearTimeout(tick);
-      sent.destroy();
-      done(outcome);
-    }
-    function giveUp(): void {
-      end(isWritten ? 'unsure' : 'unsent');
-    }
-    sent.once('continue', () => {
-      // Right before the write, and with the margin in which an order under way is cut off.
-      if (!mayWrite(lease, now())) {
-        end('unsent');
-        return;
-      }
-      isWritten = true;
-      sent.end(body);
-    });
-    sent.once('response', async (returned: IncomingMessage): Promise<void> => {
-      try {
-        await readBody(returned);
-        const status = returned.statusCode ?? 0;
-        if (status >= 200 && status < 300) end('taken');
-        else if (isWritten && status >= 400 && status < 500) end('turnedAway');
-        else end(isWritten ? 'unsure' : 'unsent');
-      } catch {
-        giveUp();
-      }
+/** One order on its own connection. */
+class OrderAttempt {
+  readonly #request: ClientRequest;
+  readonly #body: string;
+  readonly #lease: Lease;
+  readonly #now: () => Moment;
+  readonly #timers: NodeJS.Timeout[] = [];
+  #resolve: ((outcome: OrderOutcome) => void) | undefined;
+  #isWritten = false;
+
+  constructor(sent: ClientRequest, body: string, lease: Lease, now: () => Moment) {
+    this.#request = sent;
+    this.#body = body;
+    this.#lease = lease;
+    this.#now = now;
+  }
+
+  run(): Promise<OrderOutcome> {
+    return new Promise((resolve) => {
+      this.#resolve = resolve;
+      this.#start();
     });
-    sent.on('error', giveUp);
+  }
+
+  #start(): void {
+    const sent = this.#request;
+    sent.once('continue', () => this.#write());
+    sent.once('response', (response: IncomingMessage) => void this.#onResponse(response));
+    sent.on('error', () => this.#fail());
     sent.flushHeaders();
-    ticks.push(
-      setTimeout(() => {
-        if (!isWritten) end('unsent');
-      }, CONTINUE_TIMEOUT_MS),
-      setTimeout(giveUp, remainingOrderTimeMs(lease, now())),
+    this.#timers.push(
+      setTimeout(() => this.#onContinueTimeout(), CONTINUE_TIMEOUT_MS),
+      setTimeout(() => this.#fail(), remainingOrderTimeMs(this.#lease, this.#now())),
     );
   }
+
+  /** The lease must last for longer than the margin at which an order in flight is cancelled. */
+  #write(): void {
+    if (!mayWrite(this.#lease, this.#now())) {
+      this.#end('unsent');
+      return;
+    }
+    this.#isWritten = true;
+    this.#request.end(this.#body);
+  }
+
+  async #onResponse(response: IncomingMessage): Promise<void> {
+    try {
+      await readBody(response);
+    } catch {
+      this.#fail();
+      return;
+    }
+    const status = response.statusCode ?? 0;
+    if (status >= 200 && status < 300) this.#end('taken');
+    else if (this.#isWritten && status >= 400 && status < 500) this.#end('turnedAway');
+    else this.#fail();
+  }
+
+  #onContinueTimeout(): void {
+    if (!this.#isWritten) this.#end('unsent');
+  }
+
+  #fail(): void {
+    this.#end(this.#isWritten ? 'unsure' : 'unsent');
+  }
+
+  #end(outcome: OrderOutcome): void {
+    const resolve = this.#resolve;
+    if (!resolve) return;
+    this.#resolve = undefined;
+    for (const timer of this.#timers) clearTimeout(timer);
+    this.#request.destroy();
+    resolve(outcome);
+  }
 }
