--- a/src/proxy/attempt-tracker.ts
+++ b/src/proxy/attempt-tracker.ts
@@ -26,10 +26,10 @@
   /** How long the making of a connection may take. */
   readonly #connectTimeoutMs: number;
 
-  constructor(state: DispatcherState, placement: RequestPlacement, connectMs: number) {
+  constructor(state: DispatcherState, placement: RequestPlacement, connectTimeoutMs: number) {
     this.#state = state;
     this.#placement = placement;
-    this.#connectTimeoutMs = connectMs;
+    this.#connectTimeoutMs = connectTimeoutMs;
   }
 
   // ---- before the first byte
--- a/src/proxy/connection-probes.ts
+++ b/src/proxy/connection-probes.ts
@@ -1,6 +1,6 @@
 import { later, type Moment } from '../common/ids.js';
 
-export interface Watched {
+export interface ProbedBackend {
   readonly id: string;
   readonly address: string;
 }
@@ -10,23 +10,23 @@
   | { readonly do: 'close'; readonly id: string };
 
 /** Whom a watch tells that a back end fell, or rose anew. */
-export interface Watcher {
-  fallen(now: Moment, id: string): void;
-  risen(now: Moment, id: string): void;
+export interface Prober {
+  onBackendDown(now: Moment, id: string): void;
+  onBackendUp(now: Moment, id: string): void;
 }
 
-interface Line {
+interface ProbeConnection {
   readonly address: string;
   count: number;
   state: 'opening' | 'open' | 'closed';
   since: Moment;
-  hasFallen: boolean;
+  isDown: boolean;
 }
 
-const AGAIN_MS = 250;
+const REOPEN_DELAY_MS = 250;
 /** A line that stands says nothing of a machine that is gone: it is opened anew so often. */
-const RENEW_MS = 1000;
-const OPENING_MS = 500;
+const PROBE_INTERVAL_MS = 1000;
+const CONNECT_TIMEOUT_MS = 500;
 
 /**
  * Back ends that tell nothing of themselves are watched by one idle connection each: when it closes, and every
@@ -34,87 +34,89 @@
  * machine is away, and what rises then is cold. Pure: whoever has the connections opens and closes them as told.
  */
 export class ConnectionProbes {
-  readonly #watcher: Watcher;
-  readonly #lines = new Map<string, Line>();
+  readonly #prober: Prober;
+  readonly #connections = new Map<string, ProbeConnection>();
   #steps: ConnectionProbeStep[] = [];
 
-  constructor(watcher: Watcher) {
-    this.#watcher = watcher;
+  constructor(prober: Prober) {
+    this.#prober = prober;
   }
 
-  drain(): ConnectionProbeStep[] {
+  drainSteps(): ConnectionProbeStep[] {
     const steps = this.#steps;
     this.#steps = [];
     return steps;
   }
 
-  follow(now: Moment, list: readonly Watched[]): void {
+  setBackends(now: Moment, list: readonly ProbedBackend[]): void {
     const ids = new Set<string>();
     for (const { id, address } of list) {
       ids.add(id);
-      const line = this.#lines.get(id);
-      if (line?.address === address) continue;
-      if (line) this.#steps.push({ do: 'close', id });
-      const next: Line = {
+      const connection = this.#connections.get(id);
+      if (connection?.address === address) continue;
+      if (connection) this.#steps.push({ do: 'close', id });
+      const next: ProbeConnection = {
         address,
-        count: line?.count ?? 0,
+        count: connection?.count ?? 0,
         state: 'closed',
         since: now,
-        hasFallen: false,
+        isDown: false,
       };
-      this.#lines.set(id, next);
+      this.#connections.set(id, next);
       this.#open(now, id, next);
     }
-    for (const id of this.#lines.keys())
+    for (const id of this.#connections.keys())
       if (!ids.has(id)) {
-        this.#lines.delete(id);
+        this.#connections.delete(id);
         this.#steps.push({ do: 'close', id });
       }
   }
 
   tick(now: Moment): void {
-    for (const [id, line] of this.#lines) {
-      if (line.state === 'closed' && now >= later(line.since, AGAIN_MS)) this.#open(now, id, line);
-      if (line.state === 'open' && now >= later(line.since, RENEW_MS)) this.#open(now, id, line);
+    for (const [id, connection] of this.#connections) {
+      if (connection.state === 'closed' && now >= later(connection.since, REOPEN_DELAY_MS))
+        this.#open(now, id, connection);
+      if (connection.state === 'open' && now >= later(connection.since, PROBE_INTERVAL_MS))
+        this.#open(now, id, connection);
       // Neither opened nor turned down: its machine is out of reach.
-      if (line.state === 'opening' && now >= later(line.since, OPENING_MS)) {
-        this.#fall(now, id, line);
-        this.#open(now, id, line);
+      if (connection.state === 'opening' && now >= later(connection.since, CONNECT_TIMEOUT_MS)) {
+        this.#markDown(now, id, connection);
+        this.#open(now, id, connection);
       }
     }
   }
 
-  #open(now: Moment, id: string, line: Line): void {
-    line.count += 1;
-    line.state = 'opening';
-    line.since = now;
-    this.#steps.push({ do: 'open', id, address: line.address, count: line.count });
+  #open(now: Moment, id: string, connection: ProbeConnection): void {
+    connection.count += 1;
+    connection.state = 'opening';
+    connection.since = now;
+    this.#steps.push({ do: 'open', id, address: connection.address, count: connection.count });
   }
 
-  opened(now: Moment, id: string, count: number): void {
-    const line = this.#lines.get(id);
-    if (!line || line.count !== count) return;
-    line.state = 'open';
-    line.since = now;
-    if (line.hasFallen) this.#watcher.risen(now, id);
-    line.hasFallen = false;
+  onOpen(now: Moment, id: string, count: number): void {
+    const connection = this.#connections.get(id);
+    if (!connection || connection.count !== count) return;
+    connection.state = 'open';
+    connection.since = now;
+    if (connection.isDown) this.#prober.onBackendUp(now, id);
+    connection.isDown = false;
   }
 
-  closed(now: Moment, id: string, count: number): void {
-    const line = this.#lines.get(id);
-    if (!line || line.count !== count || line.state === 'closed') return;
-    const wasOpen = line.state === 'open';
-    line.state = 'closed';
-    line.since = now;
+  onClose(now: Moment, id: string, count: number): void {
+    const connection = this.#connections.get(id);
+    if (!connection || connection.count !== count || connection.state === 'closed') return;
+    const wasOpen = connection.state === 'open';
+    connection.state = 'closed';
+    connection.since = now;
     if (wasOpen) {
-      this.#open(now, id, line);
+      this.#open(now, id, connection);
       return;
     }
-    this.#fall(now, id, line);
+    this.#markDown(now, id, connection);
   }
 
-  #fall(now: Moment, id: string, line: Line): void {
-    if (!line.hasFallen) this.#watcher.fallen(now, id);
-    line.hasFallen = true;
+  #markDown(now: Moment, id: string, connection: ProbeConnection): void {
+    if (!connection.isDown) this.#prober.onBackendDown(now, id);
+    connection.isDown = true;
   }
 }
--- a/src/proxy/demand-counter.ts
+++ b/src/proxy/demand-counter.ts
@@ -1,5 +1,5 @@
 /** Requests for a model, or for an adapter of it where named, since last told. */
-export interface UnitDemandCount {
+export interface ModelDemandCount {
   model: string;
   adapter: string;
   count: number;
@@ -25,7 +25,7 @@
   }
 
   /** Hands over what was counted, and begins anew. */
-  take(): { units: UnitDemandCount[]; rows: RowDemandCount[] } {
+  take(): { units: ModelDemandCount[]; rows: RowDemandCount[] } {
     const units = [];
     for (const [unit, count] of this.#units) {
       const [model = '', adapter = ''] = unit.split('\n');
--- a/src/proxy/error-replies.ts
+++ b/src/proxy/error-responses.ts
@@ -1,17 +1,17 @@
 import type { OutgoingHttpHeaders, ServerResponse } from 'node:http';
 import { ERROR_RESPONSES, type ErrorCode } from '../common/errors.js';
 import type { Counters } from '../common/counters.js';
-import type { Decision } from './decision.js';
-import { retryAfterOf } from './in-flight-requests.js';
+import type { PolicyRouter } from './policy-router.js';
+import { retryAfterSeconds } from './in-flight-requests.js';
 
 /** Writes the final answers of requests that got none from a runner, as JSON with an error code. */
-export class ErrorReplies {
-  readonly #decision: Decision;
+export class ErrorResponses {
+  readonly #router: PolicyRouter;
   readonly #counters: Counters;
   #isDraining = false;
 
-  constructor(decision: Decision, counters: Counters) {
-    this.#decision = decision;
+  constructor(router: PolicyRouter, counters: Counters) {
+    this.#router = router;
     this.#counters = counters;
   }
 
@@ -21,23 +21,23 @@
   }
 
   /** Answers at once; `retryMs` tells when coming back is worth while, 0 where nothing is known. */
-  tell(
-    returned: ServerResponse,
+  send(
+    response: ServerResponse,
     requestId: string,
     kind: ErrorCode,
     text: string,
     retryMs = 0,
   ): void {
     this.#counters.add(`defects.${kind}`);
-    if (returned.headersSent || returned.destroyed) {
-      returned.destroy();
+    if (response.headersSent || response.destroyed) {
+      response.destroy();
       return;
     }
     const { status, isOutcomeUnknown: unsure } = ERROR_RESPONSES[kind];
     const outcome = unsure ? 'unsure' : 'turned-away';
     const body = JSON.stringify({ defect: kind, text, outcome });
-    returned.writeHead(status, this.#headersOf(requestId, kind, body, retryMs));
-    returned.end(body);
+    response.writeHead(status, this.#headersOf(requestId, kind, body, retryMs));
+    response.end(body);
   }
 
   #headersOf(
@@ -52,8 +52,8 @@
       'x-request-id': requestId,
     };
     // A proxy that is blind works by no table at all.
-    if (kind !== 'blind') headers['x-table'] = String(this.#decision.tableNumber);
-    const retryAfter = retryAfterOf(kind, retryMs);
+    if (kind !== 'blind') headers['x-table'] = String(this.#router.tableNumber);
+    const retryAfter = retryAfterSeconds(kind, retryMs);
     if (retryAfter > 0) headers['retry-after'] = String(retryAfter);
     if (this.#isDraining || kind === 'too-large') headers['connection'] = 'close';
     return headers;
--- a/src/proxy/freshness.test.ts
+++ b/src/proxy/freshness.test.ts
@@ -4,11 +4,11 @@
 test('a confirmation for a former incarnation makes nobody fresh', () => {
   const former = new Freshness(2500, 1000);
   const latter = new Freshness(2500, 2000);
-  const nonce = former.ask(moment(0));
-  latter.ask(moment(1000));
+  const nonce = former.startRequest(moment(0));
+  latter.startRequest(moment(1000));
   // It was asked before the restart, and says nothing of what holds since.
-  latter.confirmFreshness(nonce, true);
+  latter.onConfirmed(nonce, true);
   expect(latter.isFresh(moment(1001))).toBe(false);
-  former.confirmFreshness(nonce, true);
+  former.onConfirmed(nonce, true);
   expect([former.isFresh(moment(2499)), former.isFresh(moment(2500))]).toEqual([true, false]);
 });
--- a/src/proxy/freshness.ts
+++ b/src/proxy/freshness.ts
@@ -2,32 +2,33 @@
 
 /** Whether this proxy's news is known to be the newest, counted from when it asked, on its own monotonic clock. */
 export class Freshness {
-  readonly #blindMs: number;
+  readonly #boundMs: number;
   #freshUntil: Moment = moment(-1);
-  readonly #asks = new Map<number, Moment>();
+  readonly #requests = new Map<number, Moment>();
   #nonce: number;
 
   /** Nonces begin at a number of this life's own: a confirmation for our former incarnation's ask must return none of ours. */
-  constructor(blindMs: number, incarnation: number) {
-    this.#blindMs = blindMs;
+  constructor(boundMs: number, incarnation: number) {
+    this.#boundMs = boundMs;
     this.#nonce = incarnation;
   }
 
-  ask(now: Moment): number {
+  startRequest(now: Moment): number {
     this.#nonce += 1;
-    this.#asks.set(this.#nonce, now);
-    for (const [nonce, at] of this.#asks) if (now - at > this.#blindMs) this.#asks.delete(nonce);
+    this.#requests.set(this.#nonce, now);
+    for (const [nonce, at] of this.#requests)
+      if (now - at > this.#boundMs) this.#requests.delete(nonce);
     return this.#nonce;
   }
 
   /** A confirmation came; it counts only if what we hold is as new as what it names. */
-  confirmFreshness(nonce: number, isHeld: boolean): void {
-    const at = this.#asks.get(nonce);
+  onConfirmed(nonce: number, isKnown: boolean): void {
+    const at = this.#requests.get(nonce);
     if (at === undefined) return;
     // If we do not hold it yet, the ask stays open: the news may be just behind.
-    if (!isHeld) return;
-    this.#asks.delete(nonce);
-    const until = later(at, this.#blindMs);
+    if (!isKnown) return;
+    this.#requests.delete(nonce);
+    const until = later(at, this.#boundMs);
     if (until > this.#freshUntil) this.#freshUntil = until;
   }
 
--- a/src/proxy/in-flight-requests.ts
+++ b/src/proxy/in-flight-requests.ts
@@ -1,11 +1,11 @@
 import type { Counters } from '../common/counters.js';
 import { ERROR_RESPONSES, type ErrorCode } from '../common/errors.js';
 import { later, type Moment } from '../common/ids.js';
-import type { Decision } from './decision.js';
-import type { Asked, RunVerdict } from './decision-types.js';
+import type { PolicyRouter } from './policy-router.js';
+import type { RequestInfo, RunVerdict } from './policy-router-types.js';
 
 /** What whoever has the connections must do now. */
-export type Step =
+export type ForwardStep =
   /** Connect to that runner, and write nothing yet. */
   | {
       readonly do: 'connect';
@@ -15,16 +15,21 @@
     }
   | { readonly do: 'write'; readonly id: number; readonly attempt: number }
   /** Pass on to the client the head that came, and what follows. */
-  | { readonly do: 'pass'; readonly id: number; readonly attempt: number; readonly table: number }
+  | {
+      readonly do: 'forward';
+      readonly id: number;
+      readonly attempt: number;
+      readonly table: number;
+    }
   /** All was passed on, and the runner said so itself: end the client's return properly. */
-  | { readonly do: 'finish'; readonly id: number; readonly attempt: number }
+  | { readonly do: 'complete'; readonly id: number; readonly attempt: number }
   /** End the client's return so that it is seen to be broken. */
-  | { readonly do: 'breakOff'; readonly id: number }
+  | { readonly do: 'abort'; readonly id: number }
   /** Drop the connection to the runner. */
   | { readonly do: 'cancel'; readonly id: number; readonly attempt: number }
   /** The final word on a request that got none from a runner. */
   | {
-      readonly do: 'tell';
+      readonly do: 'respondError';
       readonly id: number;
       readonly kind: ErrorCode;
       readonly text: string;
@@ -33,19 +38,19 @@
 
 export interface InFlightSettings {
   /** The most; of a short lateness no more than an eighth. */
-  readonly connectMs: number;
+  readonly connectTimeoutMs: number;
   /** How long a return that has begun may stand still, for the runner's sake or the client's. */
-  readonly silentMs: number;
+  readonly idleTimeoutMs: number;
 }
 
 /** How a head that came back ends, if it does, and whether the runner has begun the request at all. */
-export interface Head {
-  readonly isBegun: boolean;
+export interface RunnerResponseHead {
+  readonly isStarted: boolean;
   readonly isBounded: boolean;
 }
 
 interface InFlightRequest {
-  readonly asked: Asked;
+  readonly info: RequestInfo;
   stage: 'pending' | 'connecting' | 'written' | 'returning';
   /** Counts the runners it was drawn to; what is heard of an earlier one is void. */
   attempt: number;
@@ -54,28 +59,28 @@
   isWritten: boolean;
   wasWrittenBefore: boolean;
   isBounded: boolean;
-  movedAt: Moment;
+  lastActivityAt: Moment;
 }
 
 /** A tick that comes so late shows that this process stood still, not the runners. */
-const STALL_MS = 1000;
+const EVENT_LOOP_STALL_MS = 1000;
 /** A return that stood still for long may not be cut at the very tick after our own stall. */
-const AFTER_STALL_MS = 1000;
+const STALL_RECOVERY_MS = 1000;
 
 /**
  * What is known of each request on its way, pure: it hears what happens on the connections and says what to do.
  * The HTTP executor and the simulator both drive it, so that the rules on data are tried on virtual time.
  */
 export class InFlightRequests {
-  readonly #decision: Decision;
+  readonly #router: PolicyRouter;
   readonly #settings: InFlightSettings;
   readonly #counters: Counters;
   readonly #inFlightRequests = new Map<number, InFlightRequest>();
-  #steps: Step[] = [];
-  #tickAt: Moment | undefined;
+  #steps: ForwardStep[] = [];
+  #lastTickAt: Moment | undefined;
 
-  constructor(decision: Decision, settings: InFlightSettings, counters: Counters) {
-    this.#decision = decision;
+  constructor(router: PolicyRouter, settings: InFlightSettings, counters: Counters) {
+    this.#router = router;
     this.#settings = settings;
     this.#counters = counters;
   }
@@ -84,80 +89,88 @@
     return this.#inFlightRequests.size;
   }
 
-  drain(): Step[] {
+  drainSteps(): ForwardStep[] {
     const steps = this.#steps;
     this.#steps = [];
     return steps;
   }
 
   /** A request has come whole. */
-  take(now: Moment, asked: Asked): void {
-    this.#inFlightRequests.set(asked.id, {
-      asked,
+  onRequest(now: Moment, info: RequestInfo): void {
+    this.#inFlightRequests.set(info.id, {
+      info,
       stage: 'pending',
       attempt: 0,
       verdict: undefined,
       isWritten: false,
       wasWrittenBefore: false,
       isBounded: false,
-      movedAt: now,
+      lastActivityAt: now,
     });
-    this.#decision.gate(now, asked);
-    this.settle(now);
+    this.#router.onRequest(now, info);
+    this.applyVerdicts(now);
   }
 
   startDraining(now: Moment): void {
-    this.#decision.startDraining(now);
-    this.settle(now);
+    this.#router.startDraining(now);
+    this.applyVerdicts(now);
   }
 
   tick(now: Moment): void {
-    this.#decision.tick(now);
-    const gap = this.#tickAt === undefined ? 0 : now - this.#tickAt;
-    this.#tickAt = now;
-    for (const passage of [...this.#inFlightRequests.values()]) {
+    this.#router.tick(now);
+    const gap = this.#lastTickAt === undefined ? 0 : now - this.#lastTickAt;
+    this.#lastTickAt = now;
+    for (const request of [...this.#inFlightRequests.values()]) {
       // What came in while we stood still is read only after this tick.
-      if (gap > STALL_MS) passage.movedAt = later(passage.movedAt, gap + AFTER_STALL_MS);
-      this.#check(now, passage);
+      if (gap > EVENT_LOOP_STALL_MS)
+        request.lastActivityAt = later(request.lastActivityAt, gap + STALL_RECOVERY_MS);
+      this.#check(now, request);
     }
-    this.settle(now);
+    this.applyVerdicts(now);
   }
 
-  #check(now: Moment, passage: InFlightRequest): void {
-    const { verdict, stage } = passage;
+  #check(now: Moment, request: InFlightRequest): void {
+    const { verdict, stage } = request;
     if (!verdict || stage === 'pending') return;
     // A stream that has begun in time goes on; anything else ends with its limit.
     const isLate = now >= verdict.limit && !(stage === 'returning' && verdict.row.stream);
-    if (isLate) this.#late(now, passage);
+    if (isLate) this.#onDeadline(now, request);
     else if (
       stage === 'connecting' &&
-      now >= later(passage.movedAt, Math.min(this.#settings.connectMs, verdict.row.lateMs / 8))
+      now >=
+        later(
+          request.lastActivityAt,
+          Math.min(this.#settings.connectTimeoutMs, verdict.row.lateMs / 8),
+        )
+    ) {
+      this.#cancel(request);
+      this.#onConnectFailed(now, request);
+    } else if (
+      stage === 'returning' &&
+      now >= later(request.lastActivityAt, this.#settings.idleTimeoutMs)
     ) {
-      this.#cancel(passage);
-      this.#unreached(now, passage);
-    } else if (stage === 'returning' && now >= later(passage.movedAt, this.#settings.silentMs)) {
       this.#counters.add('returns.silent');
-      this.#cancel(passage);
-      this.#breakOff(now, passage);
+      this.#cancel(request);
+      this.#abortResponse(now, request);
     }
   }
 
-  #late(now: Moment, passage: InFlightRequest): void {
+  #onDeadline(now: Moment, request: InFlightRequest): void {
     this.#counters.add('runs.late');
-    this.#cancel(passage);
-    const { id } = passage.asked;
-    if (passage.stage === 'returning') {
-      this.#breakOff(now, passage);
+    this.#cancel(request);
+    const { id } = request.info;
+    if (request.stage === 'returning') {
+      this.#abortResponse(now, request);
       return;
     }
     // How long it has gone on already says how long runs are, at the least.
-    if (passage.stage === 'written') this.#decision.done(now, id);
-    else this.#decision.gone(now, id);
-    this.#end(passage);
+    if (request.stage === 'written') this.#router.onRunCompleted(now, id);
+    else this.#router.onClientDisconnect(now, id);
+    this.#end(request);
     this.#steps.push({
-      do: 'tell',
+      do: 'respondError',
       id,
-      kind: passage.isWritten ? 'unsure-late' : 'limit-passed',
+      kind: request.isWritten ? 'unsure-late' : 'limit-passed',
       text: 'its limit passed',
       retryMs: 0,
     });
@@ -166,77 +179,77 @@
   // ---- what is heard of the connections
 
   /** The connection stands, new or kept. Only now is it known when the first byte would go. */
-  connected(now: Moment, id: number, attempt: number): void {
-    const passage = this.#current(id, attempt, 'connecting');
-    if (!passage) return;
-    if (this.#decision.mayWrite(now, id)) {
-      passage.stage = 'written';
-      passage.isWritten = true;
+  onConnect(now: Moment, id: number, attempt: number): void {
+    const request = this.#current(id, attempt, 'connecting');
+    if (!request) return;
+    if (this.#router.mayWrite(now, id)) {
+      request.stage = 'written';
+      request.isWritten = true;
       this.#steps.push({ do: 'write', id, attempt });
     } else {
       this.#counters.add('runs.withdrawn');
-      this.#cancel(passage);
-      passage.stage = 'pending';
-      this.#decision.withdraw(now, id);
+      this.#cancel(request);
+      request.stage = 'pending';
+      this.#router.rerouteUnwritten(now, id);
     }
-    this.settle(now);
+    this.applyVerdicts(now);
   }
 
-  head(now: Moment, id: number, attempt: number, head: Head): void {
-    const passage = this.#current(id, attempt, 'written');
-    if (!passage?.verdict) return;
-    if (!head.isBegun) {
+  onHeaders(now: Moment, id: number, attempt: number, head: RunnerResponseHead): void {
+    const request = this.#current(id, attempt, 'written');
+    if (!request?.verdict) return;
+    if (!head.isStarted) {
       // The runner's own word that it has not begun this request and will not.
       this.#counters.add('runs.full');
-      passage.isWritten = passage.wasWrittenBefore;
-      passage.stage = 'pending';
-      this.#decision.notRun(now, id, 'full');
+      request.isWritten = request.wasWrittenBefore;
+      request.stage = 'pending';
+      this.#router.onUnprocessed(now, id, 'full');
     } else {
-      passage.stage = 'returning';
-      passage.isBounded = head.isBounded;
-      passage.movedAt = now;
-      this.#steps.push({ do: 'pass', id, attempt, table: passage.verdict.table });
+      request.stage = 'returning';
+      request.isBounded = head.isBounded;
+      request.lastActivityAt = now;
+      this.#steps.push({ do: 'forward', id, attempt, table: request.verdict.table });
     }
-    this.settle(now);
+    this.applyVerdicts(now);
   }
 
-  bytes(now: Moment, id: number, attempt: number): void {
-    const passage = this.#current(id, attempt, 'returning');
-    if (passage) passage.movedAt = now;
+  onData(now: Moment, id: number, attempt: number): void {
+    const request = this.#current(id, attempt, 'returning');
+    if (request) request.lastActivityAt = now;
   }
 
   /** The runner's return came to its end. */
-  ended(now: Moment, id: number, attempt: number): void {
-    const passage = this.#current(id, attempt, 'returning');
-    if (!passage) return;
+  onComplete(now: Moment, id: number, attempt: number): void {
+    const request = this.#current(id, attempt, 'returning');
+    if (!request) return;
     // One that has neither length nor chunks ends alike whether it is whole or its runner crashed.
-    if (!passage.isBounded) {
-      this.broke(now, id, attempt, false);
+    if (!request.isBounded) {
+      this.onDisconnect(now, id, attempt, false);
       return;
     }
     this.#counters.add('returns');
-    this.#end(passage);
-    this.#steps.push({ do: 'finish', id, attempt });
-    this.#decision.done(now, id);
-    this.settle(now);
+    this.#end(request);
+    this.#steps.push({ do: 'complete', id, attempt });
+    this.#router.onRunCompleted(now, id);
+    this.applyVerdicts(now);
   }
 
   /** The connection to the runner failed or closed before its return's end. */
-  broke(now: Moment, id: number, attempt: number, isStale: boolean): void {
-    const passage = this.#inFlightRequests.get(id);
-    if (!passage || passage.attempt !== attempt || passage.stage === 'pending') return;
-    if (passage.stage === 'connecting') this.#unreached(now, passage);
-    else if (passage.stage === 'returning') {
-      this.#cancel(passage);
-      this.#breakOff(now, passage);
+  onDisconnect(now: Moment, id: number, attempt: number, isStale: boolean): void {
+    const request = this.#inFlightRequests.get(id);
+    if (!request || request.attempt !== attempt || request.stage === 'pending') return;
+    if (request.stage === 'connecting') this.#onConnectFailed(now, request);
+    else if (request.stage === 'returning') {
+      this.#cancel(request);
+      this.#abortResponse(now, request);
     } else {
       this.#counters.add(isStale ? 'runs.stale' : 'runs.broke');
-      passage.stage = 'pending';
-      if (this.#decision.broke(now, id, true, isStale)) this.#counters.add('repeats');
+      request.stage = 'pending';
+      if (this.#router.onRunFailed(now, id, true, isStale)) this.#counters.add('repeats');
       else {
-        this.#end(passage);
+        this.#end(request);
         this.#steps.push({
-          do: 'tell',
+          do: 'respondError',
           id,
           kind: 'unsure-run',
           text: 'the runner broke off; it may have run',
@@ -244,18 +257,18 @@
         });
       }
     }
-    this.settle(now);
+    this.applyVerdicts(now);
   }
 
   /** The client went away: its run is cancelled. */
-  gone(now: Moment, id: number): void {
-    const passage = this.#inFlightRequests.get(id);
-    if (!passage) return;
+  onClientDisconnect(now: Moment, id: number): void {
+    const request = this.#inFlightRequests.get(id);
+    if (!request) return;
     this.#counters.add('clients.gone');
-    if (passage.stage !== 'pending') this.#cancel(passage);
-    this.#end(passage);
-    this.#decision.gone(now, id);
-    this.settle(now);
+    if (request.stage !== 'pending') this.#cancel(request);
+    this.#end(request);
+    this.#router.onClientDisconnect(now, id);
+    this.applyVerdicts(now);
   }
 
   // ---- what follows
@@ -265,48 +278,48 @@
     attempt: number,
     stage: InFlightRequest['stage'],
   ): InFlightRequest | undefined {
-    const passage = this.#inFlightRequests.get(id);
-    return passage && passage.attempt === attempt && passage.stage === stage ? passage : undefined;
+    const request = this.#inFlightRequests.get(id);
+    return request && request.attempt === attempt && request.stage === stage ? request : undefined;
   }
 
-  #cancel(passage: InFlightRequest): void {
-    this.#steps.push({ do: 'cancel', id: passage.asked.id, attempt: passage.attempt });
+  #cancel(request: InFlightRequest): void {
+    this.#steps.push({ do: 'cancel', id: request.info.id, attempt: request.attempt });
   }
 
-  #end(passage: InFlightRequest): void {
-    this.#inFlightRequests.delete(passage.asked.id);
+  #end(request: InFlightRequest): void {
+    this.#inFlightRequests.delete(request.info.id);
   }
 
-  #unreached(now: Moment, passage: InFlightRequest): void {
+  #onConnectFailed(now: Moment, request: InFlightRequest): void {
     this.#counters.add('runs.unreached');
-    passage.stage = 'pending';
-    this.#decision.notRun(now, passage.asked.id, 'unreached');
+    request.stage = 'pending';
+    this.#router.onUnprocessed(now, request.info.id, 'unreached');
   }
 
-  #breakOff(now: Moment, passage: InFlightRequest): void {
+  #abortResponse(now: Moment, request: InFlightRequest): void {
     this.#counters.add('streams.broken');
-    this.#end(passage);
-    this.#steps.push({ do: 'breakOff', id: passage.asked.id });
-    this.#decision.broke(now, passage.asked.id, false);
+    this.#end(request);
+    this.#steps.push({ do: 'abort', id: request.info.id });
+    this.#router.onRunFailed(now, request.info.id, false);
   }
 
   /** Takes up the verdicts that have come about. */
-  settle(now: Moment): void {
+  applyVerdicts(now: Moment): void {
     for (
-      let verdicts = this.#decision.drain();
+      let verdicts = this.#router.drain();
       verdicts.length > 0;
-      verdicts = this.#decision.drain()
+      verdicts = this.#router.drain()
     ) {
       for (const verdict of verdicts) {
-        const passage = this.#inFlightRequests.get(verdict.id);
-        if (!passage) continue;
-        if (verdict.do === 'run') this.#connect(now, passage, verdict);
+        const request = this.#inFlightRequests.get(verdict.id);
+        if (!request) continue;
+        if (verdict.do === 'run') this.#connect(now, request, verdict);
         else {
-          this.#end(passage);
+          this.#end(request);
           // Once bytes were written, no return ever claims that it was turned away.
-          if (passage.isWritten)
+          if (request.isWritten)
             this.#steps.push({
-              do: 'tell',
+              do: 'respondError',
               id: verdict.id,
               kind: 'unsure-run',
               text: 'a runner was reached and broke off; it may have run',
@@ -314,7 +327,7 @@
             });
           else
             this.#steps.push({
-              do: 'tell',
+              do: 'respondError',
               id: verdict.id,
               kind: verdict.kind,
               text: verdict.text,
@@ -325,19 +338,19 @@
     }
   }
 
-  #connect(now: Moment, passage: InFlightRequest, verdict: RunVerdict): void {
-    passage.attempt += 1;
-    passage.stage = 'connecting';
-    passage.verdict = verdict;
-    passage.wasWrittenBefore = passage.isWritten;
-    passage.movedAt = now;
+  #connect(now: Moment, request: InFlightRequest, verdict: RunVerdict): void {
+    request.attempt += 1;
+    request.stage = 'connecting';
+    request.verdict = verdict;
+    request.wasWrittenBefore = request.isWritten;
+    request.lastActivityAt = now;
     this.#counters.add('runs');
-    this.#steps.push({ do: 'connect', id: verdict.id, attempt: passage.attempt, verdict });
+    this.#steps.push({ do: 'connect', id: verdict.id, attempt: request.attempt, verdict });
   }
 }
 
 /** Seconds after which coming back is worth while: from what is known, else the kind's own. */
-export function retryAfterOf(kind: ErrorCode, retryMs: number): number {
+export function retryAfterSeconds(kind: ErrorCode, retryMs: number): number {
   const { retryAfterSeconds: retryAfter } = ERROR_RESPONSES[kind];
   return retryAfter === 0 || retryMs === 0
     ? retryAfter
--- /dev/null
+++ b/src/proxy/policy-admission.ts
@@ -0,0 +1,59 @@
+import type { ErrorCode } from '../common/errors.js';
+import type { Moment } from '../common/ids.js';
+import { rowKey } from '../policy/table.js';
+import {
+  isPlainService,
+  newRequest,
+  type AdmittedRequest,
+  type RequestInfo,
+} from './policy-router-types.js';
+import { DemandCounter, type RowDemandCount, type ModelDemandCount } from './demand-counter.js';
+import { PolicyRateLimits } from './policy-rate-limits.js';
+import type { PolicyView } from './policy-view.js';
+
+/** Why a request is refused, and when coming back is worth while; 0 ms where nothing is known. */
+export interface Rejection {
+  readonly kind: ErrorCode;
+  readonly text: string;
+  readonly retryMs: number;
+}
+
+/** Admission by the rows of the table: each names a type and a model, and takes so much over the whole fleet. */
+export class PolicyAdmission {
+  readonly #view: PolicyView;
+  readonly #rates = new PolicyRateLimits();
+  readonly #demand = new DemandCounter();
+
+  constructor(view: PolicyView) {
+    this.#view = view;
+  }
+
+  /** Admits a request by its row, or says why not. */
+  admit(now: Moment, info: RequestInfo): { readonly request: AdmittedRequest } | Rejection {
+    const mapping = this.#view.mappingOf(info.method, info.path);
+    if (!mapping) return rejection('unmapped', `no mapping for ${info.method} ${info.path}`);
+    const row = this.#view.rowOf(info);
+    if (!row)
+      return rejection('unknown-model', `no row of type ${mapping.type} for model ${info.model}`);
+    const service = isPlainService(row.model) ? row.model : info.model;
+    // Demand is counted before the gate: what is refused for want of a place is what a place is made for.
+    const model = isPlainService(service) ? undefined : info.model;
+    this.#demand.count(rowKey(row), model, info.adapter);
+    const waitMs = this.#rates.take(now, row, this.#view.shareOf(row));
+    if (waitMs > 0)
+      return rejection('over-take', `row ${rowKey(row)} takes ${row.take} a second`, waitMs);
+    const request = newRequest(now, info, row, service);
+    if (!this.#view.isUnplaced(request)) return { request };
+    const text = this.#view.waitText(service) || `${info.model} is not placed yet`;
+    return rejection('waits-for-place', text, this.#view.placementDelayMs(now, service));
+  }
+
+  /** What was asked for since last told, for the placer. */
+  takeDemand(): { units: ModelDemandCount[]; rows: RowDemandCount[] } {
+    return this.#demand.take();
+  }
+}
+
+function rejection(kind: ErrorCode, text: string, retryMs = 0): Rejection {
+  return { kind, text, retryMs };
+}
--- a/src/proxy/executor.test.ts
+++ b/src/proxy/policy-forwarder.test.ts
@@ -5,9 +5,9 @@
 import { Counters as CountersClass } from '../common/counters.js';
 import { later, type Moment } from '../common/ids.js';
 import { bindServer, parseAddress } from '../common/listen.js';
-import { type Decision, Decision as DecisionClass } from './decision.js';
-import { type Asked, DECISION_DEFAULTS } from './decision-types.js';
-import { Executor } from './executor.js';
+import { PolicyRouter } from './policy-router.js';
+import { type RequestInfo, POLICY_ROUTER_DEFAULTS } from './policy-router-types.js';
+import { PolicyForwarder } from './policy-forwarder.js';
 import { once } from 'node:events';
 import {
   type ClientRequest,
@@ -40,16 +40,16 @@
     return this.#now;
   }
 }
-type OnGate = (decision: Decision, now: Moment) => void;
+type OnGate = (decision: PolicyRouter, now: Moment) => void;
 /** News comes in just after a request was drawn, before its connection stands. */
-class MarkingDecision extends DecisionClass {
+class MarkingDecision extends PolicyRouter {
   readonly #onGate: OnGate;
   constructor(onGate: OnGate) {
-    super({ ...DECISION_DEFAULTS, blindMs: 60_000, me: 'f' });
+    super({ ...POLICY_ROUTER_DEFAULTS, freshnessBoundMs: 60_000, me: 'f' });
     this.#onGate = onGate;
   }
-  override gate(now: Moment, asked: Asked): void {
-    super.gate(now, asked);
+  override onRequest(now: Moment, asked: RequestInfo): void {
+    super.onRequest(now, asked);
     process.nextTick(this.#onGate, this, now);
   }
 }
@@ -58,9 +58,9 @@
   readonly seen: string[] = [];
   readonly counters = new CountersClass();
   readonly servers: Server[] = [];
-  executor: Executor | undefined;
+  executor: PolicyForwarder | undefined;
   address = '';
-  decision: Decision | undefined;
+  decision: PolicyRouter | undefined;
   ticks: Subscription | undefined;
   onGate: OnGate | undefined;
   readonly #clock = new TickClock();
@@ -117,9 +117,9 @@
     }
     const decision = this.onGate
       ? new MarkingDecision(this.onGate)
-      : new DecisionClass({ ...DECISION_DEFAULTS, blindMs: 60_000, me: 'f' });
+      : new PolicyRouter({ ...POLICY_ROUTER_DEFAULTS, freshnessBoundMs: 60_000, me: 'f' });
     const now = this.#clock.now();
-    decision.news(
+    decision.onUpdate(
       now,
       'config',
       { epoch: 2, count: 1 },
@@ -132,17 +132,17 @@
       { model: 'm', seats, wait: '' },
       { model: 'w', seats, wait: '' },
     ];
-    decision.news(
+    decision.onUpdate(
       now,
       'places',
       { epoch: 2, count: 1 },
       JSON.stringify({ places, runners, flows: 1, shares: [] }),
     );
-    decision.confirmFreshness(decision.ask(now), { epoch: 0, count: 0 }, 0);
+    decision.onFreshnessConfirmed(decision.startFreshnessRequest(now), { epoch: 0, count: 0 }, 0);
     this.decision = decision;
-    this.executor = new Executor(
+    this.executor = new PolicyForwarder(
       decision,
-      { maxBodyBytes: 4096, connectMs: 300, silentMs: 200 },
+      { maxBodyBytes: 4096, connectTimeoutMs: 300, idleTimeoutMs: 200 },
       this.counters,
       () => this.#clock.now(),
     );
@@ -156,7 +156,7 @@
 
   async stop(): Promise<void> {
     this.ticks?.unsubscribe();
-    await this.executor?.drain(0);
+    await this.executor?.stop(0);
     for (const server of this.servers) {
       server.closeAllConnections();
       server.close();
@@ -272,8 +272,8 @@
     back.on('error', saySilent);
   return sent;
 }
-function markFirst(decision: Decision, now: Moment): void {
-  decision.news(
+function markFirst(decision: PolicyRouter, now: Moment): void {
+  decision.onUpdate(
     now,
     'machines',
     { epoch: 0, count: 5 },
--- /dev/null
+++ b/src/proxy/policy-forwarder.ts
@@ -0,0 +1,391 @@
+import {
+  Agent,
+  createServer,
+  request,
+  type ClientRequest,
+  type IncomingMessage,
+  type Server,
+  type ServerResponse,
+} from 'node:http';
+import type { Socket } from 'node:net';
+import type { Duplex } from 'node:stream';
+import { readBytes } from '../common/call.js';
+import type { Counters } from '../common/counters.js';
+import type { Moment } from '../common/ids.js';
+import type { PolicyRouter } from './policy-router.js';
+import type { RunVerdict } from './policy-router-types.js';
+import { bindServer, parseAddress } from '../common/listen.js';
+import { ConnectionProbes } from './connection-probes.js';
+import { ErrorResponses } from './error-responses.js';
+import { hopByHopHeaders, hasSelfDefinedLength, forwardedHeaders } from './http-messages.js';
+import { InFlightRequests, type InFlightSettings, type ForwardStep } from './in-flight-requests.js';
+import { NO_NAMES, readNames, requestIdOf, type RequestNames } from './policy-request-names.js';
+import { ProbeConnections } from './probe-connections.js';
+
+/** A request that was read whole. */
+interface ClientExchange {
+  readonly id: number;
+  readonly clientRequest: IncomingMessage;
+  readonly clientResponse: ServerResponse;
+  readonly body: Buffer;
+  readonly requestId: string;
+  current: Attempt | undefined;
+}
+
+/** One try of a request at one runner. */
+interface Attempt {
+  readonly number: number;
+  readonly runnerRequest: ClientRequest;
+  runnerResponse: IncomingMessage | undefined;
+}
+
+/** Steps at the attempt that is under way. */
+type AttemptStep = Extract<ForwardStep, { do: 'write' | 'forward' | 'cancel' }>;
+
+/** What the executor is set up with once. */
+export interface PolicyForwarderSettings extends InFlightSettings {
+  readonly maxBodyBytes: number;
+}
+
+/** The runner is named anew. */
+const HOP_HEADERS = hopByHopHeaders('host');
+
+/** Obeys the passages: reads requests, runs them where they say, and returns what came back, whole or visibly broken. */
+export class PolicyForwarder {
+  readonly #router: PolicyRouter;
+  readonly #settings: PolicyForwarderSettings;
+  readonly #counters: Counters;
+  readonly #inFlightRequests: InFlightRequests;
+  readonly #probes: ConnectionProbes;
+  readonly #probeConnections: ProbeConnections;
+  readonly #responses: ErrorResponses;
+  readonly #now: () => Moment;
+  readonly #exchanges = new Map<number, ClientExchange>();
+  readonly #keepAliveAgent = new Agent({ keepAlive: true, maxFreeSockets: 8 });
+  readonly #server: Server;
+  #count = 0;
+  #isDraining = false;
+  #isRunningSteps = false;
+  #onIdle: (() => void) | undefined;
+
+  constructor(
+    router: PolicyRouter,
+    settings: PolicyForwarderSettings,
+    counters: Counters,
+    now: () => Moment,
+  ) {
+    this.#router = router;
+    this.#settings = settings;
+    this.#counters = counters;
+    this.#now = now;
+    this.#inFlightRequests = new InFlightRequests(router, settings, counters);
+    this.#probes = new ConnectionProbes(router);
+    this.#probeConnections = new ProbeConnections(
+      this.#probes,
+      now,
+      () => this.#onProbeOpen(),
+      () => this.#runSteps(),
+    );
+    this.#responses = new ErrorResponses(router, counters);
+    this.#server = createServer((clientRequest, clientResponse) =>
+      this.#onRequest(clientRequest, clientResponse),
+    );
+    this.#server.keepAliveTimeout = 65_000;
+    this.#server.on('clientError', (error, socket) => this.#onClientError(error, socket));
+  }
+
+  async listen(address: string): Promise<number> {
+    return bindServer(this.#server, address);
+  }
+
+  tick(now: Moment): void {
+    this.#inFlightRequests.tick(now);
+    this.#probes.tick(now);
+    this.#runSteps();
+  }
+
+  /** The decision has heard news: what follows from it is done. */
+  onUpdate(now: Moment): void {
+    this.#inFlightRequests.applyVerdicts(now);
+    this.#probes.setBackends(now, this.#router.probedBackends());
+    this.#runSteps();
+  }
+
+  /** Takes nothing new, lets what runs end, and resolves then. */
+  async stop(limitMs: number): Promise<void> {
+    this.#isDraining = true;
+    this.#responses.startDraining();
+    this.#probeConnections.startDraining();
+    this.#inFlightRequests.startDraining(this.#now());
+    this.#runSteps();
+    this.#server.close();
+    this.#server.closeIdleConnections();
+    if (this.#exchanges.size > 0) await new Promise<void>((done) => this.#waitIdle(limitMs, done));
+    this.#server.closeAllConnections();
+    this.#keepAliveAgent.destroy();
+    this.#probeConnections.destroy();
+  }
+
+  #waitIdle(limitMs: number, done: () => void): void {
+    this.#onIdle = done;
+    setTimeout(done, limitMs).unref();
+  }
+
+  #onClientError(error: Error & { code?: string }, socket: Duplex): void {
+    this.#counters.add('requests.malformed');
+    const status =
+      error.code === 'HPE_HEADER_OVERFLOW'
+        ? '431 Request Header Fields Too Large'
+        : '400 Bad Request';
+    if (socket.writable)
+      socket.end(`HTTP/1.1 ${status}\r\nconnection: close\r\ncontent-length: 0\r\n\r\n`);
+    else socket.destroy();
+  }
+
+  async #onRequest(clientRequest: IncomingMessage, clientResponse: ServerResponse): Promise<void> {
+    this.#count += 1;
+    const id = this.#count;
+    this.#counters.add('requests');
+    const requestId = requestIdOf(clientRequest);
+    const { maxBodyBytes } = this.#settings;
+    let body: Buffer;
+    try {
+      if (Number(clientRequest.headers['content-length'] ?? 0) > maxBodyBytes) {
+        this.#rejectTooLarge(clientResponse, requestId);
+        clientRequest.resume();
+        return;
+      }
+      body = await readBytes(clientRequest, maxBodyBytes);
+    } catch {
+      // Either it is too large, or the client left in the midst of it; the latter reads no return.
+      if (!clientResponse.destroyed) this.#rejectTooLarge(clientResponse, requestId);
+      return;
+    }
+    const exchange: ClientExchange = {
+      id,
+      clientRequest,
+      clientResponse,
+      body,
+      requestId,
+      current: undefined,
+    };
+    const method = clientRequest.method ?? 'GET';
+    const path = (clientRequest.url ?? '/').split('?')[0] ?? '/';
+    const names = this.#router.needsModel(method, path) === true ? readNames(body) : NO_NAMES;
+    if (names) this.#begin(exchange, method, path, names);
+    else
+      this.#responses.send(
+        clientResponse,
+        requestId,
+        'malformed',
+        'the body must be JSON that names its model',
+      );
+  }
+
+  #rejectTooLarge(clientResponse: ServerResponse, requestId: string): void {
+    const text = `more than ${this.#settings.maxBodyBytes} bytes`;
+    this.#responses.send(clientResponse, requestId, 'too-large', text);
+  }
+
+  #begin(
+    exchange: ClientExchange,
+    method: string,
+    path: string,
+    { model, adapter, prefixBlocks }: RequestNames,
+  ): void {
+    const { id, clientResponse } = exchange;
+    this.#exchanges.set(id, exchange);
+    clientResponse.once('close', () => this.#onClosed(exchange));
+    this.#inFlightRequests.onRequest(this.#now(), {
+      id,
+      method,
+      path,
+      model,
+      adapter,
+      prefixBlocks,
+    });
+    this.#runSteps();
+  }
+
+  /** Carries out the steps that have come up; a step may bring up others at once. */
+  #runSteps(): void {
+    if (this.#isRunningSteps) return;
+    this.#isRunningSteps = true;
+    for (
+      let steps = this.#inFlightRequests.drainSteps();
+      steps.length > 0;
+      steps = this.#inFlightRequests.drainSteps()
+    ) {
+      for (const step of steps) {
+        const exchange = this.#exchanges.get(step.id);
+        if (exchange) this.#runStep(exchange, step);
+      }
+    }
+    for (const step of this.#probes.drainSteps()) this.#probeConnections.runStep(step);
+    this.#isRunningSteps = false;
+  }
+
+  /** A back end that was away may be back: what waits for it is taken up. */
+  #onProbeOpen(): void {
+    this.#inFlightRequests.applyVerdicts(this.#now());
+    this.#runSteps();
+  }
+
+  #runStep(exchange: ClientExchange, step: ForwardStep): void {
+    switch (step.do) {
+      case 'connect':
+        this.#connect(exchange, step.attempt, step.verdict);
+        break;
+      case 'complete':
+        completeResponse(exchange);
+        break;
+      case 'abort':
+        abortResponse(exchange);
+        break;
+      case 'respondError':
+        this.#responses.send(
+          exchange.clientResponse,
+          exchange.requestId,
+          step.kind,
+          step.text,
+          step.retryMs,
+        );
+        break;
+      default:
+        // What is said of an earlier attempt is void.
+        if (exchange.current?.number === step.attempt)
+          this.#runAttemptStep(exchange, exchange.current, step);
+    }
+  }
+
+  #runAttemptStep(exchange: ClientExchange, current: Attempt, step: AttemptStep): void {
+    switch (step.do) {
+      case 'write':
+        current.runnerRequest.end(exchange.body.length === 0 ? undefined : exchange.body);
+        break;
+      case 'forward':
+        this.#forward(exchange, current, step.table);
+        break;
+      case 'cancel':
+        current.runnerRequest.destroy();
+        break;
+    }
+  }
+
+  /** The connection to the client closed, or all of it was returned: after that, its run goes on for nobody. */
+  #onClosed(exchange: ClientExchange): void {
+    this.#exchanges.delete(exchange.id);
+    this.#inFlightRequests.onClientDisconnect(this.#now(), exchange.id);
+    // Its cancelling finds no entry any more.
+    if (!exchange.clientResponse.writableFinished) exchange.current?.runnerRequest.destroy();
+    this.#runSteps();
+    if (this.#isDraining && this.#exchanges.size === 0) this.#onIdle?.();
+  }
+
+  #connect(exchange: ClientExchange, number: number, verdict: RunVerdict): void {
+    const { host, port } = parseAddress(verdict.address);
+    const headers = forwardedHeaders(exchange.clientRequest, HOP_HEADERS);
+    headers['x-request-id'] = exchange.requestId;
+    delete headers['content-length'];
+    delete headers['trailer'];
+    if (exchange.body.length > 0) headers['content-length'] = exchange.body.length;
+    const method = exchange.clientRequest.method ?? 'GET';
+    const path = verdict.isPlain ? (exchange.clientRequest.url ?? '/') : '/run';
+    // What may not be repeated gets a connection of its own: one kept alive may close just as it is written to,
+    // and nobody could tell whether it ran.
+    const agent = verdict.row.repeatable ? this.#keepAliveAgent : false;
+    // Nothing is handed to Node before the connection stands and the decision has been asked again.
+    const runnerRequest = request({ host, port, method, path, headers, agent });
+    const attempt: Attempt = { number, runnerRequest: runnerRequest, runnerResponse: undefined };
+    exchange.current = attempt;
+    runnerRequest.once('socket', (socket) => this.#onSocket(exchange, attempt, socket));
+    runnerRequest.once('response', (runnerResponse) =>
+      this.#onResponse(exchange, attempt, runnerResponse),
+    );
+    runnerRequest.on('error', () => this.#onDisconnect(exchange, attempt));
+  }
+
+  #onSocket(exchange: ClientExchange, attempt: Attempt, socket: Socket): void {
+    if (socket.connecting) socket.once('connect', () => this.#onConnect(exchange, attempt));
+    else this.#onConnect(exchange, attempt);
+  }
+
+  #onConnect(exchange: ClientExchange, attempt: Attempt): void {
+    this.#inFlightRequests.onConnect(this.#now(), exchange.id, attempt.number);
+    this.#runSteps();
+  }
+
+  #onDisconnect(exchange: ClientExchange, attempt: Attempt): void {
+    this.#inFlightRequests.onDisconnect(
+      this.#now(),
+      exchange.id,
+      attempt.number,
+      attempt.runnerRequest.reusedSocket && !attempt.runnerResponse,
+    );
+    this.#runSteps();
+  }
+
+  #onResponse(exchange: ClientExchange, attempt: Attempt, runnerResponse: IncomingMessage): void {
+    attempt.runnerResponse = runnerResponse;
+    runnerResponse.on('error', () => this.#onDisconnect(exchange, attempt));
+    const isBegun = runnerResponse.headers['x-run'] !== 'none';
+    if (!isBegun) runnerResponse.resume();
+    this.#inFlightRequests.onHeaders(this.#now(), exchange.id, attempt.number, {
+      isStarted: isBegun,
+      isBounded: hasSelfDefinedLength(exchange.clientRequest.method ?? 'GET', runnerResponse),
+    });
+    this.#runSteps();
+  }
+
+  #forward(exchange: ClientExchange, attempt: Attempt, table: number): void {
+    const { runnerResponse } = attempt;
+    if (!runnerResponse) return;
+    const { clientResponse } = exchange;
+    const headers = forwardedHeaders(runnerResponse, HOP_HEADERS);
+    // Both at once would be two words on one end; Node's reader turns such a head away, and so do we not make one.
+    if (headers['trailer'] !== undefined) delete headers['content-length'];
+    headers['x-request-id'] = exchange.requestId;
+    headers['x-table'] = String(table);
+    if (this.#isDraining) headers['connection'] = 'close';
+    clientResponse.writeHead(runnerResponse.statusCode ?? 502, headers);
+    // A stream's head is news to its client, whenever the first bytes follow.
+    if (headers['content-length'] === undefined) clientResponse.flushHeaders();
+    runnerResponse.on('data', () => this.#onData(exchange, attempt));
+    runnerResponse.once('end', () => this.#onEnd(exchange, attempt, runnerResponse));
+    runnerResponse.once('close', () => this.#onEnd(exchange, attempt, runnerResponse));
+    // Piping holds the runner back to the client's pace; how the return ends is not left to it.
+    runnerResponse.pipe(clientResponse, { end: false });
+  }
+
+  #onData(exchange: ClientExchange, attempt: Attempt): void {
+    this.#inFlightRequests.onData(this.#now(), exchange.id, attempt.number);
+  }
+
+  #onEnd(exchange: ClientExchange, attempt: Attempt, runnerResponse: IncomingMessage): void {
+    if (runnerResponse.complete)
+      this.#inFlightRequests.onComplete(this.#now(), exchange.id, attempt.number);
+    else this.#inFlightRequests.onDisconnect(this.#now(), exchange.id, attempt.number, false);
+    this.#runSteps();
+  }
+}
+
+function trailersOf(runnerResponse: IncomingMessage): [string, string][] {
+  const list: [string, string][] = [];
+  for (const [name, values] of Object.entries(runnerResponse.trailersDistinct))
+    for (const value of values ?? []) list.push([name, value]);
+  return list;
+}
+
+/** Ends the return properly, with the runner's trailers. */
+function completeResponse({ current, clientResponse }: ClientExchange): void {
+  if (current?.runnerResponse) clientResponse.addTrailers(trailersOf(current.runnerResponse));
+  clientResponse.end();
+}
+
+/** Ends the return so that no client takes it for whole. */
+function abortResponse(exchange: ClientExchange): void {
+  const { clientResponse, clientRequest } = exchange;
+  // To a client of HTTP/1.0 an ordinary close would look like the end.
+  if (clientRequest.httpVersion === '1.0') clientResponse.socket?.resetAndDestroy();
+  clientResponse.destroy();
+}
--- a/src/proxy/candidate-choice.ts
+++ b/src/proxy/policy-picker.ts
@@ -1,42 +1,42 @@
 import type { Moment } from '../common/ids.js';
-import type { AdmittedRequest, Candidate } from './decision-types.js';
-import { PrefixMemory } from './prefix-memory.js';
+import type { AdmittedRequest, Candidate } from './policy-router-types.js';
+import { PrefixCache } from './prefix-cache.js';
 import type { RunnerPool } from './runner-pool.js';
-import type { TableView } from './table-view.js';
+import type { PolicyView } from './policy-view.js';
 
 /** How long until a request's turn comes, and how long a run takes, by the runs so far; ms. */
-export interface Turn {
+export interface WaitEstimate {
   readonly waitMs: number;
   readonly meanMs: number;
 }
 
 /** A candidate, and what speaks for it. */
 interface RankedCandidate extends Candidate {
-  readonly keptParts: number;
+  readonly cachedBlocks: number;
   readonly running: number;
 }
 
 /** Which runner a request is given, and how long it has to wait for one. */
-export class CandidateChoice {
-  readonly #view: TableView;
+export class PolicyPicker {
+  readonly #view: PolicyView;
   readonly #runners: RunnerPool;
-  readonly #prefixes = new PrefixMemory();
+  readonly #prefixes = new PrefixCache();
 
-  constructor(view: TableView, runners: RunnerPool) {
+  constructor(view: PolicyView, runners: RunnerPool) {
     this.#view = view;
     this.#runners = runners;
   }
 
   /** Kept prefixes first, then the primary, then the one that runs the least. */
-  choose(now: Moment, request: AdmittedRequest): string | undefined {
+  pick(now: Moment, request: AdmittedRequest): string | undefined {
     let best: RankedCandidate | undefined;
     for (const candidate of this.#view.candidates(request)) {
       const { id } = candidate;
-      if (request.tried.has(id) || !this.#runners.mayStart(now, id, this.#capacity(now, id)))
+      if (request.triedRunners.has(id) || !this.#runners.mayStart(now, id, this.#capacity(now, id)))
         continue;
       const ranked = {
         ...candidate,
-        keptParts: this.#prefixes.leadingParts(id, request.service, request.asked.parts),
+        cachedBlocks: this.#prefixes.cachedBlocks(id, request.service, request.info.prefixBlocks),
         running: this.#runners.running(id),
       };
       if (!best || isBetter(ranked, best)) best = ranked;
@@ -45,17 +45,17 @@
   }
 
   /** Notes that a runner was given a request, and so keeps the parts of its prompt. */
-  given(runner: string, request: AdmittedRequest): void {
-    this.#prefixes.given(runner, request.service, request.asked.parts);
+  onStarted(runner: string, request: AdmittedRequest): void {
+    this.#prefixes.record(runner, request.service, request.info.prefixBlocks);
   }
 
   /** The turn of a request behind so many of its service, by what runs now. */
-  turn(
+  estimateWait(
     now: Moment,
     request: AdmittedRequest,
     before: number,
     running: Iterable<AdmittedRequest>,
-  ): Turn {
+  ): WaitEstimate {
     const longest = longestRuns(now, running);
     let capacity = 0;
     let meanMs = 0;
@@ -80,7 +80,7 @@
 }
 
 function isBetter(item: RankedCandidate, best: RankedCandidate): boolean {
-  if (item.keptParts !== best.keptParts) return item.keptParts > best.keptParts;
+  if (item.cachedBlocks !== best.cachedBlocks) return item.cachedBlocks > best.cachedBlocks;
   if (item.isPrimary !== best.isPrimary) return item.isPrimary;
   return item.running < best.running;
 }
--- a/src/proxy/decision-types.ts
+++ b/src/proxy/policy-router-types.ts
@@ -3,17 +3,17 @@
 import type { Row } from '../policy/table.js';
 
 /** What a request names, read by the executor. */
-export interface Asked {
+export interface RequestInfo {
   readonly id: number;
   readonly method: string;
   readonly path: string;
   readonly model: string;
   readonly adapter: string;
-  readonly parts: readonly string[];
+  readonly prefixBlocks: readonly string[];
 }
 
 /** What the executor must do now. */
-export type Verdict =
+export type RoutingVerdict =
   | {
       readonly do: 'run';
       readonly id: number;
@@ -26,7 +26,7 @@
     }
   /** `retryMs` tells when coming back is worth while, as far as it is known; 0 where nothing is. */
   | {
-      readonly do: 'turnAway';
+      readonly do: 'reject';
       readonly id: number;
       readonly kind: ErrorCode;
       readonly text: string;
@@ -34,34 +34,34 @@
     };
 
 /** The order to run a request. */
-export type RunVerdict = Extract<Verdict, { do: 'run' }>;
+export type RunVerdict = Extract<RoutingVerdict, { do: 'run' }>;
 
 /** Settings of a proxy's decisions. */
-export interface DecisionSettings {
-  readonly blindMs: number;
+export interface PolicyRouterSettings {
+  readonly freshnessBoundMs: number;
   readonly me: string;
   /** A number that no other life of this process has, well apart from others'. */
   readonly incarnation: number;
   /** Most requests pending at once. */
-  readonly mostPending: number;
+  readonly maxPending: number;
   /** How long a runner that just started is spared. */
-  readonly rampMs: number;
+  readonly slowStartMs: number;
   /** Repeats that a service may have, as a share of its requests, and how many more over the whole fleet. */
-  readonly repeatShare: number;
-  readonly repeatFew: number;
+  readonly retryShare: number;
+  readonly extraRetries: number;
 }
 
-export const DECISION_DEFAULTS = {
+export const POLICY_ROUTER_DEFAULTS = {
   incarnation: 0,
-  mostPending: 512,
-  rampMs: 10_000,
-  repeatShare: 0.2,
-  repeatFew: 4,
+  maxPending: 512,
+  slowStartMs: 10_000,
+  retryShare: 0.2,
+  extraRetries: 4,
 } as const;
 
 /** A request that was admitted by a row of the table. */
 export interface AdmittedRequest {
-  readonly asked: Asked;
+  readonly info: RequestInfo;
   readonly row: Row;
   readonly service: string;
   readonly arrivedAt: Moment;
@@ -69,9 +69,9 @@
   /** The runner that it was given last; empty before. */
   runner: string;
   startedAt: Moment;
-  readonly tried: Set<string>;
+  readonly triedRunners: Set<string>;
   /** Whether its first sending has been counted for the budget of repeats. */
-  isCounted: boolean;
+  isBudgetCredited: boolean;
 }
 
 /** A runner that holds what a request needs. */
@@ -86,16 +86,21 @@
 }
 
 /** A request that a row admits now. */
-export function newRequest(now: Moment, asked: Asked, row: Row, service: string): AdmittedRequest {
+export function newRequest(
+  now: Moment,
+  info: RequestInfo,
+  row: Row,
+  service: string,
+): AdmittedRequest {
   return {
-    asked,
+    info: info,
     row,
     service,
     arrivedAt: now,
     limit: later(now, row.lateMs),
     runner: '',
     startedAt: now,
-    tried: new Set(),
-    isCounted: false,
+    triedRunners: new Set(),
+    isBudgetCredited: false,
   };
 }
--- a/src/proxy/decision.test.ts
+++ b/src/proxy/policy-router.test.ts
@@ -3,17 +3,21 @@
 import { moment } from '../common/ids.js';
 import { NO_VERSION } from '../common/version.js';
 import type { Places, Seat } from '../placement/shapes.js';
-import { Decision } from './decision.js';
-import { type Asked, DECISION_DEFAULTS, type Verdict } from './decision-types.js';
+import { PolicyRouter } from './policy-router.js';
+import {
+  type RequestInfo,
+  POLICY_ROUTER_DEFAULTS,
+  type RoutingVerdict,
+} from './policy-router-types.js';
 
 const TEXT =
   'map POST /c to check\nmap GET /l to lookup\nrow check heavy weight 90 take 1000/s late 10s once stream\nrow check light weight 10 take 1000/s late 10s once stream\nrow check slow weight 10 take 5/s late 10s once\nrow lookup @kiosk weight 5 take 1000/s late 2s repeatable';
 class Bench {
-  readonly decision = new Decision({
-    ...DECISION_DEFAULTS,
-    blindMs: 2500,
+  readonly decision = new PolicyRouter({
+    ...POLICY_ROUTER_DEFAULTS,
+    freshnessBoundMs: 2500,
     me: 'f',
-    mostPending: 20,
+    maxPending: 20,
   });
   now = 0;
   #id = 0;
@@ -33,7 +37,7 @@
 
   config(emptied: string[]): void {
     this.#count += 1;
-    this.decision.news(
+    this.decision.onUpdate(
       moment(this.now),
       'config',
       { epoch: 2, count: this.#count },
@@ -49,7 +53,7 @@
       { id: 'k', address: 'k:1', zone: 'za', service: 'kiosk', slots: 0, upMs: 0 },
     ];
     const places = ['heavy', 'light', 'slow'].map((model) => placeOf(seats, model));
-    this.decision.news(
+    this.decision.onUpdate(
       moment(this.now),
       'places',
       { epoch: 2, count: this.#count },
@@ -58,18 +62,22 @@
   }
 
   fresh(): void {
-    this.decision.confirmFreshness(this.decision.ask(moment(this.now)), NO_VERSION, 0);
+    this.decision.onFreshnessConfirmed(
+      this.decision.startFreshnessRequest(moment(this.now)),
+      NO_VERSION,
+      0,
+    );
   }
 
-  ask(model: string, extra: Partial<Asked> = {}): number {
+  ask(model: string, extra: Partial<RequestInfo> = {}): number {
     this.#id += 1;
-    this.decision.gate(moment(this.now), {
+    this.decision.onRequest(moment(this.now), {
       id: this.#id,
       method: 'POST',
       path: '/c',
       model,
       adapter: '',
-      parts: [],
+      prefixBlocks: [],
       ...extra,
     });
     return this.#id;
@@ -83,7 +91,7 @@
   return { model, seats, wait: '' };
 }
 type Place = Places['places'][number];
-function verdictText(verdict: Verdict): string {
+function verdictText(verdict: RoutingVerdict): string {
   return verdict.do === 'run'
     ? `${verdict.id} runs at ${verdict.runner}`
     : `${verdict.id} ${verdict.kind}`;
@@ -102,12 +110,12 @@
   expect(bench.decision.mayWrite(moment(0), ids[0] ?? 0)).toBe(true);
   bench.config(['za']);
   expect(bench.decision.mayWrite(moment(0), ids[0] ?? 0)).toBe(false);
-  bench.decision.withdraw(moment(0), ids[0] ?? 0);
+  bench.decision.rerouteUnwritten(moment(0), ids[0] ?? 0);
   expect(bench.verdicts()).toEqual(['1 runs at b']);
   // Frozen for long, it knows nothing any more of what holds.
   expect(bench.decision.mayWrite(moment(5000), ids[2] ?? 0)).toBe(false);
-  bench.decision.withdraw(moment(5000), ids[2] ?? 0);
-  bench.decision.withdraw(moment(11_000), ids[1] ?? 0);
+  bench.decision.rerouteUnwritten(moment(5000), ids[2] ?? 0);
+  bench.decision.rerouteUnwritten(moment(11_000), ids[1] ?? 0);
   expect(bench.verdicts()).toEqual(['3 blind', '2 limit-passed']);
 });
 test('repeats of a service stay within a fifth and a few over the whole fleet', () => {
@@ -121,9 +129,9 @@
       bench.now += 300;
       bench.fresh();
       const id = bench.ask('', { method: 'GET', path: '/l' });
-      if (bench.decision.broke(moment(bench.now), id, true, true)) {
+      if (bench.decision.onRunFailed(moment(bench.now), id, true, true)) {
         repeats += 1;
-        bench.decision.done(moment(bench.now), id);
+        bench.decision.onRunCompleted(moment(bench.now), id);
       }
     }
   }
@@ -136,14 +144,14 @@
 test('kept prefixes go first, then the primary, then the least pending', () => {
   const bench = new Bench();
   bench.ask('heavy');
-  bench.ask('heavy', { parts: ['p1', 'p2'] });
-  bench.ask('heavy', { parts: ['p1', 'p9'] });
+  bench.ask('heavy', { prefixBlocks: ['p1', 'p2'] });
+  bench.ask('heavy', { prefixBlocks: ['p1', 'p9'] });
   // The primary takes the traffic while it has room; then the understudy; a kept prefix goes before both.
   expect(bench.verdicts()).toEqual(['1 runs at a', '2 runs at a', '3 runs at b']);
-  bench.decision.done(moment(1), 1);
-  bench.decision.done(moment(1), 2);
-  bench.decision.done(moment(1), 3);
-  bench.ask('heavy', { parts: ['p1', 'p9'] });
+  bench.decision.onRunCompleted(moment(1), 1);
+  bench.decision.onRunCompleted(moment(1), 2);
+  bench.decision.onRunCompleted(moment(1), 3);
+  bench.ask('heavy', { prefixBlocks: ['p1', 'p9'] });
   expect(bench.verdicts()).toEqual(['4 runs at b']);
 });
 test('of what is pending the weightiest starts first', () => {
@@ -152,7 +160,7 @@
   expect(bench.verdicts()).toHaveLength(4);
   bench.ask('light');
   bench.ask('heavy');
-  bench.decision.done(moment(10), 1);
+  bench.decision.onRunCompleted(moment(10), 1);
   expect(bench.verdicts()).toEqual(['6 runs at a']);
 });
 test('of a crowd, what cannot be served in time is turned away at once', () => {
@@ -160,7 +168,7 @@
   bench.ask('light');
   bench.now = 4000;
   bench.fresh();
-  bench.decision.done(moment(4000), 1);
+  bench.decision.onRunCompleted(moment(4000), 1);
   bench.verdicts();
   // Runs take 4 s: of a crowd with 10 s each, those that cannot make it are told so at once, none near its limit.
   for (let index = 0; index < 60; index += 1) bench.ask('light');
@@ -196,7 +204,7 @@
   bench.ask('heavy');
   bench.ask('', { method: 'GET', path: '/l' });
   expect(bench.verdicts()).toEqual(['1 runs at b', '2 waits-for-place']);
-  bench.decision.news(
+  bench.decision.onUpdate(
     moment(0),
     'machines',
     { epoch: 0, count: 5 },
@@ -211,12 +219,12 @@
 test('only what was not written runs elsewhere, or what is repeatable', () => {
   const bench = new Bench();
   bench.ask('heavy');
-  bench.decision.notRun(moment(0), 1, 'unreached');
+  bench.decision.onUnprocessed(moment(0), 1, 'unreached');
   expect(bench.verdicts()).toEqual(['1 runs at a', '1 runs at b']);
   // Bytes were written: what may run but once never runs again.
-  expect(bench.decision.broke(moment(0), 1, true)).toBe(false);
+  expect(bench.decision.onRunFailed(moment(0), 1, true)).toBe(false);
   bench.ask('', { method: 'GET', path: '/l' });
-  expect(bench.decision.broke(moment(0), 2, true)).toBe(true);
+  expect(bench.decision.onRunFailed(moment(0), 2, true)).toBe(true);
   expect(bench.verdicts()).toEqual(['2 runs at k', '2 no-runner']);
 });
 test('a row takes what its share allows', () => {
@@ -231,8 +239,8 @@
   bench.ask('heavy');
   bench.ask('heavy');
   expect(bench.decision.pending).toBe(1);
-  bench.decision.gone(moment(0), 3);
-  bench.decision.done(moment(5), 1);
+  bench.decision.onClientDisconnect(moment(0), 3);
+  bench.decision.onRunCompleted(moment(5), 1);
   expect(bench.verdicts()).toEqual(['1 runs at a', '2 runs at b']);
 });
 test('draining turns away what waits and keeps what runs', () => {
--- a/src/proxy/table-view.ts
+++ b/src/proxy/policy-view.ts
@@ -22,34 +22,34 @@
 import {
   isPlainService,
   type AdmittedRequest,
-  type Asked,
+  type RequestInfo,
   type Candidate,
-} from './decision-types.js';
-import type { Watched } from './connection-probes.js';
+} from './policy-router-types.js';
+import type { ProbedBackend } from './connection-probes.js';
 
 /** Who waits for a place, and when it is due as far as the leader can tell. */
-interface Wait {
+interface PlacementWait {
   readonly text: string;
-  readonly toldMs: number;
+  readonly reportedMs: number;
   readonly readyAt: Moment | undefined;
 }
 
 /** Callers are never told to come back sooner than this to a model whose place is due, ms. */
-const SOONEST_RETRY_MS = 1000;
+const MIN_RETRY_AFTER_MS = 1000;
 
 /** What taking news changed. */
-export type TableChange = 'table' | 'places' | 'first places' | 'nothing';
+export type PolicyChange = 'table' | 'places' | 'first places' | 'nothing';
 
 /** What a proxy was told: the table, where models are placed, and which machines leave. Nothing steps back a version. */
-export class TableView {
+export class PolicyView {
   readonly #me: string;
   #config: { readonly version: Version; readonly news: ConfigUpdate } | undefined;
   #places: { readonly version: Version; readonly news: Places } | undefined;
   #machines: Machines = { revision: 0, machines: [] };
   /** Runners that get no new work: marked as leaving, or in an evacuated zone. */
-  #barred = new Set<string>();
+  #excludedRunners = new Set<string>();
   readonly #seats = new Map<string, readonly Seat[]>();
-  #waits: ReadonlyMap<string, Wait> = new Map();
+  #waits: ReadonlyMap<string, PlacementWait> = new Map();
   readonly #placed = new Map<string, PlacedRunner>();
   readonly #shares = new Map<string, number>();
 
@@ -69,7 +69,7 @@
     return this.#config?.news.number ?? -1;
   }
   /** The revision of the list of machines. */
-  get marks(): number {
+  get runnerListRevision(): number {
     return this.#machines.revision;
   }
   get hasConfig(): boolean {
@@ -87,21 +87,24 @@
   }
 
   /** Whether what is held here is at least as new. */
-  isAsNewAs(version: Version, marks: number): boolean {
-    return compareVersions(this.configVersion, version) >= 0 && this.marks >= marks;
+  isAsNewAs(version: Version, runnerListRevision: number): boolean {
+    return (
+      compareVersions(this.configVersion, version) >= 0 &&
+      this.runnerListRevision >= runnerListRevision
+    );
   }
 
   /** Takes a piece of news, and says what it changed. */
-  take(now: Moment, topic: string, version: Version, body: string): TableChange {
-    const change = this.#take(now, topic, version, body);
-    this.#bar();
+  onUpdate(now: Moment, topic: string, version: Version, body: string): PolicyChange {
+    const change = this.#apply(now, topic, version, body);
+    this.#updateExcluded();
     return change;
   }
 
   /** The row that admits a request, as the table stands. */
-  rowOf(asked: Asked): Row | undefined {
-    const mapping = this.mappingOf(asked.method, asked.path);
-    return mapping ? findRow(this.table, mapping.type, asked.model) : undefined;
+  rowOf(info: RequestInfo): Row | undefined {
+    const mapping = this.mappingOf(info.method, info.path);
+    return mapping ? findRow(this.table, mapping.type, info.model) : undefined;
   }
 
   mappingOf(method: string, path: string): Mapping | undefined {
@@ -110,7 +113,7 @@
 
   /** The row that admitted it, as it stands now; nothing if the table leads elsewhere by now. */
   rowNow(request: AdmittedRequest): Row | undefined {
-    const row = this.rowOf(request.asked);
+    const row = this.rowOf(request.info);
     return row && rowKey(row) === rowKey(request.row) ? row : undefined;
   }
 
@@ -118,16 +121,16 @@
   candidates(request: AdmittedRequest): Candidate[] {
     if (isPlainService(request.service)) return this.#plainCandidates(request.service.slice(1));
     const list: Candidate[] = [];
-    const { adapter } = request.asked;
+    const { adapter } = request.info;
     for (const seat of this.#seats.get(request.service) ?? []) {
-      if (this.#barred.has(seat.runner)) continue;
+      if (this.#excludedRunners.has(seat.runner)) continue;
       if (adapter !== '' && !seat.adapters.includes(adapter)) continue;
       list.push({ id: seat.runner, isPrimary: seat.primary });
     }
     return list;
   }
 
-  isPlaceless(request: AdmittedRequest): boolean {
+  isUnplaced(request: AdmittedRequest): boolean {
     return this.candidates(request).length === 0;
   }
 
@@ -137,9 +140,9 @@
   }
 
   /** How long until its place is due, as far as the leader told; 0 where nothing is known. */
-  placeMs(now: Moment, service: string): number {
+  placementDelayMs(now: Moment, service: string): number {
     const readyAt = this.#waits.get(service)?.readyAt;
-    return readyAt === undefined ? 0 : Math.max(SOONEST_RETRY_MS, readyAt - now);
+    return readyAt === undefined ? 0 : Math.max(MIN_RETRY_AFTER_MS, readyAt - now);
   }
 
   /** This proxy's share of what a row may take; an even one where none was told. */
@@ -148,24 +151,24 @@
   }
 
   /** Plain back ends: whether they were started anew is told by nobody. */
-  plainBackEnds(): readonly Watched[] {
-    const list: Watched[] = [];
+  plainBackEnds(): readonly ProbedBackend[] {
+    const list: ProbedBackend[] = [];
     for (const { id, address, service } of this.#placed.values())
       if (service !== '') list.push({ id, address });
     return list;
   }
 
-  #take(now: Moment, topic: string, version: Version, body: string): TableChange {
+  #apply(now: Moment, topic: string, version: Version, body: string): PolicyChange {
     if (topic === 'config' && compareVersions(version, this.configVersion) > 0) {
-      const news = parseAs(ConfigUpdateShape, body);
-      if (news) this.#config = { version, news };
+      const update = parseAs(ConfigUpdateShape, body);
+      if (update) this.#config = { version, news: update };
       return 'table';
     }
     if (topic === 'places' && compareVersions(version, this.placesVersion) > 0) {
       const news = parseAs(PlacesShape, body);
       if (!news) return 'nothing';
       const change = this.#places === undefined ? 'first places' : 'places';
-      this.#takePlaces(now, news);
+      this.#applyPlacements(now, news);
       this.#places = { version, news };
       return change;
     }
@@ -176,39 +179,40 @@
     return 'nothing';
   }
 
-  #takePlaces(now: Moment, news: Places): void {
+  #applyPlacements(now: Moment, update: Places): void {
     this.#seats.clear();
-    const waits = new Map<string, Wait>();
+    const waits = new Map<string, PlacementWait>();
     this.#placed.clear();
     this.#shares.clear();
-    for (const place of news.places) {
+    for (const place of update.places) {
       this.#seats.set(place.model, place.seats);
       const known = this.#waits.get(place.model);
       const readyMs = place.readyMs ?? 0;
       // Told once when it begins to wait, and counted down here; the same word again is no new beginning.
-      const isSame = known !== undefined && known.text === place.wait && known.toldMs === readyMs;
+      const isSame =
+        known !== undefined && known.text === place.wait && known.reportedMs === readyMs;
       const readyAt = readyMs > 0 ? later(now, readyMs) : undefined;
-      waits.set(place.model, isSame ? known : { text: place.wait, toldMs: readyMs, readyAt });
+      waits.set(place.model, isSame ? known : { text: place.wait, reportedMs: readyMs, readyAt });
     }
     this.#waits = waits;
-    for (const runner of news.runners) this.#placed.set(runner.id, runner);
-    for (const share of news.shares)
+    for (const runner of update.runners) this.#placed.set(runner.id, runner);
+    for (const share of update.shares)
       if (share.flow === this.#me) this.#shares.set(share.row, share.share);
   }
 
-  #bar(): void {
+  #updateExcluded(): void {
     const evacuated = new Set(this.#config?.news.emptied ?? []);
-    this.#barred = new Set();
+    this.#excludedRunners = new Set();
     for (const machine of this.#machines.machines)
-      if (machine.leaving || evacuated.has(machine.zone)) this.#barred.add(machine.id);
+      if (machine.leaving || evacuated.has(machine.zone)) this.#excludedRunners.add(machine.id);
     for (const runner of this.#placed.values())
-      if (evacuated.has(runner.zone)) this.#barred.add(runner.id);
+      if (evacuated.has(runner.zone)) this.#excludedRunners.add(runner.id);
   }
 
   #plainCandidates(service: string): Candidate[] {
     const list: Candidate[] = [];
     for (const runner of this.#placed.values())
-      if (runner.service === service && !this.#barred.has(runner.id))
+      if (runner.service === service && !this.#excludedRunners.has(runner.id))
         list.push({ id: runner.id, isPrimary: true });
     return list;
   }
--- a/src/proxy/prefix-memory.ts
+++ b/src/proxy/prefix-cache.ts
@@ -1,13 +1,13 @@
 /** How many parts of prompts are remembered for each runner and service. */
-const MOST_PARTS = 32;
+const MAX_CACHED_BLOCKS = 32;
 
 /** Which parts of prompts each runner was given last, and so may still keep. */
-export class PrefixMemory {
-  readonly #parts = new Map<string, readonly string[]>();
+export class PrefixCache {
+  readonly #blocks = new Map<string, readonly string[]>();
 
   /** How many of the leading parts this runner was given lately. */
-  leadingParts(runner: string, service: string, parts: readonly string[]): number {
-    const known = this.#parts.get(keyOf(runner, service)) ?? [];
+  cachedBlocks(runner: string, service: string, parts: readonly string[]): number {
+    const known = this.#blocks.get(keyOf(runner, service)) ?? [];
     let count = 0;
     for (const part of parts) {
       if (!known.includes(part)) break;
@@ -16,12 +16,12 @@
     return count;
   }
 
-  given(runner: string, service: string, parts: readonly string[]): void {
+  record(runner: string, service: string, parts: readonly string[]): void {
     if (parts.length === 0) return;
     const key = keyOf(runner, service);
     const newest = new Set(parts);
-    const rest = (this.#parts.get(key) ?? []).filter((part) => !newest.has(part));
-    this.#parts.set(key, [...parts, ...rest].slice(0, MOST_PARTS));
+    const rest = (this.#blocks.get(key) ?? []).filter((part) => !newest.has(part));
+    this.#blocks.set(key, [...parts, ...rest].slice(0, MAX_CACHED_BLOCKS));
   }
 }
 
--- a/src/proxy/probe-connections.ts
+++ b/src/proxy/probe-connections.ts
@@ -26,14 +26,14 @@
   }
 
   /** Opens or closes a connection as the probes ask. */
-  carryOut(step: ConnectionProbeStep): void {
+  runStep(step: ConnectionProbeStep): void {
     this.#sockets.get(step.id)?.destroy();
     this.#sockets.delete(step.id);
     if (step.do === 'close' || this.#isDraining) return;
     const socket = connect({ ...parseAddress(step.address) });
     this.#sockets.set(step.id, socket);
-    socket.once('connect', () => this.#opened(step.id, step.count));
-    socket.once('close', () => this.#closed(step.id, step.count));
+    socket.once('connect', () => this.#handleOpen(step.id, step.count));
+    socket.once('close', () => this.#handleClose(step.id, step.count));
     socket.on('error', ignore);
     // Whatever it says, as on being idle for too long, is of no matter; its end is.
     socket.resume();
@@ -50,13 +50,13 @@
     for (const socket of this.#sockets.values()) socket.destroy();
   }
 
-  #opened(id: string, count: number): void {
-    this.#probes.opened(this.#now(), id, count);
+  #handleOpen(id: string, count: number): void {
+    this.#probes.onOpen(this.#now(), id, count);
     this.#onOpened();
   }
 
-  #closed(id: string, count: number): void {
-    this.#probes.closed(this.#now(), id, count);
+  #handleClose(id: string, count: number): void {
+    this.#probes.onClose(this.#now(), id, count);
     this.#onClosed();
   }
 }
--- a/src/proxy/runner-pool.ts
+++ b/src/proxy/runner-pool.ts
@@ -8,25 +8,25 @@
   /** Moving mean of the lengths of runs, ms; 0 before the first. */
   meanMs: number;
   fullUntil: Moment;
-  brokenUntil: Moment;
+  failedUntil: Moment;
   /** Starts in the ramp's current second. */
-  rampFrom: Moment;
-  rampStarts: number;
+  slowStartWindow: Moment;
+  slowStartRuns: number;
   /** Since when it counts as up. */
-  firstSeen: Moment;
+  upSince: Moment;
   /** Seen to be away by its probe, and not yet back. */
-  isFallen: boolean;
+  isDown: boolean;
 }
 
 /** How long a runner that broke off, or said that it is full, is not chosen, ms. */
-const BROKEN_MS = 1000;
-const FULL_MS = 100;
-const RAMP_SECOND_MS = 1000;
+const FAILURE_BACKOFF_MS = 1000;
+const FULL_BACKOFF_MS = 100;
+const SLOW_START_WINDOW_MS = 1000;
 /** Starts a second at the end of the ramp, beyond the first. */
-const RAMP_STARTS = 8;
-const LEAST_WARMTH = 0.1;
+const SLOW_START_RUNS = 8;
+const MIN_SLOW_START_FACTOR = 0.1;
 /** How warm a plain back end counts that stood there before this proxy: it may have been started together with it. */
-const FIRST_WARMTH = 0.8;
+const INITIAL_BACKEND_FACTOR = 0.8;
 /** Slots of a runner that tells none. */
 const UNKNOWN_SLOTS = 64;
 /** Weight of the newest run in the mean. */
@@ -34,17 +34,17 @@
 
 /** The runners of a proxy: how much each may be given, and how long runs there take. */
 export class RunnerPool {
-  readonly #rampMs: number;
+  readonly #slowStartMs: number;
   readonly #states = new Map<string, RunnerState>();
 
   /** `rampMs`: how long a runner that just started is spared. */
-  constructor(rampMs: number) {
-    this.#rampMs = rampMs;
+  constructor(slowStartMs: number) {
+    this.#slowStartMs = slowStartMs;
   }
 
   /** Takes the runners that are placed now; `isFirst` where nothing was known before. */
-  follow(now: Moment, placed: ReadonlyMap<string, PlacedRunner>, isFirst: boolean): void {
-    for (const runner of placed.values()) this.#note(now, runner, isFirst);
+  setRunners(now: Moment, placed: ReadonlyMap<string, PlacedRunner>, isFirst: boolean): void {
+    for (const runner of placed.values()) this.#update(now, runner, isFirst);
     for (const id of this.#states.keys()) if (!placed.has(id)) this.#states.delete(id);
   }
 
@@ -67,84 +67,87 @@
     const slots = placed.slots === 0 ? UNKNOWN_SLOTS : placed.slots;
     // Twice an even share, since proxies are not asked evenly, but never more than there is.
     const share = Math.max(1, Math.min(slots, Math.ceil((slots * 2) / proxies)));
-    const warmth = Math.min(1, Math.max(LEAST_WARMTH, (now - state.firstSeen) / this.#rampMs));
-    return Math.max(1, Math.floor(share * warmth));
+    const slowStartFactor = Math.min(
+      1,
+      Math.max(MIN_SLOW_START_FACTOR, (now - state.upSince) / this.#slowStartMs),
+    );
+    return Math.max(1, Math.floor(share * slowStartFactor));
   }
 
   /** Whether one more may be started there, within that capacity. */
   mayStart(now: Moment, id: string, capacity: number): boolean {
     const state = this.#states.get(id);
-    if (!state || state.isFallen || now < state.fullUntil || now < state.brokenUntil) return false;
+    if (!state || state.isDown || now < state.fullUntil || now < state.failedUntil) return false;
     if (state.running >= capacity) return false;
-    const age = now - state.firstSeen;
-    if (age >= this.#rampMs) return true;
+    const age = now - state.upSince;
+    if (age >= this.#slowStartMs) return true;
     // While cold, starts a second are held down too: short runs would else flood it however few are running.
-    if (now - state.rampFrom >= RAMP_SECOND_MS) {
-      state.rampFrom = now;
-      state.rampStarts = 0;
+    if (now - state.slowStartWindow >= SLOW_START_WINDOW_MS) {
+      state.slowStartWindow = now;
+      state.slowStartRuns = 0;
     }
-    return state.rampStarts < 1 + Math.floor((age / this.#rampMs) * RAMP_STARTS);
+    return state.slowStartRuns < 1 + Math.floor((age / this.#slowStartMs) * SLOW_START_RUNS);
   }
 
-  started(id: string): void {
+  onStart(id: string): void {
     const state = this.#states.get(id);
     if (!state) return;
     state.running += 1;
-    state.rampStarts += 1;
+    state.slowStartRuns += 1;
   }
 
   /** A run ended; `spanMs` where it went its way, since no other tells how long runs are. */
-  ended(id: string, spanMs: number | undefined): void {
+  onEnd(id: string, durationMs: number | undefined): void {
     const state = this.#states.get(id);
     if (!state) return;
     state.running = Math.max(0, state.running - 1);
-    if (spanMs === undefined) return;
+    if (durationMs === undefined) return;
     state.meanMs =
-      state.meanMs === 0 ? spanMs : state.meanMs * (1 - MEAN_WEIGHT) + spanMs * MEAN_WEIGHT;
+      state.meanMs === 0 ? durationMs : state.meanMs * (1 - MEAN_WEIGHT) + durationMs * MEAN_WEIGHT;
   }
 
-  full(now: Moment, id: string): void {
+  onFull(now: Moment, id: string): void {
     const state = this.#states.get(id);
-    if (state) state.fullUntil = later(now, FULL_MS);
+    if (state) state.fullUntil = later(now, FULL_BACKOFF_MS);
   }
 
-  broken(now: Moment, id: string): void {
+  onFailure(now: Moment, id: string): void {
     const state = this.#states.get(id);
-    if (state) state.brokenUntil = later(now, BROKEN_MS);
+    if (state) state.failedUntil = later(now, FAILURE_BACKOFF_MS);
   }
 
   /** A back end that tells nothing of itself could not be reached: it is taken for one started anew. */
-  unreachedPlain(now: Moment, id: string): void {
-    this.broken(now, id);
+  onBackendUnreachable(now: Moment, id: string): void {
+    this.onFailure(now, id);
     const state = this.#states.get(id);
-    if (state) state.firstSeen = state.brokenUntil;
+    if (state) state.upSince = state.failedUntil;
   }
 
   /** Until its rising is seen: whoever went there sooner would find it cold and not know. */
-  fallen(id: string): void {
+  onBackendDown(id: string): void {
     const state = this.#states.get(id);
-    if (state) state.isFallen = true;
+    if (state) state.isDown = true;
   }
 
-  risen(now: Moment, id: string): void {
+  onBackendUp(now: Moment, id: string): void {
     const state = this.#states.get(id);
     if (!state) return;
-    state.firstSeen = now;
-    state.brokenUntil = now;
-    state.isFallen = false;
+    state.upSince = now;
+    state.failedUntil = now;
+    state.isDown = false;
   }
 
-  #note(now: Moment, runner: PlacedRunner, isFirst: boolean): void {
+  #update(now: Moment, runner: PlacedRunner, isFirst: boolean): void {
     const state = this.#states.get(runner.id);
     const isPlain = runner.service !== '';
     // Back ends without a report count as warm only if they stood here before us, and then not wholly.
-    const upMs = !isPlain ? runner.upMs : isFirst ? this.#rampMs * FIRST_WARMTH : 0;
+    const upMs = !isPlain ? runner.upMs : isFirst ? this.#slowStartMs * INITIAL_BACKEND_FACTOR : 0;
     if (!state) {
       this.#states.set(runner.id, newState(now, upMs));
       return;
     }
-    const isStartedAnew = runner.upMs < this.#rampMs && now - upMs > state.firstSeen;
-    if (!isPlain && isStartedAnew) state.firstSeen = moment(now - upMs);
+    const isStartedAnew = runner.upMs < this.#slowStartMs && now - upMs > state.upSince;
+    if (!isPlain && isStartedAnew) state.upSince = moment(now - upMs);
   }
 }
 
@@ -154,10 +157,10 @@
     running: 0,
     meanMs: 0,
     fullUntil: never,
-    brokenUntil: never,
-    rampFrom: now,
-    rampStarts: 0,
-    firstSeen: moment(now - upMs),
-    isFallen: false,
+    failedUntil: never,
+    slowStartWindow: now,
+    slowStartRuns: 0,
+    upSince: moment(now - upMs),
+    isDown: false,
   };
 }
--- a/src/proxy/table-proxy-process.ts
+++ b/src/proxy/table-proxy-process.ts
@@ -10,23 +10,23 @@
 import type { TableProxySettingsShape } from '../common/settings.js';
 import { versionText } from '../common/version.js';
 import { Exchange, type Incoming } from '../dissemination/exchange.js';
-import { Decision } from './decision.js';
-import { DECISION_DEFAULTS } from './decision-types.js';
-import { Executor } from './executor.js';
+import { PolicyRouter } from './policy-router.js';
+import { POLICY_ROUTER_DEFAULTS } from './policy-router-types.js';
+import { PolicyForwarder } from './policy-forwarder.js';
 
 const TICK_MS = 25;
-const ASK_EVERY = 12;
-const DEMAND_EVERY = 40;
+const FRESHNESS_EVERY_TICKS = 12;
+const DEMAND_EVERY_TICKS = 40;
 
 /** The proxy's process: the executor at its HTTP port, and the line to the agent beside it. */
 export class TableProxyProcess {
   readonly #settings: Infer<typeof TableProxySettingsShape>;
   readonly #log: Logger;
   readonly #counters = new Counters();
-  readonly #owner = new SerialQueue();
+  readonly #queue = new SerialQueue();
   readonly #exchange: Exchange;
-  readonly #decision: Decision;
-  readonly #executor: Executor;
+  readonly #router: PolicyRouter;
+  readonly #forwarder: PolicyForwarder;
   readonly #subscription = new Subscription();
   #ticks = 0;
   #wasFresh = false;
@@ -37,17 +37,21 @@
     const me = `flow@${settings.listen}`;
     this.#exchange = new Exchange(
       { id: me, role: 'flow', zone: settings.zone, listen: '', reach: {} },
-      (defect) => this.#tell(defect),
+      (error) => this.#onExchangeError(error),
     );
-    this.#decision = new Decision({
-      ...DECISION_DEFAULTS,
-      blindMs: settings.blindMs,
+    this.#router = new PolicyRouter({
+      ...POLICY_ROUTER_DEFAULTS,
+      freshnessBoundMs: settings.blindMs,
       me,
       incarnation: newIncarnation(),
     });
-    this.#executor = new Executor(
-      this.#decision,
-      { maxBodyBytes: settings.maxBodyBytes, connectMs: 500, silentMs: settings.silentMs },
+    this.#forwarder = new PolicyForwarder(
+      this.#router,
+      {
+        maxBodyBytes: settings.maxBodyBytes,
+        connectTimeoutMs: 500,
+        idleTimeoutMs: settings.silentMs,
+      },
       this.#counters,
       monotonicNow,
     );
@@ -55,24 +59,30 @@
 
   async start(): Promise<void> {
     this.#subscription.add(
-      this.#exchange.incoming$.subscribe((incoming: Incoming) => this.#receive(incoming)),
+      this.#exchange.incoming$.subscribe((incoming: Incoming) => this.#enqueue(incoming)),
     );
-    await this.#executor.listen(this.#settings.listen);
+    await this.#forwarder.listen(this.#settings.listen);
     this.#subscription.add(
-      interval(TICK_MS).subscribe(() => this.#owner.submit(() => this.#tick())),
+      interval(TICK_MS).subscribe(() => this.#queue.submit(() => this.#tick())),
     );
     this.#log.info({ zone: this.#settings.zone }, 'flow started');
   }
 
   async stop(): Promise<void> {
-    this.#log.info({ running: this.#decision.running }, 'flow draining');
-    await this.#executor.drain(this.#settings.drainMs);
+    this.#log.info({ running: this.#router.running }, 'flow draining');
+    await this.#forwarder.stop(this.#settings.drainMs);
     this.#subscription.unsubscribe();
     this.#exchange.close();
   }
 
   counters(): object {
-    const { running, pending, configVersion, placesVersion, marks } = this.#decision;
+    const {
+      running,
+      pending,
+      configVersion,
+      placesVersion,
+      runnerListRevision: marks,
+    } = this.#router;
     return {
       ...this.#counters.all(),
       running,
@@ -85,16 +95,16 @@
     };
   }
 
-  #tell(defect: HaretrackError): void {
-    this.#counters.add(`defects.${defect.code}`);
-    this.#log.warn({ defect: defect.code }, defect.message);
+  #onExchangeError(error: HaretrackError): void {
+    this.#counters.add(`defects.${error.code}`);
+    this.#log.warn({ defect: error.code }, error.message);
   }
 
   #have(): KnownVersion[] {
     return [
-      { topic: 'config', ...this.#decision.configVersion },
-      { topic: 'places', ...this.#decision.placesVersion },
-      { topic: 'machines', epoch: 0, count: this.#decision.marks },
+      { topic: 'config', ...this.#router.configVersion },
+      { topic: 'places', ...this.#router.placesVersion },
+      { topic: 'machines', epoch: 0, count: this.#router.runnerListRevision },
     ];
   }
 
@@ -102,35 +112,35 @@
     const now = monotonicNow();
     this.#exchange.dial(this.#settings.link);
     this.#ticks += 1;
-    if (this.#ticks % ASK_EVERY === 0)
+    if (this.#ticks % FRESHNESS_EVERY_TICKS === 0)
       this.#exchange.send(this.#settings.link, {
         kind: 'freshnessRequest',
-        nonce: this.#decision.ask(now),
+        nonce: this.#router.startFreshnessRequest(now),
         have: this.#have(),
         members: [],
       });
-    if (this.#ticks % DEMAND_EVERY === 0) {
-      const demand = this.#decision.takeDemand();
+    if (this.#ticks % DEMAND_EVERY_TICKS === 0) {
+      const demand = this.#router.takeDemand();
       this.#exchange.send(this.#settings.link, {
         kind: 'demand',
         body: JSON.stringify({ flow: `flow@${this.#settings.listen}`, ...demand }),
       });
     }
-    this.#executor.tick(now);
-    const isFresh = this.#decision.isFresh(now);
+    this.#forwarder.tick(now);
+    const isFresh = this.#router.isFresh(now);
     if (isFresh !== this.#wasFresh) this.#log.info({ fresh: isFresh }, 'freshness');
     this.#wasFresh = isFresh;
   }
 
-  #receive(incoming: Incoming): void {
-    this.#owner.submit(() => this.#take(incoming));
+  #enqueue(incoming: Incoming): void {
+    this.#queue.submit(() => this.#onMessage(incoming));
   }
 
-  #take(incoming: Incoming): void {
+  #onMessage(incoming: Incoming): void {
     const now = monotonicNow();
     const { message } = incoming;
     if (message.kind === 'update') {
-      this.#decision.news(
+      this.#router.onUpdate(
         now,
         message.topic,
         { epoch: message.epoch, count: message.count },
@@ -138,10 +148,10 @@
       );
       // In force from here on: the next request is asked of the new table.
       if (message.topic === 'config')
-        this.#exchange.send(incoming.from, { kind: 'ack', ...this.#decision.configVersion });
+        this.#exchange.send(incoming.from, { kind: 'ack', ...this.#router.configVersion });
     } else if (message.kind === 'freshnessReply') {
-      this.#decision.confirmFreshness(message.nonce, message, message.marks);
+      this.#router.onFreshnessConfirmed(message.nonce, message, message.marks);
     }
-    this.#executor.settle(now);
+    this.#forwarder.onUpdate(now);
   }
 }
--- a/src/rehearsal/garbage.test.ts
+++ b/src/rehearsal/garbage.test.ts
@@ -1,7 +1,7 @@
 import { expect, test } from 'vitest';
 import { compile } from '../policy/language.js';
-import { Decision } from '../proxy/decision.js';
-import { DECISION_DEFAULTS } from '../proxy/decision-types.js';
+import { PolicyRouter } from '../proxy/policy-router.js';
+import { POLICY_ROUTER_DEFAULTS } from '../proxy/policy-router-types.js';
 import { moment } from '../common/ids.js';
 import { AgentCore } from '../agent/agent-core.js';
 import { Garbage, WORDS } from './garbage.js';
@@ -33,7 +33,11 @@
     await new Promise(setImmediate);
     const seeded = new SeededClass(seed);
     const garbage = new Garbage(seeded, BODIES);
-    const decision = new Decision({ ...DECISION_DEFAULTS, blindMs: 2500, me: 'f' });
+    const decision = new PolicyRouter({
+      ...POLICY_ROUTER_DEFAULTS,
+      freshnessBoundMs: 2500,
+      me: 'f',
+    });
     const link = new AgentCore(
       {
         me: 'link-0:1',
@@ -46,15 +50,19 @@
     );
     for (let now = 0; now < 3000; now += 10) {
       const topic = seeded.pick(['config', 'places', 'machines']) ?? '';
-      decision.news(moment(now), topic, { epoch: 2, count: now }, garbage.text());
-      decision.confirmFreshness(decision.ask(moment(now)), { epoch: 0, count: 0 }, 0);
-      decision.gate(moment(now), {
+      decision.onUpdate(moment(now), topic, { epoch: 2, count: now }, garbage.text());
+      decision.onFreshnessConfirmed(
+        decision.startFreshnessRequest(moment(now)),
+        { epoch: 0, count: 0 },
+        0,
+      );
+      decision.onRequest(moment(now), {
         id: now,
         method: 'POST',
         path: '/c',
         model: seeded.pick(WORDS) ?? '',
         adapter: '',
-        parts: [],
+        prefixBlocks: [],
       });
       decision.tick(moment(now));
       link.onMessage(
--- a/src/rehearsal/measures.ts
+++ b/src/rehearsal/measures.ts
@@ -1,8 +1,8 @@
 import { createServer, request, type IncomingMessage, type ServerResponse } from 'node:http';
 import { compile } from '../policy/language.js';
-import { Decision } from '../proxy/decision.js';
-import { DECISION_DEFAULTS } from '../proxy/decision-types.js';
-import { Executor } from '../proxy/executor.js';
+import { PolicyRouter } from '../proxy/policy-router.js';
+import { POLICY_ROUTER_DEFAULTS } from '../proxy/policy-router-types.js';
+import { PolicyForwarder } from '../proxy/policy-forwarder.js';
 import { Counters } from '../common/counters.js';
 import { monotonicNow } from '../common/clock.js';
 import { moment, type Moment } from '../common/ids.js';
@@ -62,14 +62,14 @@
 }
 
 interface Bench {
-  readonly decision: Decision;
+  readonly decision: PolicyRouter;
   readonly rowText: string;
 }
 
 function makeDecision(rowText: string, runners: readonly string[], slots: number): Bench {
-  const decision = new Decision({ ...DECISION_DEFAULTS, blindMs: 1e9, me: 'f' });
+  const decision = new PolicyRouter({ ...POLICY_ROUTER_DEFAULTS, freshnessBoundMs: 1e9, me: 'f' });
   const now = moment(0);
-  decision.news(
+  decision.onUpdate(
     now,
     'config',
     { epoch: 2, count: 1 },
@@ -81,7 +81,7 @@
     seats.push({ runner: id, primary: seats.length === 0, adapters: [] });
     placed.push({ id, address: `${id}:1`, zone: id, service: '', slots, upMs: 60_000 });
   }
-  decision.news(
+  decision.onUpdate(
     now,
     'places',
     { epoch: 2, count: 1 },
@@ -92,7 +92,7 @@
       shares: [],
     }),
   );
-  decision.confirmFreshness(decision.ask(now), { epoch: 0, count: 0 }, 0);
+  decision.onFreshnessConfirmed(decision.startFreshnessRequest(now), { epoch: 0, count: 0 }, 0);
   return { decision, rowText };
 }
 
@@ -138,7 +138,7 @@
       }
     }
     function end(id: number): void {
-      decision.done(moment(scheduler.now), id);
+      decision.onRunCompleted(moment(scheduler.now), id);
       obey();
     }
     const waiting: number[] = [];
@@ -168,13 +168,13 @@
         drawRandom();
         return;
       }
-      decision.gate(moment(scheduler.now), {
+      decision.onRequest(moment(scheduler.now), {
         id,
         method: 'POST',
         path: '/c',
         model: 'm',
         adapter: '',
-        parts: wanted,
+        prefixBlocks: wanted,
       });
       obey();
     }
@@ -216,7 +216,7 @@
       for (const verdict of decision.drain()) {
         const item = asked.get(verdict.id);
         if (!item) continue;
-        if (verdict.do === 'turnAway') {
+        if (verdict.do === 'reject') {
           mostWait = Math.max(mostWait, scheduler.now - item.at);
           continue;
         }
@@ -229,7 +229,7 @@
       }
     }
     function end(id: number): void {
-      decision.done(moment(scheduler.now), id);
+      decision.onRunCompleted(moment(scheduler.now), id);
       obey();
     }
     function arrive(id: number): void {
@@ -237,13 +237,13 @@
       if (isHeavy) heavyAsked += 1;
       else lightAsked += 1;
       asked.set(id, { isHeavy, at: scheduler.now });
-      decision.gate(moment(scheduler.now), {
+      decision.onRequest(moment(scheduler.now), {
         id,
         method: 'POST',
         path: isHeavy ? '/h' : '/l',
         model: 'm',
         adapter: '',
-        parts: [],
+        prefixBlocks: [],
       });
       obey();
     }
@@ -293,9 +293,9 @@
     asked.pipe(sent);
   });
   const bareAddress = `127.0.0.1:${await bindServer(bareServer, '127.0.0.1:0')}`;
-  const decision = new Decision({ ...DECISION_DEFAULTS, blindMs: 1e9, me: 'f' });
+  const decision = new PolicyRouter({ ...POLICY_ROUTER_DEFAULTS, freshnessBoundMs: 1e9, me: 'f' });
   const now = monotonicNow();
-  decision.news(
+  decision.onUpdate(
     now,
     'config',
     { epoch: 2, count: 1 },
@@ -310,7 +310,7 @@
   const runners = [
     { id: 'r', address: backAddress, zone: 'z', service: '', slots: 64, upMs: 60_000 },
   ];
-  decision.news(
+  decision.onUpdate(
     now,
     'places',
     { epoch: 2, count: 1 },
@@ -321,10 +321,10 @@
       shares: [],
     }),
   );
-  decision.confirmFreshness(decision.ask(now), { epoch: 0, count: 0 }, 0);
-  const executor = new Executor(
+  decision.onFreshnessConfirmed(decision.startFreshnessRequest(now), { epoch: 0, count: 0 }, 0);
+  const executor = new PolicyForwarder(
     decision,
-    { maxBodyBytes: 65_536, connectMs: 500, silentMs: 20_000 },
+    { maxBodyBytes: 65_536, connectTimeoutMs: 500, idleTimeoutMs: 20_000 },
     new Counters(),
     monotonicNow,
   );
@@ -339,7 +339,7 @@
     proxyMs += proxy;
     relayMs += relay;
   }
-  await executor.drain(0);
+  await executor.stop(0);
   for (const server of [backServer, bareServer]) {
     server.closeAllConnections();
     server.close();
--- a/src/rehearsal/proxy-connections.ts
+++ b/src/rehearsal/proxy-connections.ts
@@ -1,4 +1,4 @@
-import type { InFlightRequests, Step } from '../proxy/in-flight-requests.js';
+import type { InFlightRequests, ForwardStep } from '../proxy/in-flight-requests.js';
 import type { Moment } from '../common/ids.js';
 import type { MutationKind } from './mutation.js';
 import type { SimClients } from './sim-clients.js';
@@ -28,7 +28,7 @@
   readonly isKept: boolean;
 }
 
-type ConnectStep = Extract<Step, { do: 'connect' }>;
+type ConnectStep = Extract<ForwardStep, { do: 'connect' }>;
 
 /** A kept connection stands so soon, ms. */
 const KEPT_MS = 0.05;
@@ -136,7 +136,7 @@
   #connected(id: number, attempt: number): void {
     const proxy = this.#proxy;
     this.#hears(id, attempt, (requests: InFlightRequests) => {
-      requests.connected(proxy.now(), id, attempt);
+      requests.onConnect(proxy.now(), id, attempt);
     });
   }
 
@@ -144,8 +144,8 @@
     const proxy = this.#proxy;
     this.#hears(id, attempt, (requests: InFlightRequests, heard: Attempt) => {
       heard.hasHead = isBegun;
-      requests.head(proxy.now(), id, attempt, {
-        isBegun,
+      requests.onHeaders(proxy.now(), id, attempt, {
+        isStarted: isBegun,
         isBounded: isBounded || proxy.wrong === 'unbounded-as-whole',
       });
     });
@@ -157,7 +157,7 @@
       const client = proxy.clients.get(id);
       if (!client?.isReading) return;
       client.check.take(piece);
-      requests.bytes(proxy.now(), id, attempt);
+      requests.onData(proxy.now(), id, attempt);
     });
   }
 
@@ -165,15 +165,16 @@
     const proxy = this.#proxy;
     this.#hears(id, attempt, (requests: InFlightRequests) => {
       // What its client has not read holds up the end as well.
-      if (proxy.clients.get(id)?.isReading === true) requests.ended(proxy.now(), id, attempt);
+      if (proxy.clients.get(id)?.isReading === true) requests.onComplete(proxy.now(), id, attempt);
     });
   }
 
   #broke(id: number, attempt: number): void {
     const proxy = this.#proxy;
     this.#hears(id, attempt, (requests: InFlightRequests, heard: Attempt) => {
-      if (proxy.wrong === 'ends-made-up' && heard.hasHead) requests.ended(proxy.now(), id, attempt);
-      else requests.broke(proxy.now(), id, attempt, heard.isReused && !heard.hasHead);
+      if (proxy.wrong === 'ends-made-up' && heard.hasHead)
+        requests.onComplete(proxy.now(), id, attempt);
+      else requests.onDisconnect(proxy.now(), id, attempt, heard.isReused && !heard.hasHead);
     });
   }
 }
--- a/src/rehearsal/proxy-watch.ts
+++ b/src/rehearsal/proxy-watch.ts
@@ -44,7 +44,7 @@
       return;
     }
     const version = decision.configVersion;
-    const { tableNumber, marks } = decision;
+    const { tableNumber, runnerListRevision: marks } = decision;
     this.#lookForStepBack(proxy.id, version, tableNumber);
     if (proxy.isFrozen || !decision.isFresh(proxy.now())) return;
     this.#lookForOldTable(proxy.id, version, tableNumber);
--- a/src/rehearsal/sim-clients.ts
+++ b/src/rehearsal/sim-clients.ts
@@ -1,5 +1,5 @@
 import { ERROR_RESPONSES, type ErrorCode } from '../common/errors.js';
-import { retryAfterOf } from '../proxy/in-flight-requests.js';
+import { retryAfterSeconds } from '../proxy/in-flight-requests.js';
 import type { Scheduler } from './scheduler.js';
 import { LineCheck } from './line-check.js';
 import type { NodeTrace } from './node-trace.js';
@@ -118,7 +118,7 @@
     this.#end(client, {
       status: row.status,
       outcome: row.isOutcomeUnknown ? 'unsure' : 'turned-away',
-      retryAfter: retryAfterOf(kind, retryMs),
+      retryAfter: retryAfterSeconds(kind, retryMs),
     });
   }
 
--- a/src/rehearsal/sim-proxy.ts
+++ b/src/rehearsal/sim-proxy.ts
@@ -1,6 +1,6 @@
-import { Decision } from '../proxy/decision.js';
-import { DECISION_DEFAULTS } from '../proxy/decision-types.js';
-import { InFlightRequests, type Step } from '../proxy/in-flight-requests.js';
+import { PolicyRouter } from '../proxy/policy-router.js';
+import { POLICY_ROUTER_DEFAULTS } from '../proxy/policy-router-types.js';
+import { InFlightRequests, type ForwardStep } from '../proxy/in-flight-requests.js';
 import { ConnectionProbes, type ConnectionProbeStep } from '../proxy/connection-probes.js';
 import { Counters } from '../common/counters.js';
 import type { Message } from '../common/messages.js';
@@ -36,7 +36,7 @@
   readonly #clients: SimClients;
   readonly #wrong: MutationKind | '';
   readonly #connections: ProxyConnections;
-  #decision: Decision | undefined;
+  #decision: PolicyRouter | undefined;
   #inFlightRequests: InFlightRequests | undefined;
   #probes: ConnectionProbes | undefined;
   readonly #watchLines = new Map<string, SimConnection>();
@@ -83,7 +83,7 @@
     return this.#inFlightRequests;
   }
 
-  get decision(): Decision | undefined {
+  get decision(): PolicyRouter | undefined {
     return this.#decision;
   }
   get open(): number {
@@ -98,19 +98,19 @@
 
   protected boot(): void {
     const isNever = this.#wrong === 'never-blind';
-    const repeats = this.#wrong === 'no-budget' ? { repeatShare: 1, repeatFew: 1000 } : {};
-    const ramp = this.#wrong === 'no-ramp' ? { rampMs: 1 } : {};
-    this.#decision = new Decision({
-      ...DECISION_DEFAULTS,
-      ...repeats,
-      ...ramp,
-      blindMs: isNever ? 1e9 : BLIND_MS,
+    const retries = this.#wrong === 'no-budget' ? { retryShare: 1, extraRetries: 1000 } : {};
+    const slowStart = this.#wrong === 'no-ramp' ? { slowStartMs: 1 } : {};
+    this.#decision = new PolicyRouter({
+      ...POLICY_ROUTER_DEFAULTS,
+      ...retries,
+      ...slowStart,
+      freshnessBoundMs: isNever ? 1e9 : BLIND_MS,
       me: this.id,
       incarnation: this.incarnation,
     });
     this.#inFlightRequests = new InFlightRequests(
       this.#decision,
-      { connectMs: 500, silentMs: SILENT_MS },
+      { connectTimeoutMs: 500, idleTimeoutMs: SILENT_MS },
       new Counters(),
     );
     this.#probes = new ConnectionProbes(this.#decision);
@@ -154,16 +154,16 @@
     if (!decision) return;
     this.#ticks += 1;
     this.#inFlightRequests?.tick(this.now());
-    this.#probes?.follow(this.now(), decision.silentBacks());
+    this.#probes?.setBackends(this.now(), decision.probedBackends());
     this.#probes?.tick(this.now());
     if (this.#ticks % ASK_EVERY === 0) {
       this.#tell({
         kind: 'freshnessRequest',
-        nonce: decision.ask(this.now()),
+        nonce: decision.startFreshnessRequest(this.now()),
         have: [
           { topic: 'config', ...decision.configVersion },
           { topic: 'places', ...decision.placesVersion },
-          { topic: 'machines', epoch: 0, count: decision.marks },
+          { topic: 'machines', epoch: 0, count: decision.runnerListRevision },
         ],
         members: [],
       });
@@ -196,13 +196,13 @@
 
   #take(client: SimClient): void {
     const { method, path, model, adapter } = client.traffic;
-    this.#inFlightRequests?.take(this.now(), {
+    this.#inFlightRequests?.onRequest(this.now(), {
       id: client.id,
       method,
       path,
       model,
       adapter,
-      parts: [],
+      prefixBlocks: [],
     });
     this.#obey();
   }
@@ -210,7 +210,7 @@
   #leave(client: SimClient): void {
     if (!this.#clients.get(client.id)) return;
     this.#clients.left(client);
-    this.#inFlightRequests?.gone(this.now(), client.id);
+    this.#inFlightRequests?.onClientDisconnect(this.now(), client.id);
     this.#obey();
   }
 
@@ -220,16 +220,16 @@
     if (this.#isObeying) return;
     this.#isObeying = true;
     for (
-      let steps = this.#inFlightRequests?.drain() ?? [];
+      let steps = this.#inFlightRequests?.drainSteps() ?? [];
       steps.length > 0;
-      steps = this.#inFlightRequests?.drain() ?? []
+      steps = this.#inFlightRequests?.drainSteps() ?? []
     ) {
       for (const step of steps) {
         this.#trace.record('step', stepValues(step));
         this.#carryOut(step);
       }
     }
-    for (const step of this.#probes?.drain() ?? []) this.#watch(step);
+    for (const step of this.#probes?.drainSteps() ?? []) this.#watch(step);
     this.#isObeying = false;
   }
 
@@ -247,12 +247,12 @@
       perform: (run: () => void) => this.perform(run),
     };
     const connected = proxy.perform.bind(undefined, () => {
-      proxy.probes?.opened(proxy.now(), id, count);
-      proxy.inFlightRequests?.settle(proxy.now());
+      proxy.probes?.onOpen(proxy.now(), id, count);
+      proxy.inFlightRequests?.applyVerdicts(proxy.now());
       proxy.obey();
     });
     const broke = proxy.perform.bind(undefined, () => {
-      proxy.probes?.closed(proxy.now(), id, count);
+      proxy.probes?.onClose(proxy.now(), id, count);
       proxy.obey();
     });
     this.#watchLines.set(
@@ -266,7 +266,7 @@
     return this.#outside.open(back, isCut, () => this.#network.delay(), hear);
   }
 
-  #carryOut(step: Step): void {
+  #carryOut(step: ForwardStep): void {
     const client = this.#clients.get(step.id);
     const attempt = this.#connections.get(step.id);
     switch (step.do) {
@@ -276,21 +276,21 @@
       case 'write':
         this.#write(step.id, step.attempt);
         break;
-      case 'pass':
+      case 'forward':
         if (client) client.table = step.table;
         break;
-      case 'finish':
+      case 'complete':
         if (client) this.#clients.finished(client);
         this.#connections.release(step.id, true);
         break;
-      case 'breakOff':
+      case 'abort':
         if (client) this.#break(client);
         this.#connections.release(step.id, false);
         break;
       case 'cancel':
         if (attempt?.attempt === step.attempt) this.#connections.release(step.id, false);
         break;
-      case 'tell':
+      case 'respondError':
         if (client) this.#say(client, step);
         this.#connections.release(step.id, false);
         break;
@@ -307,7 +307,7 @@
     attempt.line.write({ id: client.requestId, model, adapter, tokens, at });
   }
 
-  #say(client: SimClient, step: Extract<Step, { do: 'tell' }>): void {
+  #say(client: SimClient, step: Extract<ForwardStep, { do: 'respondError' }>): void {
     const table = this.#decision?.tableNumber ?? -1;
     const isWrongNo = this.#wrong === 'unsure-run-as-no' && step.kind === 'unsure-run';
     const tell = this.#clients.told.bind(
@@ -352,20 +352,20 @@
       );
       if (message.topic === 'config') this.#tell({ kind: 'ack', ...decision.configVersion });
     } else if (message.kind === 'freshnessReply') {
-      decision.confirmFreshness(
+      decision.onFreshnessConfirmed(
         message.nonce,
         message,
         this.#wrong === 'marks-ignored' ? 0 : message.marks,
       );
     }
-    this.#inFlightRequests?.settle(this.now());
+    this.#inFlightRequests?.applyVerdicts(this.now());
     this.#obey();
   }
 
-  #news(decision: Decision, topic: string, version: Version, body: string): void {
+  #news(decision: PolicyRouter, topic: string, version: Version, body: string): void {
     if (this.#wrong === 'marks-ignored' && topic === 'machines') return;
     if (topic !== 'config') {
-      decision.news(this.now(), topic, version, body);
+      decision.onUpdate(this.now(), topic, version, body);
       return;
     }
     if (this.#wrong === 'versions-unchecked') {
@@ -373,7 +373,7 @@
       this.#oldConfig ??= body;
       const isOld =
         compareVersions(decision.configVersion, NO_VERSION) > 0 && this.#seeded.isLikely(0.3);
-      decision.news(this.now(), topic, version, isOld ? this.#oldConfig : body);
+      decision.onUpdate(this.now(), topic, version, isOld ? this.#oldConfig : body);
       return;
     }
     let wrong = body;
@@ -381,7 +381,7 @@
       wrong = body.replace(/"emptied":\[[^\]]*\]/, '"emptied":[]');
     if (this.#wrong === 'once-repeated')
       wrong = body.replaceAll('"repeatable":false', '"repeatable":true');
-    decision.news(this.now(), topic, version, wrong);
+    decision.onUpdate(this.now(), topic, version, wrong);
   }
 
   gone(): void {
--- a/src/rehearsal/simulation.ts
+++ b/src/rehearsal/simulation.ts
@@ -195,7 +195,7 @@
   /** Whether every proxy has the platform's newest list. */
   haveAllMarks(): boolean {
     for (const proxy of this.#proxies)
-      if ((proxy.decision?.marks ?? 0) < this.#outside.platform.revision) return false;
+      if ((proxy.decision?.runnerListRevision ?? 0) < this.#outside.platform.revision) return false;
     return true;
   }
 
--- a/src/rehearsal/table-measure.ts
+++ b/src/rehearsal/table-measure.ts
@@ -8,8 +8,8 @@
   type Row,
   type Table,
 } from '../policy/table.js';
-import { Decision } from '../proxy/decision.js';
-import { DECISION_DEFAULTS } from '../proxy/decision-types.js';
+import { PolicyRouter } from '../proxy/policy-router.js';
+import { POLICY_ROUTER_DEFAULTS } from '../proxy/policy-router-types.js';
 import { monotonicNow } from '../common/clock.js';
 import { moment } from '../common/ids.js';
 import { Simulation } from './simulation.js';
@@ -94,7 +94,7 @@
   const table = tableOf(count);
   const text = printTable(table);
   const body = JSON.stringify({ number: 1, table, emptied: [], voters: [] });
-  const decision = new Decision({ ...DECISION_DEFAULTS, blindMs: 1e9, me: 'f' });
+  const decision = new PolicyRouter({ ...POLICY_ROUTER_DEFAULTS, freshnessBoundMs: 1e9, me: 'f' });
   find(table, '/v1/t-0/x', 'm-0');
   return {
     rows: count,
@@ -108,7 +108,7 @@
       checkTable(table);
     }),
     takenByProxyMs: millisOf(() => {
-      decision.news(moment(0), 'config', { epoch: 2, count: 1 }, body);
+      decision.onUpdate(moment(0), 'config', { epoch: 2, count: 1 }, body);
     }),
     inForceMs: inForce(table),
   };
