--- /dev/null
+++ b/src/control/voter-plan.test.ts
@@ -0,0 +1,207 @@
+import { describe, expect, test } from 'vitest';
+import { moment } from '../common/ids.js';
+import { VoterPlan, type AnnouncedNode, type VoterView } from './voter-plan.js';
+
+/** A voter that is idle for longer is replaced where there is a spare. */
+const UNREACHABLE_MS = 2000;
+/** A voter that is idle for longer may be removed without a replacement. */
+const DEPARTED_MS = 10_000;
+const NOTHING = { do: 'nothing' };
+const THREE = ['a', 'b', 'c'];
+const FIVE = ['a', 'b', 'c', 'd', 'e'];
+
+interface Situation {
+  readonly voters?: readonly (readonly string[])[];
+  readonly voterCount?: number;
+  readonly announced?: readonly AnnouncedNode[];
+  readonly idleMs?: Readonly<Record<string, number>>;
+  readonly leaving?: readonly string[];
+  /** Zones of voters; every other one is in a zone of its own. */
+  readonly zones?: Readonly<Record<string, string>>;
+}
+
+/** What the leader `a` knows. */
+function viewOf(situation: Situation): VoterView {
+  const { voters = [THREE], announced = [], idleMs = {}, leaving = [], zones = {} } = situation;
+  return {
+    me: 'a',
+    voters,
+    voterCount: situation.voterCount,
+    announced,
+    idleMs: (voter) => idleMs[voter] ?? 0,
+    isLeaving: (id) => leaving.includes(id),
+    zoneOf: (voter) => zones[voter] ?? `zone-${voter}`,
+  };
+}
+
+/** A healthy spare in a zone of its own, that was not started with the cluster. */
+function spare(id: string, change: Partial<AnnouncedNode> = {}): AnnouncedNode {
+  return { id, zone: `zone-${id}`, isFirst: false, isHealthy: true, at: moment(0), ...change };
+}
+
+function nextOf(situation: Situation): object {
+  return new VoterPlan().next(viewOf(situation));
+}
+
+/** The joint configuration of these voters and the ones that follow. */
+function joint(old: readonly string[], next: readonly string[], voterCount?: number): object {
+  return { do: 'voters', voters: [old, next], voterCount };
+}
+
+describe('a replacement', () => {
+  test('takes the seat of a voter in a planned stop', () => {
+    expect(nextOf({ announced: [spare('n')], leaving: ['b'] })).toEqual(
+      joint(THREE, ['a', 'n', 'c']),
+    );
+  });
+
+  test('takes the seat of the leader itself in a planned stop', () => {
+    expect(nextOf({ announced: [spare('n')], leaving: ['a'] })).toEqual(
+      joint(THREE, ['n', 'b', 'c']),
+    );
+  });
+
+  test('takes the seat of an unreachable voter, and of none that was heard lately', () => {
+    const announced = [spare('n')];
+    expect(nextOf({ announced, idleMs: { c: UNREACHABLE_MS } })).toEqual(NOTHING);
+    expect(nextOf({ announced, idleMs: { c: UNREACHABLE_MS + 1 } })).toEqual(
+      joint(THREE, ['a', 'b', 'n']),
+    );
+  });
+
+  test('is not for the leader, however long it has not heard itself', () => {
+    expect(nextOf({ announced: [spare('n')], idleMs: { a: 100_000 } })).toEqual(NOTHING);
+  });
+
+  test('goes to a planned stop before an unreachable voter', () => {
+    const situation = { announced: [spare('n')], leaving: ['c'], idleMs: { b: 5000 } };
+    expect(nextOf(situation)).toEqual(joint(THREE, ['a', 'b', 'n']));
+  });
+
+  test('is of the same zone if possible, and otherwise the first that announced itself', () => {
+    const situation = { leaving: ['b'], zones: { b: 'north' } };
+    const inZone = spare('o', { zone: 'north' });
+    expect(nextOf({ ...situation, announced: [spare('n'), inZone] })).toEqual(
+      joint(THREE, ['a', 'o', 'c']),
+    );
+    expect(nextOf({ ...situation, announced: [spare('n'), spare('o')] })).toEqual(
+      joint(THREE, ['a', 'n', 'c']),
+    );
+  });
+
+  test('is neither a node that needs a repair, nor one in a planned stop, nor a voter', () => {
+    const situation = { leaving: ['b', 'x'] };
+    for (const node of [spare('n', { isHealthy: false }), spare('x'), spare('c')])
+      expect(nextOf({ ...situation, announced: [node] })).toEqual(NOTHING);
+  });
+
+  test('leaves the wanted number of voters as it is', () => {
+    expect(nextOf({ announced: [spare('n')], leaving: ['b'], voterCount: 5 })).toEqual(
+      joint(THREE, ['a', 'n', 'c'], 5),
+    );
+  });
+});
+
+describe('an addition', () => {
+  test('is any spare where the number of voters is even', () => {
+    const voters = [['a', 'b', 'c', 'd']];
+    expect(nextOf({ voters, announced: [spare('n')] })).toEqual(
+      joint(['a', 'b', 'c', 'd'], ['a', 'b', 'c', 'd', 'n']),
+    );
+  });
+
+  test('is any spare up to the wanted number, and none beyond', () => {
+    const announced = [spare('n')];
+    expect(nextOf({ announced, voterCount: 5 })).toEqual(joint(THREE, [...THREE, 'n'], 5));
+    expect(nextOf({ announced, voterCount: 3 })).toEqual(NOTHING);
+    expect(nextOf({ announced })).toEqual(NOTHING);
+  });
+
+  test('is a node of the first start, beyond the wanted number too', () => {
+    const first = spare('n', { isFirst: true });
+    expect(nextOf({ announced: [spare('o'), first] })).toEqual(joint(THREE, [...THREE, 'n']));
+    expect(nextOf({ announced: [{ ...first, isHealthy: false }] })).toEqual(NOTHING);
+  });
+
+  test('goes to the zone with the fewest voters', () => {
+    const zones = { a: 'north', b: 'north', c: 'south' };
+    const [north, south, west] = ['north', 'south', 'west'].map((zone) =>
+      spare(`in-${zone}`, { zone, isFirst: true }),
+    );
+    if (!north || !south || !west) throw new Error('no spares');
+    const added = (announced: readonly AnnouncedNode[]) =>
+      JSON.stringify(nextOf({ zones, announced }));
+    expect(added([north, south, west])).toContain('in-west');
+    expect(added([west, south, north])).toContain('in-west');
+    expect(added([north, south])).toContain('in-south');
+    // Among equals the first that announced itself.
+    const other = spare('in-east', { zone: 'east', isFirst: true });
+    expect(added([west, other])).toContain('in-west');
+    expect(added([other, west])).toContain('in-east');
+  });
+});
+
+describe('a removal', () => {
+  test('leaves the live voters alone where they tolerate more failures by themselves', () => {
+    const idleMs = { d: DEPARTED_MS + 1, e: DEPARTED_MS + 1 };
+    expect(nextOf({ voters: [FIVE], idleMs })).toEqual(joint(FIVE, THREE, 5));
+  });
+
+  test('waits until all that are to go have departed for long enough', () => {
+    const idleMs = { d: DEPARTED_MS, e: DEPARTED_MS };
+    expect(nextOf({ voters: [FIVE], idleMs })).toEqual(NOTHING);
+    expect(nextOf({ voters: [FIVE], idleMs: { ...idleMs, d: DEPARTED_MS + 1 } })).toEqual(NOTHING);
+  });
+
+  test('does not happen where one that would stay may have failed as well', () => {
+    const gone = { d: DEPARTED_MS + 1, e: DEPARTED_MS + 1 };
+    const removed = joint(FIVE, THREE, 5);
+    expect(nextOf({ voters: [FIVE], idleMs: { ...gone, c: UNREACHABLE_MS } })).toEqual(removed);
+    expect(nextOf({ voters: [FIVE], idleMs: { ...gone, c: UNREACHABLE_MS + 1 } })).toEqual(NOTHING);
+    // The leader never waits for itself.
+    expect(nextOf({ voters: [FIVE], idleMs: { ...gone, a: 100_000 } })).toEqual(removed);
+  });
+
+  test('does not happen where nothing is gained by it', () => {
+    expect(nextOf({ idleMs: { c: DEPARTED_MS + 1 } })).toEqual(NOTHING);
+    expect(nextOf({ voters: [FIVE], idleMs: { e: DEPARTED_MS + 1 } })).toEqual(NOTHING);
+    expect(nextOf({})).toEqual(NOTHING);
+  });
+
+  test('keeps the larger of the numbers that were wanted', () => {
+    const idleMs = { d: DEPARTED_MS + 1, e: DEPARTED_MS + 1 };
+    expect(nextOf({ voters: [FIVE], idleMs, voterCount: 7 })).toEqual(joint(FIVE, THREE, 7));
+    expect(nextOf({ voters: [FIVE], idleMs, voterCount: 3 })).toEqual(joint(FIVE, THREE, 5));
+  });
+});
+
+describe('a joint configuration', () => {
+  const NEXT = ['a', 'n', 'c'];
+  const situation = { voters: [THREE, NEXT], voterCount: 3 };
+
+  test('is ended once its partitions were asked to be rewritten', () => {
+    const plan = new VoterPlan();
+    expect(plan.next(viewOf(situation))).toEqual({ do: 'rewrite' });
+    expect(plan.next(viewOf(situation))).toEqual({ do: 'voters', voters: [NEXT], voterCount: 3 });
+  });
+
+  test('is begun with a rewrite again by each leader, and for each change', () => {
+    const plan = new VoterPlan();
+    plan.next(viewOf(situation));
+    plan.reset();
+    expect(plan.next(viewOf(situation))).toEqual({ do: 'rewrite' });
+    const other = viewOf({ voters: [THREE, ['a', 'b', 'n']] });
+    expect(plan.next(other)).toEqual({ do: 'rewrite' });
+    expect(plan.next(viewOf(situation))).toEqual({ do: 'rewrite' });
+  });
+
+  test('is followed through, whatever else would be due', () => {
+    const plan = new VoterPlan();
+    const busy = { ...situation, announced: [spare('o')], leaving: ['c'], idleMs: { b: 9000 } };
+    expect(plan.next(viewOf(busy))).toEqual({ do: 'rewrite' });
+  });
+});
+
+test('nothing is planned without any voters', () => {
+  expect(nextOf({ voters: [], announced: [spare('n', { isFirst: true })] })).toEqual(NOTHING);
+});
