--- a/src/simulation/same-runs/pinned-runs.ts
+++ b/src/simulation/same-runs/pinned-runs.ts
@@ -5,6 +5,7 @@
 import { drawSchedule } from '../schedule-draw.js';
 import { runDispatcher } from './dispatcher-run.js';
 import { runPlanner } from './planner-run.js';
+import { runRelay } from './relay-run.js';
 import { TraceDigest, type TraceLog } from './trace-digest.js';
 
 /** What is run, and compared, under a seed. */
@@ -17,6 +18,7 @@
 
 const MIXED_SEEDS = 500;
 const STORM_SEEDS = 100;
+const RELAY_SEEDS = 60;
 const DISPATCHER_SEEDS = 1000;
 const PLANNER_SEEDS = 500;
 /** Virtual time of troubles in a storm. */
@@ -43,6 +45,8 @@
   mixed: { seeds: MIXED_SEEDS, run: runMixed },
   /** A fleet of the table of policies under all troubles (`haretrack rehearsal storm`). */
   storms: { seeds: STORM_SEEDS, run: runStorm },
+  /** The deployed control plane with many agents, a fleet that changes and runners that leave. */
+  relay: { seeds: RELAY_SEEDS, run: runRelay },
   /** The proxy's dispatcher alone, under drawn requests, answers, faults and words on the fleet. */
   dispatcher: { seeds: DISPATCHER_SEEDS, run: runDispatcher },
   /** The planner alone, under drawn demand, runners, lost orders, configurations and leaders. */
--- a/src/simulation/same-runs/same-runs.test.ts
+++ b/src/simulation/same-runs/same-runs.test.ts
@@ -7,6 +7,7 @@
 const MIXED_FROM = 21;
 const MIXED_COUNT = 20;
 const STORMS = 4;
+const RELAYS = 3;
 const DISPATCHERS = 60;
 const PLANNERS = 30;
 
@@ -22,22 +23,22 @@
   expect(differing).toEqual([]);
 }
 
-async function checkMixed(): Promise<void> {
+test('seeds of the deployed control plane run as they were recorded', async () => {
   await expectSame('mixed', MIXED_FROM, MIXED_COUNT);
-}
-test('seeds of the deployed control side run as they were recorded', checkMixed);
+});
 
-async function checkStorms(): Promise<void> {
+test('storms over a fleet under the policy table run as they were recorded', async () => {
   await expectSame('storms', 1, STORMS);
-}
-test('storms over a fleet of the table of policies run as they were recorded', checkStorms);
+});
+
+test('the deployed control plane with many agents runs as it was recorded', async () => {
+  await expectSame('relay', 1, RELAYS);
+});
 
-async function checkDispatchers(): Promise<void> {
+test('dispatchers alone do what was recorded', async () => {
   await expectSame('dispatcher', 1, DISPATCHERS);
-}
-test('dispatchers alone do what was recorded', checkDispatchers);
+});
 
-async function checkPlanners(): Promise<void> {
+test('planners alone do what was recorded', async () => {
   await expectSame('planner', 1, PLANNERS);
-}
-test('planners alone do what was recorded', checkPlanners);
+});
