--- a/src/control/control-node-zones.ts
+++ b/src/control/control-node-zones.ts
@@ -6,33 +6,34 @@
   lastHeardAt(node: NodeId): Moment | undefined;
 }
 
-/** One that was silent for longer is told without a zone. */
+/** A control node that was silent for longer is described without its zone. */
 const REACHABLE_MS = 1000;
 
-/** In which zones the control nodes are, by their own word. */
+/** The zones of the control nodes, as they report them. */
 export class ControlNodeZones {
   readonly #me: NodeId;
   readonly #zone: string;
   readonly #heartbeats: Heartbeats;
   readonly #zones = new Map<string, string>();
 
-  /** Of this node, in `zone`, and of those that are heard of. */
+  /** `me` is this node, which is in `zone`. */
   constructor(me: NodeId, zone: string, heartbeats: Heartbeats) {
     this.#me = me;
     this.#zone = zone;
     this.#heartbeats = heartbeats;
   }
 
+  /** A control node reported its zone. */
   onZoneReported(id: string, zone: string): void {
     this.#zones.set(id, zone);
   }
 
-  /** The zone that a node told, however long ago; '' if it told none. */
+  /** The zone that a node last reported; '' if it never did. */
   zoneOf(id: string): string {
     return this.#zones.get(id) ?? '';
   }
 
-  /** These nodes as agents are told of them, who turn to one in their own zone. */
+  /** These nodes as agents get them, which prefer one in their own zone. */
   describe(now: Moment, ids: readonly NodeId[]): ControlNodeZone[] {
     const list: ControlNodeZone[] = [];
     for (const id of ids)
@@ -40,7 +41,7 @@
     return list;
   }
 
-  /** Of one that is silent nothing is told: nobody is to turn to it for being near. */
+  /** A silent node has no zone, so that no agent prefers it. */
   #reachableZoneOf(now: Moment, id: NodeId): string {
     const at = this.#heartbeats.lastHeardAt(id);
     return at !== undefined && now - at < REACHABLE_MS ? this.zoneOf(id) : '';
--- a/src/control/control-snapshot.ts
+++ b/src/control/control-snapshot.ts
@@ -32,7 +32,7 @@
   readonly mayOrder: (now: Moment) => boolean;
 }
 
-/** One look at a node, for its metrics; nothing changes by it. */
+/** A snapshot of a node for its metrics; a query without effects. */
 export function metricsOf(now: Moment, sources: MetricsSources): ControlMetrics {
   const { elector, state, leadership, counters, repair } = sources;
   const contact = elector.majorityContact(now);
--- a/src/control/control-status.ts
+++ b/src/control/control-status.ts
@@ -36,7 +36,7 @@
   readonly zone: string;
   /** The version of the configuration that it acknowledged. */
   readonly acked: string;
-  /** The member that it hangs under; '' for this node. */
+  /** Its parent in the relay tree; '' if that is this node. */
   readonly parent: string;
 }
 
@@ -67,7 +67,7 @@
   readonly intents: readonly Intent[];
 }
 
-/** One look at a node for its operators; nothing changes by it. */
+/** A snapshot of a node for its operators; a query without effects. */
 export function statusOf(now: Moment, sources: StatusSources): ControlStatus {
   const { elector, state, replicaStatus, relay, leadership, placement } = sources;
   const places = relay.latest('places');
--- a/src/control/draining-runners-reader.ts
+++ b/src/control/draining-runners-reader.ts
@@ -6,38 +6,38 @@
 import type { Elector } from '../election/elector.js';
 import type { ListedRunner } from '../placement/fleet.js';
 
-/** What the watch needs of the control node that it belongs to. */
+/** What the reader needs of its control node. */
 export interface DrainingRunnersHost {
   readonly me: string;
   readonly elector: Elector;
   readonly relay: Relay;
   /** Who votes, by the newest configuration known here. */
   quorum(): Quorum;
-  /** Whether this node leads and has taken over the state: it then reads the list as the leader. */
+  /** Whether this node leads and has read the complete state: it then reads the list as the leader. */
   isServing(): boolean;
-  /** Those that get their news from this node. */
+  /** The nodes that get their updates from this node. */
   children(): Iterable<string>;
-  /** Asks for the platform's list of runners. */
+  /** Reads the platform's list of runners. */
   pollRunnerList(): void;
   send(to: string, message: Message): void;
 }
 
-/** Without a sign of a serving leader for so long the list is read here: two renewals of its lease have not come. */
+/** Without a sign of a serving leader for so long the list is read here: two renewals of its lease are missing. */
 export const LEADERLESS_MS = 600;
 /** By how much later each further voter begins, in the order of the voters, and all of them at most. */
 const STAGGER_MS = 150;
 const MAX_STAGGER_MS = 600;
-/** How often one reader reads, and how much longer the others wait for what it tells. */
+/** Interval at which one voter reads, and how much longer the others wait for its notification. */
 const READ_INTERVAL_MS = 1000;
 const PEER_SLACK_MS = 250;
-/** A reading that brought nothing is tried again after twice the time, up to this. */
+/** A failed reading is retried after twice the time, up to this. */
 const MAX_BACKOFF_MS = 4000;
-/** Ticks come every 50 ms; after a longer pause what arrived meanwhile is heard before anything is judged by it. */
+/** Ticks come every 50 ms; after a gap longer than this, messages that arrived meanwhile are handled before a decision. */
 const EVENT_LOOP_STALL_MS = 400;
 
 /**
- * Reads the platform's list while no leader does, and tells which runners are leaving. In ordinary times it does nothing:
- * the serving leader reads the list and tells it by the fleet.
+ * Reads the platform's list of runners while no leader does, and notifies agents which runners are draining. Usually it
+ * does nothing: the serving leader reads the list and publishes it with the fleet.
  */
 export class DrainingRunnersReader {
   readonly #host: DrainingRunnersHost;
@@ -56,7 +56,7 @@
     this.#nextReadAt = now;
   }
 
-  /** How often the list was asked for here while no leader read it. */
+  /** How often the list was read here while no leader did. */
   get reads(): number {
     return this.#reads;
   }
@@ -69,41 +69,41 @@
     if (wasStalled || now < this.#nextReadAt || !this.#isReadDue(now)) return;
     this.#reads += 1;
     this.#nextReadAt = later(now, this.#backoffMs);
-    // Until it brings something, this reading counts as one in vain.
+    // Until its result arrives, this reading counts as failed.
     this.#backoffMs = Math.min(MAX_BACKOFF_MS, this.#backoffMs * 2);
     this.#host.pollRunnerList();
   }
 
-  /** The list came to this node as the serving leader: what it reads after its term is no sooner than otherwise. */
+  /** The list was read here as the serving leader: after its epoch this node waits as if it had read it as any voter. */
   onListReadAsLeader(now: Moment): void {
     this.#backoffMs = READ_INTERVAL_MS;
     this.#nextReadAt = later(now, READ_INTERVAL_MS);
   }
 
-  /** The list as read here while this node serves nobody. */
+  /** The list was read here while this node does not serve. */
   onRunnerList(now: Moment, runners: readonly ListedRunner[]): void {
     this.#backoffMs = READ_INTERVAL_MS;
     this.#nextReadAt = moment(Math.min(this.#nextReadAt, later(now, READ_INTERVAL_MS)));
     const ids: string[] = [];
     for (const runner of runners) if (runner.isLeaving) ids.push(runner.id);
     this.#addAndForward(now, ids);
-    // Told whole, and also where nobody leaves: the other voters need not read the list as well.
+    // The complete set, even if empty: it also says that the other voters need not read the list.
     for (const voter of this.#host.quorum().all)
       if (voter !== this.#host.me) this.#notify(voter, this.#runners.ids);
   }
 
-  /** Ids that another node told. */
+  /** Another node sent the ids of draining runners. */
   onDrainingRunners(now: Moment, from: string, runners: readonly string[]): void {
     this.#addAndForward(now, runners);
     if (!this.#isVoter(from)) return;
-    // That voter has just read the list: this node's turn comes if it does not go on.
+    // That voter has just read the list: this node reads it only if the other stops.
     this.#backoffMs = READ_INTERVAL_MS;
     this.#nextReadAt = later(now, READ_INTERVAL_MS + PEER_SLACK_MS + this.#staggerMs());
   }
 
-  /** A node below asked for news: ids that were lost on the way to it are told again. */
+  /** A child requested updates: ids that did not reach it are sent again. */
   onUpdateRequest(from: string, have: readonly KnownVersion[]): void {
-    // To a voter it would say that the list was read just now.
+    // To a voter this would say that the list was read just now.
     if (this.#isVoter(from)) return;
     const runners = this.#runners.missingFrom(have);
     if (runners.length > 0) this.#notify(from, runners);
@@ -112,7 +112,7 @@
   #addAndForward(now: Moment, ids: readonly string[]): void {
     const fresh = this.#runners.add(now, ids);
     if (fresh.length === 0) return;
-    // One that leads without serving yet feeds the voters too: they are told as voters.
+    // While this node leads without serving, voters are its children too: they are notified as voters.
     for (const child of this.#host.children())
       if (!this.#isVoter(child)) this.#notify(child, fresh);
   }
@@ -125,7 +125,7 @@
     return this.#host.quorum().includes(nodeId(id));
   }
 
-  /** One that leads without serving yet renews its lease, but reads no list: its term's first word on the fleet is the sign. */
+  /** A leader that does not serve yet renews its lease but reads no list: its epoch's first fleet update shows that it serves. */
   #updateLastServedAt(now: Moment): void {
     const { elector, relay } = this.#host;
     if (this.#host.isServing()) {
@@ -138,14 +138,14 @@
       this.#lastServedAt = elector.leaderLastHeardAt;
   }
 
-  /** Whether a reading is due here; never where this node is no voter, since it then hears no renewals. */
+  /** Whether a reading is due here; never at a node that is no voter, which gets no lease renewals. */
   #isReadDue(now: Moment): boolean {
     return (
       this.#isVoter(this.#host.me) && now - this.#lastServedAt >= LEADERLESS_MS + this.#staggerMs()
     );
   }
 
-  /** Voters take turns by their place, so that as a rule one of them reads and the others hear of it. */
+  /** Voters are staggered by their index, so that usually one of them reads and notifies the others. */
   #staggerMs(): number {
     const { all } = this.#host.quorum();
     const place = Math.max(0, all.indexOf(nodeId(this.#host.me)));
--- a/src/control/placement-control.ts
+++ b/src/control/placement-control.ts
@@ -12,7 +12,7 @@
 import type { PartitionWriter } from './partition-writer.js';
 import { TableManager } from './table-manager.js';
 
-/** What placement reads, writes and tells by. */
+/** What placement is made from. */
 export interface PlacementDependencies {
   readonly settings: ControlSettings;
   readonly placer: PlacerSettings;
@@ -22,13 +22,13 @@
   readonly writer: PartitionWriter;
   readonly document: ConfigStore;
   readonly effects: EffectQueue;
-  /** Whether orders may be given to runners at this moment. */
+  /** Whether orders may be sent to runners at this moment. */
   readonly mayOrder: (now: Moment) => boolean;
 }
 
 const NEVER = moment(-1e12);
 
-/** Placement at the leader: by the planner that a deployment brings, or else by the operators' own table. */
+/** Placement at the leader: by the planner that a deployment brings, or else by the policy table. */
 export class PlacementControl {
   readonly #dependencies: PlacementDependencies;
   readonly #table: TableManager;
@@ -67,28 +67,30 @@
     );
   }
 
-  /** Placement by the operators' own table; it holds the list of machines in any case. */
+  /** Placement by the policy table; it has the list of machines in any case. */
   get table(): TableManager {
     return this.#table;
   }
+  /** Orders sent since the start of the process, repeated ones included. */
   get ordersSent(): number {
     return this.#table.ordersSent + (this.#fleet?.ordersSent ?? 0);
   }
-  /** How often a part was written for placement. */
+  /** How often a partition was written for placement. */
   get writes(): number {
     return this.#writes;
   }
-  /** Whether the outcome of some order is open: it may still be under way. */
+  /** Whether the outcome of some order is open: it may still be in flight. */
   get hasOpenOrders(): boolean {
     if (this.#table.hasOpenOrders) return true;
     return this.#dependencies.leadership.isServing && (this.#fleet?.hasOpenOrders ?? false);
   }
 
+  /** The placements and intents as stored. */
   docs(): readonly ServiceDoc[] {
     return (this.#fleet ?? this.#table).docs();
   }
 
-  /** Begins anew from what the parts hold. */
+  /** This node leads and serves from now on, with the stored services. */
   beginLeading(now: Moment, docs: readonly ServiceDoc[]): void {
     const { settings, leadership, document } = this.#dependencies;
     const label = `${settings.me}/${leadership.epoch}`;
@@ -105,19 +107,20 @@
     this.#table.endLeading();
   }
 
-  /** A part was committed, with these services. */
+  /** A partition with these services was committed. */
   onCommitted(now: Moment, docs: readonly ServiceDoc[]): void {
     if (!this.#fleet) this.#table.onCommitted(docs);
     else if (this.#dependencies.leadership.isServing) this.#fleet.onCommitted(now, docs);
   }
 
+  /** A proxy reported its demand, as JSON. */
   onDemand(now: Moment, body: string): void {
     if (!this.#fleet) this.#table.onDemand(now, body);
     else if (this.#dependencies.leadership.isServing)
       this.#fleet.onDemand(now, body, this.#dependencies.document.newest());
   }
 
-  /** While the table is being recovered, nothing is planned. */
+  /** Polls and plans what is due; nothing is planned while the configuration is being recovered. */
   tick(now: Moment, isRecovering: boolean): void {
     const { leadership, document } = this.#dependencies;
     if (this.#fleet) {
@@ -128,24 +131,24 @@
     if (leadership.isServing) this.#table.tick(now, document.newest(), !isRecovering);
   }
 
-  /** The platform's list of runners. */
+  /** The platform's list of runners was read. */
   onRunnerList(now: Moment, runners: readonly ListedRunner[]): void {
     const { leadership, document } = this.#dependencies;
     if (leadership.isServing) this.#fleet?.onRunnerList(now, runners, document.newest());
   }
 
-  /** A runner's own report, asked for at that moment; nothing if it gave none. */
+  /** A poll of a runner that began at `requestedAt` ended; `status` is undefined if it brought none. */
   onRunnerStatus(
     now: Moment,
     runner: string,
-    askedAt: Moment,
+    requestedAt: Moment,
     status: RunnerStatus | undefined,
   ): void {
     if (this.#dependencies.leadership.isServing)
-      this.#fleet?.onRunnerStatus(now, runner, askedAt, status);
+      this.#fleet?.onRunnerStatus(now, runner, requestedAt, status);
   }
 
-  /** What became of an order: taken, turned away for good, or unsure. */
+  /** An order ended. */
   onOrderOutcome(now: Moment, intent: string, outcome: OrderResult | 'turnedAway'): void {
     if (!this.#fleet) {
       this.#table.onOrderOutcome(now, intent, outcome);
--- a/src/control/relay-tree.ts
+++ b/src/control/relay-tree.ts
@@ -4,18 +4,18 @@
 import type { Sessions } from '../dissemination/sessions.js';
 import type { EffectQueue } from './effect-queue.js';
 
-/** What the tree of a control node is drawn from, and whom it serves. */
+/** What the relay tree is made from, and what it feeds. */
 export interface RelayTreeDependencies {
   readonly sessions: Sessions;
   readonly relay: Relay;
   readonly effects: EffectQueue;
-  /** The other control nodes that are fed from here as well. */
+  /** The other control nodes that get updates from here as well. */
   readonly controlNodeChildren: () => readonly string[];
 }
 
 type JoinMessage = Extract<Message, { kind: 'join' }>;
 
-/** Which agent hangs under which: each is told its parent, and those under this node are fed by it. */
+/** The tree along which agents relay updates: assigns each its parent, and makes those without one children of this node. */
 export class RelayTree {
   readonly #dependencies: RelayTreeDependencies;
   readonly #parentOf = new Map<string, string>();
@@ -25,27 +25,27 @@
     this.#dependencies = parts;
   }
 
-  /** The parent of an agent: '' for one that hangs under this node, or that is not known. */
+  /** The parent of an agent: '' for a child of this node, and for an unknown agent. */
   parentOf(id: string): string {
     return this.#parentOf.get(id) ?? '';
   }
 
-  /** Whether a node is fed from here. */
+  /** Whether a node gets its updates from here. */
   isChild(id: string): boolean {
     return this.#children.has(id);
   }
 
-  /** Those that are fed from here. */
+  /** The nodes that get their updates from here. */
   children(): Iterable<string> {
     return this.#children;
   }
 
-  /** An agent joined, or joins anew since it lost its parent. */
+  /** An agent joined, or joins again because its parent is unreachable. */
   onJoin(now: Moment, from: string, message: JoinMessage): void {
     const { sessions, effects } = this.#dependencies;
     sessions.onJoin(now, from, message.zone, message.address, message);
     if (message.lost !== '') sessions.onUnreachable(now, message.lost);
-    // The tree takes its time with many sessions: it is drawn anew where a word may change it, and else at the tick.
+    // The tree is costly with many sessions: it is computed here only where this message may change it, else at the tick.
     if (!this.#parentOf.has(from) || message.lost !== '') this.reassignParents();
     effects.send(from, { kind: 'assignParent', parent: this.parentOf(from) });
   }
@@ -56,7 +56,7 @@
     this.#dependencies.relay.removeChild(id);
   }
 
-  /** Tells those whose parent changed, and keeps feeding those that hang under us. */
+  /** Computes the tree anew, and notifies agents whose parent changed. */
   reassignParents(): void {
     const tree = this.#dependencies.sessions.relayParents();
     const children: string[] = [];
--- a/src/control/update-exchange.ts
+++ b/src/control/update-exchange.ts
@@ -10,7 +10,7 @@
 import type { RelayTree } from './relay-tree.js';
 import type { TableManager } from './table-manager.js';
 
-/** What updates are taken from and handed to. */
+/** Where updates come from and go to. */
 export interface UpdateExchangeDependencies {
   readonly me: NodeId;
   readonly relay: Relay;
@@ -19,20 +19,20 @@
   readonly table: TableManager;
   readonly voters: FollowedVoters;
   readonly effects: EffectQueue;
-  /** Whether voters are also followed by what the leader tells, as in a deployment. */
+  /** Whether a configuration update changes the voters known here at once, as in a deployment. */
   readonly followsConfigUpdates: boolean;
 }
 
 type UpdateMessage = Extract<Message, { kind: 'update' }>;
 type DeltaMessage = Extract<Message, { kind: 'delta' }>;
 
-/** A list of machines is asked for again after so long. */
+/** Interval between requests for the list of machines. */
 const MACHINE_LIST_REQUEST_INTERVAL_MS = 500;
-/** The nonce of a request for updates alone; one that is to be confirmed fresh counts from 0. */
+/** Nonce of a request for updates without a freshness confirmation; nonces of requests with one count from 0. */
 const UPDATES_ONLY_NONCE = -1;
 const NEVER = moment(-1e12);
 
-/** Updates of the topics that are told to every node: taken, passed on, and asked for where they are missing. */
+/** Updates of the topics that every node gets: received, forwarded, and requested where they are missing. */
 export class UpdateExchange {
   readonly #dependencies: UpdateExchangeDependencies;
   #machineListRequestedAt: Moment = NEVER;
@@ -41,28 +41,29 @@
     this.#dependencies = parts;
   }
 
-  /** Sends what those fed from here lack. */
+  /** Sends the children what they lack. */
   flush(): void {
     const { relay, effects } = this.#dependencies;
     for (const { to, message } of relay.flush()) effects.send(to, message);
   }
 
-  /** Asks a node for whatever it has that is newer than ours. */
+  /** Requests from a node whatever it has that is newer than ours. */
   request(from: string): void {
     this.#request(from, this.#dependencies.relay.knownVersions());
   }
 
-  /** Asks every known member for all that it has, as if nothing were held here. */
+  /** Requests from every known member all that it has, as if nothing were known here. */
   requestAll(): void {
     for (const member of this.#dependencies.members.all()) this.#request(member.id, []);
   }
 
-  /** A request for updates alone: answered once, since who hangs elsewhere is fed there, and would get everything twice. */
+  /** A node requested updates. One that is no child gets them once only: its own parent sends it all later ones. */
   onUpdateRequest(from: string): void {
     this.flush();
     if (!this.#dependencies.tree.isChild(from)) this.#dependencies.relay.removeChild(from);
   }
 
+  /** An update arrived, as a snapshot of its topic. */
   onUpdate(message: UpdateMessage): void {
     const { topic, body, epoch, count } = message;
     if (topic === 'machines') {
@@ -75,7 +76,7 @@
       this.#dependencies.voters.follow();
   }
 
-  /** A change that does not follow on what is held here: the sender is told what is. */
+  /** A delta arrived. Where it does not follow on the version known here, the missing updates are requested from its sender. */
   onDelta(from: string, message: DeltaMessage): void {
     const { relay } = this.#dependencies;
     const version = { epoch: message.epoch, count: message.count };
@@ -83,13 +84,13 @@
     if (isNewer(version, relay.version(message.topic))) this.request(from);
   }
 
-  /** Takes the platform's list of machines, if it is newer than what is held. */
+  /** The platform's list of machines arrived; it is used and forwarded if it is newer than the known one. */
   onMachineList(machines: Machines): void {
     if (!this.#dependencies.table.onMachineList(machines)) return;
     const version = { epoch: 0, count: machines.revision };
     const body = JSON.stringify(machines);
     this.#dependencies.relay.offer('machines', version, body);
-    // Every node that learns of a mark passes it on at once, leader or not.
+    // Every node forwards a new list at once, leader or not: it says which machines are draining.
     for (const peer of this.#peers())
       this.#dependencies.effects.send(peer, {
         kind: 'update',
@@ -99,7 +100,7 @@
       });
   }
 
-  /** The platform is away and we have just started: links below still hold its list. */
+  /** Requests the list of machines from agents and peers: after a start while the platform is unreachable they still know it. */
   requestMachineList(now: Moment): void {
     if (now < later(this.#machineListRequestedAt, MACHINE_LIST_REQUEST_INTERVAL_MS)) return;
     this.#machineListRequestedAt = now;
