--- a/eslint.config.js
+++ b/eslint.config.js
@@ -47,7 +47,6 @@
   'src/rehearsal/judge.ts',
   'src/rehearsal/scale-figures.ts',
   'src/rehearsal/stub-runner.ts',
-  'src/state/replica-status.ts',
 ];
 
 /** Files that still bind where an arrow function belongs; one that is mended leaves the list, and none joins it. */
@@ -273,9 +272,6 @@
   'src/simulation/sim-exchange.ts',
   'src/simulation/state-rules.ts',
   'src/simulation/violation.ts',
-  'src/state/file-store.ts',
-  'src/state/partition-names.ts',
-  'src/state/replica-status.ts',
 ];
 
 /** Files that do not yet hold the rules of PENDING_TYPE_RULES. */
--- a/src/state/anti-entropy.ts
+++ b/src/state/anti-entropy.ts
@@ -9,7 +9,10 @@
 
 const ANTI_ENTROPY_INTERVAL_MS = 2000;
 
-/** Compares copies by digests over ranges of parts, halving one that differs; the owner sends its newer copy of a part. */
+/**
+ * Finds replicas that differ from the leader's, by digests over ranges of partitions. A range that differs is halved until
+ * one partition is left, and the leader sends its committed version of that.
+ */
 export class AntiEntropy {
   readonly #me: NodeId;
   readonly #partitions: LocalPartitions;
@@ -30,7 +33,7 @@
     this.#effects = effects;
   }
 
-  /** How many copies at others were sent anew. */
+  /** How many partitions were sent to repair other replicas since the process began. */
   get repairs(): number {
     return this.#repairs;
   }
--- a/src/state/file-store.ts
+++ b/src/state/file-store.ts
@@ -27,9 +27,10 @@
   readonly reject: ((thrown: unknown) => void)[];
 }
 
-/** How many versions of a part stay on disk: the newest, and the one before it to look at after a defect. */
+/** Versions of a partition that stay on disk: the newest, and the one before it for inspection after a fault. */
 const RETAINED_VERSIONS = 2;
 
+/** SHA-256 over name, version and body, in hexadecimal; part of every stored file. */
 export function digestOf(partition: string, version: Version, body: string): string {
   return createHash('sha256')
     .update(`${partition}\n${version.epoch}\n${version.count}\n${body}`)
@@ -40,14 +41,16 @@
   return /^[a-z0-9-]+$/.test(name);
 }
 
-/** The file operations a store needs, so that tests can tear them. */
+/** The file operations that a store needs; tests replace them to inject faults. */
 export interface Disk {
   writeSynced(path: string, text: string): Promise<void>;
   rename(from: string, to: string): Promise<void>;
   syncFolder(path: string): Promise<void>;
 }
 
+/** The file system of the machine. */
 export class NodeDisk implements Disk {
+  /** Writes a file and syncs it. */
   async writeSynced(path: string, text: string): Promise<void> {
     const file = await open(path, 'w');
     try {
@@ -58,10 +61,12 @@
     }
   }
 
+  /** Renames a file; durable only after `syncFolder`. */
   async rename(from: string, to: string): Promise<void> {
     await rename(from, to);
   }
 
+  /** Syncs a folder's entries. */
   async syncFolder(path: string): Promise<void> {
     const folder = await open(path, 'r');
     try {
@@ -72,13 +77,13 @@
   }
 }
 
-/** One folder a part, one file a version: written aside, synced, renamed, folder synced. */
+/** A folder for each partition, a file for each version. A version is written under another name, synced, renamed, and its folder synced. */
 export class FileStore implements Store {
   readonly #root: string;
   readonly #disk: Disk;
   readonly #pending = new Map<PartitionName, PendingWrite>();
   readonly #busy = new Set<PartitionName>();
-  /** Parts whose folder is known to last, with all folders above it that we may have made. */
+  /** Partitions whose folder is durable, with all folders above it that this process may have made. */
   readonly #syncedFolders = new Set<PartitionName>();
   readonly #report: (defect: HaretrackError) => void;
 
@@ -105,7 +110,7 @@
     const versions: Version[] = [];
     for (const name of names) {
       const match = /^(\d+)\.(\d+)\.json$/.exec(name);
-      // Only a rename makes a version; what was being written aside was never told as kept.
+      // A version exists only once renamed; a write that stopped before that was never acknowledged.
       if (match) versions.push({ epoch: Number(match[1]), count: Number(match[2]) });
     }
     versions.sort(compareVersions).reverse();
@@ -122,7 +127,7 @@
           throw new Error('its digest does not match');
         return { partition, version, body: raw.body, isIntact };
       } catch (thrown) {
-        // The newest version was told as kept: an older one may be shown, but must not stand in for it.
+        // The newest version may have been acknowledged: an older one may be inspected, but must not replace it.
         isIntact = false;
         this.#report(new CorruptFileError(`${partition}/${name}: ${reasonOf(thrown)}`));
       }
@@ -142,7 +147,7 @@
     fail: (thrown: unknown) => void,
   ): void {
     const before = this.#pending.get(partition);
-    // A slow disk owes only the newest version of a part; those that wait with an older one are served by it.
+    // On a slow disk only the newest version is written; those that wait for an older one are resolved by it.
     if (before && compareVersions(before.version, version) > 0) {
       before.resolve.push(done);
       before.reject.push(fail);
@@ -175,7 +180,7 @@
   async #writeFile(partition: PartitionName, version: Version, body: string): Promise<void> {
     const folder = join(this.#root, partition);
     await mkdir(folder, { recursive: true });
-    // Not only when we make it: making it may have gone well, and syncing the folder above it not.
+    // Synced even if the folder is there: an earlier attempt may have made it and failed to sync the folders above.
     if (!this.#syncedFolders.has(partition)) {
       for (const above of [this.#root, join(this.#root, '..'), join(this.#root, '..', '..')])
         await this.#disk.syncFolder(above);
--- a/src/state/local-partitions.ts
+++ b/src/state/local-partitions.ts
@@ -5,17 +5,17 @@
 import type { StateEffects } from './replicated-state-effect.js';
 import type { StoredPartition } from './store.js';
 
-/** One part as it is held here, on disk or on its way there. */
+/** The newest version of a partition at this replica, on disk or being written. */
 export interface LocalPartition {
   readonly version: Version;
   readonly body: string;
-  /** Whether the file is what was written; a copy that is not counts for nothing. */
+  /** Whether the file's digest is right; a corrupt one is never counted or sent as data. */
   readonly isIntact: boolean;
 }
 
 const NO_PARTITION: LocalPartition = { version: NO_VERSION, body: '', isIntact: true };
 
-/** This voter's copies of all parts. */
+/** All partitions as this replica stores them. */
 export class LocalPartitions {
   readonly #names: readonly PartitionName[];
   readonly #effects: StateEffects;
@@ -38,17 +38,17 @@
     return this.#names;
   }
 
-  /** Nothing for a part that is not one of ours. */
+  /** Undefined for an unknown partition. */
   of(partition: PartitionName): LocalPartition | undefined {
     return this.#partitions.get(partition);
   }
 
-  /** Holds a version from here on, without storing it. */
+  /** Replaces the version in memory, without writing it to disk. */
   put(partition: PartitionName, version: Version, body: string): void {
     this.#partitions.set(partition, { version, body, isIntact: true });
   }
 
-  /** Holds and stores a version, unless what is held is newer. */
+  /** Replaces the version and writes it to disk, unless the present one is newer. */
   store(partition: PartitionName, version: Version, body: string): void {
     const copy = this.of(partition);
     if (!copy || compareVersions(version, copy.version) < 0) return;
@@ -62,7 +62,7 @@
     return corrupt;
   }
 
-  /** All of them, as they are told to others. */
+  /** All partitions in the form of messages. */
   toMessages(): StoredReplica[] {
     const list: StoredReplica[] = [];
     for (const [partition, copy] of this.#partitions)
@@ -70,7 +70,7 @@
     return list;
   }
 
-  /** Takes copies read while being repaired, and returns the parts that must reach the disk before the voter counts again. */
+  /** Takes over newer versions read from peers; returns the partitions that must be on disk before this replica counts. */
   adopt(copies: readonly StoredReplica[]): ReadonlySet<PartitionName> {
     const storing = new Set<PartitionName>();
     for (const item of copies) {
@@ -84,7 +84,7 @@
     return storing;
   }
 
-  /** Tells whether the same versions are held over a range of parts, `high` not included. */
+  /** SHA-256 over the versions of the partitions from `low` up to, not including, `high`: equal where replicas are. */
   digest(low: number, high: number): string {
     const hash = createHash('sha256');
     for (const partition of this.#names.slice(low, high)) {
--- a/src/state/memory-store.ts
+++ b/src/state/memory-store.ts
@@ -2,7 +2,7 @@
 import { compareVersions, NO_VERSION, type Version } from '../common/version.js';
 import type { Store, StoredPartition } from './store.js';
 
-/** A store for the simulator: what was kept outlasts crash(), what was not is gone; wipe() loses all. */
+/** A store for the simulator. What was persisted survives `crash`, a write in flight is lost; `erase` loses everything. */
 export class MemoryStore implements Store {
   readonly #stored = new Map<PartitionName, StoredPartition>();
   readonly #previous = new Map<PartitionName, StoredPartition>();
@@ -22,7 +22,7 @@
     if (incarnation === this.#incarnation) this.persist(partition, version, body);
   }
 
-  /** The simulator's own way in: it decides on virtual time when a write has reached the disk. */
+  /** Persists at once; for a simulator that decides in virtual time when a write reaches the disk. */
   persist(partition: PartitionName, version: Version, body: string): void {
     const known = this.#stored.get(partition);
     if (known && known.isIntact && compareVersions(version, known.version) < 0) return;
@@ -30,7 +30,7 @@
     this.#stored.set(partition, { partition, version, body, isIntact: true });
   }
 
-  /** The newest file of a part goes bad: what is left is the one before it, and the knowledge that it is not the newest. */
+  /** Corrupts the newest file of a partition: the version before it is left, and is known not to be the newest. */
   corrupt(partition: PartitionName): void {
     if (!this.#stored.has(partition)) return;
     const before = this.#previous.get(partition) ?? {
--- a/src/state/quorum-coordinator.ts
+++ b/src/state/quorum-coordinator.ts
@@ -16,7 +16,7 @@
 type ReadReply = Extract<Message, { kind: 'readReply' }>;
 type WriteReply = Extract<Message, { kind: 'writeReply' }>;
 
-/** Tells which voters a configuration names; nothing where it names none. */
+/** The voters that a configuration names; undefined where it names none. */
 export type QuorumOf = (configBody: string) => Quorum | undefined;
 
 interface VersionedBody {
@@ -29,12 +29,12 @@
   readonly acknowledgedBy: Set<NodeId>;
   readonly members: MemberVersion[];
   sentAt: Moment;
-  /** When a majority had it; the last voter is then given a moment more. */
+  /** When a majority had it on disk; the last voter is then waited for a little longer. */
   majorityAt: Moment | undefined;
 }
 
 interface CoordinatedPartition {
-  /** As last written here; nothing before the first write of the epoch is committed. */
+  /** As last written here; undefined until the rewrite of the epoch is committed. */
   written: VersionedBody | undefined;
   readonly readFrom: Set<NodeId>;
   newest: VersionedBody;
@@ -42,10 +42,12 @@
   queuedWrite: { body: string; tokens: number[] } | undefined;
 }
 
+/** Reads and writes that were not answered are sent again after so long. */
 const RESEND_INTERVAL_MS = 300;
+/** How long a write that a majority has waits for the remaining replicas before it is committed. */
 const LAST_REPLICA_WAIT_MS = 60;
 
-/** The parts at the voter that leads: read from a majority and rewritten in its epoch, then written by it alone. */
+/** The leader's side of the replicated state: partitions are read from a majority and rewritten in its epoch, then written by it alone. */
 export class QuorumCoordinator {
   readonly #me: NodeId;
   readonly #replica: LocalPartitions;
@@ -72,22 +74,25 @@
     this.#quorumOf = quorumOf;
   }
 
-  /** The epoch in which this voter owns the parts; 0 while it does not. */
+  /** The epoch in which this voter leads; 0 while it does not. */
   get epoch(): number {
     return this.#epoch;
   }
+  /** Whether every partition was rewritten in this epoch. */
   get isServing(): boolean {
     return this.#isServing;
   }
+  /** The voters whose majorities count. */
   get quorum(): Quorum {
     return this.#quorum;
   }
 
+  /** Counts majorities of these voters from now on. */
   setQuorum(quorum: Quorum): void {
     this.#quorum = quorum;
   }
 
-  /** Begins to own all parts in this epoch: read a majority of each, rewrite the newest, then serve. */
+  /** Begins to lead: reads every partition from a majority and rewrites the newest in this epoch; then it serves. */
   lead(now: Moment, epoch: number): void {
     this.#epoch = epoch;
     this.#isServing = false;
@@ -97,7 +102,7 @@
     this.#sendReads(now);
   }
 
-  /** Gives up owning: writes under way get no yes from us any more; whether they hold is for the next owner to find. */
+  /** Stops leading: writes in flight are no longer committed here; the next leader finds out whether a majority has them. */
   release(): void {
     this.#epoch = 0;
     this.#isServing = false;
@@ -109,32 +114,35 @@
     return this.#partitions.get(partition)?.written?.body ?? '';
   }
 
-  /** Whether a write of this part is still without its majority. */
+  /** Whether a write of this partition is not committed yet. */
   isWriting(partition: PartitionName): boolean {
     return this.#partitions.get(partition)?.pendingWrite !== undefined;
   }
 
-  /** One write of a part is under way at a time; what comes meanwhile is one next write, of the newest body. Returns its count. */
+  /**
+   * Writes a partition. One write of a partition is in flight at a time, and those that come meanwhile are joined into the
+   * next one, of the newest body. Returns the count of its version; throws if the partition was not read as leader yet.
+   */
   write(now: Moment, partition: PartitionName, body: string, token: number): number {
-    const owned = this.#partitions.get(partition);
-    if (!owned?.written) throw new Error(`${partition} is not owned here`);
-    const count = (owned.pendingWrite?.version.count ?? owned.written.version.count) + 1;
-    if (owned.pendingWrite)
-      owned.queuedWrite = { body, tokens: [...(owned.queuedWrite?.tokens ?? []), token] };
+    const entry = this.#partitions.get(partition);
+    if (!entry?.written) throw new Error(`${partition} is not owned here`);
+    const count = (entry.pendingWrite?.version.count ?? entry.written.version.count) + 1;
+    if (entry.pendingWrite)
+      entry.queuedWrite = { body, tokens: [...(entry.queuedWrite?.tokens ?? []), token] };
     else
-      this.#startWrite(now, partition, owned, { version: { epoch: this.#epoch, count }, body }, [
+      this.#startWrite(now, partition, entry, { version: { epoch: this.#epoch, count }, body }, [
         token,
       ]);
-    owned.written = { version: owned.written.version, body };
+    entry.written = { version: entry.written.version, body };
     return count;
   }
 
   tick(now: Moment): void {
     if (this.#epoch === 0) return;
     let isReading = false;
-    for (const [partition, owned] of this.#partitions) {
-      if (!owned.written && !owned.pendingWrite) isReading = true;
-      if (owned.pendingWrite) this.#resendIfDue(now, partition, owned, owned.pendingWrite);
+    for (const [partition, entry] of this.#partitions) {
+      if (!entry.written && !entry.pendingWrite) isReading = true;
+      if (entry.pendingWrite) this.#resendIfDue(now, partition, entry, entry.pendingWrite);
     }
     if (isReading && now >= later(this.#lastReadSentAt, RESEND_INTERVAL_MS)) this.#sendReads(now);
   }
@@ -149,7 +157,7 @@
       this.onAck(now, from, partitionName(message.part), message, message.members);
   }
 
-  /** A voter has this version of a part on its disk. */
+  /** A voter has this version of a partition on its disk. */
   onAck(
     now: Moment,
     from: NodeId,
@@ -157,35 +165,35 @@
     version: Version,
     members: readonly MemberVersion[],
   ): void {
-    const owned = this.#partitions.get(partition);
-    const writing = owned?.pendingWrite;
-    if (!owned || !writing || compareVersions(writing.version, version) !== 0) return;
-    writing.acknowledgedBy.add(from);
-    writing.members.push(...members);
-    this.#commitIfReplicated(now, partition, owned);
+    const entry = this.#partitions.get(partition);
+    const pending = entry?.pendingWrite;
+    if (!entry || !pending || compareVersions(pending.version, version) !== 0) return;
+    pending.acknowledgedBy.add(from);
+    pending.members.push(...members);
+    this.#commitIfReplicated(now, partition, entry);
   }
 
-  /** Sends a voter the committed copy of a part; says whether it did. */
+  /** Sends a voter the committed version of a partition; returns whether it did. */
   repairReplica(to: NodeId, partition: PartitionName): boolean {
-    const owned = this.#partitions.get(partition);
-    // A write under way brings the newest by itself.
-    if (!owned?.written || owned.pendingWrite) return false;
-    this.#sendWrite(to, partition, owned.written);
+    const entry = this.#partitions.get(partition);
+    // A write in flight brings the newest version by itself.
+    if (!entry?.written || entry.pendingWrite) return false;
+    this.#sendWrite(to, partition, entry.written);
     return true;
   }
 
   #resendIfDue(
     now: Moment,
     partition: PartitionName,
-    owned: CoordinatedPartition,
-    writing: PendingWrite,
+    entry: CoordinatedPartition,
+    pending: PendingWrite,
   ): void {
-    this.#commitIfReplicated(now, partition, owned);
-    if (owned.pendingWrite !== writing || now < later(writing.sentAt, RESEND_INTERVAL_MS)) return;
-    writing.sentAt = now;
+    this.#commitIfReplicated(now, partition, entry);
+    if (entry.pendingWrite !== pending || now < later(pending.sentAt, RESEND_INTERVAL_MS)) return;
+    pending.sentAt = now;
     for (const peer of this.#quorum.all)
-      if (!writing.acknowledgedBy.has(peer) && peer !== this.#me)
-        this.#sendWrite(peer, partition, writing);
+      if (!pending.acknowledgedBy.has(peer) && peer !== this.#me)
+        this.#sendWrite(peer, partition, pending);
   }
 
   #sendReads(now: Moment): void {
@@ -199,19 +207,18 @@
 
   #onRead(now: Moment, from: NodeId, copies: readonly StoredReplica[]): void {
     for (const item of copies) {
-      const owned = this.#partitions.get(partitionName(item.part));
-      if (!owned || isRead(owned) || !item.sound) continue;
-      owned.readFrom.add(from);
-      if (isNewer(item, owned.newest.version))
-        owned.newest = { version: { epoch: item.epoch, count: item.count }, body: item.body };
+      const entry = this.#partitions.get(partitionName(item.part));
+      if (!entry || isRead(entry) || !item.sound) continue;
+      entry.readFrom.add(from);
+      if (isNewer(item, entry.newest.version))
+        entry.newest = { version: { epoch: item.epoch, count: item.count }, body: item.body };
     }
     this.#rewriteOnceRead(now);
   }
 
   /**
-   * Rewrites all parts once each was read from a majority of the voters that the newest configuration read names. A
-   * majority of the voters known here before may have taken part in nothing for long: what newer ones decided would be
-   * written over.
+   * Rewrites all partitions once each was read from a majority of the voters that the newest configuration names. The voters
+   * known here before may have been replaced long ago: by a majority of those, newer writes would be overwritten.
    */
   #rewriteOnceRead(now: Moment): void {
     const owners = [...this.#partitions.values()];
@@ -223,24 +230,24 @@
       this.#effects.add({ do: 'voters', version: config.version, body: config.body });
       if (!owners.every(this.#isReadFromMajority, this)) return;
     }
-    for (const [partition, owned] of this.#partitions) {
-      const version = { epoch: this.#epoch, count: owned.newest.version.count + 1 };
-      this.#startWrite(now, partition, owned, { version, body: owned.newest.body }, []);
+    for (const [partition, entry] of this.#partitions) {
+      const version = { epoch: this.#epoch, count: entry.newest.version.count + 1 };
+      this.#startWrite(now, partition, entry, { version, body: entry.newest.body }, []);
     }
   }
 
-  #isReadFromMajority(owned: CoordinatedPartition): boolean {
-    return this.#quorum.isMajority(owned.readFrom);
+  #isReadFromMajority(entry: CoordinatedPartition): boolean {
+    return this.#quorum.isMajority(entry.readFrom);
   }
 
   #startWrite(
     now: Moment,
     partition: PartitionName,
-    owned: CoordinatedPartition,
+    entry: CoordinatedPartition,
     { version, body }: VersionedBody,
     tokens: readonly number[],
   ): void {
-    const writing: PendingWrite = {
+    const pending: PendingWrite = {
       version,
       body,
       tokens,
@@ -249,10 +256,10 @@
       sentAt: now,
       majorityAt: undefined,
     };
-    owned.pendingWrite = writing;
+    entry.pendingWrite = pending;
     for (const peer of this.#quorum.all) {
       if (peer === this.#me) this.#replica.store(partition, version, body);
-      else this.#sendWrite(peer, partition, writing);
+      else this.#sendWrite(peer, partition, pending);
     }
   }
 
@@ -260,21 +267,21 @@
     this.#effects.send(to, { kind: 'write', part: partition, ...version, body });
   }
 
-  #commitIfReplicated(now: Moment, partition: PartitionName, owned: CoordinatedPartition): void {
-    const { pendingWrite } = owned;
+  #commitIfReplicated(now: Moment, partition: PartitionName, entry: CoordinatedPartition): void {
+    const { pendingWrite } = entry;
     if (!pendingWrite || !this.#isReplicated(now, pendingWrite)) return;
     const { version, body, tokens, members } = pendingWrite;
-    const { queuedWrite } = owned;
-    owned.pendingWrite = undefined;
-    owned.queuedWrite = undefined;
-    owned.written = { version, body: queuedWrite?.body ?? body };
+    const { queuedWrite } = entry;
+    entry.pendingWrite = undefined;
+    entry.queuedWrite = undefined;
+    entry.written = { version, body: queuedWrite?.body ?? body };
     this.#effects.add({ do: 'committed', partition, version, body, tokens, members });
     if (queuedWrite) {
       const following = { epoch: this.#epoch, count: version.count + 1 };
       this.#startWrite(
         now,
         partition,
-        owned,
+        entry,
         { version: following, body: queuedWrite.body },
         queuedWrite.tokens,
       );
@@ -282,12 +289,12 @@
     this.#serveOnceRewritten();
   }
 
-  #isReplicated(now: Moment, writing: PendingWrite): boolean {
-    if (!this.#quorum.isMajority(writing.acknowledgedBy)) return false;
-    writing.majorityAt ??= now;
-    // The yes waits a moment for the last copy, so that a disk lost right after it still leaves two.
-    const isAll = this.#quorum.all.every(writing.acknowledgedBy.has, writing.acknowledgedBy);
-    return isAll || now >= later(writing.majorityAt, LAST_REPLICA_WAIT_MS);
+  #isReplicated(now: Moment, pending: PendingWrite): boolean {
+    if (!this.#quorum.isMajority(pending.acknowledgedBy)) return false;
+    pending.majorityAt ??= now;
+    // The commit waits a little for the last replica, so that two are left if a disk is lost right after it.
+    const isAll = this.#quorum.all.every(pending.acknowledgedBy.has, pending.acknowledgedBy);
+    return isAll || now >= later(pending.majorityAt, LAST_REPLICA_WAIT_MS);
   }
 
   #serveOnceRewritten(): void {
@@ -307,11 +314,11 @@
   };
 }
 
-function isRewritten(owned: CoordinatedPartition): boolean {
-  return owned.written !== undefined;
+function isRewritten(entry: CoordinatedPartition): boolean {
+  return entry.written !== undefined;
 }
 
-/** Whether a part was read and is being rewritten, or was. */
-function isRead(owned: CoordinatedPartition): boolean {
-  return owned.written !== undefined || owned.pendingWrite !== undefined;
+/** Whether a partition was read, and its rewrite is in flight or committed. */
+function isRead(entry: CoordinatedPartition): boolean {
+  return entry.written !== undefined || entry.pendingWrite !== undefined;
 }
--- a/src/state/replica-status.ts
+++ b/src/state/replica-status.ts
@@ -4,18 +4,27 @@
 import { isNewer, NO_VERSION, type Version } from '../common/version.js';
 import { CONFIG_PARTITION } from './partition-names.js';
 
-/** blank: an empty folder. lost: the record of our votes is unreadable. sound: we may vote and count. */
-export type ReplicaStatusName = 'blank' | 'lost' | 'sound';
+/** Whether this replica may vote and count in majorities. The words are those of the messages. */
+export type ReplicaStatusName =
+  /** The data folder is empty. */
+  | 'blank'
+  /** The record of this replica's votes is unreadable. */
+  | 'lost'
+  /** Healthy: it may vote and count. */
+  | 'sound';
 
+/** What a peer answered about its own replica. */
 interface RepairReply {
   readonly standing: string;
   readonly epoch: number;
   readonly copies: readonly StoredReplica[];
 }
 
+/** How a replica that did not count may begin to. */
 export type ReplicaStatusOutcome =
-  /** With the newest epoch that members hold news of: they never step back behind it. */
+  /** It forms a new cluster with blank peers, above the newest epoch that agents and proxies know: they accept no older one. */
   | { readonly become: 'founded'; readonly epoch: number }
+  /** It takes over the newest of these replicas, and takes part again above this epoch. */
   | {
       readonly become: 'repaired';
       readonly epoch: number;
@@ -29,23 +38,25 @@
   readonly message: Message;
 }
 
-/** A peer that does not answer is asked again after so long, then after twice as long, up to the most. */
+/** Delay before an unanswered request is repeated; it doubles each time, up to MAX_REQUEST_DELAY_MS. */
 const MIN_REQUEST_DELAY_MS = 100;
 const MAX_REQUEST_DELAY_MS = 800;
-/** One that holds nothing yet is asked again after so long. */
+/** Delay before a peer that answered, but is not healthy itself, is asked again. */
 const BLANK_REQUEST_DELAY_MS = 200;
 
 /**
- * Decides when a node with an empty folder may count: by founding together with blank peers,
- * or by reading all it may ever have decided with. Until then it neither grants nor counts.
+ * Decides when a replica that lost its disk, or never had data, may vote and count: by forming a new cluster with blank
+ * peers, or by reading the replicas of every majority that it may have been part of. Until then it neither grants votes
+ * nor acknowledges writes.
  */
 export class ReplicaStatus {
   readonly #me: NodeId;
   #name: ReplicaStatusName;
-  /** Each reply to one of ours counts: all numbers above the first were given out in this incarnation. */
+  /** Nonces above this one were given out in this incarnation; replies to any of them count. */
   readonly #firstNonce: number;
   #nonce: number;
   readonly #startedAt: Moment;
+  /** How long after its start a blank replica waits before it forms a new cluster, in milliseconds. */
   readonly #foundMs: number;
   readonly #replies = new Map<NodeId, RepairReply>();
   readonly #requests = new Map<
@@ -76,29 +87,32 @@
     this.#quorumOf = quorumOf;
   }
 
+  /** The present status. */
   get name(): ReplicaStatusName {
     return this.#name;
   }
+  /** Whether an agent or proxy is known that has a configuration of an earlier cluster. */
   get hasMemberEpoch(): boolean {
     return this.#memberEpoch > 0;
   }
 
-  /** A member came that holds a configuration: what stood before must not be founded over by itself. */
+  /** An agent or proxy has a configuration of this epoch: the cluster that wrote it must not be replaced unasked. */
   onMemberEpoch(epoch: number): void {
     this.#memberEpoch = Math.max(this.#memberEpoch, epoch);
   }
 
-  /** An operator's word that nothing better than this is left. */
+  /** An operator declares that no better replica is left: forms a new cluster from what was read. */
   forceNewCluster(): void {
     this.#isNewClusterForced = true;
   }
 
+  /** The replica has become healthy: what was decided is on its disk. */
   resolve(): void {
     this.#name = 'sound';
     this.#replies.clear();
   }
 
-  /** What is to be asked of whom now: of the voters known here, and of those that a copy read so far names. */
+  /** The requests that are due now, to the voters known here and to those that the newest configuration read so far names. */
   tick(now: Moment, quorum: Quorum): Send[] {
     if (this.#name === 'sound') return [];
     const peers = new Set([...quorum.all, ...(this.#votersOfNewestConfig()?.all ?? [])]);
@@ -122,17 +136,17 @@
   }
 
   #isRequestDue(now: Moment, peer: NodeId): boolean {
-    // What a sound peer held after we started is all that it could know of us: we decide nothing with it meanwhile.
+    // One reply of a healthy peer is enough: no write has been acknowledged by us since we started.
     if (this.#replies.get(peer)?.standing === 'sound') return false;
     const request = this.#requests.get(peer);
     return request === undefined || now >= request.nextRequestAt;
   }
 
-  /** The return to a node that asks how we stand. */
+  /** The reply to a replica that reads ours in order to be repaired. */
   replyTo(nonce: number, epoch: number, copies: StoredReplica[], hasGranted: boolean): Message {
-    // Founded, but nothing was ever decided with us: others may still found beside us, however far our own tries ran the epoch.
+    // A healthy replica that never granted a vote and stores nothing does not stop blank peers from forming the cluster.
     const isFresh = this.#name === 'sound' && !hasGranted && copies.every(isEmpty);
-    // A blank node tells what its members hold: one that has no members of its own must not found over it.
+    // A blank replica reports its members' epoch, so that a peer without members does not form a new cluster over it.
     return {
       kind: 'readReply',
       epoch: this.#name === 'blank' ? this.#memberEpoch : epoch,
@@ -143,6 +157,7 @@
     };
   }
 
+  /** A peer answered a request of `tick`; returns how this replica may begin to count, once it may. */
   onReadReply(
     now: Moment,
     from: NodeId,
@@ -151,7 +166,7 @@
   ): ReplicaStatusOutcome | undefined {
     if (this.#name === 'sound' || !this.#isReplyToUs(message)) return undefined;
     if (message.standing === 'blank') this.onMemberEpoch(message.epoch);
-    // Later answers of one that was sound before we had read enough add nothing.
+    // The first reply of a healthy peer is kept; later ones add nothing.
     if (this.#replies.get(from)?.standing !== 'sound') {
       const { standing, epoch, copies } = message;
       this.#replies.set(from, { standing, epoch, copies });
@@ -163,12 +178,12 @@
     return this.outcome(now, quorum);
   }
 
-  /** Links may be slower than we ask: not only the last request's reply counts, but none of another incarnation. */
+  /** A reply to any request of this incarnation: round trips may take longer than the delay between requests. */
   #isReplyToUs(message: ReadReply): boolean {
     return !message.sound && message.nonce > this.#firstNonce && message.nonce <= this.#nonce;
   }
 
-  /** The voters that the newest configuration read so far names: the settings may name fewer, or older ones. */
+  /** The voters that the newest configuration read so far names: the settings file may be older. */
   #votersOfNewestConfig(): Quorum | undefined {
     let version: Version = NO_VERSION;
     let body = '';
@@ -190,36 +205,51 @@
     return true;
   }
 
+  /** How this replica may begin to count, by the replies so far; undefined while it may not. */
   outcome(now: Moment, quorum: Quorum): ReplicaStatusOutcome | undefined {
     if (this.#name === 'sound') return undefined;
-    const holders = new Set<NodeId>();
+    // A majority that we were part of was one of the voters that the newest configuration names.
+    const voters = this.#votersOfNewestConfig() ?? quorum;
+    const { readFrom, epoch, copies } = this.#healthyReplies(voters);
+    if (this.#mayFormCluster(now, quorum) && (!this.hasMemberEpoch || this.#isNewClusterForced))
+      return { become: 'founded', epoch: this.#memberEpoch };
+    // What was committed with our acknowledgement is stored by at least one of the others that completed the majority.
+    if (epoch > 0 && voters.coversWithout(this.#me, readFrom))
+      return { become: 'repaired', epoch, copies };
+    // By an operator's command the replicas that are left have to do; members may know a newer epoch than these.
+    if (this.#isNewClusterForced && epoch > 0)
+      return { become: 'repaired', epoch: Math.max(epoch, this.#memberEpoch), copies };
+    return undefined;
+  }
+
+  /** What healthy voters other than this one have answered, and the newest of their epochs. */
+  #healthyReplies(voters: Quorum): {
+    readonly readFrom: ReadonlySet<NodeId>;
+    readonly epoch: number;
+    readonly copies: readonly StoredReplica[];
+  } {
+    const readFrom = new Set<NodeId>();
     let epoch = 0;
     const copies: StoredReplica[] = [];
-    // Whoever decided anything with us did so among the voters that the newest copy names, or that copy would not be it.
-    const voters = this.#votersOfNewestConfig() ?? quorum;
     for (const peer of voters.all) {
-      const known = this.#replies.get(peer);
-      if (peer === this.#me || !known) continue;
-      if (known.standing !== 'sound' && known.standing !== 'fresh') continue;
-      holders.add(peer);
-      epoch = Math.max(epoch, known.epoch);
-      copies.push(...known.copies);
+      const reply = this.#replies.get(peer);
+      if (peer === this.#me || !reply) continue;
+      if (reply.standing !== 'sound' && reply.standing !== 'fresh') continue;
+      readFrom.add(peer);
+      epoch = Math.max(epoch, reply.epoch);
+      copies.push(...reply.copies);
     }
-    const mayFound =
+    return { readFrom, epoch, copies };
+  }
+
+  #mayFormCluster(now: Moment, quorum: Quorum): boolean {
+    return (
       this.#mayFound &&
       this.#name === 'blank' &&
       quorum.includes(this.#me) &&
       this.#arePeersUnfounded(quorum) &&
-      now >= later(this.#startedAt, this.#foundMs);
-    if (mayFound && (!this.hasMemberEpoch || this.#isNewClusterForced))
-      return { become: 'founded', epoch: this.#memberEpoch };
-    // Whatever was decided with us is also held by one of those others: all of them but ourselves must have been read.
-    if (epoch > 0 && voters.coversWithout(this.#me, holders))
-      return { become: 'repaired', epoch, copies };
-    // An operator's word: whoever is left tells all that can be known, and members may still know a newer table.
-    if (this.#isNewClusterForced && epoch > 0)
-      return { become: 'repaired', epoch: Math.max(epoch, this.#memberEpoch), copies };
-    return undefined;
+      now >= later(this.#startedAt, this.#foundMs)
+    );
   }
 }
 
--- a/src/state/replicated-state-effect.ts
+++ b/src/state/replicated-state-effect.ts
@@ -2,16 +2,18 @@
 import type { MemberVersion, Message } from '../common/messages.js';
 import type { Version } from '../common/version.js';
 
-/** What the replicated state wants done, or tells of what it reached. */
+/** What the replicated state wants its host to do, or reports to it. */
 export type ReplicatedStateEffect =
+  /** Send a message to another voter. */
   | { readonly do: 'send'; readonly to: NodeId; readonly message: Message }
+  /** Write a version to disk, then call `onPersisted`. */
   | {
       readonly do: 'store';
       readonly partition: PartitionName;
       readonly version: Version;
       readonly body: string;
     }
-  /** The write is held by a synced majority of voters, and by all of them if they were prompt. */
+  /** A majority of the voters has the write on disk, or all of them if the last was quick. */
   | {
       readonly do: 'committed';
       readonly partition: PartitionName;
@@ -20,12 +22,12 @@
       readonly tokens: readonly number[];
       readonly members: readonly MemberVersion[];
     }
-  /** The newest configuration that was read while beginning to own the state names other voters than were known here. */
+  /** The newest configuration that the new leader read names other voters than were known here. */
   | { readonly do: 'voters'; readonly version: Version; readonly body: string }
-  /** Every part has been read from a majority and rewritten in our epoch. */
+  /** Every partition was read from a majority and rewritten in this epoch: the leader may serve. */
   | { readonly do: 'serving' };
 
-/** The effects that are still to be taken up, in the order in which they were decided. */
+/** Queue of effects that the host has not carried out yet, in the order in which they were decided. */
 export class StateEffects {
   #pending: ReplicatedStateEffect[] = [];
 
@@ -41,7 +43,7 @@
     this.add({ do: 'store', partition, version, body });
   }
 
-  /** Drops what was decided as the owner of the parts. */
+  /** Drops effects that only a leader may act on; called when it stops leading. */
   dropCoordinatorEffects(): void {
     this.#pending = this.#pending.filter(isOfReplica);
   }
@@ -53,7 +55,7 @@
   }
 }
 
-/** Whether an effect concerns the copy held here, whoever owns the parts. */
+/** Whether an effect concerns the local replica, whoever leads. */
 function isOfReplica(effect: ReplicatedStateEffect): boolean {
   return effect.do === 'send' || effect.do === 'store';
 }
--- a/src/state/replicated-state.ts
+++ b/src/state/replicated-state.ts
@@ -21,8 +21,8 @@
 }
 
 /**
- * The parts of the shared state at one voter: replica of all, and owner of all while it leads.
- * Each part has its own versions, writes and files; nothing orders one part against another.
+ * The replicated state at one voter: its local replica and, while it leads, the coordinator of reads and writes. Each
+ * partition has versions, writes and files of its own; writes of different partitions are not ordered against each other.
  */
 export class ReplicatedState {
   readonly #me: NodeId;
@@ -31,7 +31,7 @@
   readonly #coordinator: QuorumCoordinator;
   readonly #antiEntropy: AntiEntropy;
   readonly #pendingReplies = new Map<PartitionName, PendingReply>();
-  /** The last version of each part that reached the disk in this life. */
+  /** The last version of each partition that was persisted in this incarnation. */
   readonly #persistedVersions = new Map<PartitionName, Version>();
 
   constructor(
@@ -39,7 +39,7 @@
     quorum: Quorum,
     names: readonly PartitionName[],
     onPersisted: readonly StoredPartition[],
-    quorumOf: QuorumOf = namesNobody,
+    quorumOf: QuorumOf = noQuorum,
   ) {
     this.#me = me;
     this.#replica = new LocalPartitions(names, onPersisted, this.#effects);
@@ -47,11 +47,11 @@
     this.#antiEntropy = new AntiEntropy(me, this.#replica, this.#coordinator, this.#effects);
   }
 
-  /** Whether every part was read from a majority and rewritten in the epoch that is owned here. */
+  /** Whether every partition was read from a majority and rewritten in the epoch that this voter leads. */
   get isServing(): boolean {
     return this.#coordinator.isServing;
   }
-  /** How many copies at other voters were found different and sent anew. */
+  /** How many partitions of other replicas were repaired by anti-entropy. */
   get repairs(): number {
     return this.#antiEntropy.repairs;
   }
@@ -64,12 +64,12 @@
     return this.#effects.drain();
   }
 
-  /** The version of this voter's own copy. */
+  /** The version at the local replica; NO_VERSION for an unknown partition. */
   versionOf(partition: PartitionName): Version {
     return this.#replica.of(partition)?.version ?? NO_VERSION;
   }
 
-  /** The body of this voter's own copy. */
+  /** The body at the local replica; empty for an unknown partition. */
   replicaBody(partition: PartitionName): string {
     return this.#replica.of(partition)?.body ?? '';
   }
@@ -82,19 +82,19 @@
     return this.#replica.toMessages();
   }
 
-  /** Takes copies read while being repaired, and returns the parts that must reach the disk before the voter counts again. */
+  /** Takes over newer versions read from peers; returns the partitions that must be on disk before this replica counts. */
   adopt(copies: readonly StoredReplica[]): ReadonlySet<PartitionName> {
     return this.#replica.adopt(copies);
   }
 
-  // ---- owner
+  // ---- leader
 
-  /** Begins to own all parts in this epoch: read a majority of each, rewrite the newest, then serve. */
+  /** Begins to lead: reads every partition from a majority and rewrites the newest in this epoch; then it serves. */
   lead(now: Moment, epoch: number): void {
     this.#coordinator.lead(now, epoch);
   }
 
-  /** Gives up owning. What was decided and not yet taken up is dropped, since it would be taken up without the lead. */
+  /** Stops leading; effects that only a leader may act on are dropped. */
   release(): void {
     this.#coordinator.release();
     this.#effects.dropCoordinatorEffects();
@@ -105,12 +105,16 @@
     return this.#coordinator.body(partition);
   }
 
-  /** Whether a write of this part is still without its majority. */
+  /** Whether a write of this partition is not committed yet. */
   isWriting(partition: PartitionName): boolean {
     return this.#coordinator.isWriting(partition);
   }
 
-  /** One write of a part is under way at a time; what comes meanwhile is one next write, of the newest body. Returns its count. */
+  /**
+   * Writes a partition; `committed` names the token. One write of a partition is in flight at a time, and those that come
+   * meanwhile are joined into the next one, of the newest body. Returns the count of its version; throws if this voter
+   * has not read the partition as leader.
+   */
   write(now: Moment, partition: PartitionName, body: string, token: number): number {
     return this.#coordinator.write(now, partition, body, token);
   }
@@ -122,7 +126,7 @@
 
   // ---- replica
 
-  /** `granted` is the epoch this voter has granted, synced, and not moved on from; 0 if none. */
+  /** A message came. `granted` is the epoch whose grant is on this voter's disk and still valid; 0 if none. */
   onMessage(
     now: Moment,
     from: NodeId,
@@ -155,10 +159,10 @@
     }
   }
 
-  /** Told when a version has reached the disk. */
+  /** A version has reached the disk. */
   stored(partition: PartitionName, version: Version, granted: number, now?: Moment): void {
     this.#persistedVersions.set(partition, version);
-    // Said only while that epoch still stands here: a newer leader may have read us before this write was kept.
+    // Acknowledged only while that epoch is still granted: a newer leader may have read us before this write was on disk.
     if (version.epoch !== granted) return;
     if (this.#coordinator.epoch === version.epoch && now !== undefined) {
       this.#coordinator.onAck(now, this.#me, partition, version, []);
@@ -190,7 +194,7 @@
     const partition = partitionName(message.part);
     const local = this.#replica.of(partition);
     const version = { epoch: message.epoch, count: message.count };
-    // An older epoch's write is turned away; one of an epoch not granted here yet comes again after our grant.
+    // A write of an older epoch is rejected; one of an epoch not granted yet is sent again after our grant.
     if (!local || message.epoch !== granted || compareVersions(version, local.version) < 0) {
       this.#replyTo(from, partition, version, false, []);
       return;
@@ -225,6 +229,6 @@
   }
 }
 
-function namesNobody(): undefined {
+function noQuorum(): undefined {
   return undefined;
 }
--- a/src/state/store.ts
+++ b/src/state/store.ts
@@ -1,7 +1,7 @@
 import type { PartitionName } from '../common/ids.js';
 import type { Version } from '../common/version.js';
 
-/** One part as a store holds it. An unsound copy lost its newest version and must be mended from a peer. */
+/** The newest readable version of a partition. One that is not intact lost its newest version: a peer must repair it. */
 export interface StoredPartition {
   readonly partition: PartitionName;
   readonly version: Version;
@@ -9,10 +9,10 @@
   readonly isIntact: boolean;
 }
 
-/** The disk, as the cores see it: whole versions, written one file each. */
+/** Durable storage of partitions, each version written completely or not at all. */
 export interface Store {
-  /** All parts found, the newest version of each. */
+  /** The newest readable version of every partition found. */
   readAll(): Promise<readonly StoredPartition[]>;
-  /** Resolves once the version would outlast a crash. A write that is overtaken by a newer one may resolve with it. */
+  /** Resolves once the version is durable; one replaced by a newer write may resolve with that. Rejects if the disk fails. */
   write(partition: PartitionName, version: Version, body: string): Promise<void>;
 }
