--- a/src/control/config-edits.ts
+++ b/src/control/config-edits.ts
@@ -16,7 +16,7 @@
   }
 }
 
-/** A turning away that names every fault of a configuration. */
+/** A configuration that may not be in force, with every fault in it. */
 export class ConfigError extends HaretrackError {
   readonly code = 'bad-config';
   readonly faults: readonly RoutingFault[];
@@ -27,6 +27,7 @@
   }
 }
 
+/** The document after an edit, with the id of the edit. */
 interface Edited {
   readonly id: string;
   readonly doc: ConfigDoc;
@@ -55,16 +56,16 @@
 function editCell(doc: ConfigDoc, body: string): Edited {
   const edit = mustParseAs(EditShapes.cell, body, 'the edit');
   checkBase(doc, edit.base);
-  const column = COLUMNS.find(isColumn.bind(undefined, edit.column));
+  const column = COLUMNS.find((name) => name === edit.column);
   if (!column)
     throw new TableError([
       { row: edit.row, cell: edit.column, text: `no such column; there are ${COLUMNS.join(', ')}` },
     ]);
-  const at = doc.table.rows.findIndex(hasKey.bind(undefined, edit.row));
+  const at = doc.table.rows.findIndex((row) => rowKey(row) === edit.row);
   const before = doc.table.rows[at];
   if (!before) throw new TableError([{ row: edit.row, cell: edit.column, text: 'no such row' }]);
   const raw: unknown = { ...before, [column]: edit.value };
-  // These two name the row: whether others have the same name, or mappings lose it, is seen in the whole table.
+  // These two columns name the row: duplicates, and mappings to a missing row, show only in the complete table.
   if (column === 'type' || column === 'model')
     return withTable(doc, edit.id, {
       ...doc.table,
@@ -73,7 +74,7 @@
   const { table, faults } = checkTable({ mappings: [], rows: [raw] });
   const [row] = table.rows;
   if (!row || faults.length > 0)
-    throw new TableError(faults.map((fault) => inRow(edit.row, fault)));
+    throw new TableError(faults.map((fault) => ({ ...fault, row: edit.row })));
   return {
     id: edit.id,
     doc: {
@@ -84,16 +85,6 @@
   };
 }
 
-function hasKey(key: string, row: { readonly type: string; readonly model: string }): boolean {
-  return rowKey(row) === key;
-}
-function inRow(row: string, fault: Fault): Fault {
-  return { ...fault, row };
-}
-function isColumn(name: string, column: string): boolean {
-  return name === column;
-}
-
 function editRows(doc: ConfigDoc, body: string): Edited {
   const edit = mustParseAs(EditShapes.rows, body, 'the edit');
   checkBase(doc, edit.base);
@@ -120,7 +111,7 @@
 ): Edited {
   const edit = mustParseAs(EditShapes.configure, body, 'the edit');
   const current = doc.routing?.version ?? 0;
-  // The base goes first: whoever lost a race is told so, and not that its number is too low by now.
+  // The base is checked first: a conflict is reported as one, and not as a version that is too low by now.
   if (edit.base !== current)
     throw new VersionConflictError(
       `made from version ${edit.base}, but version ${current} is in force`,
@@ -132,8 +123,8 @@
     ]);
   const { routing, faults } = dialect.read(text);
   if (!routing || faults.length > 0) throw new ConfigError(faults);
-  const wrong = checkRouting(routing, current);
-  if (wrong.length > 0) throw new ConfigError(wrong);
+  const routingFaults = checkRouting(routing, current);
+  if (routingFaults.length > 0) throw new ConfigError(routingFaults);
   return {
     id: edit.id,
     doc: { ...doc, number: doc.number + 1, routing: { version: routing.version, text } },
@@ -148,7 +139,10 @@
   return { id: edit.id, doc: { ...doc, emptied: [...emptied].sort() } };
 }
 
-/** Applies an operator's edit to the document, or throws the defect that turns it away. */
+/**
+ * Applies an operator's edit to the document. Throws a `MalformedRequestError`, a `VersionConflictError`, a `TableError` or a
+ * `ConfigError` if the edit is rejected.
+ */
 export function applyEdit(
   doc: ConfigDoc,
   verb: string,
@@ -174,6 +168,7 @@
   throw new MalformedRequestError(`no such edit: ${verb}`);
 }
 
+/** The document with the outcome of an edit remembered; only the newest `MAX_EDITS` are. */
 export function recordEdit(doc: ConfigDoc, id: string, outcome: 'accepted' | 'closed'): ConfigDoc {
   const record = { id, number: doc.number, outcome, version: doc.routing?.version ?? 0 };
   return { ...doc, edits: [...doc.edits, record].slice(-MAX_EDITS) };
--- a/src/control/config-size.test.ts
+++ b/src/control/config-size.test.ts
@@ -55,10 +55,6 @@
   expect(cluster.versionAt(behind)).toBe(version);
 }
 
-function isNeither(one: string, other: string, id: string): boolean {
-  return id !== one && id !== other;
-}
-
 test('a thousand remembered edits are kept compact', () => {
   const empty = encodeConfigDoc(initialDoc(THREE)).length;
   const doc = withEdits(MAX_EDITS);
@@ -93,7 +89,8 @@
   cluster.node(behind).store.corrupt(CONFIG_PARTITION);
   cluster.start(behind, THREE);
   cluster.runUntil(() => cluster.isCounting(behind), CATCH_UP_MS, 'it is mended');
-  const [third = ''] = THREE.filter(isNeither.bind(undefined, behind, cluster.leader()));
+  const leader = cluster.leader();
+  const [third = ''] = THREE.filter((id) => id !== behind && id !== leader);
   cluster.kill(third);
   cluster.runUntil(() => cluster.hasLeader(), 6000, 'two of three lead');
   expect(cluster.versionAt(behind)).toBe(version);
--- a/src/control/config-store.test.ts
+++ b/src/control/config-store.test.ts
@@ -47,8 +47,11 @@
       this.document.onCommitted(version);
   }
 
-  toldNumber(): unknown {
-    return JSON.parse(this.relay.latest('config')?.body ?? '{}').number;
+  publishedNumber(): unknown {
+    const update: { readonly number?: number } = JSON.parse(
+      this.relay.latest('config')?.body ?? '{}',
+    );
+    return update.number;
   }
 }
 test('what is written is told once it is committed', () => {
@@ -63,10 +66,10 @@
   owner.step();
   owner.step();
   expect(document.committed().number).toBe(1);
-  expect(owner.toldNumber()).toBe(1);
+  expect(owner.publishedNumber()).toBe(1);
   owner.step();
   expect(document.committed()).toBe(document.newest());
-  expect(owner.toldNumber()).toBe(2);
+  expect(owner.publishedNumber()).toBe(2);
 });
 test('a table that members still hold is taken back, the voters are not', () => {
   const owner = new Owner();
--- a/src/control/control-replica.ts
+++ b/src/control/control-replica.ts
@@ -15,7 +15,7 @@
 import { Leadership } from './leadership.js';
 import { readVotes, VoteStorage } from './vote-storage.js';
 
-/** What every control node has, whether it leads or not: its vote, its replica, and what it knows of the voters. */
+/** What every control node has, whether it leads or not: its vote, its replica, and the voters it knows. */
 export interface ControlReplica {
   readonly me: NodeId;
   readonly elector: Elector;
@@ -29,7 +29,7 @@
   readonly effects: EffectQueue;
 }
 
-/** Makes them of what a disk holds. */
+/** Builds them from the partitions found on the disk. */
 export function makeReplica(
   settings: ControlSettings,
   stored: readonly StoredPartition[],
@@ -61,7 +61,7 @@
       quorumOf,
     ),
     relay,
-    // What the leader tells is followed in a deployment alone, where voters change by themselves.
+    // Published configurations are followed only in a deployment, where voters are replaced without an operator.
     voters: new FollowedVoters(seeds, {
       elector,
       state,
--- a/src/control/operator-edits.test.ts
+++ b/src/control/operator-edits.test.ts
@@ -8,17 +8,30 @@
   SEEDS,
 } from './testing/control-cluster.js';
 
-/** The outcome that a body names; empty where there is no answer. */
-function defectOf(body: string): string {
-  return body === '' ? '' : String(JSON.parse(body).defect ?? '');
+/** The error code in the body of an answer; empty if there is no answer. */
+function errorCodeOf(body: string): string {
+  if (body === '') return '';
+  const answer: { readonly defect?: string } = JSON.parse(body);
+  return answer.defect ?? '';
+}
+
+/** The fields of a configuration that the tests read. */
+interface ConfigBody {
+  readonly routing?: { readonly version: number };
+  readonly emptied: readonly string[];
+}
+
+function configOf(body: string): ConfigBody {
+  const config: ConfigBody = JSON.parse(body);
+  return config;
 }
 
 function routingOf(cluster: ControlCluster): number {
-  return JSON.parse(cluster.asked(cluster.leader(), 'read', {}).body).routing?.version ?? 0;
+  return configOf(cluster.asked(cluster.leader(), 'read', {}).body).routing?.version ?? 0;
 }
 
 function evacuatedOf(cluster: ControlCluster): readonly string[] {
-  return JSON.parse(cluster.asked(cluster.leader(), 'read', {}).body).emptied;
+  return configOf(cluster.asked(cluster.leader(), 'read', {}).body).emptied;
 }
 
 function zoneOrder(id: string, empty: boolean): object {
@@ -53,7 +66,7 @@
   cluster.heal(former, 'lost');
   cluster.run(4000);
   expect(routingOf(cluster)).toBe(0);
-  expect(defectOf(cluster.answer(former, first).body)).toBe('unsure-edit');
+  expect(errorCodeOf(cluster.answer(former, first).body)).toBe('unsure-edit');
   expect(cluster.answer(former, second).status).toBe(503);
 });
 test('a leader cut off refuses nothing, however wrong it looks to it', () => {
@@ -143,7 +156,7 @@
   // What is not committed is not read; what is committed is, since only this leader could have committed more.
   const read = cluster.asked(leader, 'read', {});
   expect(read.status).toBe(200);
-  expect(JSON.parse(read.body).routing.version).toBe(7);
+  expect(configOf(read.body).routing?.version).toBe(7);
 });
 test('reads and refusals that wait for one quorum read are all answered', () => {
   const cluster = foundedCluster();
@@ -168,7 +181,7 @@
   }
   cluster.run(500);
   // It was taken, and so many came since that nobody remembers it: no word, but no refusal either.
-  expect(defectOf(cluster.asked(leader, 'configure', old).body)).toBe('unsure-edit');
+  expect(errorCodeOf(cluster.asked(leader, 'configure', old).body)).toBe('unsure-edit');
   // One on a base that only came since cannot have been taken and forgotten.
   expect(cluster.asked(leader, 'amend', editOf('e3', 77, documentOf(90, 'z'))).status).toBe(409);
 });
--- a/src/control/testing/control-cluster.ts
+++ b/src/control/testing/control-cluster.ts
@@ -175,8 +175,10 @@
 
   ask(id: string, verb: string, body: object): number {
     this.#asked += 1;
-    this.#input(id, this.#command.bind(this, id, this.#asked, verb, JSON.stringify(body)));
-    return this.#asked;
+    const number = this.#asked;
+    const text = JSON.stringify(body);
+    this.#input(id, () => this.#command(id, number, verb, text));
+    return number;
   }
 
   #command(id: string, number: number, verb: string, body: string): void {
--- a/src/control/testing/fault-cluster.ts
+++ b/src/control/testing/fault-cluster.ts
@@ -240,8 +240,9 @@
     const node = this.node(id);
     node.state = 'down';
     node.stoppedAt = this.#now;
+    const closesAt = moment(this.#now + STEP_MS);
     for (const neighbour of this.#neighbours.values())
-      this.#at(STEP_MS, neighbour.gone.bind(neighbour, moment(this.#now + STEP_MS), id));
+      this.#at(STEP_MS, () => neighbour.gone(closesAt, id));
     for (const other of this.nodes.keys())
       if (other !== id) this.#at(STEP_MS, () => this.#gone(other, id));
   }
@@ -488,30 +489,22 @@
     const delay = this.#numbers.between(range.leastMs, range.mostMs);
     const at = Math.max(this.#links.get(link) ?? 0, this.#now + delay);
     this.#links.set(link, at);
-    this.#events.push({
-      at,
-      run: this.#deliver.bind(
-        this,
-        from,
-        to,
-        this.nodes.get(from)?.incarnation,
-        this.nodes.get(to)?.incarnation,
-        message,
-      ),
-    });
+    const sender = this.nodes.get(from)?.incarnation;
+    const receiver = this.nodes.get(to)?.incarnation;
+    this.#events.push({ at, run: () => this.#deliver(from, to, sender, receiver, message) });
   }
 
   #deliver(
     from: string,
     to: string,
-    fromLife: number | undefined,
-    toLife: number | undefined,
+    sender: number | undefined,
+    receiver: number | undefined,
     message: Message,
   ): void {
-    if (this.nodes.get(from)?.incarnation !== fromLife || this.#cut.has(`${from}>${to}`)) return;
+    if (this.nodes.get(from)?.incarnation !== sender || this.#cut.has(`${from}>${to}`)) return;
     this.#neighbours.get(to)?.receive(moment(this.#now), from, message);
     const node = this.nodes.get(to);
-    if (!node || node.state === 'down' || node.incarnation !== toLife) return;
+    if (!node || node.state === 'down' || node.incarnation !== receiver) return;
     if (this.#lost.has(`${to} ${message.kind}`)) return;
     this.#input(to, () => this.#receive(to, from, message));
   }
@@ -545,18 +538,17 @@
       const millis = this.#numbers.between(this.#options.leastDiskMs, this.#options.mostDiskMs);
       const at = Math.max(this.#links.get(queue) ?? 0, this.#now + millis);
       this.#links.set(queue, at);
-      this.#events.push({
-        at,
-        run: this.#synced.bind(this, id, node.incarnation, effect),
-      });
+      const { incarnation } = node;
+      this.#events.push({ at, run: () => this.#synced(id, incarnation, effect) });
     }
   }
 
   #askList(id: string, node: Node): void {
     this.listReadings.push({ id, at: this.#now });
     const listed = this.#listed;
+    const { incarnation } = node;
     if (listed && !this.#unanswered.has(id))
-      this.#at(LIST_DELAY_MS, this.#hearList.bind(this, id, node.incarnation, listed));
+      this.#at(LIST_DELAY_MS, () => this.#hearList(id, incarnation, listed));
   }
 
   #hearList(id: string, incarnation: number, listed: readonly ListedRunner[]): void {
--- a/src/control/vote-storage.test.ts
+++ b/src/control/vote-storage.test.ts
@@ -43,7 +43,7 @@
     body: JSON.stringify(RECORD),
   });
   const kept: number[] = [];
-  votes.onPersisted({ epoch: 4, count: 9 }, kept.push.bind(kept));
+  votes.onPersisted({ epoch: 4, count: 9 }, (token) => kept.push(token));
   expect(kept).toEqual([1, 2]);
   expect(votes.persistedGrant).toBe(4);
   expect(votes.nextCount).toBe(11);
--- a/src/control/voter-swaps.test.ts
+++ b/src/control/voter-swaps.test.ts
@@ -40,7 +40,7 @@
     else cluster.thaw(leader, 'tick');
     const [third = ''] = others(THREE, gone, leader);
     cluster.runUntil(
-      votesOf.bind(undefined, cluster, leader, third, 'n:1'),
+      () => votesOf(cluster, leader, third, 'n:1'),
       2 * CATCH_UP_MS,
       `the swap ends, seed ${seed}`,
     );
@@ -66,7 +66,7 @@
   const [old = '', half = ''] = others(THREE, leader);
   cluster.start('n:1', THREE);
   cluster.cutOff(old);
-  const isSwapped = votesOf.bind(undefined, cluster, leader, half, 'n:1');
+  const isSwapped = () => votesOf(cluster, leader, half, 'n:1');
   cluster.runUntil(isSwapped, 6000, 'the swap ends');
   // What told it so is on its way still, and is lost.
   for (const id of [leader, 'n:1']) cluster.cutOneWay(id, half);
@@ -144,7 +144,7 @@
   const disk = cluster.disk(gone);
   cluster.start('n:1', THREE);
   const [one = '', two = ''] = others(THREE, gone);
-  cluster.runUntil(votesOf.bind(undefined, cluster, one, two, 'n:1'), 6000, 'it is replaced');
+  cluster.runUntil(() => votesOf(cluster, one, two, 'n:1'), 6000, 'it is replaced');
   cluster.configure(7, 8);
   const { epoch } = cluster.node(cluster.leader()).core.elector;
   cluster.restoreDisk(gone, disk);
@@ -161,7 +161,7 @@
   expect(cluster.leader()).toBe('');
   cluster.thaw(leader);
   // Swapped in again it holds the newest, and not what its disk held.
-  cluster.runUntil(votesOf.bind(undefined, cluster, one, two, gone), 12_000, 'it is taken in');
+  cluster.runUntil(() => votesOf(cluster, one, two, gone), 12_000, 'it is taken in');
   const [third = ''] = others([one, two], cluster.leader());
   cluster.kill(third);
   cluster.runUntil(() => cluster.hasLeader(), ELECTED_MS, 'somebody leads');
@@ -179,7 +179,7 @@
     cluster.start('n:1', THREE);
     cluster.start('o:1', THREE);
     cluster.runUntil(
-      votesOf.bind(undefined, cluster, ...others(FIVE, first, second), 'n:1', 'o:1'),
+      () => votesOf(cluster, ...others(FIVE, first, second), 'n:1', 'o:1'),
       10_000,
       `both are replaced, seed ${seed}`,
     );
@@ -206,7 +206,7 @@
     cluster.run((seed * 20) % 500);
     cluster.kill(leader);
     cluster.runUntil(
-      votesOf.bind(undefined, cluster, ...others(THREE, leader), 'n:1'),
+      () => votesOf(cluster, ...others(THREE, leader), 'n:1'),
       2 * CATCH_UP_MS,
       `it is replaced, seed ${seed}`,
     );
@@ -240,7 +240,7 @@
   // The one that leaves sees the swap through; the third hears nothing of it.
   cluster.cutOff(behind);
   cluster.retire(gone);
-  cluster.runUntil(votesOf.bind(undefined, cluster, leader, behind, 'n:1'), 6000, 'it is replaced');
+  cluster.runUntil(() => votesOf(cluster, leader, behind, 'n:1'), 6000, 'it is replaced');
   cluster.run(1000);
   cluster.kill(leader);
   cluster.heal();
--- a/src/control/voters.test.ts
+++ b/src/control/voters.test.ts
@@ -10,12 +10,9 @@
 const STEP_MS = 10;
 
 function other(cluster: ControlCluster): string {
-  return SEEDS.find(isNot.bind(undefined, cluster.leader())) ?? '';
-}
-function isNot(id: string, seed: string): boolean {
-  return seed !== id;
+  const leader = cluster.leader();
+  return SEEDS.find((seed) => seed !== leader) ?? '';
 }
-
 function checkSwap(goes: 'leader' | 'follower'): void {
   const cluster = founded();
   expect(cluster.asked(other(cluster), 'configure', edit('e1', 0, document(7, 'x'))).status).toBe(
@@ -27,7 +24,7 @@
   // It comes empty, at another address, and is told seeds of which one is gone.
   cluster.start('d:1', false);
   cluster.run(9000);
-  const [one = '', two = ''] = SEEDS.filter((seed) => isNot(gone, seed));
+  const [one = '', two = ''] = SEEDS.filter((seed) => seed !== gone);
   expect(cluster.voters()).toBe([one, two, 'd:1'].sort().join(' '));
   // The new one bears the loss of another.
   cluster.stop(cluster.leader() === one ? two : one);
