--- a/src/control/config-store.test.ts
+++ b/src/control/config-store.test.ts
@@ -1,10 +1,12 @@
 import { expect, test } from 'vitest';
+import { parseAs } from '../common/json.js';
 import { Quorum } from '../common/quorum.js';
 import { moment, nodeId, type PartitionName } from '../common/ids.js';
 import type { Version } from '../common/version.js';
 import { Relay } from '../dissemination/relay.js';
 import { allPartitions, CONFIG_PARTITION } from '../state/partition-names.js';
 import { ReplicatedState } from '../state/replicated-state.js';
+import { ConfigUpdateShape } from './config-shapes.js';
 import { ConfigStore } from './config-store.js';
 import { PartitionWriter } from './partition-writer.js';
 
@@ -48,10 +50,7 @@
   }
 
   publishedNumber(): unknown {
-    const update: { readonly number?: number } = JSON.parse(
-      this.relay.latest('config')?.body ?? '{}',
-    );
-    return update.number;
+    return parseAs(ConfigUpdateShape, this.relay.latest('config')?.body ?? '')?.number;
   }
 }
 test('what is written is told once it is committed', () => {
--- a/src/control/operator-edits.test.ts
+++ b/src/control/operator-edits.test.ts
@@ -1,4 +1,6 @@
+import { array, number, optional, string, type, type Infer } from 'superstruct';
 import { expect, test } from 'vitest';
+import { mustParseAs } from '../common/json.js';
 import { MAX_EDITS } from './config-shapes.js';
 import {
   ControlCluster,
@@ -8,22 +10,22 @@
   SEEDS,
 } from './testing/control-cluster.js';
 
+const ErrorShape = type({ defect: optional(string()) });
+
 /** The error code in the body of an answer; empty if there is no answer. */
 function errorCodeOf(body: string): string {
   if (body === '') return '';
-  const answer: { readonly defect?: string } = JSON.parse(body);
-  return answer.defect ?? '';
+  return mustParseAs(ErrorShape, body, 'the answer').defect ?? '';
 }
 
 /** The fields of a configuration that the tests read. */
-interface ConfigBody {
-  readonly routing?: { readonly version: number };
-  readonly emptied: readonly string[];
-}
+const ConfigBodyShape = type({
+  routing: optional(type({ version: number() })),
+  emptied: array(string()),
+});
 
-function configOf(body: string): ConfigBody {
-  const config: ConfigBody = JSON.parse(body);
-  return config;
+function configOf(body: string): Infer<typeof ConfigBodyShape> {
+  return mustParseAs(ConfigBodyShape, body, 'the configuration');
 }
 
 function routingOf(cluster: ControlCluster): number {
