--- a/src/agent/agent-core.ts
+++ b/src/agent/agent-core.ts
@@ -1,259 +1,164 @@
 import { array, string, type } from 'superstruct';
 import { later, moment, type Moment } from '../common/ids.js';
 import { parseAs } from '../common/json.js';
-import type { KnownVersion, Message } from '../common/messages.js';
-import { compareVersions, NO_VERSION, versionsBetween, type Version } from '../common/version.js';
+import type { Body, KnownVersion, Message } from '../common/messages.js';
+import { compareVersions, NO_VERSION, type Version } from '../common/version.js';
 import { Relay } from '../dissemination/relay.js';
 import { FreshnessConfirmation } from '../dissemination/freshness-confirmation.js';
 import { DrainingRunnerIds } from '../dissemination/draining-runner-ids.js';
+import type { AgentEffect, AgentSettings } from './agent-effect.js';
 import type { AgentMetrics } from './agent-metrics.js';
+import { CONFIRMED_TIMING, DEPLOYED_TIMING, type AgentTiming } from './agent-timing.js';
+import { ConfigurationLag } from './configuration-lag.js';
+import { ControlNodeChoice } from './control-node-choice.js';
+import { ControlSession } from './control-session.js';
+import { CrossRequests } from './cross-requests.js';
+import { FedProxies } from './fed-proxies.js';
 
-export interface AgentSettings {
-  readonly me: string;
-  readonly zone: string;
-  readonly seeds: readonly string[];
-  readonly freshnessBoundMs: number;
-  readonly incarnation: number;
-  /** In a deployment of its own the proxy does not work by being confirmed fresh: asks are for news alone, and control nodes of our zone come first. */
-  readonly isDeployed?: boolean;
-}
-
-export type AgentEffect =
-  | { readonly do: 'send'; readonly to: string; readonly message: Message }
-  | {
-      readonly do: 'note';
-      readonly text: string;
-      readonly fields: Readonly<Record<string, string | number>>;
-    };
+export type { AgentEffect, AgentSettings } from './agent-effect.js';
 
-interface ProxyState {
-  acked: Version;
-  goneAt: Moment | undefined;
-}
-
-/** By how much of itself a clock may be fast or slow: a proxy gone from here may work on a slower one. */
-const CLOCK_DRIFT = 0.01;
 const VotersShape = type({ voters: array(array(string())) });
-const JOIN_MS = 400;
-const CONTROL_SILENT_MS = 900;
-const PARENT_SILENT_MS = 350;
-/** The same in a deployment, where every wake-up has its price and a closed line tells of most losses. */
-const DEPLOYED = {
-  joinMs: 1000,
-  controlSilentMs: 2500,
-  parentSilentMs: 1000,
-  askMs: 1000,
-  crossMs: 700,
-  /** The same while a control node that we moved to has not answered yet: it may be down as well. */
-  movedCrossMs: 350,
-} as const;
-/** Who hangs under us asks at least once a second; one that has not for so long hangs elsewhere by now, and is fed there. */
-const CHILD_SILENT_MS = 3500;
-/** A control node that failed us is not chosen again so soon, where there is another. */
-const SHUN_MS = 3000;
-
-/** The agent beside a proxy: a session to one control node, a place in the relay tree, and news for the proxy. */
+/** The first `join` is sent this long before its interval has passed since the start. */
+const FIRST_JOIN_ADVANCE_MS = 400;
+/** How often updates are requested from the parent or the control node, in a deployment. */
+const UPDATE_INTERVAL_MS = 1000;
+/** A child requests at least once a second; one that has not for this long has another parent, which feeds it. */
+const CHILD_TIMEOUT_MS = 3500;
+/** The nonce of a request that is answered once, by updates alone, and makes its sender no child. */
+const UPDATES_ONLY = -1;
+
+/** The agent beside a proxy: a session with one control node, a place in the relay tree, and updates for the proxy. */
 export class AgentCore {
   readonly #settings: AgentSettings;
+  readonly #timing: AgentTiming;
   readonly #relay = new Relay();
-  readonly #leaving = new DrainingRunnerIds();
+  readonly #draining = new DrainingRunnerIds();
   readonly #confirmation: FreshnessConfirmation;
-  readonly #proxies = new Map<string, ProxyState>();
-  /** When each of those that we feed asked last. */
+  readonly #proxies: FedProxies;
+  readonly #controlNodes: ControlNodeChoice;
+  readonly #session: ControlSession;
+  readonly #crossRequests: CrossRequests;
+  readonly #lag = new ConfigurationLag();
+  /** When each of those that are fed from here requested last. */
   readonly #children = new Map<string, Moment>();
-  #controlNodes: readonly string[];
-  #controlIndex: number;
-  #controlHeardAt: Moment;
+  #effects: AgentEffect[] = [];
   #joinedAt: Moment;
+  /** The parent in the relay tree; empty if that is the control node. */
   #parent = '';
-  #lostParent = '';
-  #askedAt: Moment | undefined;
-  #toldAck: Version = NO_VERSION;
-  #effects: AgentEffect[] = [];
-  #turns = 0;
-  #seeds: readonly string[];
-  readonly #zones = new Map<string, string>();
-  readonly #shunned = new Map<string, Moment>();
-  /** How often in a row our control node said that it follows nobody. */
-  #leaderless = 0;
-  /** When a control node that we had our session with answered last. */
-  #answeredAt: Moment | undefined;
-  /** Whether our session moved to a control node that has not answered yet. */
-  #isMoving = false;
-  /** Whether the control node that told last whom it follows named nobody. */
-  #isLeaderless = false;
-  /** The newest configuration that a control node said it holds. */
-  #toldConfig: Version = NO_VERSION;
-  #behindSince: Moment | undefined;
-  #newsAskedAt: Moment;
-  #crossAskedAt: Moment;
-  #crossIndex = 0;
+  /** A parent that failed, until the control node is notified. */
+  #failedParent = '';
+  /** Since when a request upward has been without a reply. */
+  #unansweredSince: Moment | undefined;
+  #sentAck: Version = NO_VERSION;
+  #updatesRequestedAt: Moment;
 
   constructor(settings: AgentSettings, now: Moment) {
     this.#settings = settings;
+    this.#timing = settings.isDeployed ? DEPLOYED_TIMING : CONFIRMED_TIMING;
     this.#confirmation = new FreshnessConfirmation(settings.incarnation);
-    this.#controlNodes = settings.seeds;
-    this.#seeds = settings.seeds;
-    this.#newsAskedAt = now;
-    this.#crossAskedAt = now;
-    // Links begin at different control nodes, so that no control node feeds them all.
-    this.#controlIndex = hashOf(settings.me) % settings.seeds.length;
-    this.#controlHeardAt = now;
-    this.#joinedAt = moment(now - JOIN_MS);
-    // A proxy may still be fresh by what it was confirmed fresh through our former incarnation: one such counts until it is surely blind.
-    this.#proxies.set('', { acked: NO_VERSION, goneAt: now });
-  }
-
-  /** Whom the settings name now: they are turned to where no voter that we know answers. */
+    this.#proxies = new FedProxies(settings.freshnessBoundMs, now);
+    this.#controlNodes = new ControlNodeChoice(settings);
+    this.#session = new ControlSession(this.#timing.controlTimeoutMs, now);
+    this.#crossRequests = new CrossRequests(now);
+    this.#updatesRequestedAt = now;
+    this.#joinedAt = moment(now - FIRST_JOIN_ADVANCE_MS);
+  }
+
+  /** Adds the seeds of changed settings, for when no known voter replies. */
   setSeeds(seeds: readonly string[]): void {
-    this.#seeds = seeds;
-    const current = this.controlNode;
-    this.#controlNodes = [...new Set([...this.#controlNodes, ...seeds])];
-    this.#controlIndex = Math.max(0, this.#controlNodes.indexOf(current));
+    this.#controlNodes.setSeeds(seeds);
   }
 
+  /** The newest state of each topic known here. */
   get relay(): Relay {
     return this.#relay;
   }
+
+  /** The control node of the session. */
   get controlNode(): string {
-    return this.#controlNodes[this.#controlIndex % this.#controlNodes.length] ?? '';
+    return this.#controlNodes.current;
   }
+
+  /** The parent in the relay tree; empty if that is the control node. */
   get parent(): string {
     return this.#parent;
   }
+
   /** How often the session moved to another control node. */
   get sessionMoves(): number {
-    return this.#turns;
+    return this.#session.moves;
   }
 
-  /** One look at this agent, for its metrics; nothing changes by it. */
+  /** A snapshot of this agent's state for its metrics. */
   metrics(now: Moment): AgentMetrics {
     const config = this.#relay.version('config');
-    const versionsBehind = versionsBetween(config, this.#toldConfig);
-    const behindSince = versionsBehind > 0 ? this.#behindSince : undefined;
     return {
       controlNode: this.controlNode,
-      // A session that moves is not lost: it is once nobody answers.
-      hasSession:
-        this.#answeredAt !== undefined && now - this.#answeredAt <= this.#controlSilentMs(),
-      sessionHeardAgeMs: this.#answeredAt === undefined ? undefined : now - this.#answeredAt,
-      sessionMoves: this.#turns,
-      isLeaderless: this.#isLeaderless,
+      hasSession: this.#session.isOpen(now),
+      sessionHeardAgeMs: this.#session.replyAgeMs(now),
+      sessionMoves: this.#session.moves,
+      isLeaderless: this.#session.isLeaderless,
       isUnderAgent: this.#parent !== '',
-      proxies: [...this.#proxies.values()].filter(isPresent).length,
+      proxies: this.#proxies.connected,
       configEpoch: config.epoch,
       configCount: config.count,
-      versionsBehind,
-      behindMs: behindSince === undefined ? 0 : now - behindSince,
+      versionsBehind: this.#lag.versions(config),
+      behindMs: this.#lag.durationMs(now, config),
     };
   }
 
+  /** Returns the effects since the last call, in order, and clears them. */
   drain(): AgentEffect[] {
     const effects = this.#effects;
     this.#effects = [];
     return effects;
   }
 
+  /** Time has passed: failures are detected, and what is due is sent. */
   tick(now: Moment): void {
-    const { isDeployed } = this.#settings;
-    if (now - this.#controlHeardAt > this.#controlSilentMs()) this.#turn(now);
-    // A parent that does not return our asks is left at once; the control node hangs us elsewhere.
-    if (
-      this.#parent !== '' &&
-      this.#askedAt !== undefined &&
-      now - this.#askedAt > (isDeployed ? DEPLOYED.parentSilentMs : PARENT_SILENT_MS)
-    )
-      this.#leaveParent(now);
-    if (now >= later(this.#joinedAt, isDeployed ? DEPLOYED.joinMs : JOIN_MS)) this.#join(now);
-    for (const [id, proxy] of this.#proxies)
-      if (
-        proxy.goneAt !== undefined &&
-        now - proxy.goneAt > this.#settings.freshnessBoundMs * (1 + 2 * CLOCK_DRIFT)
-      )
-        this.#proxies.delete(id);
-    for (const [child, at] of this.#children) if (now - at > CHILD_SILENT_MS) this.#forget(child);
-    this.#leaving.tick(now);
-    this.#tellAck();
-    if (isDeployed) {
-      this.#askNews(now);
-      this.#askAcross(now);
-    } else this.#ask(now);
+    if (this.#session.isTimedOut(now)) this.#leaveControlNode(now);
+    // The control node assigns another parent in place of one that does not reply.
+    if (this.#isParentOverdue(now)) this.#leaveParent(now);
+    if (now >= later(this.#joinedAt, this.#timing.joinIntervalMs)) this.#join(now);
+    this.#proxies.tick(now);
+    for (const [child, at] of this.#children)
+      if (now - at > CHILD_TIMEOUT_MS) this.#removeChild(child);
+    this.#draining.tick(now);
+    this.#sendAck();
+    if (this.#settings.isDeployed) {
+      this.#requestUpdates(now);
+      this.#requestFromOtherControlNodes(now);
+    } else this.#requestConfirmation(now);
     this.#flush();
   }
 
+  /** A message came from a node or a proxy of this role. */
   onMessage(now: Moment, from: string, role: string, message: Message): void {
     switch (message.kind) {
       case 'assignParent':
-        if (from !== this.controlNode) break;
-        this.#noteAnswer(now);
-        if (message.parent !== this.#parent && message.parent !== this.#lostParent)
-          this.#assignParent(now, message.parent);
+        this.#onAssignParent(now, from, message);
         break;
       case 'update':
-        if (
-          this.#relay.offer(
-            message.topic,
-            { epoch: message.epoch, count: message.count },
-            message.body,
-          ) &&
-          message.topic === 'config'
-        )
-          this.#followVoters(message.body);
+        this.#onUpdate(message);
         break;
-      case 'delta': {
-        const version = { epoch: message.epoch, count: message.count };
-        if (this.#relay.offerDelta(message.topic, version, message.from, message.body)) break;
-        // It does not follow on what we hold: what came between was lost on the way.
-        if (compareVersions(version, this.#relay.version(message.topic)) > 0)
-          this.#askForNews(from);
+      case 'delta':
+        this.#onDelta(from, message);
         break;
-      }
       case 'leaving':
-        this.#takeLeaving(now, message.runners);
+        this.#onDrainingRunners(now, message.runners);
         break;
       case 'freshnessRequest':
-        this.#tellLacked(from, message.have);
-        if (role === 'flow' && this.#proxies.get(from)?.goneAt !== undefined)
-          this.#proxies.delete(from);
-        if (role === 'flow' && !this.#proxies.has(from))
-          this.#proxies.set(from, { acked: NO_VERSION, goneAt: undefined });
-        this.#relay.onKnownVersions(from, message.have);
-        // A control node that lost what it held asks for news alone.
-        if (message.nonce < 0) {
-          this.#flush();
-          this.#forget(from);
-          break;
-        }
-        this.#children.set(from, now);
-        this.#noteProxy(from, message.have);
-        if (this.#settings.isDeployed) {
-          this.#send(from, {
-            kind: 'freshnessReply',
-            nonce: message.nonce,
-            ...this.#relay.version('config'),
-            marks: 0,
-          });
-          break;
-        }
-        this.#confirmation.enqueue({ child: from, nonce: message.nonce, members: message.members });
-        this.#ask(now);
+        this.#onFreshnessRequest(now, from, role, message);
         break;
       case 'freshnessReply':
-        if (from !== this.#upstream()) break;
-        this.#askedAt = undefined;
-        if (this.#settings.isDeployed) break;
-        for (const ask of this.#confirmation.complete(message.nonce))
-          this.#send(ask.child, { ...message, nonce: ask.nonce });
-        this.#ask(now);
+        if (from === this.#upstream()) this.#onFreshnessReply(now, message);
         break;
-      case 'ack': {
-        const proxy = this.#proxies.get(from);
-        if (proxy) proxy.acked = { epoch: message.epoch, count: message.count };
-        this.#tellAck();
+      case 'ack':
+        this.#proxies.onAck(from, message);
+        this.#sendAck();
         break;
-      }
       case 'controlNodes':
-        if (from === this.controlNode) this.#receiveControlNodes(now, message);
+        if (from === this.controlNode) this.#onControlNodes(now, message);
         break;
       case 'demand':
         this.#send(this.controlNode, message);
@@ -264,277 +169,227 @@
     this.#flush();
   }
 
-  /** True whoever tells it; only what is new here goes on to those below. */
-  #takeLeaving(now: Moment, runners: readonly string[]): void {
-    const fresh = this.#leaving.add(now, runners);
-    if (fresh.length === 0) return;
-    for (const child of this.#children.keys())
-      this.#send(child, { kind: 'leaving', runners: [...fresh] });
+  /** The last connection to a node or a proxy closed. */
+  onDisconnect(now: Moment, from: string): void {
+    this.#removeChild(from);
+    this.#proxies.onDisconnect(now, from);
+    if (from === this.#parent) this.#leaveParent(now);
+    if (from === this.controlNode) this.#leaveControlNode(now);
+    else if (this.#controlNodes.isInOwnZone(from)) this.#controlNodes.avoid(now, from);
+    this.#flush();
   }
 
-  /** Leaving runners that one below has not heard of, since a line dropped them or it came later. */
-  #tellLacked(to: string, have: readonly KnownVersion[]): void {
-    const runners = this.#leaving.missingFrom(have);
-    if (runners.length > 0) this.#send(to, { kind: 'leaving', runners: [...runners] });
+  // The session with a control node
+
+  #join(now: Moment): void {
+    this.#joinedAt = now;
+    const { me, zone } = this.#settings;
+    const { epoch, count } = this.#ackedConfig();
+    const lost = this.#failedParent;
+    this.#send(this.controlNode, { kind: 'join', zone, address: me, epoch, count, lost });
+    this.#failedParent = '';
+  }
+
+  #onControlNodes(now: Moment, message: Body<'controlNodes'>): void {
+    this.#session.onReply(now);
+    this.#lag.onNamed(now, message, this.#relay.version('config'));
+    this.#controlNodes.setZones(message.controlNodes);
+    // One that knows no leader may be partitioned from the others, and then receives no updates.
+    this.#session.onLeader(message.leader);
+    if (this.#session.hasLeaderlessControlNode) {
+      this.#leaveControlNode(now);
+      return;
+    }
+    if (this.#controlNodes.chooseCloser(now)) {
+      this.#onSessionMoved(now);
+      return;
+    }
+    // The parent may have missed an update without knowing it.
+    const { epoch, count } = message;
+    if (compareVersions({ epoch, count }, this.#relay.version('config')) > 0)
+      this.#requestUpdatesFrom(this.controlNode);
   }
 
-  #have(): KnownVersion[] {
-    return [...this.#relay.knownVersions(), ...this.#leaving.summary()];
+  #leaveControlNode(now: Moment): void {
+    this.#controlNodes.avoid(now, this.controlNode);
+    this.#controlNodes.chooseNext(now);
+    this.#onSessionMoved(now);
   }
 
-  /** What a proxy holds is in force there: it applies news as it takes it. */
-  #noteProxy(from: string, have: readonly KnownVersion[]): void {
-    const proxy = this.#proxies.get(from);
-    const config = have.find(isConfig);
-    if (proxy && config) proxy.acked = { epoch: config.epoch, count: config.count };
+  #onSessionMoved(now: Moment): void {
+    this.#session.onMoved(now);
+    this.#setParent(now, '');
+    this.#effects.push({ do: 'log', text: 'session', fields: { controlNode: this.controlNode } });
+    this.#join(now);
   }
 
-  onDisconnect(now: Moment, from: string): void {
-    this.#forget(from);
-    const proxy = this.#proxies.get(from);
-    // It may still be fresh by what it was confirmed fresh: it counts until it has surely gone blind.
-    if (proxy) proxy.goneAt = now;
-    if (from === this.#parent) this.#leaveParent(now);
-    if (from === this.controlNode) this.#turn(now);
-    else if (this.#zones.get(from) === this.#settings.zone)
-      this.#shunned.set(from, later(now, SHUN_MS));
-    this.#flush();
+  // The parent in the relay tree
+
+  #upstream(): string {
+    return this.#parent === '' ? this.controlNode : this.#parent;
   }
 
-  #controlSilentMs(): number {
-    return this.#settings.isDeployed ? DEPLOYED.controlSilentMs : CONTROL_SILENT_MS;
+  #onAssignParent(now: Moment, from: string, { parent }: Body<'assignParent'>): void {
+    if (from !== this.controlNode) return;
+    this.#session.onReply(now);
+    if (parent !== this.#parent && parent !== this.#failedParent) this.#setParent(now, parent);
   }
 
-  #noteAnswer(now: Moment): void {
-    this.#controlHeardAt = now;
-    this.#answeredAt = now;
-    this.#isMoving = false;
+  #isParentOverdue(now: Moment): boolean {
+    return (
+      this.#parent !== '' &&
+      this.#unansweredSince !== undefined &&
+      now - this.#unansweredSince > this.#timing.parentTimeoutMs
+    );
   }
 
-  /** Our control node told which configuration it holds; whether we lack it is judged by the newest told so far. */
-  #noteTold(now: Moment, { epoch, count }: Version): void {
-    const held = this.#relay.version('config');
-    const wasBehind = versionsBetween(held, this.#toldConfig) > 0;
-    if (compareVersions({ epoch, count }, this.#toldConfig) > 0)
-      this.#toldConfig = { epoch, count };
-    if (!wasBehind) this.#behindSince = now;
+  #leaveParent(now: Moment): void {
+    this.#failedParent = this.#parent;
+    this.#setParent(now, '');
+    this.#join(now);
   }
 
-  #forget(child: string): void {
-    this.#children.delete(child);
-    this.#relay.removeChild(child);
+  #setParent(now: Moment, parent: string): void {
+    this.#parent = parent;
+    this.#unansweredSince = undefined;
+    const requests = this.#confirmation.abort();
+    if (this.#settings.isDeployed) {
+      this.#updatesRequestedAt = moment(now - UPDATE_INTERVAL_MS);
+      this.#requestUpdates(now);
+      return;
+    }
+    // What waits below is requested anew from the new parent.
+    for (const request of requests) this.#confirmation.enqueue(request);
+    this.#requestConfirmation(now);
   }
 
-  #send(to: string, message: Message): void {
-    this.#effects.push({ do: 'send', to, message });
+  // Updates from above
+
+  #onUpdate({ topic, epoch, count, body }: Body<'update'>): void {
+    const isNew = this.#relay.offer(topic, { epoch, count }, body);
+    if (isNew && topic === 'config') this.#controlNodes.setVoters(votersOf(body));
   }
 
-  #upstream(): string {
-    return this.#parent === '' ? this.controlNode : this.#parent;
+  #onDelta(from: string, { topic, epoch, count, from: base, body }: Body<'delta'>): void {
+    const version = { epoch, count };
+    if (this.#relay.offerDelta(topic, version, base, body)) return;
+    // It does not follow on the known version: an update before it was dropped on the way.
+    if (compareVersions(version, this.#relay.version(topic)) > 0) this.#requestUpdatesFrom(from);
   }
 
-  #turn(now: Moment): void {
-    this.#shunned.set(this.controlNode, later(now, SHUN_MS));
-    this.#move(now, this.#nextControl(now));
+  #requestUpdates(now: Moment): void {
+    if (now < later(this.#updatesRequestedAt, UPDATE_INTERVAL_MS)) return;
+    this.#updatesRequestedAt = now;
+    this.#unansweredSince ??= now;
+    this.#request(this.#upstream(), 0, []);
   }
 
-  #move(now: Moment, index: number): void {
-    this.#controlIndex = index;
-    this.#leaderless = 0;
-    this.#turns += 1;
-    this.#isMoving = true;
-    this.#controlHeardAt = now;
-    this.#assignParent(now, '');
-    this.#effects.push({ do: 'note', text: 'session', fields: { controlNode: this.controlNode } });
-    this.#join(now);
+  #requestFromOtherControlNodes(now: Moment): void {
+    const { others } = this.#controlNodes;
+    for (const node of this.#crossRequests.takeDue(now, others, this.#session.isMoving))
+      this.#requestUpdatesFrom(node);
   }
 
-  /** In turn, in a deployment those of our zone first and those that lately failed us last. */
-  #nextControl(now: Moment): number {
-    const count = this.#controlNodes.length;
-    let best = (this.#controlIndex + 1) % count;
-    if (!this.#settings.isDeployed) return best;
-    let least = Infinity;
-    for (let step = 1; step <= count; step += 1) {
-      const index = (this.#controlIndex + step) % count;
-      const id = this.#controlNodes[index] ?? '';
-      const rank =
-        (this.#isShunned(now, id) ? 2 : 0) + (this.#zones.get(id) === this.#settings.zone ? 0 : 1);
-      if (rank < least) {
-        least = rank;
-        best = index;
-      }
-    }
-    return best;
+  #requestUpdatesFrom(to: string): void {
+    this.#request(to, UPDATES_ONLY, []);
   }
 
-  #isShunned(now: Moment, id: string): boolean {
-    return now < (this.#shunned.get(id) ?? now);
+  // Freshness, where proxies work by being confirmed
+
+  #requestConfirmation(now: Moment): void {
+    if (this.#settings.isDeployed) return;
+    const nonce = this.#confirmation.begin(now);
+    if (nonce === undefined) return;
+    this.#unansweredSince ??= now;
+    // Names all that become fresh by the reply, connected or not: a commit waits for the acknowledgement of each.
+    this.#request(this.#upstream(), nonce, [this.#settings.me, ...this.#confirmation.members()]);
   }
 
-  #receiveControlNodes(now: Moment, message: Extract<Message, { kind: 'controlNodes' }>): void {
-    this.#noteAnswer(now);
-    this.#noteTold(now, message);
-    this.#zones.clear();
-    for (const { id, zone } of message.controlNodes) this.#zones.set(id, zone);
-    // One that follows nobody may be cut off from the others, and then hears nothing new.
-    this.#isLeaderless = message.leader === '';
-    this.#leaderless = this.#isLeaderless ? this.#leaderless + 1 : 0;
-    if (this.#leaderless > 1) {
-      this.#turn(now);
-      return;
-    }
-    const mine = this.#settings.zone;
-    const closer = this.#controlNodes.findIndex(
-      isCloser.bind(undefined, this.#zones, mine, (id: string) => this.#isShunned(now, id)),
-    );
-    // Bytes that stay in the zone cost nothing.
-    if (this.#zones.get(this.controlNode) !== mine && closer >= 0) {
-      this.#move(now, closer);
+  #onFreshnessReply(now: Moment, message: Extract<Message, { kind: 'freshnessReply' }>): void {
+    this.#unansweredSince = undefined;
+    if (this.#settings.isDeployed) return;
+    for (const { child, nonce } of this.#confirmation.complete(message.nonce))
+      this.#send(child, { ...message, nonce });
+    this.#requestConfirmation(now);
+  }
+
+  // Those that are fed from here
+
+  #onFreshnessRequest(
+    now: Moment,
+    from: string,
+    role: string,
+    { nonce, have, members }: Body<'freshnessRequest'>,
+  ): void {
+    this.#sendMissingRunners(from, have);
+    if (role === 'flow') this.#proxies.onRequest(from);
+    this.#relay.onKnownVersions(from, have);
+    // A control node that has lost its state requests updates alone.
+    if (nonce < 0) {
+      this.#flush();
+      this.#removeChild(from);
       return;
     }
-    // Our parent may have lost what comes from above without knowing it.
-    const version = { epoch: message.epoch, count: message.count };
-    if (compareVersions(version, this.#relay.version('config')) > 0)
-      this.#askForNews(this.controlNode);
-  }
-
-  #askNews(now: Moment): void {
-    if (now < later(this.#newsAskedAt, DEPLOYED.askMs)) return;
-    this.#newsAskedAt = now;
-    this.#askedAt ??= now;
-    this.#send(this.#upstream(), {
-      kind: 'freshnessRequest',
-      nonce: 0,
-      have: this.#have(),
-      members: [],
-    });
-  }
-
-  /**
-   * Our control node, and all above us, may be cut off from the others without knowing it yet. What a majority accepted since is
-   * in force here all the same once one of the others tells it.
-   */
-  #askAcross(now: Moment): void {
-    const spanMs = this.#isMoving ? DEPLOYED.movedCrossMs : DEPLOYED.crossMs;
-    if (now < later(this.#crossAskedAt, spanMs)) return;
-    this.#crossAskedAt = now;
-    const others = this.#controlNodes.filter((other) => other !== this.controlNode);
-    if (this.#isMoving) {
-      // Nobody feeds us until some control node answers: whichever is there tells what we lack.
-      for (const other of others) this.#askForNews(other);
+    this.#children.set(from, now);
+    this.#proxies.onKnownVersions(from, have);
+    if (this.#settings.isDeployed) {
+      const config = this.#relay.version('config');
+      this.#send(from, { kind: 'freshnessReply', nonce, ...config, marks: 0 });
       return;
     }
-    this.#crossIndex += 1;
-    const other = others[this.#crossIndex % Math.max(1, others.length)];
-    if (other !== undefined) this.#askForNews(other);
+    this.#confirmation.enqueue({ child: from, nonce, members });
+    this.#requestConfirmation(now);
   }
 
-  /** For news alone, answered once. */
-  #askForNews(to: string): void {
-    this.#send(to, { kind: 'freshnessRequest', nonce: -1, have: this.#have(), members: [] });
+  #removeChild(child: string): void {
+    this.#children.delete(child);
+    this.#relay.removeChild(child);
   }
 
-  #leaveParent(now: Moment): void {
-    this.#lostParent = this.#parent;
-    this.#assignParent(now, '');
-    this.#join(now);
+  /** The newest configuration by which all proxies work, this agent's or an older one. */
+  #ackedConfig(): Version {
+    return this.#proxies.acked(this.#relay.version('config'));
   }
 
-  #assignParent(now: Moment, parent: string): void {
-    this.#parent = parent;
-    this.#askedAt = undefined;
-    const asks = this.#confirmation.abort();
-    if (this.#settings.isDeployed) {
-      this.#newsAskedAt = moment(now - DEPLOYED.askMs);
-      this.#askNews(now);
-      return;
-    }
-    // Those who wait below are asked for anew at the new place.
-    for (const ask of asks) this.#confirmation.enqueue(ask);
-    this.#ask(now);
-  }
-
-  #join(now: Moment): void {
-    this.#joinedAt = now;
-    const version = this.#acked();
-    this.#send(this.controlNode, {
-      kind: 'join',
-      zone: this.#settings.zone,
-      address: this.#settings.me,
-      epoch: version.epoch,
-      count: version.count,
-      lost: this.#lostParent,
-    });
-    this.#lostParent = '';
-  }
-
-  #ask(now: Moment): void {
-    if (this.#settings.isDeployed) return;
-    const nonce = this.#confirmation.begin(now);
-    if (nonce === undefined) return;
-    this.#askedAt ??= now;
-    // Whoever is confirmed fresh through us is named, whether its own session stands or not: a yes must wait for it.
-    this.#send(this.#upstream(), {
-      kind: 'freshnessRequest',
-      nonce,
-      have: this.#have(),
-      members: [this.#settings.me, ...this.#confirmation.members()],
-    });
-  }
-
-  /** The newest configuration by which every proxy here works; one lost a while ago works by none. */
-  #acked(): Version {
-    let least = this.#relay.version('config');
-    for (const proxy of this.#proxies.values())
-      if (compareVersions(proxy.acked, least) < 0) least = proxy.acked;
-    return least;
-  }
-
-  #tellAck(): void {
-    const version = this.#acked();
-    if (compareVersions(version, this.#toldAck) === 0) return;
-    this.#toldAck = version;
+  #sendAck(): void {
+    const version = this.#ackedConfig();
+    if (compareVersions(version, this.#sentAck) === 0) return;
+    this.#sentAck = version;
     this.#send(this.controlNode, { kind: 'ack', ...version });
   }
 
   #flush(): void {
-    for (const send of this.#relay.flush()) this.#send(send.to, send.message);
-  }
-
-  #followVoters(body: string): void {
-    const news = parseAs(VotersShape, body);
-    const voters = new Set<string>();
-    for (const set of news?.voters ?? []) for (const id of set) voters.add(id);
-    if (voters.size === 0) return;
-    const current = this.controlNode;
-    // The voters come first; seeds that are none are kept for when no voter answers.
-    this.#controlNodes = this.#settings.isDeployed
-      ? [...new Set([...voters, ...this.#seeds])]
-      : [...voters];
-    const index = this.#controlNodes.indexOf(current);
-    this.#controlIndex = index < 0 ? hashOf(this.#settings.me) % this.#controlNodes.length : index;
+    for (const { to, message } of this.#relay.flush()) this.#send(to, message);
   }
-}
 
-function isCloser(
-  zones: ReadonlyMap<string, string>,
-  mine: string,
-  isShunned: (id: string) => boolean,
-  id: string,
-): boolean {
-  return zones.get(id) === mine && !isShunned(id);
-}
-function isPresent(proxy: ProxyState): boolean {
-  return proxy.goneAt === undefined;
-}
-function isConfig(item: KnownVersion): boolean {
-  return item.topic === 'config';
+  // Draining runners
+
+  /** The ids are right whoever sends them; only unknown ones are forwarded. */
+  #onDrainingRunners(now: Moment, ids: readonly string[]): void {
+    const runners = this.#draining.add(now, ids);
+    if (runners.length === 0) return;
+    for (const child of this.#children.keys())
+      this.#send(child, { kind: 'leaving', runners: [...runners] });
+  }
+
+  #sendMissingRunners(to: string, have: readonly KnownVersion[]): void {
+    const runners = this.#draining.missingFrom(have);
+    if (runners.length > 0) this.#send(to, { kind: 'leaving', runners: [...runners] });
+  }
+
+  // Sending
+
+  #request(to: string, nonce: number, members: string[]): void {
+    const have = [...this.#relay.knownVersions(), ...this.#draining.summary()];
+    this.#send(to, { kind: 'freshnessRequest', nonce, have, members });
+  }
+
+  #send(to: string, message: Message): void {
+    this.#effects.push({ do: 'send', to, message });
+  }
 }
 
-function hashOf(text: string): number {
-  let hash = 7;
-  for (let index = 0; index < text.length; index += 1)
-    hash = (hash * 31 + text.charCodeAt(index)) >>> 0;
-  return hash;
+/** All voters of a configuration, of both sets during a change of voters; none if it names none. */
+function votersOf(config: string): ReadonlySet<string> {
+  return new Set(parseAs(VotersShape, config)?.voters.flat() ?? []);
 }
--- a/src/agent/agent-runtime.ts
+++ b/src/agent/agent-runtime.ts
@@ -14,7 +14,8 @@
   'incoming$' | 'disconnected$' | 'open' | 'close' | 'dial' | 'send'
 >;
 
-export type AgentLogEvent = Extract<AgentEffect, { do: 'note' }>;
+/** An effect that writes a log line. */
+export type AgentLogEvent = Extract<AgentEffect, { do: 'log' }>;
 
 /** What differs between programs. */
 export interface AgentPorts {
@@ -78,7 +79,7 @@
   #work(command: () => void): void {
     command();
     for (const effect of this.#core.drain()) {
-      if (effect.do === 'note') this.#ports.log(effect);
+      if (effect.do === 'log') this.#ports.log(effect);
       else if (effect.to.startsWith('flow@')) this.#feed.send(effect.to, effect.message);
       else this.#nodes.send(effect.to, effect.message);
     }
@@ -93,12 +94,12 @@
 
   #receive(incoming: Incoming): void {
     const message = this.#ports.inspect(incoming);
-    this.submit(
-      this.#core.onMessage.bind(this.#core, monotonicNow(), incoming.from, incoming.role, message),
-    );
+    const now = monotonicNow();
+    this.submit(() => this.#core.onMessage(now, incoming.from, incoming.role, message));
   }
 
   #gone(id: string): void {
-    this.submit(this.#core.onDisconnect.bind(this.#core, monotonicNow(), id));
+    const now = monotonicNow();
+    this.submit(() => this.#core.onDisconnect(now, id));
   }
 }
