--- a/src/check/check-command.ts
+++ b/src/check/check-command.ts
@@ -3,9 +3,10 @@
 import { compile } from '../policy/language.js';
 import { reasonOf } from '../common/errors.js';
 import { Operator } from '../operator/operator.js';
-import { OPERATOR_FLAGS } from '../operator/operator-command.js';
+import { OPERATOR_FLAGS, textOf } from '../operator/operator-command.js';
 import { TableCheck, FleetShape } from './table-check.js';
 
+/** Checks a proposed table against the live fleet, before it is put in force. */
 export class CheckCommand extends Command {
   static override aliases = ['doubt'];
   static override deprecateAliases = true;
@@ -39,9 +40,9 @@
       this.#print({ findings, orders: [], waits: [] }, flags.json);
       this.exit(1);
     }
-    const { status, value } = await new Operator(flags.api).ask('GET', '/fleet');
+    const { status, value } = await new Operator(flags.api).request('GET', '/fleet');
     if (status !== 200 || !FleetShape.is(value))
-      this.#giveUp(`the fleet could not be asked: ${String(value['text'] ?? status)}`);
+      this.#giveUp(`the fleet could not be asked: ${textOf(value['text'] ?? status)}`);
     else {
       const report = new TableCheck(table, value, { runMs: flags.runMs }).check();
       this.#print(report, flags.json);
--- a/src/check/table-check.ts
+++ b/src/check/table-check.ts
@@ -1,3 +1,4 @@
+/** The dry run of a proposed policy table: what it would change, and what it would leave unserved. */
 import { array, boolean, number, string, type, union, literal, type Infer } from 'superstruct';
 import { matchesModel, rowKey, TableShape, type Row, type Table } from '../policy/table.js';
 import { moment } from '../common/ids.js';
@@ -26,27 +27,33 @@
   ),
   demand: array(type({ unit: string(), rate: number() })),
 });
+/** The live fleet, once its shape has been checked. */
 export type FleetView = Infer<typeof FleetShape>;
 
+/** A reason against the table; `kind` is stable, for programs that read it. */
 export interface Finding {
   readonly kind: string;
   readonly subject: string;
   readonly text: string;
 }
 
+/** What the check found, and what would follow. */
 export interface TableCheckReport {
   readonly findings: readonly Finding[];
-  /** What putting the table in force would set off: no fault, but good to know. */
+  /** Orders to runners that would follow; they are no fault. */
   readonly orders: readonly string[];
+  /** Models that would wait for a load, and why. */
   readonly waits: readonly string[];
 }
 
+/** Assumptions of the check. */
 export interface TableCheckSettings {
-  /** How long a run is taken to last, to tell what the standing runners could serve. */
+  /** How long a run is taken to last, in milliseconds, to estimate what the present runners could serve. */
   readonly runMs: number;
 }
 
-const STEPS = 120;
+/** Steps of the trial of a placement: enough for every load of a large table to be ordered and done. */
+const TRIAL_STEPS = 120;
 
 /** Checks a proposed table against the fleet as it is, by the placer itself. */
 export class TableCheck {
@@ -162,6 +169,12 @@
   }
 
   #zones(now: TrialOutcome): void {
+    this.#zonesOfModels(now);
+    this.#zonesOfPlainBackends();
+  }
+
+  /** Models that the loss of a single zone would leave unserved. */
+  #zonesOfModels(now: TrialOutcome): void {
     const zones = new Set<string>();
     for (const { machine } of this.#fleet.runners)
       if (machine.service === '') zones.add(machine.zone);
@@ -169,16 +182,20 @@
     for (const place of now.places) if (place.seats.length > 0) served.add(place.model);
     for (const zone of [...zones].sort()) {
       const left = this.#trial([...this.#fleet.emptied, zone]);
-      const lost: string[] = [];
+      const unserved: string[] = [];
       for (const place of left.places)
-        if (place.seats.length === 0 && served.has(place.model)) lost.push(place.model);
-      if (lost.length > 0)
+        if (place.seats.length === 0 && served.has(place.model)) unserved.push(place.model);
+      if (unserved.length > 0)
         this.#find(
           'zone-lost',
           zone,
-          `without it, ${lost.length} models that would be served are not: ${lost.sort().join(' ')}`,
+          `without it, ${unserved.length} models that would be served are not: ${unserved.sort().join(' ')}`,
         );
     }
+  }
+
+  /** Rows whose plain back ends all stand in one zone. */
+  #zonesOfPlainBackends(): void {
     for (const row of this.#table.rows) {
       if (!row.model.startsWith('@')) continue;
       const homes = new Set<string>();
@@ -211,7 +228,7 @@
     };
     const demand = new Map<string, number>();
     for (const { unit, rate } of this.#fleet.demand) demand.set(unit, rate);
-    return new ReplicaTrial(PLACER_DEFAULTS, input, this.#fleet.docs, demand).run(STEPS);
+    return new ReplicaTrial(PLACER_DEFAULTS, input, this.#fleet.docs, demand).run(TRIAL_STEPS);
   }
 }
 
--- a/src/commands.ts
+++ b/src/commands.ts
@@ -11,7 +11,7 @@
 import { SameRunsCommand } from './simulation/same-runs/same-runs-command.js';
 import { ExhaustiveCommand } from './simulation/exhaustive/exhaustive-command.js';
 import {
-  AskEditCommand,
+  EditStatusCommand,
   EvacuateCommand,
   RestoreCommand,
   ForceNewClusterCommand,
@@ -41,7 +41,7 @@
   'rehearsal:storm': StormCommand,
   'simulation:mutants': MutantCommand,
   'operator:counters': CountersCommand,
-  'operator:edit': AskEditCommand,
+  'operator:edit': EditStatusCommand,
   'operator:evacuate': EvacuateCommand,
   'operator:restore': RestoreCommand,
   'operator:force-new-cluster': ForceNewClusterCommand,
--- a/src/operator/edit-commands.ts
+++ b/src/operator/edit-commands.ts
@@ -1,7 +1,8 @@
+/** Commands that change the table, the zones that take work, and the voters. */
 import { readFileSync } from 'node:fs';
 import { Args, Flags } from '@oclif/core';
 import { reasonOf } from '../common/errors.js';
-import { baseOfEdit } from './operator.js';
+import { baseTableOfEdit } from './operator.js';
 import { OPERATOR_FLAGS, OperatorCommand } from './operator-command.js';
 
 const BASE_FLAG = {
@@ -10,13 +11,16 @@
   }),
 } as const;
 
+/** A cell's value as typed on the command line: words of the columns, numbers, or else text. */
 function valueOf(text: string): string | number | boolean {
   if (text === 'true' || text === 'repeatable' || text === 'stream') return true;
   if (text === 'false' || text === 'once' || text === 'whole') return false;
   return text !== '' && Number.isFinite(Number(text)) ? Number(text) : text;
 }
 
+/** A command whose change is made from a certain table. */
 abstract class EditCommand extends OperatorCommand {
+  /** The number of the table that a change is made from: the given one, or that of the table now in force. */
   protected async base(apis: readonly string[], given: number | undefined): Promise<number> {
     const base = given ?? (await this.operator(apis).tableNumber());
     if (base === undefined) {
@@ -27,6 +31,7 @@
   }
 }
 
+/** Puts a complete table in force. Fails where another one is in force than it was made from. */
 export class PutCommand extends EditCommand {
   static override aliases = ['word:put'];
   static override deprecateAliases = true;
@@ -46,10 +51,14 @@
       this.exit(2);
     }
     const base = await this.base(flags.api, flags.base);
-    this.tell(await this.operator(flags.api).edit('PUT', '/table', { base, text }), flags.json);
+    this.printReply(
+      await this.operator(flags.api).edit('PUT', '/table', { base, text }),
+      flags.json,
+    );
   }
 }
 
+/** Sets one cell of the table. */
 export class SetCommand extends EditCommand {
   static override aliases = ['word:set'];
   static override deprecateAliases = true;
@@ -70,13 +79,14 @@
     const base = await this.base(flags.api, flags.base);
     const { row, column } = args;
     const value = column === 'type' || column === 'model' ? args.value : valueOf(args.value);
-    this.tell(
+    this.printReply(
       await this.operator(flags.api).edit('PATCH', '/table/cell', { base, row, column, value }),
       flags.json,
     );
   }
 }
 
+/** Puts and removes rows of the table. */
 export class RowsCommand extends EditCommand {
   static override aliases = ['word:rows'];
   static override deprecateAliases = true;
@@ -102,7 +112,7 @@
       this.exit(2);
     }
     const base = await this.base(flags.api, flags.base);
-    this.tell(
+    this.printReply(
       await this.operator(flags.api).edit('PATCH', '/table/rows', {
         base,
         put,
@@ -113,6 +123,7 @@
   }
 }
 
+/** Evacuates a zone: once it succeeds, no new work goes to the zone's runners. */
 export class EvacuateCommand extends OperatorCommand {
   static override aliases = ['word:empty'];
   static override deprecateAliases = true;
@@ -122,7 +133,7 @@
 
   async run(): Promise<void> {
     const { args, flags } = await this.parse(EvacuateCommand);
-    this.tell(
+    this.printReply(
       await this.operator(flags.api).edit(
         'PUT',
         `/zones/${encodeURIComponent(args.zone)}/empty`,
@@ -133,6 +144,7 @@
   }
 }
 
+/** Revokes the evacuation of a zone. */
 export class RestoreCommand extends OperatorCommand {
   static override aliases = ['word:fill'];
   static override deprecateAliases = true;
@@ -142,7 +154,7 @@
 
   async run(): Promise<void> {
     const { args, flags } = await this.parse(RestoreCommand);
-    this.tell(
+    this.printReply(
       await this.operator(flags.api).edit(
         'DELETE',
         `/zones/${encodeURIComponent(args.zone)}/empty`,
@@ -153,7 +165,8 @@
   }
 }
 
-export class AskEditCommand extends OperatorCommand {
+/** Asks for the outcome of an edit. One that has not been accepted by then is closed, and never accepted later. */
+export class EditStatusCommand extends OperatorCommand {
   static override aliases = ['word:edit'];
   static override deprecateAliases = true;
   static override description =
@@ -162,10 +175,10 @@
   static override flags = OPERATOR_FLAGS;
 
   async run(): Promise<void> {
-    const { args, flags } = await this.parse(AskEditCommand);
-    const base = baseOfEdit(args.id);
-    this.tell(
-      await this.operator(flags.api).ask(
+    const { args, flags } = await this.parse(EditStatusCommand);
+    const base = baseTableOfEdit(args.id);
+    this.printReply(
+      await this.operator(flags.api).request(
         'GET',
         `/edits/${encodeURIComponent(args.id)}${base === undefined ? '' : `?base=${base}`}`,
       ),
@@ -174,6 +187,7 @@
   }
 }
 
+/** Replaces one voter by another control node. */
 export class ReplaceVoterCommand extends OperatorCommand {
   static override aliases = ['word:swap'];
   static override deprecateAliases = true;
@@ -186,13 +200,14 @@
 
   async run(): Promise<void> {
     const { args, flags } = await this.parse(ReplaceVoterCommand);
-    this.tell(
+    this.printReply(
       await this.operator(flags.api).edit('POST', '/voters/swap', { old: args.old, new: args.new }),
       flags.json,
     );
   }
 }
 
+/** Starts a new cluster from nodes that lost their disks, as a last resort: what only the lost disks held is gone. */
 export class ForceNewClusterCommand extends OperatorCommand {
   static override aliases = ['word:found'];
   static override deprecateAliases = true;
@@ -202,8 +217,8 @@
 
   async run(): Promise<void> {
     const { flags } = await this.parse(ForceNewClusterCommand);
-    // Each blank node must be told; one that is sound says so and does nothing.
+    // Each blank node needs the command; a node that still holds its state answers so and does nothing.
     for (const api of flags.api)
-      this.tell(await this.operator([api]).ask('POST', '/found', {}), flags.json);
+      this.printReply(await this.operator([api]).request('POST', '/found', {}), flags.json);
   }
 }
--- a/src/operator/import-command.ts
+++ b/src/operator/import-command.ts
@@ -3,6 +3,7 @@
 import { importOpenApi } from '../policy/open-api.js';
 import { reasonOf } from '../common/errors.js';
 
+/** Prints the paths of an OpenAPI file as mappings of the policy language. */
 export class ImportCommand extends Command {
   static override aliases = ['word:import'];
   static override deprecateAliases = true;
--- a/src/operator/operator-command.ts
+++ b/src/operator/operator-command.ts
@@ -1,6 +1,8 @@
+/** What all commands of operators share: flags, the API client, and how replies are printed. */
 import { Command, Flags } from '@oclif/core';
 import { Operator, type OperatorReply } from './operator.js';
 
+/** Flags of every command of operators. */
 export const OPERATOR_FLAGS = {
   api: Flags.string({
     description: "address of a control node's API; may be given several times",
@@ -12,48 +14,56 @@
   json: Flags.boolean({ description: 'print what came back as JSON', default: false }),
 } as const;
 
-/** Exit codes: 0 done, 1 turned away, 2 wrong call, 3 unsure. */
+/** A command of operators. It exits with 0 where it was done, 1 rejected, 2 called wrongly, 3 where the outcome is unknown. */
 export abstract class OperatorCommand extends Command {
+  /** A client of the given API addresses. */
   protected operator(apis: readonly string[]): Operator {
     return new Operator(apis);
   }
 
-  /** Tells an edit's outcome, and ends with the code that goes with it. */
-  protected tell(returned: OperatorReply, isJson: boolean): void {
-    const { status, value } = returned;
+  /** Prints a reply, and exits with the code that belongs to it unless the request was done. */
+  protected printReply(reply: OperatorReply, isJson: boolean): void {
+    const { status, value } = reply;
+    const isDone = status >= 200 && status < 300;
     if (isJson) this.log(JSON.stringify(value));
-    if (status >= 200 && status < 300) {
-      if (!isJson)
-        this.log(
-          value['number'] === undefined
-            ? String(value['outcome'] ?? 'done')
-            : `accepted: table ${String(value['number'])} is in force`,
-        );
-      return;
-    }
-    if (!isJson) {
-      process.stderr.write(
-        `${String(value['outcome'] ?? 'turned-away')}: ${String(value['text'] ?? status)}\n`,
-      );
-      const faults: unknown = value['faults'];
-      if (Array.isArray(faults))
-        for (const fault of faults) process.stderr.write(`${this.#faultLine(fault)}\n`);
-    }
-    if (value['outcome'] === 'unsure') {
-      if (!isJson)
-        process.stderr.write(`ask again with: haretrack operator edit ${String(value['id'])}\n`);
-      this.exit(3);
-    }
-    this.exit(1);
+    else if (isDone) this.log(acceptedText(value));
+    else this.#printRejection(status, value);
+    if (isDone) return;
+    if (value['outcome'] !== 'unsure') this.exit(1);
+    if (!isJson)
+      process.stderr.write(`ask again with: haretrack operator edit ${textOf(value['id'])}\n`);
+    this.exit(3);
   }
 
-  #faultLine(fault: unknown): string {
-    if (typeof fault !== 'object' || fault === null) return String(fault);
-    const { row, cell, text, line, column }: Record<string, unknown> = { ...fault };
-    const place =
-      line === undefined
-        ? `${String(row)} ${String(cell)}`
-        : `line ${String(line)}, column ${String(column)} ${String(cell)}`;
-    return `  ${place}: ${String(text)}`;
+  #printRejection(status: number, value: OperatorReply['value']): void {
+    const outcome = textOf(value['outcome'] ?? 'turned-away');
+    process.stderr.write(`${outcome}: ${textOf(value['text'] ?? status)}\n`);
+    const faults: unknown = value['faults'];
+    if (!Array.isArray(faults)) return;
+    for (const fault of faults) process.stderr.write(`${faultLine(fault)}\n`);
   }
 }
+
+/** A value out of a JSON object, as text. */
+export function textOf(value: unknown): string {
+  if (value === undefined) return 'undefined';
+  return typeof value === 'string' ? value : JSON.stringify(value);
+}
+
+function acceptedText(value: OperatorReply['value']): string {
+  const number = value['number'];
+  return number === undefined
+    ? textOf(value['outcome'] ?? 'done')
+    : `accepted: table ${textOf(number)} is in force`;
+}
+
+/** One fault of a rejected table, at its row and cell, or at its line and column in the text. */
+function faultLine(fault: unknown): string {
+  if (typeof fault !== 'object' || fault === null) return textOf(fault);
+  const { row, cell, text, line, column }: Record<string, unknown> = { ...fault };
+  const position =
+    line === undefined
+      ? `${textOf(row)} ${textOf(cell)}`
+      : `line ${textOf(line)}, column ${textOf(column)} ${textOf(cell)}`;
+  return `  ${position}: ${textOf(text)}`;
+}
--- a/src/operator/show-commands.ts
+++ b/src/operator/show-commands.ts
@@ -1,7 +1,9 @@
+/** Commands that show the state of control nodes. */
 import { array, boolean, number, string, type, type Infer } from 'superstruct';
 import { IntentShape, PlacesShape } from '../placement/shapes.js';
 import { OPERATOR_FLAGS, OperatorCommand } from './operator-command.js';
 
+/** The answer of `GET /status`, as far as it is printed; its names are those of the API. */
 const StatusShape = type({
   me: string(),
   standing: string(),
@@ -21,6 +23,7 @@
   intents: array(IntentShape),
 });
 
+/** Prints the counters of each given control node. */
 export class CountersCommand extends OperatorCommand {
   static override aliases = ['word:counters'];
   static override deprecateAliases = true;
@@ -30,7 +33,7 @@
   async run(): Promise<void> {
     const { flags } = await this.parse(CountersCommand);
     for (const api of flags.api) {
-      const { value } = await this.operator([api]).ask('GET', '/counters');
+      const { value } = await this.operator([api]).request('GET', '/counters');
       if (flags.json) {
         this.log(JSON.stringify(value));
         continue;
@@ -41,6 +44,7 @@
   }
 }
 
+/** Prints the leader's view of the cluster, or that of any node where no leader answers. */
 export class StatusCommand extends OperatorCommand {
   static override aliases = ['word:status'];
   static override deprecateAliases = true;
@@ -51,16 +55,16 @@
   async run(): Promise<void> {
     const { flags } = await this.parse(StatusCommand);
     const operator = this.operator(flags.api);
-    let returned = await operator.ask('GET', '/status');
+    let returned = await operator.request('GET', '/status');
     // The leader's own view has the pairs and waits; any node knows who leads.
     for (const api of flags.api) {
       if (returned.value['me'] === returned.value['leader']) break;
-      const other = await this.operator([api]).ask('GET', '/status');
+      const other = await this.operator([api]).request('GET', '/status');
       if (other.status === 200) returned = other;
     }
     const { value } = returned;
     if (returned.status !== 200 || flags.json || !StatusShape.is(value)) {
-      this.tell(returned, flags.json);
+      this.printReply(returned, flags.json);
       return;
     }
     this.#print(value, value);
@@ -90,7 +94,7 @@
     this.log(`members ${status.members.length}`);
     for (const member of status.members)
       this.log(
-        `  ${member.id} ${member.zone} config ${member.acked} under ${member.parent || 'a controlNode'}`,
+        `  ${member.id} ${member.zone} config ${member.acked} under ${member.parent || 'a control node'}`,
       );
     const places: unknown = raw['places'];
     if (PlacesShape.is(places)) {
--- a/src/operator/table-command.ts
+++ b/src/operator/table-command.ts
@@ -1,3 +1,5 @@
+/** The command that prints the table in force, with its placement where wanted. */
+import { setTimeout } from 'node:timers/promises';
 import { Flags } from '@oclif/core';
 import { array, number, string, type } from 'superstruct';
 import { printTable } from '../policy/language.js';
@@ -11,11 +13,11 @@
   emptied: array(string()),
   voters: array(array(string())),
 });
-const WATCH_MS = 500;
-/** Nothing under way and nothing changed for so many looks: the placement has settled. */
-const CALM_LOOKS = 6;
+const POLL_INTERVAL_MS = 500;
+/** The placement counts as stable once nothing was under way and nothing changed in so many polls in a row. */
+const STABLE_POLLS = 6;
 
-/** The table as text, or with who serves and who waits beside each row. */
+/** Prints the table as text, or each row with the runners that serve it and the models that wait for a load. */
 export class TableCommand extends OperatorCommand {
   static override aliases = ['word:table'];
   static override deprecateAliases = true;
@@ -44,14 +46,14 @@
       return;
     }
     if (flags.live) {
-      const live = await this.#ask(flags.api, flags.json);
+      const live = await this.#fetchLive(flags.api, flags.json);
       if (live) this.log(flags.json ? JSON.stringify(live) : liveText(live));
       return;
     }
-    const returned = await this.operator(flags.api).ask('GET', '/table');
+    const returned = await this.operator(flags.api).request('GET', '/table');
     const { value } = returned;
     if (returned.status !== 200 || flags.json || !TableReplyShape.is(value)) {
-      this.tell(returned, flags.json);
+      this.printReply(returned, flags.json);
       return;
     }
     this.log(
@@ -60,28 +62,32 @@
     this.log(printTable(value.table).trimEnd());
   }
 
-  async #ask(api: readonly string[], isJson: boolean): Promise<Live | undefined> {
-    const returned = await this.operator(api).ask('GET', '/live');
+  async #fetchLive(api: readonly string[], isJson: boolean): Promise<Live | undefined> {
+    const returned = await this.operator(api).request('GET', '/live');
     const value: unknown = returned.value;
     if (LiveShape.is(value)) return value;
-    this.tell(returned, isJson);
+    this.printReply(returned, isJson);
     return undefined;
   }
 
   async #watch(api: readonly string[], seconds: number, isJson: boolean): Promise<void> {
     let before = '';
-    let calm = 0;
-    for (let look = 0; look * WATCH_MS < seconds * 1000 && calm < CALM_LOOKS; look += 1) {
-      const live = await this.#ask(api, isJson);
+    let stablePolls = 0;
+    for (
+      let poll = 0;
+      poll * POLL_INTERVAL_MS < seconds * 1000 && stablePolls < STABLE_POLLS;
+      poll += 1
+    ) {
+      const live = await this.#fetchLive(api, isJson);
       if (!live) return;
-      // Demand moves all the time; places are what is waited for.
+      // Demand changes all the time; the placement is what is watched.
       const places = placesText(live);
       if (places !== before) this.log(isJson ? JSON.stringify(live) : `${liveText(live)}\n`);
-      calm = places === before && live.underWay === 0 ? calm + 1 : 0;
+      stablePolls = places === before && live.underWay === 0 ? stablePolls + 1 : 0;
       before = places;
-      await new Promise<void>(afterLook);
+      await setTimeout(POLL_INTERVAL_MS);
     }
-    if (calm >= CALM_LOOKS) {
+    if (stablePolls >= STABLE_POLLS) {
       if (!isJson) this.log('settled');
       return;
     }
@@ -90,19 +96,15 @@
   }
 }
 
-function afterLook(done: () => void): void {
-  setTimeout(done, WATCH_MS);
-}
-
-function seatText(seat: LiveModel['primary']): string {
-  return seat.runner === ''
+function replicaText(replica: LiveModel['primary']): string {
+  return replica.runner === ''
     ? '-'
-    : `${seat.runner} (${seat.zone})${seat.isReady ? '' : ' fetching'}`;
+    : `${replica.runner} (${replica.zone})${replica.isReady ? '' : ' fetching'}`;
 }
 
 function modelText(model: LiveModel): string {
   const wait = model.wait === '' ? '' : `  ${model.wait}, for ${Math.round(model.waitMs / 1000)} s`;
-  return `  ${model.model}  ${seatText(model.primary)} / ${seatText(model.understudy)}  ${model.rate.toFixed(1)}/s${wait}`;
+  return `  ${model.model}  ${replicaText(model.primary)} / ${replicaText(model.understudy)}  ${model.rate.toFixed(1)}/s${wait}`;
 }
 
 /** Each row with the models that it serves; a model that several rows want stands under the first of them. */
@@ -127,22 +129,17 @@
     if (own.length === 0)
       lines.push('  no model of the weight store, or all stand under rows above');
   }
-  const waits = live.models.filter(hasWait).map(nameOf);
+  const waits = live.models.filter((model) => model.wait !== '').map((model) => model.model);
   lines.push(waits.length === 0 ? 'nobody waits' : `waiting: ${waits.join(' ')}`);
   return lines.join('\n');
 }
 
-function hasWait(model: LiveModel): boolean {
-  return model.wait !== '';
-}
-function nameOf(model: LiveModel): string {
-  return model.model;
-}
+/** Differs whenever the table, the evacuated zones or the placement changed. */
 function placesText(live: Live): string {
   const parts: string[] = [String(live.number), live.emptied.join(' ')];
   for (const model of live.models)
     parts.push(
-      `${model.model} ${seatText(model.primary)} ${seatText(model.understudy)} ${model.wait}`,
+      `${model.model} ${replicaText(model.primary)} ${replicaText(model.understudy)} ${model.wait}`,
     );
   return parts.sort().join('\n');
 }
