--- a/src/simulation/exhaustive/control-node.ts
+++ b/src/simulation/exhaustive/control-node.ts
@@ -15,10 +15,8 @@
 /** Classes inside the control core that an idle planner never makes change. */
 export const UNUSED_CLASSES: readonly string[] = [
   'Placer',
-  'Shares',
+  'QuotaShares',
   'Sessions',
-  'FleetDesk',
-  'Vouching',
   'IdlePlanner',
   'PlainDialect',
 ];
--- a/src/simulation/exhaustive/state-digest.ts
+++ b/src/simulation/exhaustive/state-digest.ts
@@ -8,9 +8,9 @@
 /** Run by the engine: hands remote values back to this module as the values they stand for. */
 const HAND_BACK = `function (...values) { globalThis.${HOLDER}.values = values; }`;
 /** Classes whose instances never change. */
-const CONSTANT_CLASSES: ReadonlySet<string> = new Set(['Quorum']);
+export const CONSTANT_CLASSES: ReadonlySet<string> = new Set(['Quorum']);
 /** Maps whose order of insertion decides what a core does next; all others are digested in sorted order. */
-const ORDERED_FIELDS: ReadonlySet<string> = new Set(['#enlisted', '#held']);
+export const ORDERED_FIELDS: ReadonlySet<string> = new Set(['#announced']);
 
 interface Holder {
   subject: unknown;
