--- a/src/simulation/exhaustive/state-digest.ts
+++ b/src/simulation/exhaustive/state-digest.ts
@@ -56,8 +56,6 @@
   readonly #boundCalls = new BoundCalls();
   /** Keys of the private fields of each class, as its first instance told them; nothing where they cannot be relied on. */
   readonly #keysByClass = new Map<unknown, readonly PrivateKey[] | undefined>();
-  /** Functions that nothing is bound to: methods are the same function in all instances. */
-  readonly #unbound = new WeakSet<object>();
 
   constructor(ignored: readonly string[] = []) {
     this.#ignored = new Set(ignored);
@@ -140,13 +138,9 @@
   #functionText(value: object, path: readonly unknown[]): string {
     const call = this.#boundCalls.of(value);
     if (call) return this.#callText(call.target, call.bound, path);
-    if (this.#unbound.has(value)) return 'function';
+    if (!isBound(value)) return 'function';
     const inner = this.#properties(value).internalProperties ?? [];
     const bound = inner.filter(isBoundPart);
-    if (bound.length < 2) {
-      this.#unbound.add(value);
-      return 'function';
-    }
     const [target, ...rest] = this.#values(bound.map(valueOf));
     return this.#callText(target, rest, path);
   }
@@ -242,6 +236,12 @@
   }
 }
 
+/** The language gives this name to what `bind` returns; to ask the inspector of each function would be slow. */
+function isBound(value: object): boolean {
+  const name: unknown = Reflect.get(value, 'name');
+  return typeof name === 'string' && name.startsWith('bound ');
+}
+
 function isBoundPart(property: Runtime.InternalPropertyDescriptor): boolean {
   return (
     property.name === '[[TargetFunction]]' ||
