--- a/src/simulation/same-runs/pinned-runs.ts
+++ b/src/simulation/same-runs/pinned-runs.ts
@@ -4,6 +4,7 @@
 import { MIXED, optionsOf, shapeOf } from '../run-shape.js';
 import { drawSchedule } from '../schedule-draw.js';
 import { runDispatcher } from './dispatcher-run.js';
+import { runOrders } from './orders-run.js';
 import { runPlanner } from './planner-run.js';
 import { runRelay } from './relay-run.js';
 import { TraceDigest, type TraceLog } from './trace-digest.js';
@@ -19,6 +20,7 @@
 const MIXED_SEEDS = 500;
 const STORM_SEEDS = 100;
 const RELAY_SEEDS = 60;
+const ORDERS_SEEDS = 60;
 const DISPATCHER_SEEDS = 1000;
 const PLANNER_SEEDS = 500;
 /** Virtual time of troubles in a storm. */
@@ -47,6 +49,8 @@
   storms: { seeds: STORM_SEEDS, run: runStorm },
   /** The deployed control plane with many agents, a fleet that changes and runners that leave. */
   relay: { seeds: RELAY_SEEDS, run: runRelay },
+  /** Operators' commands of every kind, a voter replaced or a new cluster forced, under the policy table. */
+  orders: { seeds: ORDERS_SEEDS, run: runOrders },
   /** The proxy's dispatcher alone, under drawn requests, answers, faults and words on the fleet. */
   dispatcher: { seeds: DISPATCHER_SEEDS, run: runDispatcher },
   /** The planner alone, under drawn demand, runners, lost orders, configurations and leaders. */
--- a/src/simulation/same-runs/same-runs.test.ts
+++ b/src/simulation/same-runs/same-runs.test.ts
@@ -8,6 +8,7 @@
 const MIXED_COUNT = 20;
 const STORMS = 4;
 const RELAYS = 3;
+const ORDERS = 2;
 const DISPATCHERS = 60;
 const PLANNERS = 30;
 
@@ -35,6 +36,10 @@
   await expectSame('relay', 1, RELAYS);
 });
 
+test("operators' commands under the policy table are answered as was recorded", async () => {
+  await expectSame('orders', 1, ORDERS);
+});
+
 test('dispatchers alone do what was recorded', async () => {
   await expectSame('dispatcher', 1, DISPATCHERS);
 });
