--- a/src/election/lease.ts
+++ b/src/election/lease.ts
@@ -2,24 +2,25 @@
 import type { Quorum } from '../common/quorum.js';
 import type { VoteSettings } from './vote-settings.js';
 
+/** A renewal that a majority has not acknowledged yet. */
 interface Renewal {
   readonly sentAt: Moment;
   readonly acknowledgedBy: Set<NodeId>;
 }
 
 /**
- * The lease of one holder: who granted it the epoch, and which of its renewals a majority has returned. It ends a fixed
- * span after the newest of these was sent, by the holder's monotonic clock.
+ * The lease of a leader: which voters granted it the epoch, and which of its renewals a majority has acknowledged. It
+ * ends `leaseMs` after the newest of these was sent, on the leader's monotonic clock.
  */
 export class Lease {
   readonly #settings: VoteSettings;
-  /** Who granted us this epoch, and until when what each promised to others binds us. */
-  readonly #grants = new Map<NodeId, Moment>();
+  /** The voters that granted this epoch, and until when the leases that each granted to other leaders bind. */
+  readonly #grantWaitEnds = new Map<NodeId, Moment>();
   readonly #renewals = new Map<number, Renewal>();
   #nonce = 0;
   #ordersAllowedFrom: Moment = moment(0);
-  /** What voters of before said when the voters changed: a former holder may be bound to some of those alone. */
-  #earliestOrder: Moment = moment(0);
+  /** Lower bound retained when the voters change: the lease of a previous leader may rest on former voters alone. */
+  #minOrdersAllowedFrom: Moment = moment(0);
   #end: Moment = moment(-1);
   #lastRenewalAt: Moment = moment(0);
 
@@ -27,21 +28,23 @@
     this.#settings = settings;
   }
 
-  /** Orders may be under way only before it. */
+  /** The end of the lease; orders may be in flight only before it. */
   get end(): Moment {
     return this.#end;
   }
 
+  /** Whether a majority of the voters has granted the epoch. */
   isGranted(quorum: Quorum): boolean {
-    return quorum.isMajority(new Set(this.#grants.keys()));
+    return quorum.isMajority(new Set(this.#grantWaitEnds.keys()));
   }
 
+  /** Whether orders may be sent at `now`. */
   mayOrder(now: Moment, quorum: Quorum): boolean {
-    // The voters may be others by now than those that granted: a former holder may be bound to some of these alone.
+    // The voters may have changed since the grants: the lease of a previous leader may rest on the current ones alone.
     return this.isGranted(quorum) && now >= this.#ordersAllowedFrom && now < this.#end;
   }
 
-  /** Begins an epoch that was won; returns the nonce of the first renewal, which asks for grants as well. */
+  /** Starts the lease of a newly won epoch; returns the nonce of the first renewal, which also requests the grants. */
   begin(now: Moment): number {
     this.clear();
     this.#ordersAllowedFrom = now;
@@ -49,43 +52,47 @@
     return this.#openRenewal(now);
   }
 
+  /** Ends the lease and forgets its grants and renewals. */
   clear(): void {
-    this.#grants.clear();
+    this.#grantWaitEnds.clear();
     this.#renewals.clear();
     this.#end = moment(-1);
   }
 
-  /** Counts a voter's grant; `wait` is how long its promises to others still bind, in milliseconds. */
+  /** Counts a voter's grant; `waitMs` is for how long the leases that it granted to other leaders still bind. */
   countGrant(now: Moment, from: NodeId, waitMs: number, quorum: Quorum): void {
-    const known = this.#grants.get(from);
-    // Told again by a later renewal, a promise still ends when it was first said to.
-    if (known === undefined || later(now, waitMs) < known)
-      this.#grants.set(from, later(now, waitMs));
+    const knownEnd = this.#grantWaitEnds.get(from);
+    // A grant repeated in reply to a later renewal may end the wait earlier, but never extends it.
+    if (knownEnd === undefined || later(now, waitMs) < knownEnd)
+      this.#grantWaitEnds.set(from, later(now, waitMs));
     this.updateOrderStart(quorum);
   }
 
-  /** Any majority of grants shares a voter with the one that renewed the holder before us: the one free first is enough. */
+  /**
+   * Updates from when orders are allowed. Any majority of the granting voters shares a voter with the majority that
+   * renewed the previous leader's lease, so it is enough to wait for the first majority whose waits have ended.
+   */
   updateOrderStart(quorum: Quorum): void {
-    const ends = [...this.#grants].sort(byTime);
-    const free = new Set<NodeId>();
-    for (const [peer, end] of ends) {
-      free.add(peer);
-      if (!quorum.isMajority(free)) continue;
-      this.#ordersAllowedFrom = end > this.#earliestOrder ? end : this.#earliestOrder;
+    const waitEnds = [...this.#grantWaitEnds].sort(byEndTime);
+    const available = new Set<NodeId>();
+    for (const [peer, end] of waitEnds) {
+      available.add(peer);
+      if (!quorum.isMajority(available)) continue;
+      this.#ordersAllowedFrom = end > this.#minOrdersAllowedFrom ? end : this.#minOrdersAllowedFrom;
       return;
     }
   }
 
   /**
-   * Keeps the wait for a former holder when the voters change, in later terms of this process as well. Voters that come in
-   * have promised nobody anything: by them alone a former holder's lease would count for nothing.
+   * Retains the wait for a previous leader's lease when the voters change, for later epochs of this process too. New
+   * voters have granted no lease: a majority of them alone would ignore the lease of the previous leader.
    */
   retainHandoverWait(): void {
-    if (this.#ordersAllowedFrom > this.#earliestOrder)
-      this.#earliestOrder = this.#ordersAllowedFrom;
+    if (this.#ordersAllowedFrom > this.#minOrdersAllowedFrom)
+      this.#minOrdersAllowedFrom = this.#ordersAllowedFrom;
   }
 
-  /** The nonce of a renewal that is to be sent now; nothing where none is due. */
+  /** Starts a renewal if one is due and returns its nonce, else undefined. */
   renew(now: Moment): number | undefined {
     const { renewMs, leaseMs } = this.#settings;
     if (now < later(this.#lastRenewalAt, renewMs)) return undefined;
@@ -96,6 +103,7 @@
     return nonce;
   }
 
+  /** Counts a voter's acknowledgement of a renewal; a majority extends the lease, counted from when it was sent. */
   countRenewal(from: NodeId, nonce: number, quorum: Quorum): void {
     const renewal = this.#renewals.get(nonce);
     if (!renewal) return;
@@ -113,6 +121,6 @@
   }
 }
 
-function byTime(a: readonly [NodeId, Moment], b: readonly [NodeId, Moment]): number {
+function byEndTime(a: readonly [NodeId, Moment], b: readonly [NodeId, Moment]): number {
   return a[1] - b[1];
 }
