--- a/src/election/round-trips.ts
+++ b/src/election/round-trips.ts
@@ -1,23 +1,24 @@
 import type { NodeId } from '../common/ids.js';
 import type { Quorum } from '../common/quorum.js';
 
-/** Pings of so many last answers are kept for each peer: two seconds' worth in a deployment. */
-const MAX_SAMPLES = 8;
+/** The newest round trips retained for each peer: two seconds' worth in a deployment. */
+const MAX_SAMPLES_PER_PEER = 8;
 
-/** How long pings took to come back, by peer, in milliseconds on this node's monotonic clock. */
+/** Recent round-trip times of pings by peer, in milliseconds on this node's monotonic clock. */
 export class RoundTrips {
   readonly #samples = new Map<NodeId, number[]>();
 
+  /** Adds the round trip of one returned ping. */
   add(peer: NodeId, millis: number): void {
     const samples = this.#samples.get(peer) ?? [];
     samples.push(millis);
-    if (samples.length > MAX_SAMPLES) samples.shift();
+    if (samples.length > MAX_SAMPLES_PER_PEER) samples.shift();
     this.#samples.set(peer, samples);
   }
 
   /**
-   * The shortest recent round trip; nothing for a peer that never answered. A process that stands still and a busy machine
-   * only make single answers later, so that the shortest one shows the link.
+   * The shortest recent round trip; undefined for a peer that never answered. A suspended process or a busy machine
+   * delays only single answers, so the shortest one reflects the link.
    */
   shortestMs(peer: NodeId): number | undefined {
     const samples = this.#samples.get(peer);
@@ -25,8 +26,8 @@
   }
 
   /**
-   * The round trip within which a majority answers `me`, of those that `isCounted` names; 0 where they are no majority.
-   * Voters beyond the fastest majority do not count: nothing has to wait for them.
+   * The round trip within which a majority answers `me`, among the peers that `isCounted` selects; 0 if these make no
+   * majority. Voters beyond the fastest majority do not count, since nothing has to wait for them.
    */
   majorityMs(me: NodeId, quorum: Quorum, isCounted: (peer: NodeId) => boolean): number {
     const measured: { readonly peer: NodeId; readonly millis: number }[] = [];
--- a/src/election/scores.ts
+++ b/src/election/scores.ts
@@ -1,10 +1,12 @@
 import type { ScoreReport } from '../common/messages.js';
 import { nodeId, type NodeId } from '../common/ids.js';
 
+/** The score of the link from a report's owner to one peer. */
 interface PeerScore {
   readonly score: number;
   readonly isAlive: boolean;
 }
+/** What one node reports of its links. */
 interface OwnerReport {
   readonly version: number;
   readonly peers: ReadonlyMap<NodeId, PeerScore>;
@@ -13,42 +15,51 @@
 const NO_REPORT: OwnerReport = { version: 0, peers: new Map() };
 
 /**
- * Connection scores: one report an owner, versioned by that owner, merged so that none goes backward.
- * A link's score moves by new = current * (1 - units / (2 * halfLife)) +/- units / (2 * halfLife).
+ * Connection scores: one report per owner, versioned by that owner and merged so that no version goes backward.
+ * A link's score, from 0 to 1, changes by new = current * (1 - units / (2 * halfLife)) +/- units / (2 * halfLife),
+ * where `units` and `halfLife` are in seconds, and the sign is plus while the peer is alive.
  */
 export class Scores {
   readonly #me: NodeId;
   readonly #halfLifeSeconds: number;
   readonly #reports: Map<NodeId, OwnerReport>;
 
-  constructor(me: NodeId, halfLife: number, reports: ReadonlyMap<NodeId, OwnerReport> = new Map()) {
+  constructor(
+    me: NodeId,
+    halfLifeSeconds: number,
+    reports: ReadonlyMap<NodeId, OwnerReport> = new Map(),
+  ) {
     this.#me = me;
-    this.#halfLifeSeconds = halfLife;
+    this.#halfLifeSeconds = halfLifeSeconds;
     this.#reports = new Map(reports);
   }
 
-  /** A copy that later pings and merges do not touch. */
+  /** Returns a copy that later pings and merges do not change. */
   freeze(): Scores {
     return new Scores(this.#me, this.#halfLifeSeconds, this.#reports);
   }
 
+  /** Raises the score of this node's link to a peer that was alive for `elapsedSeconds`. */
   recordAlive(peer: NodeId, elapsedSeconds: number): void {
-    // A link first heard of starts at full score: the design gives no start, and a newcomer must be electable.
+    // A new link starts at the full score: the design gives no initial value, and a new node must be electable.
     const current = this.#ownScoreOf(peer)?.score ?? 1;
-    const step = this.#stepOf(elapsedSeconds);
-    this.#putOwnScore(peer, { score: Math.min(1, current * (1 - step) + step), isAlive: true });
+    const step = this.#scoreStep(elapsedSeconds);
+    this.#setOwnScore(peer, { score: Math.min(1, current * (1 - step) + step), isAlive: true });
   }
 
+  /** Lowers the score of this node's link to a peer that did not answer for `elapsedSeconds`. */
   recordDead(peer: NodeId, elapsedSeconds: number): void {
     const current = this.#ownScoreOf(peer)?.score ?? 1;
-    const step = this.#stepOf(elapsedSeconds);
-    this.#putOwnScore(peer, { score: Math.max(0, current * (1 - step) - step), isAlive: false });
+    const step = this.#scoreStep(elapsedSeconds);
+    this.#setOwnScore(peer, { score: Math.max(0, current * (1 - step) - step), isAlive: false });
   }
 
+  /** Whether a peer is alive by this node's own pings; this node itself always is. */
   isAlive(peer: NodeId): boolean {
     return peer === this.#me || this.#ownScoreOf(peer)?.isAlive === true;
   }
 
+  /** Takes over reports of a newer version than the known ones. */
   merge(reports: readonly ScoreReport[]): void {
     for (const report of reports) {
       const owner = nodeId(report.owner);
@@ -58,7 +69,8 @@
       for (const link of report.links)
         links.set(nodeId(link.peer), { score: link.score, isAlive: link.alive });
       if (owner === this.#me) {
-        // Our own report, from before a restart: go on from its version and scores, but trust only our own pings for liveness.
+        // This node's own report from before a restart: its version and scores continue, but only pings of the present
+        // process tell which peers are alive.
         for (const [peer, link] of links)
           links.set(peer, {
             score: link.score,
@@ -71,6 +83,7 @@
     }
   }
 
+  /** All known reports, as they are sent to peers. */
   reports(): ScoreReport[] {
     const list: ScoreReport[] = [];
     for (const [owner, report] of this.#reports) {
@@ -82,7 +95,7 @@
     return list;
   }
 
-  /** The sum of the scores that the others give their links to this node; a down link counts 0. */
+  /** The sum of the scores that the other voters report for their links to `peer`; a dead link counts 0. */
   total(peer: NodeId, voters: readonly NodeId[]): number {
     let sum = 0;
     for (const owner of voters) {
@@ -92,18 +105,22 @@
     return sum;
   }
 
-  // Totals are compared in thousandths: views that differ by the last ping alone must still agree, then the lower id leads.
+  /**
+   * Whether `a` ranks above `b`. Totals are compared in thousandths, so that voters whose scores differ by the last
+   * ping alone still agree; between equal totals the lower id ranks higher.
+   */
   ranksAbove(a: NodeId, b: NodeId, voters: readonly NodeId[]): boolean {
     const difference =
       Math.round(this.total(a, voters) * 1000) - Math.round(this.total(b, voters) * 1000);
     return difference > 0 || (difference === 0 && a < b);
   }
 
-  /** Whether one's total is above another's, in thousandths, leaving the tie-break aside. */
+  /** Whether the total of `a` is above that of `b`, compared in thousandths and without the tie-break. */
   hasHigherTotal(a: NodeId, b: NodeId, voters: readonly NodeId[]): boolean {
     return Math.round(this.total(a, voters) * 1000) > Math.round(this.total(b, voters) * 1000);
   }
 
+  /** The voter that ranks above all others; undefined if there are no voters. */
   highestRanked(voters: readonly NodeId[]): NodeId | undefined {
     let best: NodeId | undefined;
     for (const voter of voters)
@@ -115,11 +132,11 @@
     return this.#reports.get(this.#me)?.peers.get(peer);
   }
 
-  #stepOf(elapsedSeconds: number): number {
+  #scoreStep(elapsedSeconds: number): number {
     return Math.min(1, Math.max(0, elapsedSeconds) / (2 * this.#halfLifeSeconds));
   }
 
-  #putOwnScore(peer: NodeId, link: PeerScore): void {
+  #setOwnScore(peer: NodeId, link: PeerScore): void {
     const known = this.#reports.get(this.#me) ?? NO_REPORT;
     const links = new Map(known.peers);
     links.set(peer, link);
