--- a/src/election/candidacy.ts
+++ b/src/election/candidacy.ts
@@ -6,43 +6,44 @@
 
 type Reports = readonly ScoreReport[];
 
-/** Roles that are given up where nothing came of them in time. */
-const WAITING_ROLES: ReadonlySet<Role> = new Set<Role>(['proposing', 'deferred', 'won']);
+/** Roles that a voter leaves if they lead to no result before the deadline. */
+const ROLES_WITH_DEADLINE: ReadonlySet<Role> = new Set<Role>(['proposing', 'deferred', 'won']);
 
-/** The rounds of an election: proposals of this voter and deferrals to it, and to whom it defers itself. */
+/** The election rounds of one voter: its own proposals, the deferrals to them, and its deferrals to other proposers. */
 export class Candidacy {
   readonly #state: VoterState;
   readonly #timing: ProposalTiming;
   readonly #leaderRole: LeaderRole;
   #electionsStarted = 0;
 
-  constructor(state: VoterState, timing: ProposalTiming, leadership: LeaderRole) {
+  constructor(state: VoterState, timing: ProposalTiming, leaderRole: LeaderRole) {
     this.#state = state;
     this.#timing = timing;
-    this.#leaderRole = leadership;
+    this.#leaderRole = leaderRole;
   }
 
-  /** Elections that this node started since its process began. */
+  /** Number of elections that this node has started since its process started. */
   get electionsStarted(): number {
     return this.#electionsStarted;
   }
 
+  /** Starts an election if it is time to, or ends the current round at its deadline. */
   tick(now: Moment): void {
     const { role, roleDeadline, quorum, grants, ranking } = this.#state;
     if (role === 'looking') {
       if (this.#timing.isTimeToPropose(now, quorum, grants.leader)) this.startIfReachable(now);
       return;
     }
-    if (!WAITING_ROLES.has(role) || now < roleDeadline) return;
+    if (!ROLES_WITH_DEADLINE.has(role) || now < roleDeadline) return;
     if (role === 'proposing' && quorum.isMajority(ranking.deferrals)) this.#leaderRole.begin(now);
     else this.startIfReachable(now);
   }
 
-  /** Bumps the epoch and proposes ourselves. */
+  /** Starts an election: moves to the next electing epoch and proposes this voter to all others. */
   start(now: Moment): void {
     const state = this.#state;
     this.#electionsStarted += 1;
-    state.abandonRole('proposing');
+    state.resetToRole('proposing');
     state.adoptEpoch(nextElecting(state.epoch), now);
     state.ranking.propose();
     state.startElectionTimeout(now, 1);
@@ -50,38 +51,41 @@
     if (state.quorum.all.length === 1) this.#leaderRole.begin(now);
   }
 
+  /** Starts an election if this voter can win one, else looks for a leader. */
   startIfReachable(now: Moment): void {
     const state = this.#state;
-    // A node that is no voter yet, as far as it knows, would be counted by everyone but itself.
+    // The others may already count this node as a voter while its own voter set does not include it.
     if (state.isRetired || !state.isVoter) return;
     if (state.canCampaign(now)) this.start(now);
-    else if (state.role !== 'looking') state.abandonRole('looking');
+    else if (state.role !== 'looking') state.resetToRole('looking');
   }
 
+  /** Handles the proposal of another voter: defers to it, supersedes it, ignores it or reports the current epoch. */
   onPropose(now: Moment, from: NodeId, epoch: Epoch, reports: Reports): void {
     const state = this.#state;
     state.peerMonitor.scores.merge(reports);
     if (!state.mayVote || !state.quorum.includes(from)) return;
-    const isSettled = state.leader !== undefined && !isElecting(state.epoch);
-    if (isSettled && !state.quorumMembers.has(from)) this.#onOutsiderProposal(now, epoch);
-    else if (epoch < state.epoch) this.#onOlderProposal(from, isSettled);
+    const isLeaderElected = state.leader !== undefined && !isElecting(state.epoch);
+    if (isLeaderElected && !state.quorumMembers.has(from)) this.#onOutsiderProposal(now, epoch);
+    else if (epoch < state.epoch) this.#onOlderProposal(from, isLeaderElected);
     else if (epoch > state.epoch) this.#onNewerProposal(now, from, epoch, reports);
     else if (isElecting(epoch)) this.#onRivalProposal(now, from, reports);
   }
 
+  /** Counts a deferral to this voter's proposal; it wins at once when all live voters have deferred. */
   onDefer(now: Moment, from: NodeId, epoch: Epoch, reports: Reports): void {
-    const { peerMonitor, role, epoch: present, quorum, ranking, others } = this.#state;
+    const { peerMonitor, role, epoch: currentEpoch, quorum, ranking, others } = this.#state;
     peerMonitor.scores.merge(reports);
-    if (role !== 'proposing' || epoch !== present || !quorum.includes(from)) return;
+    if (role !== 'proposing' || epoch !== currentEpoch || !quorum.includes(from)) return;
     ranking.addDeferral(from);
-    // Everyone in reach has deferred: nothing is gained by waiting for the limit.
+    // All live voters have deferred, so waiting for the deadline would gain nothing.
     if (quorum.isMajority(ranking.deferrals) && others.every(this.#hasDeferredOrIsDead, this))
       this.#leaderRole.begin(now);
   }
 
   /**
-   * From outside the quorum: only worth an election if another than the present leader would come out of it, or if we lead
-   * ourselves and the newcomer has run ahead, since it could then never accept our renewals.
+   * A proposal from a voter outside the current quorum. It justifies an election only if another leader would win, or
+   * if this node leads and the proposer is in a later epoch, since it could then never accept this leader's renewals.
    */
   #onOutsiderProposal(now: Moment, epoch: Epoch): void {
     const state = this.#state;
@@ -93,28 +97,32 @@
     }
   }
 
-  /** An old message. A sender that looks newly booted must learn the epoch to take part; while electing, start anew for it. */
-  #onOlderProposal(from: NodeId, isSettled: boolean): void {
-    if (!isSettled && this.#state.role === 'proposing') this.#propose(from);
+  /**
+   * A proposal of an earlier epoch. Its sender may have just started and must learn the current epoch to take part; a
+   * voter that proposes itself answers with its own proposal.
+   */
+  #onOlderProposal(from: NodeId, isLeaderElected: boolean): void {
+    if (!isLeaderElected && this.#state.role === 'proposing') this.#propose(from);
     else this.#state.sendBehind(from);
   }
 
   #onNewerProposal(now: Moment, from: NodeId, epoch: Epoch, reports: Reports): void {
     const state = this.#state;
     const { ranking, quorum } = state;
-    // Our leader may come to a higher epoch for the sake of one that was repaired: by the tie-break alone it is not
-    // outbid, since another could order only after its lease.
-    const isListening = this.#timing.isInStartupDelay(now, quorum);
-    const isKept = state.leader === from || ranking.wasOvertaken(from) || isListening;
-    state.abandonRole('looking');
+    // The current leader may move to a higher epoch so that a repaired voter can rejoin. The tie-break alone is no
+    // reason to supersede it, since another leader could send orders only after its lease expires.
+    const isInStartupDelay = this.#timing.isInStartupDelay(now, quorum);
+    const needsHigherScore =
+      state.leader === from || ranking.wasOvertaken(from) || isInStartupDelay;
+    state.resetToRole('looking');
     state.adoptEpoch(epoch, now);
-    // In the first moments after a start not all scores are known: whoever led before is not outbid by what is.
-    const isFormer = isListening && state.grants.leader === from;
-    const isBetter = isKept
+    // Shortly after startup not all scores are known, so the known ones must not supersede the previous leader.
+    const isFormerLeader = isInStartupDelay && state.grants.leader === from;
+    const isBetter = needsHigherScore
       ? ranking.outscores(from, quorum)
       : ranking.isPreferred(state.me, from, quorum);
-    const isCandidate = !state.isRetired && state.isVoter && state.canCampaign(now);
-    if (!isFormer && isBetter && isCandidate) this.start(now);
+    const mayPropose = !state.isRetired && state.isVoter && state.canCampaign(now);
+    if (!isFormerLeader && isBetter && mayPropose) this.start(now);
     else this.#deferTo(now, from, reports);
   }
 
@@ -128,8 +136,9 @@
       return;
     }
     if (!ranking.isPreferred(from, current, quorum)) return;
-    // Deferral is transitive: where the one we chose before would not defer here, everyone starts over.
-    if (ranking.isPreferredByDeferred(from, current, quorum)) this.#deferTo(now, from, reports);
+    // Deferral is transitive: unless the proposer deferred to would itself defer here, a new election must start.
+    if (ranking.isPreferredByDeferredProposer(from, current, quorum))
+      this.#deferTo(now, from, reports);
     else this.startIfReachable(now);
   }
 
--- a/src/election/elector.ts
+++ b/src/election/elector.ts
@@ -13,8 +13,8 @@
 const EMPTY_RECORD: VoteRecord = { epoch: 0, grantEpoch: 0, grantLeader: '' };
 
 /**
- * One voter of the election: the design's proposals and deferrals, then our grant and lease on top.
- * Pure: everything it wants done is drained as effects, and it is told the moment with each call.
+ * The election state machine of one voter: the proposals and deferrals of the design, with epoch grants and a leader
+ * lease added. It does no I/O and reads no clock: it queues effects, which `drain` returns, and callers pass the time.
  */
 export class Elector {
   readonly #state: VoterState;
@@ -38,79 +38,89 @@
     if (record.epoch > 0) this.#timing.beginStartupDelay(now);
   }
 
+  /** The epoch that this voter is in; odd while an election is under way. */
   get epoch(): Epoch {
     return this.#state.epoch;
   }
+  /** What this voter currently does in the election. */
   get role(): Role {
     return this.#state.role;
   }
+  /** The leader of the current epoch as far as this voter knows, itself included; undefined if it knows none. */
   get leader(): NodeId | undefined {
     return this.#state.leader;
   }
-  /** When the leader that is followed was heard last, by its victory or a renewal. */
+  /** When the last victory or renewal of a followed leader arrived; 0 if none has. */
   get leaderLastHeardAt(): Moment {
     return this.#followerRole.leaderLastHeardAt;
   }
+  /** The nodes that take part in the current epoch, as far as this voter knows. */
   get quorumMembers(): ReadonlySet<NodeId> {
     return this.#state.quorumMembers;
   }
+  /** The connection scores that this voter knows. */
   get scores(): Scores {
     return this.#state.peerMonitor.scores;
   }
+  /** The record that must survive a crash, as it currently stands. */
   get record(): VoteRecord {
     return this.#state.record;
   }
 
-  /** Whether a majority has granted us this epoch: we hold the state and may write it, fenced by the epoch. */
+  /** Whether a majority has granted this node the epoch, so that it may write the state, fenced by the epoch. */
   isLeading(): boolean {
     return this.#state.role === 'leading';
   }
 
-  /** The end of our lease; orders may be under way only before it. */
+  /** The end of this node's lease; orders may be in flight only before it. */
   get leaseEnd(): Moment {
     return this.#state.lease.end;
   }
 
-  /** Asked right before each order's write. */
+  /** Whether this node may send an order at `now`; must be checked right before each order is written. */
   mayOrder(now: Moment): boolean {
     return this.isLeading() && this.#state.lease.mayOrder(now, this.#state.quorum);
   }
 
   /**
-   * Stops leading and voting for good, as before a planned stop. Only to be called with no order under way:
-   * the others then need not wait for our lease, only for the span in which nobody orders.
+   * Permanently stops proposing and leading, before a planned stop. Must be called with no order in flight: it releases
+   * the lease, so that the next leader waits only for the handover gap.
    */
   retire(now: Moment): void {
     const state = this.#state;
     state.isRetired = true;
-    // We order nobody from here on: what we promised ourselves binds no successor any longer than this.
+    // No orders follow, so the lease that this node granted itself need not delay a successor.
     state.grants.releaseLease(now, state.me);
     if (this.isLeading()) this.#leaderRole.release();
-    state.abandonRole('looking');
+    state.resetToRole('looking');
   }
 
-  /** Stops leading, as one that is no voter any more; what was promised to it binds until it runs out. */
+  /** Stops leading after removal from the voters. The lease is not released: it delays a successor until it expires. */
   stepDown(): void {
-    if (this.isLeading()) this.#state.abandonRole('looking');
+    if (this.isLeading()) this.#state.resetToRole('looking');
   }
 
-  /** A node that lost its disk neither proposes nor grants until it has been repaired. */
+  /**
+   * Sets whether this node may propose and grant: a node that lost its disk may not until it has been repaired. If the
+   * epoch of `record` is above 0, a repaired node takes part again from the next electing epoch after it.
+   */
   setMayVote(mayVote: boolean, record: VoteRecord, now: Moment): void {
     const state = this.#state;
     if (mayVote && !state.mayVote && record.epoch > 0) {
-      // We may have granted that epoch to somebody and forgotten it: we take part again from the next one on.
+      // This node may have granted that epoch before it lost its disk, so it must not grant it again.
       state.epoch = nextElecting(epochOf(Math.max(record.epoch, state.epoch)));
       state.grants.assumeUnknownLease(now);
-      // Whoever leads hears by our return to its renewal that it must come to our epoch. Were we to lead, having lost
-      // nothing but our disk, nobody could order until the former lease has run out.
+      // The current leader learns from the reply to its renewal that it must move to this node's epoch. If this node
+      // led instead, no orders could be sent until the lease of that leader has expired.
       this.#timing.beginStartupDelay(now);
     }
-    if (!mayVote) state.abandonRole('looking');
+    if (!mayVote) state.resetToRole('looking');
     if (mayVote === state.mayVote) return;
     state.mayVote = mayVote;
     state.persist(now);
   }
 
+  /** Replaces the voter set; a leader still waits out the lease of its predecessor. */
   setQuorum(quorum: Quorum): void {
     const state = this.#state;
     if (this.isLeading() && quorum.text !== state.quorum.text) state.lease.retainHandoverWait();
@@ -118,59 +128,61 @@
     if (state.hasWonEpoch) state.lease.updateOrderStart(quorum);
   }
 
-  /** When a voter last returned a ping; nothing for one never pinged. */
+  /** When a voter last returned a ping, or was first pinged if it never has; undefined if it was never pinged. */
   lastHeardAt(peer: NodeId): Moment | undefined {
     return this.#state.peerMonitor.lastHeardAt(peer);
   }
 
-  /** Elections that this node started since its process began. */
+  /** Number of elections that this node has started since its process started. */
   get electionsStarted(): number {
     return this.#candidacy.electionsStarted;
   }
 
-  /** Terms that this node granted to a leader, itself included. */
+  /** Number of epochs that this node has granted to a leader, itself included, since its process started. */
   get votesGranted(): number {
     return this.#state.votesGranted;
   }
 
-  /** Voters that have lately returned a ping, this node included if it votes. */
+  /** Number of voters that returned a ping sent within the peer timeout, including this node if it votes. */
   reachableVoters(now: Moment): number {
-    return this.#state.peerMonitor.reachableVoters(now, this.#state.quorum);
+    return this.#state.peerMonitor.countReachableVoters(now, this.#state.quorum);
   }
 
   /**
-   * The newest moment at which a majority of the voters was in contact both ways: each of it has returned a ping that we
-   * sent no earlier. Nothing if there was none since the process began.
+   * The latest time at which this node had two-way contact with a majority of the voters: each of them has returned a
+   * ping sent at that time or later. Undefined if there was none since the process started.
    */
   majorityContact(now: Moment): Moment | undefined {
-    return this.#state.peerMonitor.majorityContact(now, this.#state.quorum);
+    return this.#state.peerMonitor.lastMajorityContactAt(now, this.#state.quorum);
   }
 
-  /** By how much longer than on ordinary links an exchange with a majority of the voters takes, in milliseconds. */
+  /** The additional time that an exchange with a majority of the voters takes over slow links, in milliseconds. */
   get extraRoundTripMs(): number {
     return this.#state.peerMonitor.extraRoundTripMs(this.#state.quorum);
   }
 
-  /** By how much longer than on an ordinary link an exchange with that voter takes, in milliseconds. */
+  /** The additional time that an exchange with this voter takes over a slow link, in milliseconds. */
   extraRoundTripMsOf(peer: NodeId): number {
     return this.#state.peerMonitor.extraRoundTripMsOf(peer);
   }
 
+  /** Returns the queued effects in order, and clears the queue. */
   drain(): VoteEffect[] {
     return this.#state.outbox.drain();
   }
 
-  /** Told when the record with that token is on disk. */
+  /** Must be called when the record with this token is on disk; queues the messages that waited for it. */
   onPersisted(token: number): void {
     this.#state.outbox.onPersisted(token);
   }
 
+  /** Sends pings and renewals that are due and handles timeouts; must be called periodically. */
   tick(now: Moment): void {
     const state = this.#state;
     state.peerMonitor.tick(now, state.quorum, state.leader);
     if (!state.mayVote || state.isRetired) return;
-    // Once what was promised to others has run out, the record says so; nothing said meanwhile waits for that.
-    if (state.grants.onLeasesExpired(now)) state.outbox.persistInBackground(state.record);
+    // Records that the leases granted to other leaders have expired; no message has to wait for this write.
+    if (state.grants.expireLeases(now)) state.outbox.persistInBackground(state.record);
     if (!state.isVoter) {
       this.#tickAsNonVoter(now);
       return;
@@ -180,13 +192,14 @@
     else this.#candidacy.tick(now);
   }
 
-  /** One that leaves its seat leads until the others hold that: they renew it meanwhile, or its lease runs out. */
+  /** A leader that leaves the voter set leads on until the others have stored the new set, or its lease expires. */
   #tickAsNonVoter(now: Moment): void {
     const { role } = this.#state;
     if (role === 'leading') this.#leaderRole.tick(now);
-    else if (role !== 'looking' && role !== 'following') this.#state.abandonRole('looking');
+    else if (role !== 'looking' && role !== 'following') this.#state.resetToRole('looking');
   }
 
+  /** Handles a message of the election; ignores all other kinds. */
   onMessage(now: Moment, from: NodeId, message: Message): void {
     switch (message.kind) {
       case 'ping':
--- a/src/election/follower-role.ts
+++ b/src/election/follower-role.ts
@@ -14,7 +14,7 @@
 type VictoryMessage = Extract<Message, { kind: 'victory' }>;
 type RenewMessage = Extract<Message, { kind: 'renew' }>;
 
-/** A follower's side: grants an epoch to the one that has won it, and returns its renewals. */
+/** The follower's part: grants an epoch to its winner, acknowledges the leader's renewals, and detects its loss. */
 export class FollowerRole {
   readonly #state: VoterState;
   readonly #candidacy: Candidacy;
@@ -25,18 +25,19 @@
     this.#candidacy = candidacy;
   }
 
-  /** When the leader that is followed was heard last, by its victory or a renewal. */
+  /** When the last victory or renewal of a followed leader arrived; 0 if none has. */
   get leaderLastHeardAt(): Moment {
     return this.#leaderLastHeardAt;
   }
 
-  /** Gives up a leader that was not heard for the span. */
+  /** Starts an election if the followed leader has sent nothing for `leaseMs`. */
   tick(now: Moment): void {
     const { role, settings } = this.#state;
     if (role === 'following' && now >= later(this.#leaderLastHeardAt, settings.leaseMs))
-      this.#startOver(now);
+      this.#startElection(now);
   }
 
+  /** Grants the epoch to its winner and follows it, or reports the current epoch if that one is later. */
   onVictory(now: Moment, from: NodeId, epoch: Epoch, message: VictoryMessage): void {
     const state = this.#state;
     state.peerMonitor.scores.merge(message.reports);
@@ -49,6 +50,7 @@
     state.sendBehind(from);
   }
 
+  /** Acknowledges a renewal of the followed leader; for any other winner it stands in for a missed victory. */
   onRenew(now: Moment, from: NodeId, epoch: Epoch, message: RenewMessage): void {
     const state = this.#state;
     if (!this.#isWinner(from, epoch)) return;
@@ -59,7 +61,7 @@
     }
     const isGranted = state.grants.isGrantedTo(from, epoch);
     if (!isGranted || state.epoch !== epoch || state.leader !== from) {
-      // We missed the victory (or restarted): joining late is a grant like any other.
+      // The victory was missed, or this process has restarted since: joining late is a grant like any other.
       this.#follow(now, from, epoch, message);
       return;
     }
@@ -68,20 +70,20 @@
     state.send(from, { kind: 'renewed', epoch, nonce: message.nonce });
   }
 
-  /** The leader stops as planned and orders nobody any more. */
+  /** The leader stops as planned and sends no more orders: its lease ends, and an election starts at once. */
   onReleased(now: Moment, from: NodeId, epoch: Epoch): void {
-    const { epoch: present, leader, grants } = this.#state;
-    if (epoch !== present || leader !== from) return;
+    const { epoch: currentEpoch, leader, grants } = this.#state;
+    if (epoch !== currentEpoch || leader !== from) return;
     grants.releaseLease(now, from);
-    this.#startOver(now);
+    this.#startElection(now);
   }
 
-  /** Somebody that we spoke to is in a newer epoch. */
+  /** A peer reported a later epoch: unless this voter follows a leader, it enters that epoch and may propose itself. */
   onBehind(now: Moment, epoch: Epoch, reports: readonly ScoreReport[]): void {
     const state = this.#state;
     state.peerMonitor.scores.merge(reports);
     if (epoch <= state.epoch || !state.mayVote || state.role === 'following') return;
-    state.abandonRole('looking');
+    state.resetToRole('looking');
     state.adoptEpoch(epoch, now);
     this.#candidacy.startIfReachable(now);
   }
@@ -95,16 +97,22 @@
     const state = this.#state;
     if (!state.grants.mayGrant(from, epoch)) return;
     if (epoch > state.epoch || state.leader !== from) {
-      state.abandonRole('following');
+      state.resetToRole('following');
       state.adoptEpoch(epoch, now);
     }
     state.role = 'following';
     state.leader = from;
     state.ranking.onLeaderKnown();
     this.#onLeaderHeard(now, from, message.quorum);
-    const wait = state.grant(now, from);
+    const waitMs = state.grant(now, from);
     const reports = state.peerMonitor.scores.reports();
-    state.send(from, { kind: 'granted', epoch: state.epoch, wait, nonce: message.nonce, reports });
+    state.send(from, {
+      kind: 'granted',
+      epoch: state.epoch,
+      wait: waitMs,
+      nonce: message.nonce,
+      reports,
+    });
   }
 
   #onLeaderHeard(now: Moment, leader: NodeId, quorum: readonly string[]): void {
@@ -112,8 +120,8 @@
     this.#state.quorumMembers = new Set([this.#state.me, leader, ...quorum.map(nodeId)]);
   }
 
-  #startOver(now: Moment): void {
-    this.#state.abandonRole('looking');
+  #startElection(now: Moment): void {
+    this.#state.resetToRole('looking');
     this.#candidacy.startIfReachable(now);
   }
 }
--- a/src/election/leader-role.ts
+++ b/src/election/leader-role.ts
@@ -5,7 +5,7 @@
 type GrantedMessage = Extract<Message, { kind: 'granted' }>;
 type RenewedMessage = Extract<Message, { kind: 'renewed' }>;
 
-/** The holder's side: asks for grants of the epoch that it has won, and renews its lease. */
+/** The leader's part: requests grants of the epoch that it has won, and renews its lease. */
 export class LeaderRole {
   readonly #state: VoterState;
 
@@ -13,7 +13,7 @@
     this.#state = state;
   }
 
-  /** Takes the epoch after one in which a majority has deferred to this voter, and asks everybody to grant it. */
+  /** Enters the epoch after the one in which a majority deferred to this voter, and asks all voters to grant it. */
   begin(now: Moment): void {
     const state = this.#state;
     const { me } = state;
@@ -25,25 +25,26 @@
     state.startElectionTimeout(now, 2);
     const nonce = state.lease.begin(now);
     const { epoch } = state;
-    const wait = state.grant(now, me);
-    state.outbox.whenPersisted(() => this.#countGrant(now, me, epoch, wait, nonce));
+    const waitMs = state.grant(now, me);
+    state.outbox.whenPersisted(() => this.#countGrant(now, me, epoch, waitMs, nonce));
     const reports = state.peerMonitor.scores.reports();
     const quorum = [...members];
     for (const peer of state.others)
       state.send(peer, { kind: 'victory', epoch, reports, nonce, quorum, sentAt: now });
   }
 
+  /** Renews the lease if that is due, or stops leading at its end. */
   tick(now: Moment): void {
     const state = this.#state;
     if (state.role === 'leading' && now >= state.lease.end) {
-      // No majority renews us any more: whoever they follow now, it is not us.
-      state.abandonRole('looking');
+      // No majority acknowledges the renewals any more.
+      state.resetToRole('looking');
       return;
     }
     const nonce = state.lease.renew(now);
     if (nonce === undefined) return;
     state.grants.extendLease(now, state.me);
-    // Our own renewal counts only once our own grant of this epoch is on disk.
+    // This node's own acknowledgement counts only once its own grant of the epoch is on disk.
     state.outbox.whenPersisted(() => this.#countRenewal(state.me, nonce));
     const { epoch } = state;
     const quorum = [...state.quorumMembers];
@@ -51,26 +52,28 @@
       state.send(peer, { kind: 'renew', epoch, nonce, quorum, sentAt: now });
   }
 
-  /** Stops leading as planned: the others need not wait for the end of the lease. */
+  /** Announces a planned stop, so that the other voters need not wait for the end of the lease. */
   release(): void {
     const { epoch, others } = this.#state;
     for (const peer of others) this.#state.send(peer, { kind: 'released', epoch });
   }
 
+  /** Counts a voter's grant of the current epoch; this node leads once a majority has granted it. */
   onGranted(now: Moment, from: NodeId, epoch: Epoch, message: GrantedMessage): void {
     this.#state.peerMonitor.scores.merge(message.reports);
     this.#countGrant(now, from, epoch, message.wait, message.nonce);
   }
 
+  /** Counts a voter's acknowledgement of a renewal in the current epoch. */
   onRenewed(from: NodeId, message: RenewedMessage): void {
     if (message.epoch === this.#state.epoch) this.#countRenewal(from, message.nonce);
   }
 
-  #countGrant(now: Moment, from: NodeId, epoch: Epoch, wait: number, nonce: number): void {
+  #countGrant(now: Moment, from: NodeId, epoch: Epoch, waitMs: number, nonce: number): void {
     const state = this.#state;
     if (epoch !== state.epoch || !state.hasWonEpoch) return;
     state.quorumMembers.add(from);
-    state.lease.countGrant(now, from, wait, state.quorum);
+    state.lease.countGrant(now, from, waitMs, state.quorum);
     state.lease.countRenewal(from, nonce, state.quorum);
     if (state.role !== 'won' || !state.lease.isGranted(state.quorum)) return;
     state.role = 'leading';
--- a/src/election/peer-monitor.ts
+++ b/src/election/peer-monitor.ts
@@ -9,18 +9,18 @@
 type PingMessage = Extract<Message, { kind: 'ping' }>;
 type PongMessage = Extract<Message, { kind: 'pong' }>;
 
-/** What is known of the link to one peer that has been pinged. */
+/** State of the link to a peer that has been pinged. */
 interface PeerState {
   lastHeardAt: Moment;
-  scoredAt: Moment;
+  lastScoredAt: Moment;
 }
 
-/** The spans of the settings, and those of other parts, allow for links whose round trip takes no longer. */
-const USUAL_ROUND_TRIP_MS = 100;
-/** The shortest round trip is measured; single messages take up to about twice as long on links that vary. */
-const VARIATION_FACTOR = 2;
+/** The timeouts of the settings, and those of other modules, allow for round trips of up to this time. */
+const MAX_ORDINARY_ROUND_TRIP_MS = 100;
+/** `RoundTrips` gives the shortest round trip; single messages take up to about twice as long on links with jitter. */
+const JITTER_FACTOR = 2;
 
-/** Pings to the other voters, and what they show: who is alive, how good each link is, and how long it takes. */
+/** Pings the other voters to find which are alive, how reliable each link is, and how long its round trip takes. */
 export class PeerMonitor {
   readonly #me: NodeId;
   readonly #settings: VoteSettings;
@@ -29,9 +29,9 @@
   readonly #roundTrips = new RoundTrips();
   readonly #peers = new Map<NodeId, PeerState>();
   #lastPingAt: Moment;
-  /** When we sent the newest of our pings that each voter returned. */
+  /** When the last ping that each voter returned was sent. */
   readonly #returnedPingSentAt = new Map<NodeId, Moment>();
-  /** Voters whose last ping said that they follow nobody. */
+  /** Voters whose last ping said that they know no leader. */
   readonly #leaderlessPeers = new Set<NodeId>();
 
   constructor(me: NodeId, settings: VoteSettings, outbox: SyncedOutbox, now: Moment) {
@@ -42,11 +42,12 @@
     this.#lastPingAt = moment(now - settings.pingMs);
   }
 
+  /** The connection scores that this voter knows. */
   get scores(): Scores {
     return this.#scores;
   }
 
-  /** Pings every other voter where that is due, and notes who has not answered for too long. */
+  /** Pings every other voter if that is due, and records those that have not answered within the timeout as dead. */
   tick(now: Moment, quorum: Quorum, leader: NodeId | undefined): void {
     if (now < later(this.#lastPingAt, this.#settings.pingMs)) return;
     this.#lastPingAt = now;
@@ -54,17 +55,18 @@
   }
 
   #ping(now: Moment, peer: NodeId, leader: string): void {
-    const state = this.#peers.get(peer) ?? { lastHeardAt: now, scoredAt: now };
+    const state = this.#peers.get(peer) ?? { lastHeardAt: now, lastScoredAt: now };
     this.#peers.set(peer, state);
     if (now - state.lastHeardAt >= this.#settings.peerTimeoutMs) {
-      this.#scores.recordDead(peer, (now - state.scoredAt) / 1000);
-      state.scoredAt = now;
+      this.#scores.recordDead(peer, (now - state.lastScoredAt) / 1000);
+      state.lastScoredAt = now;
     }
     const reports = this.#scores.reports();
     // Pings carry no epoch, so they need not wait for the disk.
     this.#outbox.sendImmediately(peer, { kind: 'ping', nonce: now, epoch: 0, reports, leader });
   }
 
+  /** Merges the scores of a ping and answers it. */
   onPing(from: NodeId, message: PingMessage): void {
     this.#scores.merge(message.reports);
     if (message.leader === '') this.#leaderlessPeers.add(from);
@@ -74,74 +76,76 @@
     this.#outbox.sendImmediately(from, { kind: 'pong', nonce, epoch: 0, reports, standing: '' });
   }
 
+  /** Merges the scores of a returned ping, and measures the link by it. */
   onPong(now: Moment, from: NodeId, message: PongMessage): void {
     this.#scores.merge(message.reports);
     const sentAt = message.nonce;
     const state = this.#peers.get(from);
-    // The nonce is our own moment of sending: a pong held up for longer than a link counts as dead proves nothing.
+    // The nonce is the time at which the ping was sent: a pong delayed by the peer timeout or more proves no contact.
     if (!state || now - sentAt >= this.#settings.peerTimeoutMs) return;
     state.lastHeardAt = now;
-    // One that came back to a former incarnation of ours names a moment that we have not had yet.
+    // A pong to a previous incarnation of this process may carry a time that is still ahead on the current clock.
     if (sentAt <= now) {
       this.#returnedPingSentAt.set(from, moment(sentAt));
       this.#roundTrips.add(from, now - sentAt);
     }
-    this.#scores.recordAlive(from, (now - state.scoredAt) / 1000);
-    state.scoredAt = now;
+    this.#scores.recordAlive(from, (now - state.lastScoredAt) / 1000);
+    state.lastScoredAt = now;
   }
 
-  /** When a voter last returned a ping; nothing for one never pinged. */
+  /** When a voter last returned a ping, or was first pinged if it never has; undefined if it was never pinged. */
   lastHeardAt(peer: NodeId): Moment | undefined {
     return this.#peers.get(peer)?.lastHeardAt;
   }
 
-  /** Voters that have lately returned a ping, this node included if it votes. */
-  reachableVoters(now: Moment, quorum: Quorum): number {
+  /** Number of voters that returned a ping sent within the peer timeout, including this node if it votes. */
+  countReachableVoters(now: Moment, quorum: Quorum): number {
     let count = 0;
     for (const voter of quorum.all) {
-      const at = voter === this.#me ? now : this.#returnedPingSentAt.get(voter);
-      if (at !== undefined && now - at < this.#settings.peerTimeoutMs) count += 1;
+      const sentAt = voter === this.#me ? now : this.#returnedPingSentAt.get(voter);
+      if (sentAt !== undefined && now - sentAt < this.#settings.peerTimeoutMs) count += 1;
     }
     return count;
   }
 
   /**
-   * The newest moment at which a majority of the voters was in contact both ways: each of it has returned a ping that we
-   * sent no earlier. Nothing if there was none since the process began.
+   * The latest time at which this node had two-way contact with a majority of the voters: each of them has returned a
+   * ping sent at that time or later. Undefined if there was none since the process started.
    */
-  majorityContact(now: Moment, quorum: Quorum): Moment | undefined {
-    const majority = new Set<NodeId>([this.#me]);
-    if (quorum.isMajority(majority)) return now;
-    for (const [voter, at] of [...this.#returnedPingSentAt].sort(byNewest)) {
-      majority.add(voter);
-      if (quorum.isMajority(majority)) return at;
+  lastMajorityContactAt(now: Moment, quorum: Quorum): Moment | undefined {
+    const reached = new Set<NodeId>([this.#me]);
+    if (quorum.isMajority(reached)) return now;
+    for (const [voter, sentAt] of [...this.#returnedPingSentAt].sort(byNewest)) {
+      reached.add(voter);
+      if (quorum.isMajority(reached)) return sentAt;
     }
     return undefined;
   }
 
-  /** Whether a majority of the voters is alive, by our own pings. */
+  /** Whether a majority of the voters is alive, by this node's own pings. */
   reachesMajority(quorum: Quorum): boolean {
     return quorum.isMajority(new Set(quorum.all.filter(this.#scores.isAlive, this.#scores)));
   }
 
-  /** A majority that follows nobody shows that nobody leads: after all have restarted there is nothing to listen for. */
+  /** Whether a majority knows no leader. Then none exists: after a restart of all voters there is none to listen for. */
   isMajorityLeaderless(quorum: Quorum): boolean {
     if (this.#leaderlessPeers.size === 0) return false;
     return quorum.isMajority(new Set([this.#me, ...this.#leaderlessPeers]));
   }
 
-  /** By how much longer than on an ordinary link one exchange with a peer takes, in milliseconds; 0 where it is not known. */
+  /** The additional time that an exchange with a peer takes over a slow link, in milliseconds; 0 if it is not known. */
   extraRoundTripMsOf(peer: NodeId): number {
     return (
-      VARIATION_FACTOR * Math.max(0, (this.#roundTrips.shortestMs(peer) ?? 0) - USUAL_ROUND_TRIP_MS)
+      JITTER_FACTOR *
+      Math.max(0, (this.#roundTrips.shortestMs(peer) ?? 0) - MAX_ORDINARY_ROUND_TRIP_MS)
     );
   }
 
-  /** By how much longer an exchange with a majority may take than the settings allow for, in milliseconds. */
+  /** The time that an exchange with a majority may take beyond what the settings allow for, in milliseconds. */
   extraRoundTripMs(quorum: Quorum): number {
     const isAlive = (peer: NodeId) => this.#scores.isAlive(peer);
-    const millis = this.#roundTrips.majorityMs(this.#me, quorum, isAlive);
-    return VARIATION_FACTOR * Math.max(0, millis - USUAL_ROUND_TRIP_MS);
+    const roundTripMs = this.#roundTrips.majorityMs(this.#me, quorum, isAlive);
+    return JITTER_FACTOR * Math.max(0, roundTripMs - MAX_ORDINARY_ROUND_TRIP_MS);
   }
 }
 
--- a/src/election/vote-grants.test.ts
+++ b/src/election/vote-grants.test.ts
@@ -99,10 +99,10 @@
   const promises = new VoteGrants(SETTINGS, START, record);
   expect(promises.record(SIX)).toEqual({ ...record, isFree: false });
   const freeAt = START + leaseMs + handoverGapMs;
-  expect(promises.onLeasesExpired(moment(freeAt - 1))).toBe(false);
+  expect(promises.expireLeases(moment(freeAt - 1))).toBe(false);
   expect(promises.record(SIX).isFree).toBe(false);
-  expect(promises.onLeasesExpired(moment(freeAt))).toBe(true);
-  expect(promises.onLeasesExpired(moment(freeAt))).toBe(false);
+  expect(promises.expireLeases(moment(freeAt))).toBe(true);
+  expect(promises.expireLeases(moment(freeAt))).toBe(false);
   expect(promises.record(EIGHT)).toEqual({ ...record, epoch: 8, isFree: true });
 });
 
@@ -117,13 +117,13 @@
   const wait = promises.remainingLeaseMs(START, c);
   promises.grant(START, c, EIGHT, wait);
   expect(promises.record(EIGHT).isFree).toBe(false);
-  expect(promises.onLeasesExpired(moment(START + wait - 1))).toBe(false);
-  expect(promises.onLeasesExpired(moment(START + wait))).toBe(true);
+  expect(promises.expireLeases(moment(START + wait - 1))).toBe(false);
+  expect(promises.expireLeases(moment(START + wait))).toBe(true);
 });
 
 test('a voter that never granted anything has nothing to note', () => {
   const promises = new VoteGrants(SETTINGS, START, NEVER_VOTED);
-  expect(promises.onLeasesExpired(moment(START + 1_000_000))).toBe(false);
+  expect(promises.expireLeases(moment(START + 1_000_000))).toBe(false);
 });
 
 test('the wait noted after a start allows for clocks that differ', () => {
@@ -131,6 +131,6 @@
   const record = { epoch: 6, grantEpoch: 6, grantLeader: 'b' };
   const promises = new VoteGrants({ ...SETTINGS, drift }, START, record);
   const freeAt = START + (leaseMs + handoverGapMs) * (1 + 5 * drift);
-  expect(promises.onLeasesExpired(moment(freeAt - 1))).toBe(false);
-  expect(promises.onLeasesExpired(moment(freeAt + 1))).toBe(true);
+  expect(promises.expireLeases(moment(freeAt - 1))).toBe(false);
+  expect(promises.expireLeases(moment(freeAt + 1))).toBe(true);
 });
--- a/src/election/vote-grants.ts
+++ b/src/election/vote-grants.ts
@@ -2,26 +2,28 @@
 import type { VoteRecord } from './vote-effect.js';
 import type { VoteSettings } from './vote-settings.js';
 
+/** The newest epoch that this voter has granted. */
 interface Grant {
   readonly grantedEpoch: number;
   readonly grantedLeader: string;
-  /** When nothing that was promised to others before this grant binds any more. */
-  readonly leasesEndAt: Moment;
+  /** When all leases granted to other leaders before this grant, and the handover gap after them, are over. */
+  readonly otherLeasesEndAt: Moment;
+  /** Whether that time is known to have passed. */
   readonly isFree: boolean;
 }
 
 /**
- * What one voter has granted and promised: one leader an epoch, on disk, and to each holder a span from when it was last
- * heard in which no other may order. Spans are counted on this voter's monotonic clock.
+ * The epochs and leases that one voter has granted: each epoch to one leader, on disk, and to each leader a lease from
+ * when it was last heard, during which no other may send orders. Times are on this voter's monotonic clock.
  */
 export class VoteGrants {
   readonly #settings: VoteSettings;
   #lastGrant: Grant;
-  /** Until when each holder is promised that no other orders. */
+  /** When the lease granted to each leader ends. */
   readonly #leaseEnds = new Map<string, Moment>();
-  /** Until when what was promised before this process began may bind. */
+  /** When the leases granted before this process started have ended. */
   #priorLeaseEnd: Moment;
-  /** The one to whom alone we may have promised something before we started; nothing where we cannot tell. */
+  /** The only leader that may hold a lease granted before this process started; empty if that is not known. */
   #priorLeader: string;
 
   constructor(settings: VoteSettings, now: Moment, record: VoteRecord) {
@@ -31,11 +33,11 @@
     this.#lastGrant = {
       grantedEpoch: record.grantEpoch,
       grantedLeader: record.grantLeader,
-      leasesEndAt: later(now, (leaseMs + handoverGapMs) * (1 + 5 * drift)),
+      otherLeasesEndAt: later(now, (leaseMs + handoverGapMs) * (1 + 5 * drift)),
       isFree,
     };
-    // What we promised before a crash is gone from memory: hold as if promised this moment. Where the record says to whom
-    // alone, that one is not held up by it: the same holder may go on at once.
+    // Leases granted before a crash are not on disk: assume that they were granted just now. If the record says that
+    // only one leader can hold one, that leader need not wait for it and may continue at once.
     this.#priorLeader = isFree ? record.grantLeader : '';
     this.#priorLeaseEnd = record.grantEpoch > 0 ? later(now, leaseMs) : moment(now - handoverGapMs);
   }
@@ -45,11 +47,12 @@
     return this.#lastGrant.grantedEpoch;
   }
 
-  /** To whom that epoch was granted; empty if none was. */
+  /** The leader that this epoch was granted to; empty if none was. */
   get leader(): string {
     return this.#lastGrant.grantedLeader;
   }
 
+  /** The record to store for a voter in `epoch`. */
   record(epoch: Epoch): VoteRecord {
     return {
       epoch,
@@ -59,61 +62,64 @@
     };
   }
 
+  /** Whether the last grant gave `epoch` to `leader`. */
   isGrantedTo(leader: NodeId, epoch: Epoch): boolean {
     return this.#lastGrant.grantedEpoch === epoch && this.#lastGrant.grantedLeader === leader;
   }
 
-  /** One grant an epoch, even if two winners of overlapping deferrals ask. */
+  /** Whether `epoch` may be granted to `leader`: once per epoch, even if overlapping deferrals make two winners. */
   mayGrant(leader: NodeId, epoch: Epoch): boolean {
     return this.#lastGrant.grantedEpoch < epoch || this.isGrantedTo(leader, epoch);
   }
 
-  /** Grants an epoch that was not granted yet. `wait` is how long promises to others still bind, in milliseconds. */
+  /** Grants an epoch that was not granted yet; `waitMs` is for how long leases granted to other leaders still bind. */
   grant(now: Moment, leader: NodeId, epoch: Epoch, waitMs: number): void {
     this.#lastGrant = {
       grantedEpoch: epoch,
       grantedLeader: leader,
-      leasesEndAt: later(now, waitMs),
+      otherLeasesEndAt: later(now, waitMs),
       isFree: waitMs <= 0,
     };
   }
 
-  /** Promises the span from now on. */
+  /** Grants or extends the lease of `leader`, counted from now. */
   extendLease(now: Moment, leader: NodeId): void {
     this.#leaseEnds.set(leader, later(now, this.#settings.leaseMs));
   }
 
-  /** What that holder was promised binds nobody any longer. */
+  /** Ends the lease granted to `leader`. */
   releaseLease(now: Moment, leader: NodeId): void {
     const end = this.#leaseEnds.get(leader);
     if (end !== undefined && end > now) this.#leaseEnds.set(leader, now);
   }
 
-  /** After a repair nothing is known of what was promised: everybody is held off for the span. */
+  /** After a repair the granted leases are unknown: every leader must wait as if one had been granted just now. */
   assumeUnknownLease(now: Moment): void {
     this.#priorLeaseEnd = later(now, this.#settings.leaseMs);
     this.#priorLeader = '';
   }
 
-  /** Notes that what was promised to others has run out; says whether that is new. */
-  onLeasesExpired(now: Moment): boolean {
+  /** Marks the last grant as free once the leases granted to other leaders have expired; returns whether it changed. */
+  expireLeases(now: Moment): boolean {
     if (
       this.#lastGrant.isFree ||
       this.#lastGrant.grantedEpoch === 0 ||
-      now < this.#lastGrant.leasesEndAt
+      now < this.#lastGrant.otherLeasesEndAt
     )
       return false;
     this.#lastGrant = { ...this.#lastGrant, isFree: true };
     return true;
   }
 
-  /** How long from now promises to others still bind, with the span in which nobody orders; in milliseconds. */
+  /** For how long `leader` must wait for the leases granted to others and the handover gap, in milliseconds. */
   remainingLeaseMs(now: Moment, leader: NodeId): number {
     const { handoverGapMs, leaseMs, drift } = this.#settings;
-    let until =
+    let leaseEnd =
       leader === this.#priorLeader ? moment(now - handoverGapMs * 2) : this.#priorLeaseEnd;
-    for (const [other, end] of this.#leaseEnds) if (other !== leader && end > until) until = end;
-    // The holder's clock may be slow, ours and the winner's fast: each span is made longer by what they may differ.
-    return Math.max(0, (until + handoverGapMs - now) * (1 + 3 * drift) + 2 * drift * leaseMs);
+    for (const [other, end] of this.#leaseEnds)
+      if (other !== leader && end > leaseEnd) leaseEnd = end;
+    // The lease holder's clock may be slow while this voter's and the winner's are fast: each period is extended by as
+    // much as they may differ.
+    return Math.max(0, (leaseEnd + handoverGapMs - now) * (1 + 3 * drift) + 2 * drift * leaseMs);
   }
 }
--- a/src/election/voter-state.ts
+++ b/src/election/voter-state.ts
@@ -9,10 +9,13 @@
 import { PeerMonitor } from './peer-monitor.js';
 import type { VoteSettings } from './vote-settings.js';
 
-/** What the elector is doing: waiting for a majority to be in reach, proposing itself, having deferred, or knowing a leader. */
+/**
+ * What a voter does in the election: look for a leader or a majority, propose itself, wait for the proposer that it
+ * deferred to, wait for the grants of an epoch that it has won, lead, or follow a leader.
+ */
 export type Role = 'looking' | 'proposing' | 'deferred' | 'won' | 'leading' | 'following';
 
-/** What the parts of one voter's election share: epoch and role, and the few steps that change them together. */
+/** State shared by the modules of one voter's election: epoch, role, and the operations that change them together. */
 export class VoterState {
   readonly me: NodeId;
   readonly settings: VoteSettings;
@@ -24,15 +27,17 @@
   quorum: Quorum;
   epoch: Epoch;
   role: Role = 'looking';
+  /** Whether this voter may propose and grant; false while a lost disk is not repaired. */
   mayVote = true;
-  /** Set by a planned stop: this voter neither proposes nor leads any more. */
+  /** Set before a planned stop: this voter no longer proposes or leads. */
   isRetired = false;
+  /** The leader of the current epoch, this voter included; undefined if none is known. */
   leader: NodeId | undefined;
-  /** Who takes part in the present epoch, as far as this voter knows. */
+  /** The nodes that take part in the current epoch, as far as this voter knows. */
   quorumMembers = new Set<NodeId>();
-  /** When waiting in the present role is given up. */
+  /** When this voter stops waiting in its current role. */
   roleDeadline: Moment = moment(0);
-  /** Terms that this node granted to a leader, itself included. */
+  /** Number of epochs that this node has granted to a leader, itself included, since its process started. */
   votesGranted = 0;
 
   constructor(me: NodeId, quorum: Quorum, settings: VoteSettings, now: Moment, record: VoteRecord) {
@@ -47,7 +52,7 @@
     this.grants = new VoteGrants(settings, now, record);
   }
 
-  /** What must be on disk before anything of the present epoch is said. */
+  /** What must be on disk before any message of the current epoch is sent. */
   get record(): VoteRecord {
     return this.grants.record(this.epoch);
   }
@@ -58,16 +63,20 @@
     return this.quorum.all.filter((peer) => peer !== me);
   }
 
+  /** Whether this node is in the voter set. */
   get isVoter(): boolean {
     return this.quorum.includes(this.me);
   }
 
-  /** Whether this node leads an epoch, or has won one and waits for its grants. */
+  /** Whether this node leads, or has won its epoch and waits for the grants. */
   get hasWonEpoch(): boolean {
     return this.role === 'leading' || this.role === 'won';
   }
 
-  /** Our exception: a node that cannot reach a majority, or whose disk stalls, could only run the epoch up for the others. */
+  /**
+   * Whether this node could win an election. The design has no such condition, but a node that cannot reach a majority,
+   * or whose disk stalls, would only increase the epoch for the others.
+   */
   canCampaign(now: Moment): boolean {
     const { diskStallMs } = this.settings;
     return (
@@ -75,7 +84,7 @@
     );
   }
 
-  /** Waits in the present role for so many rounds of the election, and for what slow links need. */
+  /** Sets the deadline of the current role to `rounds` election rounds from now, plus the extra time for slow links. */
   startElectionTimeout(now: Moment, rounds: number): void {
     const { electionMs } = this.settings;
     this.roleDeadline = later(
@@ -84,8 +93,8 @@
     );
   }
 
-  /** Gives up what the present role had, and takes on another. */
-  abandonRole(role: Role): void {
+  /** Clears the state of the current role and enters another. */
+  resetToRole(role: Role): void {
     this.role = role;
     this.leader = undefined;
     this.quorumMembers = new Set();
@@ -93,7 +102,7 @@
     this.lease.clear();
   }
 
-  /** Takes on an epoch: scores are frozen anew, and nothing is said in it before it is on disk. */
+  /** Enters an epoch: freezes the scores again, and holds its messages back until the epoch is on disk. */
   adoptEpoch(epoch: Epoch, now: Moment): void {
     if (epoch !== this.epoch) {
       this.epoch = epoch;
@@ -102,7 +111,7 @@
     this.ranking.freezeScores();
   }
 
-  /** Grants the present epoch and promises the span; returns how long promises to others bind, in milliseconds. */
+  /** Grants the current epoch and a lease to `leader`; returns how long other leases still bind, in milliseconds. */
   grant(now: Moment, leader: NodeId): number {
     const waitMs = this.grants.remainingLeaseMs(now, leader);
     if (this.grants.epoch !== this.epoch) {
@@ -114,15 +123,17 @@
     return waitMs;
   }
 
+  /** Writes the current record; messages sent from now on wait until it is on disk. */
   persist(now: Moment): void {
     this.outbox.persist(this.record, now);
   }
 
+  /** Sends a message once every record written so far is on disk. */
   send(to: NodeId, message: Message): void {
     this.outbox.send(to, message);
   }
 
-  /** Tells a sender of an older epoch the present one. */
+  /** Reports the current epoch to the sender of a message with an earlier one. */
   sendBehind(to: NodeId): void {
     const reports = this.peerMonitor.scores.reports();
     this.send(to, { kind: 'behind', epoch: this.epoch, reports });
