--- a/src/election/elector.test.ts
+++ b/src/election/elector.test.ts
@@ -8,8 +8,8 @@
 
 const [a, b, c] = [nodeId('a'), nodeId('b'), nodeId('c')];
 
-test('a restarted voter listens whether somebody leads', () => {
-  const elector = started();
+test('a restarted voter listens for a leader before it proposes itself', () => {
+  const elector = restartedElector();
   elector.onMessage(moment(5), b, { kind: 'ping', nonce: 1, epoch: 0, reports: [], leader: 'b' });
   elector.onMessage(moment(5), c, { kind: 'ping', nonce: 1, epoch: 0, reports: [], leader: 'b' });
   elector.tick(moment(50));
@@ -17,19 +17,19 @@
   elector.tick(moment(1150));
   expect(isProposing(elector)).toBe(true);
 });
-test('after all have restarted nobody listens for a leader', () => {
-  const elector = started();
+test('after a restart of all voters none listens for a leader', () => {
+  const elector = restartedElector();
   elector.onMessage(moment(5), b, { kind: 'ping', nonce: 1, epoch: 0, reports: [], leader: '' });
-  // Another led before and goes first; then it is our turn, long before the listening would have ended.
+  // The former leader goes first; this voter's turn follows long before its startup delay would have ended.
   elector.tick(moment(50));
   expect(isProposing(elector)).toBe(false);
   elector.tick(moment(150));
   expect(isProposing(elector)).toBe(true);
   expect(elector.epoch).toBe(7);
 });
-test('a voter whose disk was lost and repaired leaves the lead where it is', () => {
-  const election = new Election();
-  // Ids alone would give the lead to the first: it comes to another while that one is away.
+test('a voter whose disk was lost and repaired does not displace the leader', () => {
+  const election = new InMemoryElection();
+  // By ids alone the first voter would lead; another becomes leader while the first is down.
   election.run(3000, isNotA);
   expect(election.node(b).isLeading()).toBe(true);
   election.run(9000);
@@ -44,50 +44,50 @@
     { epoch: election.node(b).epoch, grantEpoch: 0, grantLeader: '' },
     election.now,
   );
-  let withoutMs = 0;
+  let withoutOrdersMs = 0;
   for (let step = 0; step < 500; step += 1) {
     election.run(10);
-    if (![...election.electors.values()].some((elector) => ordersAt(election.now, elector)))
-      withoutMs += 10;
+    if (![...election.electors.values()].some((elector) => mayOrderAt(election.now, elector)))
+      withoutOrdersMs += 10;
   }
   expect(election.node(a).leader).toBe(b);
   expect(
     [...election.electors.keys()].filter((id) => election.node(id).isLeading()).every(isB),
   ).toBe(true);
-  expect(withoutMs).toBeLessThan(1000);
+  expect(withoutOrdersMs).toBeLessThan(1000);
 });
-test('after all have restarted the same holder goes on without a pause', () => {
-  const election = new Election();
+test('after a restart of all voters the same leader continues without waiting for its lease', () => {
+  const election = new InMemoryElection();
   election.run(9000);
   expect(election.node(a).isLeading()).toBe(true);
-  election.restart();
-  expect(election.runUntilOrders()).toBeLessThan(VOTE_DEFAULTS.handoverGapMs);
+  election.restartAll();
+  expect(election.runUntilOrdersAllowed()).toBeLessThan(VOTE_DEFAULTS.handoverGapMs);
   expect(election.node(a).isLeading()).toBe(true);
 });
-test('after all have restarted another holder waits, and so does one that had just taken over', () => {
+test('after a restart of all voters another leader waits, and so does one that had just taken over', () => {
   const { leaseMs, handoverGapMs } = VOTE_DEFAULTS;
-  const election = new Election();
+  const election = new InMemoryElection();
   election.run(9000);
-  election.restart();
-  expect(election.runUntilOrders(isNotA)).toBeGreaterThanOrEqual(leaseMs + handoverGapMs);
-  // What was promised to the former holder may bind still where the record tells of the new one alone.
-  const changed = new Election();
+  election.restartAll();
+  expect(election.runUntilOrdersAllowed(isNotA)).toBeGreaterThanOrEqual(leaseMs + handoverGapMs);
+  // The lease of the former leader may still bind although the record names only the new one.
+  const changed = new InMemoryElection();
   changed.run(9000);
   changed.run(leaseMs + 1500, isNotA);
   expect(changed.node(b).isLeading()).toBe(true);
   expect(changed.node(b).mayOrder(changed.now)).toBe(false);
-  changed.restart();
-  expect(changed.runUntilOrders(isNotA)).toBeGreaterThanOrEqual(leaseMs + handoverGapMs);
+  changed.restartAll();
+  expect(changed.runUntilOrdersAllowed(isNotA)).toBeGreaterThanOrEqual(leaseMs + handoverGapMs);
 });
 
-/** Of its new voters a majority has promised nothing to the holder before it. */
-test('a change of voters does not end the wait for the holder before', () => {
-  const { leaseMs, handoverGapMs, renewMs, peerTimeoutMs: deadMs, electionMs } = VOTE_DEFAULTS;
-  const election = new Election();
+/** A majority of the new voters has granted no lease to the previous leader: by them alone the wait would be lost. */
+test('a change of voters does not end the wait for the lease of the previous leader', () => {
+  const { leaseMs, handoverGapMs, renewMs, peerTimeoutMs, electionMs } = VOTE_DEFAULTS;
+  const election = new InMemoryElection();
   election.run(9000);
   expect(election.node(a).mayOrder(election.now)).toBe(true);
   const lostAt = election.now;
-  election.run(deadMs + electionMs + 500, isNotA);
+  election.run(peerTimeoutMs + electionMs + 500, isNotA);
   expect(election.node(b).isLeading()).toBe(true);
   const [d, e] = [nodeId('d'), nodeId('e')];
   const joint = new Quorum([a, b, c], [d, b, e]);
@@ -98,13 +98,13 @@
     election.run(400, isNotA);
   }
   expect(election.node(b).isLeading()).toBe(true);
-  election.runUntilOrders(isNotA);
+  election.runUntilOrdersAllowed(isNotA);
   expect(election.node(b).mayOrder(election.now)).toBe(true);
   expect(election.now - lostAt).toBeGreaterThanOrEqual(leaseMs + handoverGapMs - renewMs);
 });
 
-/** A voter that has voted before and was started at moment 0, with its pings to others answered. */
-function started(): Elector {
+/** Voter `a` that has voted before and restarts at time 0, with its pings answered by both others. */
+function restartedElector(): Elector {
   const elector = new Elector(a, new Quorum([a, b, c]), VOTE_DEFAULTS, moment(0), {
     epoch: 6,
     grantEpoch: 6,
@@ -127,12 +127,12 @@
   return elector.role === 'proposing';
 }
 
-/** Electors in memory: what one says arrives a step later, and what is to be kept is kept at once. */
-class Election {
+/** Electors in memory: messages arrive one step of 10 ms later, and records are persisted immediately. */
+class InMemoryElection {
   #now = 0;
   readonly electors = new Map<NodeId, Elector>();
   readonly #records = new Map<NodeId, VoteRecord>();
-  #mail: { readonly from: NodeId; readonly to: NodeId; readonly message: Message }[] = [];
+  #inFlight: { readonly from: NodeId; readonly to: NodeId; readonly message: Message }[] = [];
 
   constructor() {
     for (const id of [a, b, c])
@@ -145,12 +145,12 @@
 
   node(id: NodeId): Elector {
     const elector = this.electors.get(id);
-    if (!elector) throw new Error(`no ${id}`);
+    if (!elector) throw new Error(`no voter ${id}`);
     return elector;
   }
 
-  restart(): void {
-    this.#mail = [];
+  restartAll(): void {
+    this.#inFlight = [];
     for (const id of [a, b, c])
       this.electors.set(
         id,
@@ -158,23 +158,23 @@
       );
   }
 
-  /** How long nobody may order, from now on. */
-  runUntilOrders(isUp: (id: NodeId) => boolean = always): number {
-    const began = this.#now;
+  /** Runs until a voter may send orders, for 10 s at most; returns how long that took, in milliseconds. */
+  runUntilOrdersAllowed(isUp: (id: NodeId) => boolean = everyNodeIsUp): number {
+    const startedAt = this.#now;
     while (
-      this.#now - began < 10_000 &&
-      ![...this.electors.values()].some((elector) => ordersAt(this.now, elector))
+      this.#now - startedAt < 10_000 &&
+      ![...this.electors.values()].some((elector) => mayOrderAt(this.now, elector))
     )
       this.run(10, isUp);
-    return this.#now - began;
+    return this.#now - startedAt;
   }
 
-  run(millis: number, isUp: (id: NodeId) => boolean = always): void {
+  run(millis: number, isUp: (id: NodeId) => boolean = everyNodeIsUp): void {
     for (const end = this.#now + millis; this.#now < end;) {
       this.#now += 10;
-      const mail = this.#mail;
-      this.#mail = [];
-      for (const { from, to, message } of mail)
+      const arriving = this.#inFlight;
+      this.#inFlight = [];
+      for (const { from, to, message } of arriving)
         if (isUp(to) && isUp(from)) this.node(to).onMessage(this.now, from, message);
       for (const [id, elector] of this.electors) {
         if (!isUp(id)) continue;
@@ -184,7 +184,7 @@
             if (effect.do === 'persistVote') {
               this.#records.set(id, effect.record);
               elector.onPersisted(effect.token);
-            } else this.#mail.push({ from: id, to: effect.to, message: effect.message });
+            } else this.#inFlight.push({ from: id, to: effect.to, message: effect.message });
           }
         }
       }
@@ -192,7 +192,7 @@
   }
 }
 
-function always(): boolean {
+function everyNodeIsUp(): boolean {
   return true;
 }
 function isNotA(id: NodeId): boolean {
@@ -202,18 +202,22 @@
   return id === b;
 }
 
-function ordersAt(now: Moment, elector: Elector): boolean {
+function mayOrderAt(now: Moment, elector: Elector): boolean {
   return elector.mayOrder(now);
 }
 
-/** Three voters on virtual time: messages take 2 ms, the disk takes 2 ms, ticks come every 50 ms. */
-class Trio {
+/** Three restarting voters on virtual time: messages and disk writes take 2 ms, ticks come every 50 ms. */
+class RestartedVoters {
   now = 0;
   readonly electors = new Map<string, Elector>();
   readonly #startAt = new Map<string, number>();
   #queue: { readonly at: number; readonly run: () => void }[] = [];
 
-  constructor(startAt: Readonly<Record<string, number>>, settings: VoteSettings, before = 'a') {
+  constructor(
+    startAt: Readonly<Record<string, number>>,
+    settings: VoteSettings,
+    formerLeader = 'a',
+  ) {
     for (const [id, at] of Object.entries(startAt)) {
       this.#startAt.set(id, at);
       this.electors.set(
@@ -221,7 +225,7 @@
         new Elector(nodeId(id), new Quorum([a, b, c]), settings, moment(at), {
           epoch: 6,
           grantEpoch: 6,
-          grantLeader: before,
+          grantLeader: formerLeader,
         }),
       );
     }
@@ -232,7 +236,7 @@
     return '';
   }
 
-  /** Plays until somebody leads, or the time is over; returns when. */
+  /** Runs until a voter leads or `untilMs` is reached; returns the time. */
   run(untilMs: number): number {
     for (; this.now < untilMs; this.now += 1) {
       for (const item of this.#queue.filter((item) => item.at <= this.now)) item.run();
@@ -241,14 +245,14 @@
         const start = this.#startAt.get(id) ?? 0;
         if (this.now < start) continue;
         if ((this.now - start) % 50 === 0) elector.tick(moment(this.now));
-        this.#carryOut(id, elector);
+        this.#runEffects(id, elector);
         if (elector.isLeading()) return this.now;
       }
     }
     return this.now;
   }
 
-  #carryOut(id: string, elector: Elector): void {
+  #runEffects(id: string, elector: Elector): void {
     for (const effect of elector.drain()) {
       if (effect.do === 'send')
         this.#queue.push({
@@ -260,21 +264,21 @@
   }
 
   #deliver(from: string, to: string, message: Message): void {
-    // Who has not started yet hears nothing.
+    // A voter that has not started yet receives nothing.
     if (this.now < (this.#startAt.get(to) ?? 0)) return;
     this.electors.get(to)?.onMessage(moment(this.now), nodeId(from), message);
   }
 }
-test('three voters that start again at about the same time have a leader within 400 ms', () => {
-  for (const [one, two] of [
+test('three voters that restart at about the same time have a leader within 400 ms', () => {
+  for (const [startB, startC] of [
     [0, 0],
     [1, 2],
     [30, 10],
     [180, 40],
     [10, 240],
   ] as const) {
-    const trio = new Trio(
-      { a: 0, b: one, c: two },
+    const voters = new RestartedVoters(
+      { a: 0, b: startB, c: startC },
       {
         ...VOTE_DEFAULTS,
         pingMs: 250,
@@ -284,11 +288,11 @@
         peerTimeoutMs: 1200,
       },
     );
-    expect(trio.run(3000) - Math.max(one, two)).toBeLessThan(400);
+    expect(voters.run(3000) - Math.max(startB, startC)).toBeLessThan(400);
   }
-  // Whoever led before leads again, wherever it stands among the voters.
-  for (const before of ['a', 'b', 'c']) {
-    const trio = new Trio(
+  // The former leader leads again, whatever its position among the voters.
+  for (const formerLeader of ['a', 'b', 'c']) {
+    const voters = new RestartedVoters(
       { a: 0, b: 3, c: 1 },
       {
         ...VOTE_DEFAULTS,
@@ -298,9 +302,9 @@
         leaseMs: 1500,
         peerTimeoutMs: 1200,
       },
-      before,
+      formerLeader,
     );
-    expect(trio.run(3000)).toBeLessThan(400);
-    expect(trio.leader).toBe(before);
+    expect(voters.run(3000)).toBeLessThan(400);
+    expect(voters.leader).toBe(formerLeader);
   }
 });
