--- a/src/election/candidacy.ts
+++ b/src/election/candidacy.ts
@@ -72,7 +72,7 @@
     else if (isElecting(epoch)) this.#onRivalProposal(now, from, reports);
   }
 
-  /** Counts a deferral to this voter's proposal; it wins at once when all live voters have deferred. */
+  /** Counts a deferral to this voter's proposal; it wins immediately when all live voters have deferred. */
   onDefer(now: Moment, from: NodeId, epoch: Epoch, reports: Reports): void {
     const { peerMonitor, role, epoch: currentEpoch, quorum, ranking, others } = this.#state;
     peerMonitor.scores.merge(reports);
--- a/src/election/elector.ts
+++ b/src/election/elector.ts
@@ -62,7 +62,7 @@
   get scores(): Scores {
     return this.#state.peerMonitor.scores;
   }
-  /** The record that must survive a crash, as it currently stands. */
+  /** The current state of the record that must survive a crash. */
   get record(): VoteRecord {
     return this.#state.record;
   }
--- a/src/election/follower-role.ts
+++ b/src/election/follower-role.ts
@@ -50,7 +50,7 @@
     state.sendBehind(from);
   }
 
-  /** Acknowledges a renewal of the followed leader; for any other winner it stands in for a missed victory. */
+  /** Acknowledges a renewal of the followed leader; for any other winner it counts as a missed victory. */
   onRenew(now: Moment, from: NodeId, epoch: Epoch, message: RenewMessage): void {
     const state = this.#state;
     if (!this.#isWinner(from, epoch)) return;
@@ -70,7 +70,7 @@
     state.send(from, { kind: 'renewed', epoch, nonce: message.nonce });
   }
 
-  /** The leader stops as planned and sends no more orders: its lease ends, and an election starts at once. */
+  /** The leader stops as planned and sends no more orders: its lease ends, and an election starts immediately. */
   onReleased(now: Moment, from: NodeId, epoch: Epoch): void {
     const { epoch: currentEpoch, leader, grants } = this.#state;
     if (epoch !== currentEpoch || leader !== from) return;
--- a/src/election/lease.test.ts
+++ b/src/election/lease.test.ts
@@ -8,8 +8,8 @@
 const QUORUM = new Quorum([a, b, c]);
 const { leaseMs, renewMs } = VOTE_DEFAULTS;
 
-/** A lease of `a`, granted at moment 10 by itself and `b`, with both free to let it order at once. */
-function granted(): Lease {
+/** The lease of `a`, granted at time 10 by `a` and `b` without a wait. */
+function grantedLease(): Lease {
   const lease = new Lease(VOTE_DEFAULTS);
   const nonce = lease.begin(moment(0));
   for (const voter of [a, b]) {
@@ -18,12 +18,12 @@
   }
   return lease;
 }
-test('a lease ends a span after the sending of the newest renewal that a majority returned', () => {
-  const lease = granted();
+test('a lease ends leaseMs after the newest renewal acknowledged by a majority was sent', () => {
+  const lease = grantedLease();
   expect(lease.end).toBe(leaseMs);
   const nonce = lease.renew(moment(renewMs)) ?? 0;
   expect(lease.renew(moment(renewMs + 1))).toBeUndefined();
-  // However late a majority returns it: the span counts from the sending.
+  // The duration counts from when the renewal was sent, however late a majority acknowledges it.
   lease.countRenewal(a, nonce, QUORUM);
   expect(lease.end).toBe(leaseMs);
   lease.countRenewal(c, nonce, QUORUM);
@@ -31,8 +31,8 @@
   expect(lease.mayOrder(moment(renewMs + leaseMs - 1), QUORUM)).toBe(true);
   expect(lease.mayOrder(moment(renewMs + leaseMs), QUORUM)).toBe(false);
 });
-test('a renewal returned late shortens nothing, and none outlives the lead', () => {
-  const lease = granted();
+test('a late acknowledgement does not shorten the lease, and none counts after the lease was cleared', () => {
+  const lease = grantedLease();
   const first = lease.renew(moment(renewMs)) ?? 0;
   const second = lease.renew(moment(renewMs * 2)) ?? 0;
   for (const voter of [a, b]) lease.countRenewal(voter, second, QUORUM);
@@ -42,7 +42,7 @@
   for (const voter of [a, b]) lease.countRenewal(voter, second, QUORUM);
   expect(lease.mayOrder(moment(renewMs * 2), QUORUM)).toBe(false);
 });
-test('a holder orders once some majority of those that granted is free', () => {
+test('orders are allowed once the waits of any majority of the granting voters are over', () => {
   const lease = new Lease(VOTE_DEFAULTS);
   const nonce = lease.begin(moment(0));
   for (const voter of [a, b]) lease.countRenewal(voter, nonce, QUORUM);
@@ -50,7 +50,7 @@
   lease.countGrant(moment(0), b, 400, QUORUM);
   expect(lease.mayOrder(moment(899), QUORUM)).toBe(false);
   expect(lease.mayOrder(moment(900), QUORUM)).toBe(true);
-  // The first free majority is enough, and a promise told again ends when it was first said to.
+  // The first such majority is enough, and a repeated grant does not extend its wait.
   lease.countGrant(moment(0), c, 500, QUORUM);
   lease.countGrant(moment(300), b, 900, QUORUM);
   expect(lease.mayOrder(moment(499), QUORUM)).toBe(false);
--- a/src/election/peer-monitor.test.ts
+++ b/src/election/peer-monitor.test.ts
@@ -8,56 +8,56 @@
 const [a, b, c] = [nodeId('a'), nodeId('b'), nodeId('c')];
 const QUORUM = new Quorum([a, b, c]);
 
-/** Links of `a` after one ping at moment 0. */
-function pinged(): PeerMonitor {
-  const links = new PeerMonitor(a, VOTE_DEFAULTS, new SyncedOutbox(moment(0)), moment(0));
-  links.tick(moment(0), QUORUM, undefined);
-  return links;
+/** The monitor of `a` after one ping at time 0. */
+function monitorAfterPing(): PeerMonitor {
+  const monitor = new PeerMonitor(a, VOTE_DEFAULTS, new SyncedOutbox(moment(0)), moment(0));
+  monitor.tick(moment(0), QUORUM, undefined);
+  return monitor;
 }
 
-function answer(links: PeerMonitor, peer: NodeId, at: number, sent: number = 0): void {
-  links.onPong(moment(at), peer, {
+function returnPing(monitor: PeerMonitor, peer: NodeId, at: number, sentAt: number = 0): void {
+  monitor.onPong(moment(at), peer, {
     kind: 'pong',
-    nonce: sent,
+    nonce: sentAt,
     epoch: 0,
     reports: [],
     standing: '',
   });
 }
-test('up to a round trip of 100 ms nothing is added', () => {
-  const links = pinged();
-  expect(links.extraRoundTripMs(QUORUM)).toBe(0);
-  answer(links, b, 100);
-  expect([links.extraRoundTripMs(QUORUM), links.extraRoundTripMsOf(b)]).toEqual([0, 0]);
+test('a round trip of up to 100 ms adds no extra time', () => {
+  const monitor = monitorAfterPing();
+  expect(monitor.extraRoundTripMs(QUORUM)).toBe(0);
+  returnPing(monitor, b, 100);
+  expect([monitor.extraRoundTripMs(QUORUM), monitor.extraRoundTripMsOf(b)]).toEqual([0, 0]);
 });
-test('twice what a round trip exceeds that is added', () => {
-  const links = pinged();
-  answer(links, b, 600);
+test('a longer round trip adds twice its excess over 100 ms', () => {
+  const monitor = monitorAfterPing();
+  returnPing(monitor, b, 600);
   expect([
-    links.extraRoundTripMs(QUORUM),
-    links.extraRoundTripMsOf(b),
-    links.extraRoundTripMsOf(c),
+    monitor.extraRoundTripMs(QUORUM),
+    monitor.extraRoundTripMsOf(b),
+    monitor.extraRoundTripMsOf(c),
   ]).toEqual([1000, 1000, 0]);
-  // The nearer one completes the majority: the far one makes nobody wait.
-  answer(links, c, 650, 640);
-  expect([links.extraRoundTripMs(QUORUM), links.extraRoundTripMsOf(b)]).toEqual([0, 1000]);
+  // The nearer voter completes the majority, so nothing waits for the far one.
+  returnPing(monitor, c, 650, 640);
+  expect([monitor.extraRoundTripMs(QUORUM), monitor.extraRoundTripMsOf(b)]).toEqual([0, 1000]);
 });
-test('what proves no contact measures nothing', () => {
-  const links = pinged();
-  answer(links, b, VOTE_DEFAULTS.peerTimeoutMs);
-  expect([links.extraRoundTripMs(QUORUM), links.reachesMajority(QUORUM)]).toEqual([0, false]);
-  // A pong to a former incarnation names a moment that this one has not had yet.
-  answer(links, c, 100, 5000);
-  expect([links.extraRoundTripMs(QUORUM), links.extraRoundTripMsOf(c)]).toEqual([0, 0]);
+test('a pong that proves no contact is not measured', () => {
+  const monitor = monitorAfterPing();
+  returnPing(monitor, b, VOTE_DEFAULTS.peerTimeoutMs);
+  expect([monitor.extraRoundTripMs(QUORUM), monitor.reachesMajority(QUORUM)]).toEqual([0, false]);
+  // A pong to a previous incarnation may carry a time that is still ahead.
+  returnPing(monitor, c, 100, 5000);
+  expect([monitor.extraRoundTripMs(QUORUM), monitor.extraRoundTripMsOf(c)]).toEqual([0, 0]);
 });
-test('one that is away does not count', () => {
-  const links = pinged();
-  answer(links, b, 10);
-  answer(links, c, 600);
-  expect(links.extraRoundTripMs(QUORUM)).toBe(0);
+test('a dead voter does not count', () => {
+  const monitor = monitorAfterPing();
+  returnPing(monitor, b, 10);
+  returnPing(monitor, c, 600);
+  expect(monitor.extraRoundTripMs(QUORUM)).toBe(0);
   const later = moment(600 + VOTE_DEFAULTS.peerTimeoutMs);
-  answer(links, c, later, later - 600);
-  // Dead to us from the next ping on: the majority is then one with the far voter.
-  links.tick(later, QUORUM, undefined);
-  expect(links.extraRoundTripMs(QUORUM)).toBe(1000);
+  returnPing(monitor, c, later, later - 600);
+  // `b` counts as dead from the next ping on, so the majority then includes the far voter.
+  monitor.tick(later, QUORUM, undefined);
+  expect(monitor.extraRoundTripMs(QUORUM)).toBe(1000);
 });
--- a/src/election/peer-monitor.ts
+++ b/src/election/peer-monitor.ts
@@ -127,7 +127,7 @@
     return quorum.isMajority(new Set(quorum.all.filter(this.#scores.isAlive, this.#scores)));
   }
 
-  /** Whether a majority knows no leader. Then none exists: after a restart of all voters there is none to listen for. */
+  /** Whether a majority knows no leader. Then none exists: after all voters restart there is none to listen for. */
   isMajorityLeaderless(quorum: Quorum): boolean {
     if (this.#leaderlessPeers.size === 0) return false;
     return quorum.isMajority(new Set([this.#me, ...this.#leaderlessPeers]));
--- a/src/election/scores.test.ts
+++ b/src/election/scores.test.ts
@@ -3,8 +3,8 @@
 import { Scores } from './scores.js';
 
 const [a, b, c] = [nodeId('a'), nodeId('b'), nodeId('c')];
-const voters = [a, b, c];
-test("a score moves by the design's formula and never below 0", () => {
+const VOTERS = [a, b, c];
+test("a score follows the design's formula and never falls below 0", () => {
   const scores = new Scores(a, 10);
   scores.recordAlive(b, 1);
   scores.recordDead(b, 2);
@@ -15,23 +15,23 @@
   scores.recordAlive(b, 1);
   expect(scores.reports()[0]?.links[0]?.score).toBeCloseTo(0.05);
 });
-test('a down link counts 0', () => {
+test('a dead link counts 0', () => {
   const scores = new Scores(a, 10);
   scores.recordAlive(b, 1);
-  expect(scores.total(b, voters)).toBe(1);
+  expect(scores.total(b, VOTERS)).toBe(1);
   scores.recordDead(b, 0.1);
-  expect(scores.total(b, voters)).toBe(0);
+  expect(scores.total(b, VOTERS)).toBe(0);
 });
-test('scores never go backward, and a frozen copy stays', () => {
+test('older reports are ignored, and a frozen copy does not change', () => {
   const scores = new Scores(a, 10);
   scores.merge([{ owner: 'b', version: 5, links: [{ peer: 'c', score: 0.5, alive: true }] }]);
   scores.merge([{ owner: 'b', version: 4, links: [{ peer: 'c', score: 0.9, alive: true }] }]);
-  expect(scores.total(c, voters)).toBe(0.5);
+  expect(scores.total(c, VOTERS)).toBe(0.5);
   const frozen = scores.freeze();
   scores.merge([{ owner: 'b', version: 6, links: [{ peer: 'c', score: 0.7, alive: true }] }]);
-  expect(frozen.total(c, voters)).toBe(0.5);
+  expect(frozen.total(c, VOTERS)).toBe(0.5);
 });
-test('a restarted owner goes on from its own last version', () => {
+test('a restarted owner continues from its own last version', () => {
   const scores = new Scores(a, 10);
   scores.recordAlive(b, 1);
   scores.merge([{ owner: 'a', version: 90, links: [{ peer: 'b', score: 0.4, alive: false }] }]);
--- a/src/election/scores.ts
+++ b/src/election/scores.ts
@@ -69,7 +69,7 @@
       for (const link of report.links)
         links.set(nodeId(link.peer), { score: link.score, isAlive: link.alive });
       if (owner === this.#me) {
-        // This node's own report from before a restart: its version and scores continue, but only pings of the present
+        // This node's own report from before a restart: its version and scores continue, but only pings of the current
         // process tell which peers are alive.
         for (const [peer, link] of links)
           links.set(peer, {
--- a/src/election/synced-outbox.test.ts
+++ b/src/election/synced-outbox.test.ts
@@ -9,7 +9,7 @@
 const SEND = { do: 'send', to: 'b', message: MESSAGE };
 const STALL_MS = 1000;
 
-test('what is sent after a record leaves once that record is on disk', () => {
+test('a message sent after a record leaves once that record is on disk', () => {
   const outbox = new SyncedOutbox(moment(0));
   outbox.persist(RECORD, moment(0));
   outbox.send(b, MESSAGE);
@@ -21,7 +21,7 @@
   expect(outbox.drain()).toEqual([]);
 });
 
-test('what is sent after two records waits for the second, and what was sent before it does not', () => {
+test('a message waits for all records written before it, but for no later ones', () => {
   const outbox = new SyncedOutbox(moment(0));
   const released: Message = { kind: 'released', epoch: 4 };
   outbox.persist(RECORD, moment(0));
@@ -35,7 +35,7 @@
   expect(outbox.drain()).toEqual([{ ...SEND, message: released }]);
 });
 
-test('a newer record on disk stands for the older ones, and an older one told late takes nothing back', () => {
+test('a persisted record covers the older ones, and a late report of an older one changes nothing', () => {
   const outbox = new SyncedOutbox(moment(0));
   outbox.persist(RECORD, moment(0));
   outbox.persist(RECORD, moment(0));
@@ -48,13 +48,13 @@
   expect(outbox.drain()).toEqual([SEND]);
 });
 
-test('nothing waits where every record is on disk', () => {
+test('a message is sent immediately if every record is on disk', () => {
   const outbox = new SyncedOutbox(moment(0));
   outbox.send(b, MESSAGE);
   expect(outbox.drain()).toEqual([SEND]);
 });
 
-test('what rests on no record is sent at once, and a record that nobody awaits holds nothing up', () => {
+test('a message that depends on no record is not delayed, and a background record delays none', () => {
   const outbox = new SyncedOutbox(moment(0));
   outbox.persistInBackground(RECORD);
   outbox.send(b, MESSAGE);
@@ -64,11 +64,11 @@
   expect(outbox.drain()).toEqual([{ do: 'persistVote', token: 1, record: RECORD }, SEND]);
 });
 
-test('a disk is stalled once the oldest record that it owes has waited for longer than the limit', () => {
+test('a disk is stalled once its oldest pending record has waited for longer than the limit', () => {
   const outbox = new SyncedOutbox(moment(0));
   expect(outbox.isStalled(moment(50_000), STALL_MS)).toBe(false);
   outbox.persist(RECORD, moment(10_000));
-  // A second record does not begin the wait anew.
+  // A second record does not restart the wait.
   outbox.persist(RECORD, moment(10_900));
   expect(outbox.isStalled(moment(11_000), STALL_MS)).toBe(false);
   expect(outbox.isStalled(moment(11_001), STALL_MS)).toBe(true);
