--- a/src/control/control-snapshot.ts
+++ b/src/control/control-snapshot.ts
@@ -35,7 +35,7 @@
 /** A snapshot of a node for its metrics; a query without effects. */
 export function metricsOf(now: Moment, sources: MetricsSources): ControlMetrics {
   const { elector, state, leadership, counters, repair } = sources;
-  const contact = elector.majorityContact(now);
+  const contact = elector.lastMajorityContactAt(now);
   const committed = sources.relay.version('config');
   return {
     epoch: elector.epoch,
@@ -64,7 +64,7 @@
 function voterNumbers(now: Moment, { me, elector, voters }: MetricsSources): VoterNumbers {
   return {
     members: voters.quorum.all.length,
-    reachable: elector.reachableVoters(now),
+    reachable: elector.countReachableVoters(now),
     isVoter: voters.quorum.includes(me),
     isJoint: voters.quorum.sets > 1,
   };
--- a/src/election/candidacy.test.ts
+++ b/src/election/candidacy.test.ts
@@ -2,7 +2,7 @@
 import { nodeId } from '../common/ids.js';
 import type { Message, ScoreReport } from '../common/messages.js';
 import { Quorum } from '../common/quorum.js';
-import { A, B, C, kindsOf, VoterHarness, reportOf } from './testing/lone-voter.js';
+import { A, B, C, kindsOf, VoterHarness, reportOf } from './testing/voter-harness.js';
 import { VOTE_DEFAULTS } from './vote-settings.js';
 
 const { pingMs, electionMs, peerTimeoutMs, renewMs, leaseMs } = VOTE_DEFAULTS;
--- a/src/election/elector.ts
+++ b/src/election/elector.ts
@@ -144,7 +144,7 @@
   }
 
   /** Number of voters that returned a ping sent within the peer timeout, including this node if it votes. */
-  reachableVoters(now: Moment): number {
+  countReachableVoters(now: Moment): number {
     return this.#state.peerMonitor.countReachableVoters(now, this.#state.quorum);
   }
 
@@ -152,7 +152,7 @@
    * The latest time at which this node had two-way contact with a majority of the voters: each of them has returned a
    * ping sent at that time or later. Undefined if there was none since the process started.
    */
-  majorityContact(now: Moment): Moment | undefined {
+  lastMajorityContactAt(now: Moment): Moment | undefined {
     return this.#state.peerMonitor.lastMajorityContactAt(now, this.#state.quorum);
   }
 
--- a/src/election/follower-role.test.ts
+++ b/src/election/follower-role.test.ts
@@ -1,7 +1,14 @@
 import { describe, expect, test } from 'vitest';
 import { moment, nodeId, type NodeId } from '../common/ids.js';
 import type { Message } from '../common/messages.js';
-import { A, B, C, kindsOf, VoterHarness, type VoterHarnessOptions } from './testing/lone-voter.js';
+import {
+  A,
+  B,
+  C,
+  kindsOf,
+  VoterHarness,
+  type VoterHarnessOptions,
+} from './testing/voter-harness.js';
 import { VOTE_DEFAULTS } from './vote-settings.js';
 
 const { leaseMs, handoverGapMs, drift, pingMs } = VOTE_DEFAULTS;
--- a/src/election/leader-role.test.ts
+++ b/src/election/leader-role.test.ts
@@ -2,7 +2,7 @@
 import { moment, nodeId, type NodeId } from '../common/ids.js';
 import type { Message } from '../common/messages.js';
 import { Quorum } from '../common/quorum.js';
-import { A, B, C, kindsOf, VoterHarness, THREE_VOTERS } from './testing/lone-voter.js';
+import { A, B, C, kindsOf, VoterHarness, THREE_VOTERS } from './testing/voter-harness.js';
 import { VOTE_DEFAULTS } from './vote-settings.js';
 
 const { leaseMs, renewMs, pingMs, electionMs } = VOTE_DEFAULTS;
--- a/src/election/slow-links-election.test.ts
+++ b/src/election/slow-links-election.test.ts
@@ -1,6 +1,6 @@
 import { describe, expect, test } from 'vitest';
 import type { Message, ScoreReport } from '../common/messages.js';
-import { A, B, C, kindsOf, VoterHarness, reportOf } from './testing/lone-voter.js';
+import { A, B, C, kindsOf, VoterHarness, reportOf } from './testing/voter-harness.js';
 import { VOTE_DEFAULTS } from './vote-settings.js';
 
 const { electionMs } = VOTE_DEFAULTS;
