--- a/src/proxy/buffered-relay.ts
+++ b/src/proxy/buffered-relay.ts
@@ -23,7 +23,7 @@
     this.#writer = writer;
   }
 
-  /** Begins to read the body. */
+  /** Starts reading the body. */
   start(): void {
     this.#runnerResponse.on('data', (chunk) => this.#onData(chunk));
     this.#runnerResponse.once('end', () => this.#onEnd());
--- a/src/proxy/byte-relay.ts
+++ b/src/proxy/byte-relay.ts
@@ -22,7 +22,7 @@
     this.#writer = writer;
   }
 
-  /** Forwards the head, and begins to read the body. */
+  /** Forwards the head, and starts reading the body. */
   start(): void {
     const { exchange } = this.#attempt;
     this.#writer.writeHead(
@@ -30,7 +30,7 @@
       this.#runnerResponse,
       this.#runnerResponse.headers['content-length'],
     );
-    // From its head on the client has begun to receive this run's response, and no other run's can follow.
+    // Once its head is forwarded, the client receives this run's response, and it can't be continued by another run's.
     this.#handler.onData(this.#attempt);
     this.#runnerResponse.on('data', (chunk) => this.#onData(chunk));
     this.#runnerResponse.once('end', () => this.#onEnd());
--- a/src/proxy/client-connections.ts
+++ b/src/proxy/client-connections.ts
@@ -2,37 +2,37 @@
 import type { Socket } from 'node:net';
 
 interface ConnectionState<Exchange> {
-  /** Requests whose head came and whose body is being read. */
+  /** Requests whose head has arrived and whose body is still being read. */
   readonly reading: Set<IncomingMessage>;
-  /** Requests that were read whole and are not answered, in the order in which they came. */
+  /** Requests that were read completely and have no response yet, in order of arrival. */
   readonly unanswered: Set<Exchange>;
   isClosing: boolean;
 }
 
 /**
- * What is open on each connection of a client. Requests may be pipelined: several are then under way on one connection,
- * and Node tells only the one whose turn it is that the connection closed.
+ * Tracks the open requests of each client connection. Requests may be pipelined: several are then in progress on one
+ * connection, and Node emits `close` only on the one whose response is next.
  */
 export class ClientConnections<Exchange> {
   readonly #connections = new Map<Socket, ConnectionState<Exchange>>();
-  readonly #abandon: (exchange: Exchange) => void;
+  readonly #onAbandoned: (exchange: Exchange) => void;
 
-  /** `abandon` is called for each unanswered request once its connection has closed. */
-  constructor(abandon: (exchange: Exchange) => void) {
-    this.#abandon = abandon;
+  /** `onAbandoned` is called for each request without a response when its connection has closed. */
+  constructor(onAbandoned: (exchange: Exchange) => void) {
+    this.#onAbandoned = onAbandoned;
   }
 
-  /** The head of a request came. */
+  /** The head of a request arrived. */
   onRequestHead(request: IncomingMessage): void {
     this.#stateOf(request.socket).reading.add(request);
   }
 
-  /** The request will not be read to its end, or is answered without a runner. */
+  /** The request will not be read completely, or is answered without a runner. */
   onRequestAborted(request: IncomingMessage): void {
     this.#stateOf(request.socket).reading.delete(request);
   }
 
-  /** The request was read whole. False where nobody waits for its answer any more, so that it must not be run. */
+  /** The request was read completely. Returns false if its connection is closing or closed: it must not be run then. */
   onRequestRead(request: IncomingMessage, exchange: Exchange): boolean {
     const { socket } = request;
     const requests = this.#stateOf(socket);
@@ -42,12 +42,12 @@
     return true;
   }
 
-  /** The request was answered, or its client left. */
+  /** The response is complete, or the client disconnected. */
   onResponseEnd(socket: Socket, exchange: Exchange): void {
     this.#connections.get(socket)?.unanswered.delete(exchange);
   }
 
-  /** Whether a request that was read whole has no answer yet: what is written now would take its place. */
+  /** Whether a completely read request has no response yet: anything written now would be taken for that response. */
   isResponseDue(socket: Socket): boolean {
     const requests = this.#connections.get(socket);
     if (!requests) return false;
@@ -57,8 +57,9 @@
   }
 
   /**
-   * Marks the connection as closing after the answer to this request, if that is the last one due; what comes on it later
-   * is not run. Otherwise the answers behind it would be lost, and with them runs that were begun.
+   * Marks the connection as closing after the response to this request, if that is the last one due, and returns whether
+   * it did. Requests that arrive on it later are not run. Closing before the last response would lose the responses behind
+   * it, and with them runs that have started.
    */
   closeAfter(socket: Socket, exchange: Exchange): boolean {
     const requests = this.#stateOf(socket);
@@ -69,7 +70,10 @@
     return true;
   }
 
-  /** Lets connections that rest now rest for so long from now on; Node gives each the time that held when its rest began. */
+  /**
+   * Restarts the idle timeout of connections that are idle now, with this value, ms. Node applies to each connection the
+   * timeout that was set when it became idle.
+   */
   setIdleTimeout(idleMs: number): void {
     for (const [socket, { reading, unanswered }] of this.#connections) {
       if (reading.size === 0 && unanswered.size === 0) socket.setTimeout(idleMs);
@@ -92,6 +96,6 @@
   #onClosed(socket: Socket, requests: ConnectionState<Exchange>): void {
     this.#connections.delete(socket);
     requests.isClosing = true;
-    for (const exchange of [...requests.unanswered]) this.#abandon(exchange);
+    for (const exchange of [...requests.unanswered]) this.#onAbandoned(exchange);
   }
 }
--- a/src/proxy/client-exchange.ts
+++ b/src/proxy/client-exchange.ts
@@ -14,12 +14,12 @@
   readonly clientResponse: ServerResponse;
   readonly body: Buffer;
   readonly annotations: RequestAnnotations;
-  /** The last attempt at a runner. */
+  /** The latest attempt at a runner. */
   attempt: Attempt | undefined;
-  /** The id of the last event that was forwarded; before the first, the one that the client named. */
+  /** The id of the last event that was forwarded; before the first one, the `Last-Event-ID` that the client sent. */
   lastEventId: number | undefined;
   isHeadForwarded: boolean;
-  /** Whether an event without an id was forwarded: no other run could be asked to skip it. */
+  /** Whether an event without an id was forwarded: another run can't be asked to skip it. */
   hasEventWithoutId: boolean;
 }
 
@@ -30,7 +30,7 @@
   readonly runnerRequest: ClientRequest;
   /** The runner's response, once its head has arrived. */
   runnerResponse: IncomingMessage | undefined;
-  /** Whether its further events are void. */
+  /** Whether the attempt has ended: its further events are ignored. */
   isDone = false;
 
   constructor(exchange: ClientExchange, send: SendEffect, runnerRequest: ClientRequest) {
@@ -39,22 +39,22 @@
     this.runnerRequest = runnerRequest;
   }
 
-  /** The response is complete. Where it came before the request was written completely, the writing ends too. */
+  /** The response is complete. If it arrived before the request was written completely, the connection is closed. */
   complete(): void {
     this.isDone = true;
     if (!this.runnerRequest.writableFinished) this.runnerRequest.destroy();
   }
 
-  /** Aborts it: its connection closes. */
+  /** Aborts the attempt by closing its connection. */
   abort(): void {
     this.isDone = true;
     this.runnerRequest.destroy();
   }
 }
 
-/** Ends a response so that no client takes it for complete. */
+/** Aborts a response in a way that no client takes it for complete. */
 export function abortResponse({ clientRequest, clientResponse }: ClientExchange): void {
-  // To a client of HTTP/1.0 an orderly end of the connection would be the end of the response.
+  // An HTTP/1.0 client takes an orderly close of the connection for the end of the response.
   if (clientRequest.httpVersion === '1.0') clientRequest.socket.resetAndDestroy();
   clientResponse.destroy();
 }
--- a/src/proxy/client-patience.ts
+++ b/src/proxy/client-patience.ts
@@ -2,15 +2,15 @@
 import type { Route } from '../route/routing.js';
 
 /**
- * How long clients of streams put up with silence before they give a request up, its first event included: the longest
- * of a fixed time, a multiple of the latency target and a multiple of the longest pause between events. All three are
- * the protocol's (docs/platform.md).
+ * The client of an event stream aborts its request when it receives nothing, before the first event as well as between
+ * events, for the longest of these: a fixed time, a multiple of the route's latency target, and a multiple of its target
+ * for the gap between events. The protocol defines all three (docs/platform.md).
  */
 const MIN_SILENCE_MS = 2000;
 const TARGETS_OF_SILENCE = 4;
 const GAPS_OF_SILENCE = 8;
 
-/** How long a client of the route waits in silence before it gives up, ms; Infinity where it waits until its deadline. */
+/** How long a client of the route waits without receiving anything, ms; Infinity where it waits until its deadline. */
 export function silenceLimitMs(route: Route): number {
   if (route.kind !== 'stream') return Infinity;
   return Math.max(
@@ -20,7 +20,7 @@
   );
 }
 
-/** When the client of a request that arrived at `arrivedAt` gives it up unless something was answered. */
+/** When the client of a request that arrived at `arrivedAt` aborts it if nothing has been sent by then. */
 export function patienceEnd(route: Route, arrivedAt: Moment, deadline: Moment): Moment {
   const silenceMs = silenceLimitMs(route);
   return silenceMs < deadline - arrivedAt ? later(arrivedAt, silenceMs) : deadline;
--- a/src/proxy/client-server.ts
+++ b/src/proxy/client-server.ts
@@ -10,7 +10,7 @@
 import type { RequestDialect } from './request-dialect.js';
 import type { EventLoopGuard } from './event-loop-guard.js';
 
-/** Until operators have set their limits. */
+/** The limits that apply until a configuration has arrived. */
 const INITIAL_LIMITS: Limits = {
   maxHeaderBytes: 64 * 1024,
   maxBodyBytes: 4 * 1024 * 1024,
@@ -18,37 +18,37 @@
   idleMs: 15_000,
 };
 
-/** Knows the operators' limits, once there is a configuration. */
+/** Provides the operators' limits; `routing` is undefined until a configuration has arrived. */
 export interface LimitSource {
   readonly routing: { readonly limits: Limits } | undefined;
 }
 
-/** Reads requests of clients whole, within the operators' limits, and hands them over. */
+/** The HTTP server for clients: reads each request completely, within the operators' limits, and passes it on. */
 export class ClientServer {
   readonly #source: LimitSource;
   readonly #dialect: RequestDialect;
   readonly #counters: Counters;
   readonly #connections: ClientConnections<ClientExchange>;
   readonly #eventLoopGuard: EventLoopGuard;
-  /** Takes a request that was read whole and whose client still waits. */
+  /** Called with each request that was read completely and whose client is still connected. */
   readonly #onRequest: (exchange: ClientExchange) => void;
   readonly #server: Server;
-  #count = 0;
+  #lastExchangeId = 0;
 
   constructor(
     source: LimitSource,
     dialect: RequestDialect,
     counters: Counters,
     connections: ClientConnections<ClientExchange>,
-    stallGuard: EventLoopGuard,
-    handOver: (exchange: ClientExchange) => void,
+    eventLoopGuard: EventLoopGuard,
+    onRequest: (exchange: ClientExchange) => void,
   ) {
     this.#source = source;
     this.#dialect = dialect;
     this.#counters = counters;
     this.#connections = connections;
-    this.#eventLoopGuard = stallGuard;
-    this.#onRequest = handOver;
+    this.#eventLoopGuard = eventLoopGuard;
+    this.#onRequest = onRequest;
     this.#server = createServer(
       {
         maxHeaderSize: INITIAL_LIMITS.maxHeaderBytes,
@@ -68,7 +68,7 @@
     return bindServer(this.#server, address);
   }
 
-  /** Takes up the operators' limits on what a client may send, and how slowly. */
+  /** Applies the operators' limits on the size and pace of requests. */
   applyLimits(): void {
     const limits = this.#source.routing?.limits;
     if (!limits) return;
@@ -76,26 +76,26 @@
     if (limits.idleMs !== this.#server.keepAliveTimeout)
       this.#connections.setIdleTimeout(limits.idleMs);
     this.#server.keepAliveTimeout = limits.idleMs;
-    // Node takes it for each new connection from here, though its types do not say so.
+    // Node reads this property for each new connection, although its type declarations don't list it.
     Reflect.set(this.#server, 'maxHeaderSize', limits.maxHeaderBytes);
   }
 
-  /** Takes no new connection, and closes those that rest. */
+  /** Stops accepting connections, and closes idle ones. */
   close(): void {
     this.#server.close();
     this.closeIdle();
   }
 
-  /** Closes connections that rest. */
+  /** Closes idle connections. */
   closeIdle(): void {
     this.#server.closeIdleConnections();
   }
 
   #onClientError(error: Error & { code?: string }, socket: Duplex): void {
     this.#counters.add('requests.malformed');
-    // A word on what came last would stand where the answer to an earlier request is due.
-    const isAnswerDue = socket instanceof Socket && this.#connections.isResponseDue(socket);
-    if (!socket.writable || error.code === 'ECONNRESET' || isAnswerDue) {
+    // The client would take an error response for the response to an earlier request that is still due.
+    const isResponseDue = socket instanceof Socket && this.#connections.isResponseDue(socket);
+    if (!socket.writable || error.code === 'ECONNRESET' || isResponseDue) {
       socket.destroy();
       return;
     }
@@ -118,7 +118,8 @@
       if (!response.destroyed) this.#rejectTooLarge(request, response);
       return;
     }
-    // Its client may have left while we stood still: that is read first, so that nothing runs for nobody.
+    // The client may have disconnected during an event loop stall. Pending socket events are read first, so that no
+    // request is run whose client is gone.
     if (this.#eventLoopGuard.isRecovering) await this.#eventLoopGuard.drainSockets();
     const exchange = this.#exchangeOf(request, response, body);
     if (this.#connections.onRequestRead(request, exchange)) this.#onRequest(exchange);
@@ -126,10 +127,10 @@
   }
 
   #exchangeOf(request: IncomingMessage, response: ServerResponse, body: Buffer): ClientExchange {
-    this.#count += 1;
+    this.#lastExchangeId += 1;
     const annotations = this.#dialect.readRequest(request.headers);
     return {
-      id: this.#count,
+      id: this.#lastExchangeId,
       clientRequest: request,
       clientResponse: response,
       body,
@@ -148,7 +149,7 @@
   }
 }
 
-/** What is told of bytes that Node did not take for a request. */
+/** The status code and reason phrase for a request that Node could not parse, or that arrived too slowly. */
 function statusLineOf(code: string | undefined): string {
   switch (code) {
     case 'HPE_HEADER_OVERFLOW':
