--- a/src/proxy/connection-probes.ts
+++ b/src/proxy/connection-probes.ts
@@ -1,15 +1,17 @@
 import { later, type Moment } from '../common/ids.js';
 
+/** A plain back end, which reports nothing about itself and is therefore probed. */
 export interface ProbedBackend {
   readonly id: string;
   readonly address: string;
 }
 
+/** What the owner of the connections must do. `generation` numbers the connections that were opened to a back end. */
 export type ConnectionProbeStep =
   | { readonly do: 'open'; readonly id: string; readonly address: string; readonly count: number }
   | { readonly do: 'close'; readonly id: string };
 
-/** Whom a watch tells that a back end fell, or rose anew. */
+/** Is notified when a back end goes down, and when it is up again. */
 export interface Prober {
   onBackendDown(now: Moment, id: string): void;
   onBackendUp(now: Moment, id: string): void;
@@ -17,21 +19,22 @@
 
 interface ProbeConnection {
   readonly address: string;
-  count: number;
+  generation: number;
   state: 'opening' | 'open' | 'closed';
   since: Moment;
   isDown: boolean;
 }
 
 const REOPEN_DELAY_MS = 250;
-/** A line that stands says nothing of a machine that is gone: it is opened anew so often. */
+/** An idle connection stays open when the machine at its other end is gone, so it is reopened at this interval. */
 const PROBE_INTERVAL_MS = 1000;
 const CONNECT_TIMEOUT_MS = 500;
 
 /**
- * Back ends that tell nothing of themselves are watched by one idle connection each: when it closes, and every
- * second, it is opened again. If that succeeds, it was only let go for being idle; if not, the process or its
- * machine is away, and what rises then is cold. Pure: whoever has the connections opens and closes them as told.
+ * Monitors back ends that report nothing about themselves, by one idle connection to each. When it closes, and every
+ * second, a new one is opened. If that succeeds, the back end merely closed an idle connection; if not, the process or
+ * its machine is down, and the back end is cold when it comes up again. Does no I/O: the owner of the connections opens
+ * and closes them as the steps say.
  */
 export class ConnectionProbes {
   readonly #prober: Prober;
@@ -42,22 +45,24 @@
     this.#prober = prober;
   }
 
+  /** Returns the steps to carry out, in order, and clears them. */
   drainSteps(): ConnectionProbeStep[] {
     const steps = this.#steps;
     this.#steps = [];
     return steps;
   }
 
-  setBackends(now: Moment, list: readonly ProbedBackend[]): void {
+  /** Sets the back ends to probe: opens connections to new addresses, and closes those to back ends that are gone. */
+  setBackends(now: Moment, backends: readonly ProbedBackend[]): void {
     const ids = new Set<string>();
-    for (const { id, address } of list) {
+    for (const { id, address } of backends) {
       ids.add(id);
       const connection = this.#connections.get(id);
       if (connection?.address === address) continue;
       if (connection) this.#steps.push({ do: 'close', id });
       const next: ProbeConnection = {
         address,
-        count: connection?.count ?? 0,
+        generation: connection?.generation ?? 0,
         state: 'closed',
         since: now,
         isDown: false,
@@ -72,13 +77,14 @@
       }
   }
 
+  /** Periodic tick: reopens connections that are due, and applies the connect timeout. */
   tick(now: Moment): void {
     for (const [id, connection] of this.#connections) {
       if (connection.state === 'closed' && now >= later(connection.since, REOPEN_DELAY_MS))
         this.#open(now, id, connection);
       if (connection.state === 'open' && now >= later(connection.since, PROBE_INTERVAL_MS))
         this.#open(now, id, connection);
-      // Neither opened nor turned down: its machine is out of reach.
+      // Neither established nor refused: the machine is unreachable.
       if (connection.state === 'opening' && now >= later(connection.since, CONNECT_TIMEOUT_MS)) {
         this.#markDown(now, id, connection);
         this.#open(now, id, connection);
@@ -87,24 +93,27 @@
   }
 
   #open(now: Moment, id: string, connection: ProbeConnection): void {
-    connection.count += 1;
+    connection.generation += 1;
     connection.state = 'opening';
     connection.since = now;
-    this.#steps.push({ do: 'open', id, address: connection.address, count: connection.count });
+    this.#steps.push({ do: 'open', id, address: connection.address, count: connection.generation });
   }
 
-  onOpen(now: Moment, id: string, count: number): void {
+  /** The connection was established. Ignored unless it is the latest one to the back end. */
+  onOpen(now: Moment, id: string, generation: number): void {
     const connection = this.#connections.get(id);
-    if (!connection || connection.count !== count) return;
+    if (!connection || connection.generation !== generation) return;
     connection.state = 'open';
     connection.since = now;
     if (connection.isDown) this.#prober.onBackendUp(now, id);
     connection.isDown = false;
   }
 
-  onClose(now: Moment, id: string, count: number): void {
+  /** The connection closed, or could not be established. Ignored unless it is the latest one to the back end. */
+  onClose(now: Moment, id: string, generation: number): void {
     const connection = this.#connections.get(id);
-    if (!connection || connection.count !== count || connection.state === 'closed') return;
+    if (!connection || connection.generation !== generation || connection.state === 'closed')
+      return;
     const wasOpen = connection.state === 'open';
     connection.state = 'closed';
     connection.since = now;
--- a/src/proxy/probe-connections.ts
+++ b/src/proxy/probe-connections.ts
@@ -3,12 +3,13 @@
 import { parseAddress } from '../common/listen.js';
 import type { ConnectionProbes, ConnectionProbeStep } from './connection-probes.js';
 
-/** Holds the idle connections to plain back ends that the probes ask for, and tells them how each fares. */
+/** Opens and closes the idle connections to plain back ends as the probes ask, and reports their events to the probes. */
 export class ProbeConnections {
   readonly #probes: ConnectionProbes;
   readonly #now: () => Moment;
-  /** Called after a connection stood, and after one closed. */
+  /** Called after a connection was established. */
   readonly #onOpened: () => void;
+  /** Called after a connection closed. */
   readonly #onClosed: () => void;
   readonly #sockets = new Map<string, Socket>();
   #isDraining = false;
@@ -35,32 +36,32 @@
     socket.once('connect', () => this.#handleOpen(step.id, step.count));
     socket.once('close', () => this.#handleClose(step.id, step.count));
     socket.on('error', ignore);
-    // Whatever it says, as on being idle for too long, is of no matter; its end is.
+    // Data, such as an error response about an idle timeout, is discarded; only the end of the connection matters.
     socket.resume();
     socket.unref();
   }
 
-  /** Opens none any more. */
+  /** From now on no connection is opened. */
   startDraining(): void {
     this.#isDraining = true;
   }
 
-  /** Closes all. */
+  /** Closes all connections. */
   destroy(): void {
     for (const socket of this.#sockets.values()) socket.destroy();
   }
 
-  #handleOpen(id: string, count: number): void {
-    this.#probes.onOpen(this.#now(), id, count);
+  #handleOpen(id: string, generation: number): void {
+    this.#probes.onOpen(this.#now(), id, generation);
     this.#onOpened();
   }
 
-  #handleClose(id: string, count: number): void {
-    this.#probes.onClose(this.#now(), id, count);
+  #handleClose(id: string, generation: number): void {
+    this.#probes.onClose(this.#now(), id, generation);
     this.#onClosed();
   }
 }
 
 function ignore(): void {
-  /* its close follows */
+  /* the `close` event that follows is handled */
 }
