--- a/src/proxy/error-responses.ts
+++ b/src/proxy/error-responses.ts
@@ -4,7 +4,7 @@
 import type { PolicyRouter } from './policy-router.js';
 import { retryAfterSeconds } from './in-flight-requests.js';
 
-/** Writes the final answers of requests that got none from a runner, as JSON with an error code. */
+/** Writes the error responses of requests that got no response from a runner, as JSON with an error code. */
 export class ErrorResponses {
   readonly #router: PolicyRouter;
   readonly #counters: Counters;
@@ -15,12 +15,15 @@
     this.#counters = counters;
   }
 
-  /** From here on the last response on each connection carries `connection: close`. */
+  /** From now on every error response carries `connection: close`. */
   startDraining(): void {
     this.#isDraining = true;
   }
 
-  /** Answers at once; `retryMs` tells when coming back is worth while, 0 where nothing is known. */
+  /**
+   * Sends the error response, or aborts the response if its head was sent already. `retryMs`: after how long a retry is
+   * worthwhile, 0 where that is unknown.
+   */
   send(
     response: ServerResponse,
     requestId: string,
@@ -33,8 +36,8 @@
       response.destroy();
       return;
     }
-    const { status, isOutcomeUnknown: unsure } = ERROR_RESPONSES[kind];
-    const outcome = unsure ? 'unsure' : 'turned-away';
+    const { status, isOutcomeUnknown } = ERROR_RESPONSES[kind];
+    const outcome = isOutcomeUnknown ? 'unsure' : 'turned-away';
     const body = JSON.stringify({ defect: kind, text, outcome });
     response.writeHead(status, this.#headersOf(requestId, kind, body, retryMs));
     response.end(body);
@@ -51,7 +54,7 @@
       'content-length': Buffer.byteLength(body),
       'x-request-id': requestId,
     };
-    // A proxy that is blind works by no table at all.
+    // A proxy without a recent freshness confirmation applies no table.
     if (kind !== 'blind') headers['x-table'] = String(this.#router.tableNumber);
     const retryAfter = retryAfterSeconds(kind, retryMs);
     if (retryAfter > 0) headers['retry-after'] = String(retryAfter);
--- a/src/proxy/event-stream.test.ts
+++ b/src/proxy/event-stream.test.ts
@@ -5,7 +5,7 @@
   return `${event.id}|${event.bytes.toString()}`;
 }
 
-test('events come whole, however their bytes are cut, and with their ids', () => {
+test('splits a stream into complete events with their ids, whatever the chunk boundaries', () => {
   const text = 'id: 1\ndata: a\n\nid: 2\r\ndata: id: 9\r\n\r\nevent: x\ndata: b\n\n';
   const whole = new EventStream().push(Buffer.from(text)).map(textOf);
   expect(whole).toEqual([
@@ -22,7 +22,7 @@
     expect(stream.remainder).toBeUndefined();
   }
 });
-test('a part of an event is kept back', () => {
+test('holds back an incomplete event', () => {
   const stream = new EventStream();
   expect(stream.push(Buffer.from('id: 1\ndata: a\n\nid: 2\nda')).map(textOf)).toEqual([
     '1|id: 1\ndata: a\n\n',
--- a/src/proxy/event-stream.ts
+++ b/src/proxy/event-stream.ts
@@ -2,7 +2,7 @@
 export interface StreamEvent {
   readonly bytes: Buffer;
   readonly id: number | undefined;
-  /** Whether it consists of comments alone, as they are sent to keep a connection alive. */
+  /** Whether it consists of comments only, as servers send them to keep a connection alive. */
   readonly isComment: boolean;
 }
 
@@ -14,7 +14,7 @@
 export class EventStream {
   #remainder: Buffer | undefined;
 
-  /** The events that are completed by this chunk. */
+  /** Adds a chunk and returns the events that it completes. */
   push(chunk: Buffer): StreamEvent[] {
     const all = this.#remainder === undefined ? chunk : Buffer.concat([this.#remainder, chunk]);
     const events: StreamEvent[] = [];
@@ -24,7 +24,7 @@
       at = all.indexOf(LF, at);
       if (at < 0) break;
       at += 1;
-      // A blank line ends an event, whichever way its lines end.
+      // A blank line ends an event, with LF as well as CRLF line endings.
       let end = -1;
       if (all[at] === LF) end = at + 1;
       else if (all[at] === CR && all[at + 1] === LF) end = at + 2;
@@ -46,7 +46,7 @@
 
 function idOf(bytes: Buffer): number | undefined {
   let at = 0;
-  // A line that begins with `id:`; data lines are not looked into.
+  // The id is on a line that begins with `id:`; the content of data lines is not searched.
   while (at < bytes.length) {
     const end = bytes.indexOf(LF, at);
     const stop = end < 0 ? bytes.length : end;
--- a/src/proxy/http-messages.test.ts
+++ b/src/proxy/http-messages.test.ts
@@ -18,7 +18,7 @@
   }
   return message;
 }
-test('what concerns one connection is not passed on, and repeated headers stay so', () => {
+test('hop-by-hop headers are not forwarded, and repeated headers stay repeated', () => {
   const message = messageOf(
     200,
     { name: 'connection', value: 'X-One , keep-alive' },
@@ -38,7 +38,7 @@
     host: 'h',
   });
 });
-test('a length, or chunks and no other coding, tell where an answer ends', () => {
+test('a content length or chunked coding alone defines where a response ends', () => {
   const length = { name: 'content-length', value: '5' };
   expect(hasSelfDefinedLength('GET', messageOf(200))).toBe(false);
   expect(hasSelfDefinedLength('GET', messageOf(200, length))).toBe(true);
@@ -46,10 +46,10 @@
     expect(hasSelfDefinedLength('GET', messageOf(status))).toBe(true);
   expect(hasSelfDefinedLength('HEAD', messageOf(200))).toBe(true);
   const codings = ['chunked', ' Chunked', 'gzip, chunked', 'chunked, gzip', 'identity'];
-  const bounded: boolean[] = [];
+  const hasLength: boolean[] = [];
   for (const value of codings)
-    bounded.push(
+    hasLength.push(
       hasSelfDefinedLength('GET', messageOf(200, length, { name: 'transfer-encoding', value })),
     );
-  expect(bounded).toEqual([true, true, false, false, false]);
+  expect(hasLength).toEqual([true, true, false, false, false]);
 });
--- a/src/proxy/response-relay.ts
+++ b/src/proxy/response-relay.ts
@@ -11,7 +11,10 @@
 /** A response larger than this is forwarded as it arrives, even where it could be buffered for a retry; bytes. */
 const MAX_BUFFERED_BYTES = 1024 * 1024;
 
-/** Forwards runners' responses to clients: streams by complete events, small safe responses buffered, others as they arrive. */
+/**
+ * Forwards runners' responses to clients: event streams by complete events, small safe responses buffered, and others as
+ * they arrive.
+ */
 export class ResponseRelay {
   readonly #handler: AttemptHandler;
   readonly #writer: ResponseWriter;
@@ -23,7 +26,7 @@
     this.#counters = counters;
   }
 
-  /** Begins to forward the response whose head has arrived. */
+  /** Starts forwarding the response whose head has arrived. */
   forward(attempt: Attempt): void {
     const { runnerResponse, exchange, send } = attempt;
     if (!runnerResponse) return;
--- a/src/proxy/response-writer.ts
+++ b/src/proxy/response-writer.ts
@@ -22,7 +22,7 @@
     this.#counters = counters;
   }
 
-  /** From here on the last response on each connection carries `connection: close`. */
+  /** From now on the last response due on each connection carries `connection: close`. */
   startDraining(): void {
     this.#isDraining = true;
   }
@@ -44,7 +44,7 @@
   fail(exchange: ClientExchange, status: number): void {
     this.#counters.add(`failed.${status}`);
     const { clientResponse } = exchange;
-    // A response that has begun must be seen to be truncated.
+    // A response that has started must be visibly truncated.
     if (exchange.isHeadForwarded || clientResponse.headersSent) {
       abortResponse(exchange);
       return;
@@ -55,7 +55,7 @@
     clientResponse.writeHead(status, headers).end();
   }
 
-  /** Forwards the head of a runner's response, with that length where it has one. */
+  /** Forwards the head of a runner's response; `length` is its content length, undefined where there is none. */
   writeHead(
     exchange: ClientExchange,
     runnerResponse: IncomingMessage,
