--- a/src/proxy/forwarder.ts
+++ b/src/proxy/forwarder.ts
@@ -94,7 +94,7 @@
     this.applyEffects();
   }
 
-  /** From here on the last response on each connection carries `connection: close`. */
+  /** From now on the last response due on each connection carries `connection: close`. */
   startDraining(): void {
     this.#responseWriter.startDraining();
   }
@@ -159,7 +159,7 @@
     this.#afterEffects();
   }
 
-  /** An exception ends its own request alone, visibly to the client. */
+  /** Applies an effect; an exception aborts only the response of its own request, visibly to the client. */
   #tryApply(exchange: ClientExchange, effect: DispatchEffect): void {
     try {
       this.#apply(exchange, effect);
--- a/src/proxy/runner-agent.test.ts
+++ b/src/proxy/runner-agent.test.ts
@@ -8,7 +8,7 @@
 import { expect, test } from 'vitest';
 import { RunnerAgent } from './runner-agent.js';
 
-test('a connection that is kept for a second is used again, and not beyond that', async () => {
+test('a connection that its runner keeps for a second is reused, and closed before that time is up', async () => {
   const runner = new Runner({ connection: 'keep-alive', 'keep-alive': 'timeout=1' });
   await runner.start();
   await runner.ask();
@@ -16,11 +16,11 @@
   await runner.ask();
   expect(runner.connections).toBe(1);
   const [socket] = runner.agent.freeSockets[`127.0.0.1:${runner.port}:`] ?? [];
-  // It is let go by its own timer, before the runner's.
+  // The proxy's timer closes it before the runner's does.
   expect(socket?.timeout).toBe(850);
   runner.stop();
 });
-test('a connection that says it closes is not kept', async () => {
+test('a connection whose response says `connection: close` is not kept', async () => {
   const runner = new Runner({ connection: 'close' });
   await runner.start();
   await runner.ask();
@@ -65,7 +65,7 @@
     this.#server.close();
   }
 
-  /** Resolves once the answer is read and its connection is free, or gone. */
+  /** Resolves once the response has been read and its connection is idle or closed. */
   async ask(): Promise<void> {
     const { agent, port } = this;
     await new Promise<void>((done: () => void, fail: (thrown: unknown) => void) => {
--- a/src/proxy/runner-agent.ts
+++ b/src/proxy/runner-agent.ts
@@ -2,12 +2,12 @@
 import type { Duplex } from 'node:stream';
 import { Socket } from 'node:net';
 
-/** What a kept connection's announced idle time is shortened by: the request must arrive before the runner's own timer runs out. */
+/** Subtracted from the idle timeout that a runner announces: a request must arrive before the runner's own timer expires. */
 const IDLE_TIMEOUT_MARGIN_MS = 150;
 
 /**
- * Keeps connections to runners for as long as each said it would. Node's own agent takes a second off whatever was
- * announced, which throws away every connection of a runner that keeps them for one.
+ * Keeps idle connections to runners open for as long as each runner announced. Node's own agent subtracts a second from
+ * the announced time, and so discards every connection of a runner that keeps them for one second.
  */
 export class RunnerAgent extends Agent {
   readonly #idleTimeoutMs = new WeakMap<Duplex, number>();
@@ -16,19 +16,19 @@
     super({ keepAlive: true, scheduling: 'lifo', maxFreeSockets: 64 });
   }
 
-  /** The runner's word on how long it keeps this connection, if it gives one. */
+  /** Records how long the runner keeps this connection open when idle, from its `Keep-Alive` header if there is one. */
   recordKeepAlive(response: IncomingMessage): void {
     const header = response.headers['keep-alive'];
     const hint = typeof header === 'string' ? /timeout=(\d+)/.exec(header)?.[1] : undefined;
     if (hint !== undefined) this.#idleTimeoutMs.set(response.socket, Number(hint) * 1000);
   }
 
-  /** Whether a connection to that address stands idle. */
+  /** Whether there is an idle connection to the address. */
   hasIdleConnection(host: string, port: number): boolean {
     return (this.freeSockets[`${host}:${port}:`]?.length ?? 0) > 0;
   }
 
-  /** Closes what is kept to that address. */
+  /** Closes the idle connections to the address. */
   closeIdle(host: string, port: number): void {
     for (const socket of [...(this.freeSockets[`${host}:${port}:`] ?? [])]) socket.destroy();
   }
@@ -43,7 +43,7 @@
     if (!(socket instanceof Socket)) return false;
     socket.setKeepAlive(true, 1000);
     socket.unref();
-    // Whatever comes while nothing is asked belongs to no request, and what follows it to none that is asked later.
+    // Data on an idle connection belongs to no request, and what follows it to none that is sent later.
     socket.on('data', closeOnUnexpectedData);
     if (idleMs === undefined) {
       socket.setTimeout(0);
--- a/src/proxy/runner-requests.ts
+++ b/src/proxy/runner-requests.ts
@@ -17,7 +17,7 @@
 /** Methods whose requests have a length even where they have no body. */
 const BODY_METHODS: ReadonlySet<string> = new Set(['POST', 'PUT', 'PATCH']);
 
-/** Sends requests to runners over HTTP, and passes the events of each attempt on up to the head of its response. */
+/** Sends requests to runners over HTTP, and reports the events of each attempt up to the head of its response. */
 export class RunnerRequests {
   readonly #agent: RunnerAgent;
   readonly #dialect: RequestDialect;
@@ -38,7 +38,7 @@
 
   /** Starts an attempt. */
   send(exchange: ClientExchange, send: SendEffect): void {
-    // Another run cannot be asked to skip events without ids: the client would get them twice.
+    // Another run can't be asked to skip events without ids: the client would receive them twice.
     if (exchange.isHeadForwarded && exchange.hasEventWithoutId) {
       abortResponse(exchange);
       return;
@@ -130,7 +130,7 @@
     return { ...status, isEventStream: isEventStream(runnerResponse) };
   }
 
-  /** A runner's proof that it has not processed the request counts once its response is complete. */
+  /** A response that proves that the runner has not processed the request counts only once it is complete. */
   #onUnprocessedHead(attempt: Attempt, runnerResponse: IncomingMessage, head: ResponseHead): void {
     if (!hasSelfDefinedLength(attempt.exchange.clientRequest.method ?? 'GET', runnerResponse)) {
       this.#handler.abort(attempt);
--- a/src/proxy/stream-relay.ts
+++ b/src/proxy/stream-relay.ts
@@ -17,7 +17,7 @@
   readonly #writer: ResponseWriter;
   readonly #counters: Counters;
   readonly #stream = new EventStream();
-  /** Whether events of an earlier run were forwarded before. */
+  /** Whether events of an earlier run have already been forwarded. */
   readonly #isResumption: boolean;
 
   constructor(
@@ -35,7 +35,7 @@
     this.#isResumption = attempt.exchange.isHeadForwarded;
   }
 
-  /** Begins to read the body. */
+  /** Starts reading the body. */
   start(): void {
     this.#runnerResponse.on('data', (chunk) => this.#onData(chunk));
     this.#runnerResponse.once('end', () => this.#onEnd());
@@ -66,7 +66,7 @@
     );
   }
 
-  /** An event that was forwarded before is skipped, and a gap is never hidden. */
+  /** Skips events that have already been forwarded, and detects gaps, which must not be hidden from the client. */
   #classify(exchange: ClientExchange, { id, isComment }: StreamEvent): EventVerdict {
     if (id === undefined) {
       if (!isComment) exchange.hasEventWithoutId = true;
