--- a/src/proxy/freshness.test.ts
+++ b/src/proxy/freshness.test.ts
@@ -1,12 +1,12 @@
 import { expect, test } from 'vitest';
 import { moment } from '../common/ids.js';
 import { Freshness } from './freshness.js';
-test('a confirmation for a former incarnation makes nobody fresh', () => {
+test('a confirmation requested by a previous incarnation does not make the current one fresh', () => {
   const former = new Freshness(2500, 1000);
   const latter = new Freshness(2500, 2000);
   const nonce = former.startRequest(moment(0));
   latter.startRequest(moment(1000));
-  // It was asked before the restart, and says nothing of what holds since.
+  // It was requested before the restart, so it does not cover what has changed since.
   latter.onConfirmed(nonce, true);
   expect(latter.isFresh(moment(1001))).toBe(false);
   former.onConfirmed(nonce, true);
--- a/src/proxy/open-requests.ts
+++ b/src/proxy/open-requests.ts
@@ -1,7 +1,7 @@
 import type { RoutedRequest } from './routed-request.js';
 import type { ModelDemand } from './model-demand.js';
 
-/** Requests that were taken and have not ended, in the order in which they came. */
+/** Requests that were accepted and have not ended, in order of arrival. */
 export class OpenRequests {
   readonly #requests = new Map<number, RoutedRequest>();
   readonly #demand: ModelDemand;
@@ -10,22 +10,23 @@
     this.#demand = demand;
   }
 
+  /** The number of open requests. */
   get size(): number {
     return this.#requests.size;
   }
 
-  /** A request was taken. */
+  /** Adds a request that was accepted. */
   add(request: RoutedRequest): void {
     this.#requests.set(request.head.id, request);
     this.#demand.onRequest(request);
   }
 
-  /** The request of that id, if it has not ended. */
+  /** The request with this id, if it has not ended. */
   get(id: number): RoutedRequest | undefined {
     return this.#requests.get(id);
   }
 
-  /** The same, if that attempt of it is under way; what is heard of an earlier one is void. */
+  /** The request with this id if this attempt of it is in progress; events of earlier attempts are to be ignored. */
   withCurrentAttempt(id: number, attempt: number): RoutedRequest | undefined {
     const request = this.#requests.get(id);
     return request && request.attempt === attempt && request.phase !== 'waiting'
@@ -33,12 +34,12 @@
       : undefined;
   }
 
-  /** All of them. */
+  /** All open requests. */
   all(): IterableIterator<RoutedRequest> {
     return this.#requests.values();
   }
 
-  /** The request has ended, whichever way. */
+  /** Removes a request that has ended, with whatever outcome. */
   remove(request: RoutedRequest): void {
     this.#demand.onWaitEnd(request);
     this.#requests.delete(request.head.id);
