--- a/src/proxy/policy-admission.ts
+++ b/src/proxy/policy-admission.ts
@@ -11,14 +11,14 @@
 import { PolicyRateLimits } from './policy-rate-limits.js';
 import type { PolicyView } from './policy-view.js';
 
-/** Why a request is refused, and when coming back is worth while; 0 ms where nothing is known. */
+/** Why a request is rejected. `retryMs`: after how long a retry is worthwhile; 0 where that is unknown. */
 export interface Rejection {
   readonly kind: ErrorCode;
   readonly text: string;
   readonly retryMs: number;
 }
 
-/** Admission by the rows of the table: each names a type and a model, and takes so much over the whole fleet. */
+/** Admits requests by the rows of the table: each row matches a type and a model, and limits the rate over the whole fleet. */
 export class PolicyAdmission {
   readonly #view: PolicyView;
   readonly #rates = new PolicyRateLimits();
@@ -28,7 +28,7 @@
     this.#view = view;
   }
 
-  /** Admits a request by its row, or says why not. */
+  /** Admits a request by its row, or returns why it is rejected. */
   admit(now: Moment, info: RequestInfo): { readonly request: AdmittedRequest } | Rejection {
     const mapping = this.#view.mappingOf(info.method, info.path);
     if (!mapping) return rejection('unmapped', `no mapping for ${info.method} ${info.path}`);
@@ -36,7 +36,7 @@
     if (!row)
       return rejection('unknown-model', `no row of type ${mapping.type} for model ${info.model}`);
     const service = isPlainService(row.model) ? row.model : info.model;
-    // Demand is counted before the gate: what is refused for want of a place is what a place is made for.
+    // Demand is counted before admission: requests that are rejected because their model is not placed lead to its placement.
     const model = isPlainService(service) ? undefined : info.model;
     this.#demand.count(rowKey(row), model, info.adapter);
     const waitMs = this.#rates.take(now, row, this.#view.shareOf(now, row));
@@ -48,7 +48,7 @@
     return rejection('waits-for-place', text, this.#view.placementDelayMs(now, service));
   }
 
-  /** What was asked for since last told, for the placer. */
+  /** The demand since the last call, for the placer; starts a new count. */
   takeDemand(): { units: ModelDemandCount[]; rows: RowDemandCount[] } {
     return this.#demand.take();
   }
--- a/src/proxy/policy-picker.ts
+++ b/src/proxy/policy-picker.ts
@@ -4,19 +4,19 @@
 import type { RunnerPool } from './runner-pool.js';
 import type { PolicyView } from './policy-view.js';
 
-/** How long until a request's turn comes, and how long a run takes, by the runs so far; ms. */
+/** Estimates how long a request waits until it starts, and how long its run takes, from the runs so far; ms. */
 export interface WaitEstimate {
   readonly waitMs: number;
   readonly meanMs: number;
 }
 
-/** A candidate, and what speaks for it. */
+/** A candidate with the values that it is ranked by. */
 interface RankedCandidate extends Candidate {
   readonly cachedBlocks: number;
   readonly running: number;
 }
 
-/** Which runner a request is given, and how long it has to wait for one. */
+/** Picks the runner for a request, and estimates how long the request has to wait for one. */
 export class PolicyPicker {
   readonly #view: PolicyView;
   readonly #runners: RunnerPool;
@@ -27,7 +27,10 @@
     this.#runners = runners;
   }
 
-  /** Kept prefixes first, then the primary, then the one that runs the least. */
+  /**
+   * The runner to send a request to, or undefined if none can take it now. Prefers the runner with the most cached blocks
+   * of the request's prefix, then the primary, then the runner with the fewest running requests.
+   */
   pick(now: Moment, request: AdmittedRequest): string | undefined {
     let best: RankedCandidate | undefined;
     for (const candidate of this.#view.candidates(request)) {
@@ -44,16 +47,16 @@
     return best?.id;
   }
 
-  /** Notes that a runner was given a request, and so keeps the parts of its prompt. */
+  /** Records that a runner was given a request, and so caches the blocks of its prefix. */
   onStarted(runner: string, request: AdmittedRequest): void {
     this.#prefixes.record(runner, request.service, request.info.prefixBlocks);
   }
 
-  /** The turn of a request behind so many of its service, by what runs now. */
+  /** Estimates the wait of a request behind `aheadCount` others of its service, given the requests that run now. */
   estimateWait(
     now: Moment,
     request: AdmittedRequest,
-    before: number,
+    aheadCount: number,
     running: Iterable<AdmittedRequest>,
   ): WaitEstimate {
     const longest = longestRuns(now, running);
@@ -63,7 +66,7 @@
       capacity += this.#capacity(now, id);
       meanMs = Math.max(meanMs, this.#runners.meanMs(id), longest.get(id) ?? 0);
     }
-    return { waitMs: ((before + 1) * meanMs) / Math.max(1, capacity), meanMs };
+    return { waitMs: ((aheadCount + 1) * meanMs) / Math.max(1, capacity), meanMs };
   }
 
   #capacity(now: Moment, id: string): number {
@@ -71,7 +74,7 @@
   }
 }
 
-/** How long the oldest run at each runner goes on already, ms: a bound for runs of which none has ended yet. */
+/** For how long the oldest run at each runner has been running, ms: a lower bound for the length of runs before any has ended. */
 function longestRuns(now: Moment, running: Iterable<AdmittedRequest>): ReadonlyMap<string, number> {
   const longest = new Map<string, number>();
   for (const { runner, startedAt } of running)
@@ -79,8 +82,9 @@
   return longest;
 }
 
-function isBetter(item: RankedCandidate, best: RankedCandidate): boolean {
-  if (item.cachedBlocks !== best.cachedBlocks) return item.cachedBlocks > best.cachedBlocks;
-  if (item.isPrimary !== best.isPrimary) return item.isPrimary;
-  return item.running < best.running;
+function isBetter(candidate: RankedCandidate, best: RankedCandidate): boolean {
+  if (candidate.cachedBlocks !== best.cachedBlocks)
+    return candidate.cachedBlocks > best.cachedBlocks;
+  if (candidate.isPrimary !== best.isPrimary) return candidate.isPrimary;
+  return candidate.running < best.running;
 }
--- a/src/proxy/policy-rate-limits.ts
+++ b/src/proxy/policy-rate-limits.ts
@@ -3,32 +3,32 @@
 
 interface Bucket {
   tokens: number;
-  at: Moment;
+  refilledAt: Moment;
 }
 
-/** A row that takes nothing is not opened from one moment to the next, ms. */
+/** The retry delay of a row with a rate of 0, which operators do not raise from one moment to the next, ms. */
 const CLOSED_ROW_RETRY_MS = 60_000;
-/** A share of nothing lasts until the next word on shares, ms. */
+/** The retry delay where this proxy's share is 0, which lasts until the leader publishes new shares, ms. */
 const NO_SHARE_RETRY_MS = 1000;
-/** Callers come in bursts: so many seconds' worth may come at once, and so many even where the share is small. */
+/** Requests arrive in bursts: a bucket holds the tokens of this many seconds, and MIN_BURST even where the share is small. */
 const BURST_S = 2;
 const MIN_BURST = 3;
 
-/** How much each row of the table takes at this proxy, as a token bucket a row. */
+/** Limits the request rate of each row of the table at this proxy, by one token bucket per row. */
 export class PolicyRateLimits {
   readonly #buckets = new Map<string, Bucket>();
 
   /**
-   * Takes one request of a row whose fleet-wide rate is `row.take` a second, of which this proxy has a share.
-   * Returns 0, or how long until the row allows one more, ms.
+   * Takes a token for one request of a row. The row's rate over the whole fleet is `row.take` requests per second; `share`
+   * is this proxy's part of it, from 0 to 1. Returns 0, or after how long the row allows another request, ms.
    */
   take(now: Moment, row: Row, share: number): number {
     const key = rowKey(row);
     const rate = row.take * share;
-    const most = Math.max(MIN_BURST, rate * BURST_S);
-    const bucket = this.#buckets.get(key) ?? { tokens: most, at: now };
-    bucket.tokens = Math.min(most, bucket.tokens + (rate * (now - bucket.at)) / 1000);
-    bucket.at = now;
+    const maxTokens = Math.max(MIN_BURST, rate * BURST_S);
+    const bucket = this.#buckets.get(key) ?? { tokens: maxTokens, refilledAt: now };
+    bucket.tokens = Math.min(maxTokens, bucket.tokens + (rate * (now - bucket.refilledAt)) / 1000);
+    bucket.refilledAt = now;
     this.#buckets.set(key, bucket);
     if (row.take <= 0) return CLOSED_ROW_RETRY_MS;
     if (bucket.tokens < 1)
--- a/src/proxy/policy-router-types.ts
+++ b/src/proxy/policy-router-types.ts
@@ -2,7 +2,7 @@
 import { later, type Moment } from '../common/ids.js';
 import type { Row } from '../policy/table.js';
 
-/** What a request names, read by the executor. */
+/** What the router needs to know of a request; the forwarder reads it from the HTTP request. */
 export interface RequestInfo {
   readonly id: number;
   readonly method: string;
@@ -12,7 +12,7 @@
   readonly prefixBlocks: readonly string[];
 }
 
-/** What the executor must do now. */
+/** What the forwarder must do with a request. */
 export type RoutingVerdict =
   | {
       readonly do: 'run';
@@ -24,7 +24,7 @@
       readonly limit: Moment;
       readonly table: number;
     }
-  /** `retryMs` tells when coming back is worth while, as far as it is known; 0 where nothing is. */
+  /** `retryMs`: after how long a retry is worthwhile; 0 where that is unknown. */
   | {
       readonly do: 'reject';
       readonly id: number;
@@ -33,24 +33,28 @@
       readonly retryMs: number;
     };
 
-/** The order to run a request. */
+/** The verdict that a request is to be run at a runner. */
 export type RunVerdict = Extract<RoutingVerdict, { do: 'run' }>;
 
-/** Settings of a proxy's decisions. */
+/** Settings of the router. */
 export interface PolicyRouterSettings {
+  /** How long a freshness confirmation is valid, from its request on. */
   readonly freshnessBoundMs: number;
+  /** The id of this proxy. */
   readonly me: string;
-  /** A number that no other life of this process has, well apart from others'. */
+  /** A number that is unique to this run of the process, and far from the numbers of its other runs. */
   readonly incarnation: number;
-  /** Most requests pending at once. */
+  /** The maximum number of requests that are pending at once. */
   readonly maxPending: number;
-  /** How long a runner that just started is spared. */
+  /** How long a runner that has just started is given less load. */
   readonly slowStartMs: number;
-  /** Repeats that a service may have, as a share of its requests, and how many more over the whole fleet. */
+  /** The retries that a service may have, as a share of its requests. */
   readonly retryShare: number;
+  /** The retries that a service may have beyond that share, over the whole fleet. */
   readonly extraRetries: number;
 }
 
+/** Default settings of the router; the others have no default. */
 export const POLICY_ROUTER_DEFAULTS = {
   incarnation: 0,
   maxPending: 512,
@@ -66,26 +70,26 @@
   readonly service: string;
   readonly arrivedAt: Moment;
   readonly limit: Moment;
-  /** The runner that it was given last; empty before. */
+  /** The runner that it was last sent to; empty before the first. */
   runner: string;
   startedAt: Moment;
   readonly triedRunners: Set<string>;
-  /** Whether its first sending has been counted for the budget of repeats. */
+  /** Whether its first attempt has been credited to the retry budget. */
   isBudgetCredited: boolean;
 }
 
-/** A runner that holds what a request needs. */
+/** A runner that can serve a request. */
 export interface Candidate {
   readonly id: string;
   readonly isPrimary: boolean;
 }
 
-/** Whether a service is one of plain back ends, which hold no models. */
+/** Whether a service consists of plain back ends, which hold no models. */
 export function isPlainService(service: string): boolean {
   return service.startsWith('@');
 }
 
-/** A request that a row admits now. */
+/** Creates the state of a request that a row admits now. */
 export function newRequest(
   now: Moment,
   info: RequestInfo,
