--- a/src/proxy/policy-router.ts
+++ b/src/proxy/policy-router.ts
@@ -18,15 +18,16 @@
 import { RunnerPool } from './runner-pool.js';
 import { PolicyView } from './policy-view.js';
 
-/** How long a request waits at most before it is refused, and how long it may wait by the estimate, of its lateness. */
+/** How long a request may wait before it is rejected, as a share of its row's time limit. */
 const MAX_WAIT_SHARE = 1 / 3;
+/** How long its wait and its run may take by the estimate, as a share of the same limit. */
 const MAX_ESTIMATED_SHARE = 1 / 2;
 const STALE_TEXT = 'this proxy has not heard from the control nodes';
 const DRAINING_TEXT = 'this proxy is being stopped';
 
 /**
- * The proxy's decisions, pure: which request runs where, which waits, which is refused and why.
- * The executor asks and obeys; every request it asks about ends in exactly one of run-and-ended, refused or gone.
+ * Decides for each request where it runs, whether it waits, or why it is rejected. Does no I/O: the forwarder carries out
+ * the verdicts. Every request ends in exactly one way: its run ended, it was rejected, or its client disconnected.
  */
 export class PolicyRouter implements Prober {
   readonly #settings: PolicyRouterSettings;
@@ -51,31 +52,37 @@
     this.#picker = new PolicyPicker(this.#view, this.#runners);
   }
 
+  /** The version of the configuration that is in force here. */
   get configVersion(): Version {
     return this.#view.configVersion;
   }
-  /** The number of the table in force here, as operators count them. */
+  /** The number of the table that is in force here, as operators number them. */
   get tableNumber(): number {
     return this.#view.tableNumber;
   }
+  /** The version of the placements that are in force here. */
   get placesVersion(): Version {
     return this.#view.placesVersion;
   }
+  /** The revision of the list of machines that is in force here. */
   get runnerListRevision(): number {
     return this.#view.runnerListRevision;
   }
+  /** The number of requests that run. */
   get running(): number {
     return this.#running.size;
   }
+  /** The number of admitted requests that wait for a runner. */
   get pending(): number {
     return this.#pending.length;
   }
 
-  /** Whether we may take new work: confirmed fresh lately, and there is a configuration to work by. */
+  /** Whether new requests may be accepted: there is a configuration, and its freshness was confirmed recently. */
   isFresh(now: Moment): boolean {
     return this.#view.hasConfig && this.#freshness.isFresh(now);
   }
 
+  /** Returns the verdicts to carry out, in order, and clears them. */
   drain(): RoutingVerdict[] {
     const verdicts = this.#verdicts;
     this.#verdicts = [];
@@ -84,24 +91,27 @@
 
   // ---- configuration and fleet
 
-  /** Takes news; nothing ever steps back a version. */
+  /** Applies an update if its version is newer than the one held here. */
   onUpdate(now: Moment, topic: string, version: Version, body: string): void {
     const change = this.#view.onUpdate(now, topic, version, body);
-    // What waits was admitted by the table of before; a table is in force for all that has not begun to run.
+    // Pending requests were admitted by the previous table; the new one applies to every request that has not started.
     if (change === 'table') this.#readmitPending();
     if (change === 'places' || change === 'first places')
       this.#runners.setRunners(now, this.#view.placed, change === 'first places');
     this.#startPending(now);
   }
 
+  /** Registers a freshness request; returns its nonce. */
   startFreshnessRequest(now: Moment): number {
     return this.#freshness.startRequest(now);
   }
 
+  /** A freshness request was answered: these were the newest versions. */
   onFreshnessConfirmed(nonce: number, version: Version, runnerListRevision: number): void {
     this.#freshness.onConfirmed(nonce, this.#view.isAsNewAs(version, runnerListRevision));
   }
 
+  /** Rejects pending requests, and from now on new ones; those that run go on. */
   startDraining(now: Moment): void {
     this.#isDraining = true;
     for (const request of this.#pending.splice(0))
@@ -110,8 +120,8 @@
   }
 
   /**
-   * Asked again once the connection stands, right before the first byte: time may have passed since the choice,
-   * and the runner may be leaving, its zone evacuated, the row gone, the limit past or this proxy blind.
+   * Whether a request may still be written, called right before its first byte: since the runner was picked it may be
+   * draining, its zone evacuated, the row removed, the deadline reached, or the freshness confirmation expired.
    */
   mayWrite(now: Moment, id: number): boolean {
     const request = this.#running.get(id);
@@ -122,7 +132,7 @@
     );
   }
 
-  /** It was chosen and may no longer be written: it has not run, and is chosen anew or refused. */
+  /** The request may not be written to its runner any more: it has not run, and is sent to another runner or rejected. */
   rerouteUnwritten(now: Moment, id: number): void {
     const request = this.#endRun(now, id, false);
     if (!request) return;
@@ -144,17 +154,19 @@
     this.#pending.sort(byWeight);
   }
 
-  // ---- back ends that tell nothing of themselves
+  // ---- back ends that report nothing about themselves
 
-  /** Those to be probed: whether they were started anew is told by nobody. */
+  /** The back ends to probe: nothing else shows whether they have restarted. */
   probedBackends(): readonly ProbedBackend[] {
     return this.#view.plainBackEnds();
   }
 
+  /** A probe found that a back end is down. */
   onBackendDown(_now: Moment, id: string): void {
     this.#runners.onBackendDown(id);
   }
 
+  /** A probe found that a back end is up again. */
   onBackendUp(now: Moment, id: string): void {
     if (!this.#runners.has(id)) return;
     this.#runners.onBackendUp(now, id);
@@ -163,7 +175,7 @@
 
   // ---- admission
 
-  /** Whether the body names a model, or the request goes to plain back ends as it is. */
+  /** Whether the body must name a model; false for requests to plain back ends, undefined if no mapping matches. */
   needsModel(method: string, path: string): boolean | undefined {
     const mapping = this.#view.mappingOf(method, path);
     if (!mapping) return undefined;
@@ -171,7 +183,7 @@
     return !isPlainService(model);
   }
 
-  /** Asked once for each request; the verdict is drained, at once or once it has waited. */
+  /** Takes a new request; its verdict is drained immediately, or later if the request has to wait. */
   onRequest(now: Moment, info: RequestInfo): void {
     if (this.#isDraining) {
       this.#reject(info.id, 'draining', DRAINING_TEXT);
@@ -186,7 +198,7 @@
     else this.#reject(info.id, admitted.kind, admitted.text, admitted.retryMs);
   }
 
-  /** What was asked for since last told, for the placer. */
+  /** The demand since the last call, for the placer; starts a new count. */
   takeDemand(): { units: ModelDemandCount[]; rows: RowDemandCount[] } {
     return this.#admission.takeDemand();
   }
@@ -212,6 +224,7 @@
     this.#shedLoad(now);
   }
 
+  /** Periodic tick: starts pending requests, and rejects those that can't be served in time. */
   tick(now: Moment): void {
     if (!this.isFresh(now)) {
       for (const request of this.#pending.splice(0))
@@ -221,7 +234,7 @@
     this.#shedLoad(now);
   }
 
-  /** Starts whatever can start, the weightiest first. */
+  /** Starts all pending requests that can start, the ones of highest weight first. */
   #startPending(now: Moment): void {
     if (!this.isFresh(now)) return;
     for (const request of [...this.#pending]) {
@@ -232,12 +245,9 @@
     }
   }
 
-  /**
-   * Refuses at once whatever can no longer be served in time, as far as the lengths of runs so far tell.
-   * Nothing is held back until near its limit only to be told no then.
-   */
+  /** Rejects requests early if, by the lengths of runs so far, they can't be served in time; none waits until its deadline. */
   #shedLoad(now: Moment): void {
-    const ahead = new Map<string, number>();
+    const aheadByService = new Map<string, number>();
     for (const request of [...this.#pending]) {
       const { service, arrivedAt, row } = request;
       if (this.#view.isUnplaced(request)) {
@@ -245,20 +255,20 @@
         this.#remove(request, 'waits-for-place', text, this.#view.placementDelayMs(now, service));
         continue;
       }
-      const before = ahead.get(service) ?? 0;
-      ahead.set(service, before + 1);
+      const aheadCount = aheadByService.get(service) ?? 0;
+      aheadByService.set(service, aheadCount + 1);
       const { waitMs, meanMs } = this.#picker.estimateWait(
         now,
         request,
-        before,
+        aheadCount,
         this.#running.values(),
       );
-      // The rest of the lateness is for the run itself, since runs differ from their mean.
+      // The rest of the time limit is a reserve for the run, since runs differ from their mean.
       const isTooLate =
         later(now, waitMs + meanMs) > later(arrivedAt, row.lateMs * MAX_ESTIMATED_SHARE);
-      // Whatever the estimate says, nobody waits for longer to be told no.
+      // Whatever the estimate is, a request that is to be rejected waits no longer than this.
       if (isTooLate || now >= later(arrivedAt, row.lateMs * MAX_WAIT_SHARE))
-        this.#remove(request, 'crowded', `${before} wait before it`, waitMs);
+        this.#remove(request, 'crowded', `${aheadCount} wait before it`, waitMs);
     }
   }
 
@@ -300,29 +310,29 @@
     });
   }
 
-  // ---- ends
+  // ---- ends of runs
 
-  /** Only a run that went its way tells how long runs are. */
-  #endRun(now: Moment, id: number, hasRun: boolean): AdmittedRequest | undefined {
+  /** Removes a run; its length counts toward the mean only if it completed. */
+  #endRun(now: Moment, id: number, isCompleted: boolean): AdmittedRequest | undefined {
     const request = this.#running.get(id);
     if (!request) return undefined;
     this.#running.delete(id);
-    this.#runners.onEnd(request.runner, hasRun ? now - request.startedAt : undefined);
+    this.#runners.onEnd(request.runner, isCompleted ? now - request.startedAt : undefined);
     return request;
   }
 
-  /** The run ended, whole. */
+  /** The run completed. */
   onRunCompleted(now: Moment, id: number): void {
     this.#endRun(now, id, true);
     this.#startPending(now);
   }
 
-  /** No byte was written, or the runner said it has not begun: another runner may be chosen; the verdict follows. */
-  onUnprocessed(now: Moment, id: number, why: 'unreached' | 'full'): void {
+  /** No byte was written, or the runner has not started the request: another runner may be picked; a verdict follows. */
+  onUnprocessed(now: Moment, id: number, reason: 'unreached' | 'full'): void {
     const request = this.#endRun(now, id, false);
     if (!request) return;
     const { runner, service } = request;
-    if (why === 'full') {
+    if (reason === 'full') {
       this.#runners.onFull(now, runner);
       this.#retryOrFail(now, request, 'crowded', 'its runners are full');
       return;
@@ -332,11 +342,15 @@
     this.#retryOrFail(now, request, 'no-runner', 'no runner could be reached');
   }
 
-  /** Bytes were written and nothing whole came back. Says whether it runs again; if not, its outcome is unsure. */
+  /**
+   * Bytes were written and no complete response came back. Returns whether the request is retried; if not, its outcome is
+   * unknown. `mayRepeat`: false where part of the response was already forwarded. `isStale`: the run failed because an
+   * idle connection had closed.
+   */
   onRunFailed(now: Moment, id: number, mayRepeat: boolean, isStale = false): boolean {
     const request = this.#endRun(now, id, false);
     if (!request) return false;
-    // A kept connection that had gone stale says nothing of the runner, which may be chosen again at once.
+    // A stale idle connection says nothing about the runner, which may be picked again immediately.
     if (isStale) request.triedRunners.delete(request.runner);
     else this.#runners.onFailure(now, request.runner);
     if (!mayRepeat || !this.#mayRetry(now, request)) {
@@ -347,7 +361,7 @@
     return true;
   }
 
-  /** The budget is spent last, since it is spent for good. */
+  /** Whether the request may be retried. The budget is checked last, since spending from it can't be undone. */
   #mayRetry(now: Moment, request: AdmittedRequest): boolean {
     if (!request.row.repeatable || this.#isDraining || now >= request.limit) return false;
     return this.#budget(now, request.service).trySpend();
@@ -361,16 +375,16 @@
     const hasOther = this.#view
       .candidates(request)
       .some((candidate) => !request.triedRunners.has(candidate.id));
-    // A repeat that had bytes written once may have run: it is never told as refused. See the executor.
-    // Whoever is to hear a no hears it early: a third of the lateness is spent on finding a runner, and no more.
-    const isSpent = now >= later(request.arrivedAt, request.row.lateMs * MAX_WAIT_SHARE);
-    if (!hasOther || this.#isDraining || isSpent) this.#reject(request.info.id, kind, text);
+    // A retry whose earlier attempt was written may have run: InFlightRequests never reports it as rejected.
+    // Rejections must come early: at most a third of the time limit is spent on finding a runner.
+    const isWaitExhausted = now >= later(request.arrivedAt, request.row.lateMs * MAX_WAIT_SHARE);
+    if (!hasOther || this.#isDraining || isWaitExhausted) this.#reject(request.info.id, kind, text);
     else this.#pending.unshift(request);
     this.#startPending(now);
     this.#shedLoad(now);
   }
 
-  /** The client went away while its request was pending or running. */
+  /** The client disconnected while its request was pending or running. */
   onClientDisconnect(now: Moment, id: number): void {
     const index = this.#pending.findIndex((request) => request.info.id === id);
     if (index >= 0) this.#pending.splice(index, 1);
--- a/src/proxy/policy-view.ts
+++ b/src/proxy/policy-view.ts
@@ -28,26 +28,30 @@
 import { PublishedProxyCount } from './published-proxy-count.js';
 import type { ProbedBackend } from './connection-probes.js';
 
-/** Who waits for a place, and when it is due as far as the leader can tell. */
+/** A service that waits to be placed, with the leader's text and estimate. */
 interface PlacementWait {
   readonly text: string;
+  /** The time until its placement is ready as the leader reported it; 0 where it is unknown. */
   readonly reportedMs: number;
   readonly readyAt: Moment | undefined;
 }
 
-/** Callers are never told to come back sooner than this to a model whose place is due, ms. */
+/** The minimum retry delay that clients are given for a model whose placement is due, ms. */
 const MIN_RETRY_AFTER_MS = 1000;
 
-/** What taking news changed. */
+/** What an update changed. */
 export type PolicyChange = 'table' | 'places' | 'first places' | 'nothing';
 
-/** What a proxy was told: the table, where models are placed, and which machines leave. Nothing steps back a version. */
+/**
+ * The state that the leader published to this proxy: the table, the placements of models, and the machines that are
+ * draining. Updates that are not newer than what is held here are ignored.
+ */
 export class PolicyView {
-  readonly #me: string;
-  #config: { readonly version: Version; readonly news: ConfigUpdate } | undefined;
-  #places: { readonly version: Version; readonly news: Places } | undefined;
+  readonly #proxyId: string;
+  #config: { readonly version: Version; readonly update: ConfigUpdate } | undefined;
+  #places: { readonly version: Version; readonly update: Places } | undefined;
   #machines: Machines = { revision: 0, machines: [] };
-  /** Runners that get no new work: marked as leaving, or in an evacuated zone. */
+  /** Runners that get no new requests: they are draining, or in an evacuated zone. */
   #excludedRunners = new Set<string>();
   readonly #seats = new Map<string, readonly Seat[]>();
   #waits: ReadonlyMap<string, PlacementWait> = new Map();
@@ -55,41 +59,46 @@
   readonly #proxyCount = new PublishedProxyCount();
   readonly #shares = new Map<string, number>();
 
-  /** `me` is the proxy's id, by which the leader tells it its shares of rows. */
-  constructor(me: string) {
-    this.#me = me;
+  /** `proxyId`: the id under which the leader publishes this proxy's shares of rows. */
+  constructor(proxyId: string) {
+    this.#proxyId = proxyId;
   }
 
+  /** The version of the configuration that is in force here. */
   get configVersion(): Version {
     return this.#config?.version ?? NO_VERSION;
   }
+  /** The version of the placements that are in force here. */
   get placesVersion(): Version {
     return this.#places?.version ?? NO_VERSION;
   }
-  /** The number of the table in force here, as operators count them. */
+  /** The number of the table that is in force here, as operators number them; -1 before the first one. */
   get tableNumber(): number {
-    return this.#config?.news.number ?? -1;
+    return this.#config?.update.number ?? -1;
   }
   /** The revision of the list of machines. */
   get runnerListRevision(): number {
     return this.#machines.revision;
   }
+  /** Whether a configuration has arrived. */
   get hasConfig(): boolean {
     return this.#config !== undefined;
   }
+  /** The table that is in force here; empty before the first one. */
   get table(): Table {
-    return this.#config?.news.table ?? EMPTY_TABLE;
+    return this.#config?.update.table ?? EMPTY_TABLE;
   }
+  /** The runners and plain back ends that the leader published, by id. */
   get placed(): ReadonlyMap<string, PlacedRunner> {
     return this.#placed;
   }
 
-  /** How many proxies share limits that hold over the fleet; at least 1. */
+  /** The number of proxies that share fleet-wide limits; at least 1. */
   proxyCount(now: Moment): number {
     return this.#proxyCount.value(now);
   }
 
-  /** Whether what is held here is at least as new. */
+  /** Whether the configuration and the list of machines held here are at least as new as these. */
   isAsNewAs(version: Version, runnerListRevision: number): boolean {
     return (
       compareVersions(this.configVersion, version) >= 0 &&
@@ -97,30 +106,31 @@
     );
   }
 
-  /** Takes a piece of news, and says what it changed. */
+  /** Applies an update, and returns what it changed. */
   onUpdate(now: Moment, topic: string, version: Version, body: string): PolicyChange {
     const change = this.#apply(now, topic, version, body);
     this.#updateExcluded();
     return change;
   }
 
-  /** The row that admits a request, as the table stands. */
+  /** The row of the current table that admits a request. */
   rowOf(info: RequestInfo): Row | undefined {
     const mapping = this.mappingOf(info.method, info.path);
     return mapping ? findRow(this.table, mapping.type, info.model) : undefined;
   }
 
+  /** The mapping of the current table that matches a method and path. */
   mappingOf(method: string, path: string): Mapping | undefined {
     return findMapping(this.table, mappedMethod(method), path);
   }
 
-  /** The row that admitted it, as it stands now; nothing if the table leads elsewhere by now. */
+  /** The current version of the row that admitted a request; undefined if another row or none matches it now. */
   rowNow(request: AdmittedRequest): Row | undefined {
     const row = this.rowOf(request.info);
     return row && rowKey(row) === rowKey(request.row) ? row : undefined;
   }
 
-  /** Runners that may serve a request as far as places tell. */
+  /** The runners that can serve a request according to the placements. */
   candidates(request: AdmittedRequest): Candidate[] {
     if (isPlainService(request.service)) return this.#plainCandidates(request.service.slice(1));
     const list: Candidate[] = [];
@@ -133,27 +143,28 @@
     return list;
   }
 
+  /** Whether no runner can serve a request. */
   isUnplaced(request: AdmittedRequest): boolean {
     return this.candidates(request).length === 0;
   }
 
-  /** What the leader says of a service that waits for a place; empty where it says nothing. */
+  /** The leader's text on why a service is not placed yet; empty where there is none. */
   waitText(service: string): string {
     return this.#waits.get(service)?.text ?? '';
   }
 
-  /** How long until its place is due, as far as the leader told; 0 where nothing is known. */
+  /** How long until a service is placed by the leader's estimate, ms; 0 where that is unknown. */
   placementDelayMs(now: Moment, service: string): number {
     const readyAt = this.#waits.get(service)?.readyAt;
     return readyAt === undefined ? 0 : Math.max(MIN_RETRY_AFTER_MS, readyAt - now);
   }
 
-  /** This proxy's share of what a row may take; an even one where none was told. */
+  /** This proxy's share of a row's fleet-wide rate; an even share where the leader published none. */
   shareOf(now: Moment, row: Row): number {
     return this.#shares.get(rowKey(row)) ?? 1 / this.proxyCount(now);
   }
 
-  /** Plain back ends: whether they were started anew is told by nobody. */
+  /** The plain back ends, which don't report when they restart. */
   plainBackEnds(): readonly ProbedBackend[] {
     const list: ProbedBackend[] = [];
     for (const { id, address, service } of this.#placed.values())
@@ -164,21 +175,21 @@
   #apply(now: Moment, topic: string, version: Version, body: string): PolicyChange {
     if (topic === 'config' && compareVersions(version, this.configVersion) > 0) {
       const update = parseAs(ConfigUpdateShape, body);
-      if (update) this.#config = { version, news: update };
+      if (update) this.#config = { version, update };
       return 'table';
     }
     if (topic === 'places' && compareVersions(version, this.placesVersion) > 0) {
-      const news = parseAs(PlacesShape, body);
-      if (!news) return 'nothing';
+      const update = parseAs(PlacesShape, body);
+      if (!update) return 'nothing';
       const change = this.#places === undefined ? 'first places' : 'places';
-      this.#applyPlacements(now, news);
-      this.#places = { version, news };
-      this.#proxyCount.set(now, news.flows);
+      this.#applyPlacements(now, update);
+      this.#places = { version, update };
+      this.#proxyCount.set(now, update.flows);
       return change;
     }
     if (topic === 'machines' && version.count > this.#machines.revision) {
-      const news = parseAs(MachinesShape, body);
-      if (news) this.#machines = news;
+      const update = parseAs(MachinesShape, body);
+      if (update) this.#machines = update;
     }
     return 'nothing';
   }
@@ -192,7 +203,8 @@
       this.#seats.set(place.model, place.seats);
       const known = this.#waits.get(place.model);
       const readyMs = place.readyMs ?? 0;
-      // Told once when it begins to wait, and counted down here; the same word again is no new beginning.
+      // The leader reports the delay once when the wait begins, and it is counted down here; a repeated report does not
+      // restart the countdown.
       const isSame =
         known !== undefined && known.text === place.wait && known.reportedMs === readyMs;
       const readyAt = readyMs > 0 ? later(now, readyMs) : undefined;
@@ -201,11 +213,11 @@
     this.#waits = waits;
     for (const runner of update.runners) this.#placed.set(runner.id, runner);
     for (const share of update.shares)
-      if (share.flow === this.#me) this.#shares.set(share.row, share.share);
+      if (share.flow === this.#proxyId) this.#shares.set(share.row, share.share);
   }
 
   #updateExcluded(): void {
-    const evacuated = new Set(this.#config?.news.emptied ?? []);
+    const evacuated = new Set(this.#config?.update.emptied ?? []);
     this.#excludedRunners = new Set();
     for (const machine of this.#machines.machines)
       if (machine.leaving || evacuated.has(machine.zone)) this.#excludedRunners.add(machine.id);
@@ -222,7 +234,7 @@
   }
 }
 
-/** Whatever may be got may have its head asked for. */
+/** Mappings for GET also apply to HEAD. */
 function mappedMethod(method: string): string {
   return method === 'HEAD' ? 'GET' : method;
 }
