--- a/src/proxy/policy-forwarder.ts
+++ b/src/proxy/policy-forwarder.ts
@@ -22,35 +22,39 @@
 import { NO_NAMES, readNames, requestIdOf, type RequestNames } from './policy-request-names.js';
 import { ProbeConnections } from './probe-connections.js';
 
-/** A request that was read whole. */
+/** A request that was read completely, and the state of its response. */
 interface ClientExchange {
   readonly id: number;
   readonly clientRequest: IncomingMessage;
   readonly clientResponse: ServerResponse;
   readonly body: Buffer;
   readonly requestId: string;
+  /** The latest attempt at a runner. */
   current: Attempt | undefined;
 }
 
-/** One try of a request at one runner. */
+/** One attempt of a request at a runner. */
 interface Attempt {
   readonly number: number;
   readonly runnerRequest: ClientRequest;
   runnerResponse: IncomingMessage | undefined;
 }
 
-/** Steps at the attempt that is under way. */
+/** The steps that apply to the attempt in progress. */
 type AttemptStep = Extract<ForwardStep, { do: 'write' | 'forward' | 'cancel' }>;
 
-/** What the executor is set up with once. */
+/** Settings of the forwarder. */
 export interface PolicyForwarderSettings extends InFlightSettings {
   readonly maxBodyBytes: number;
 }
 
-/** The runner is named anew. */
+/** Headers that are not forwarded; `Host` is set to the runner's address. */
 const HOP_HEADERS = hopByHopHeaders('host');
 
-/** Obeys the passages: reads requests, runs them where they say, and returns what came back, whole or visibly broken. */
+/**
+ * Carries out the steps of the in-flight requests over HTTP/1.1: reads requests, sends them to the runners that the
+ * router picked, and forwards responses, either completely or visibly truncated.
+ */
 export class PolicyForwarder {
   readonly #router: PolicyRouter;
   readonly #settings: PolicyForwarderSettings;
@@ -94,24 +98,26 @@
     this.#server.on('clientError', (error, socket) => this.#onClientError(error, socket));
   }
 
+  /** Listens for clients at the address (`host:port`); resolves with the port. */
   async listen(address: string): Promise<number> {
     return bindServer(this.#server, address);
   }
 
+  /** Periodic tick: applies deadlines and timeouts, and reopens probe connections. */
   tick(now: Moment): void {
     this.#inFlightRequests.tick(now);
     this.#probes.tick(now);
     this.#runSteps();
   }
 
-  /** The decision has heard news: what follows from it is done. */
+  /** The router's configuration or fleet may have changed: carries out what follows from it. */
   onUpdate(now: Moment): void {
     this.#inFlightRequests.applyVerdicts(now);
     this.#probes.setBackends(now, this.#router.probedBackends());
     this.#runSteps();
   }
 
-  /** Takes nothing new, lets what runs end, and resolves then. */
+  /** Rejects new requests, waits for those that run, up to `limitMs`, then closes all connections and resolves. */
   async stop(limitMs: number): Promise<void> {
     this.#isDraining = true;
     this.#responses.startDraining();
@@ -157,7 +163,7 @@
       }
       body = await readBytes(clientRequest, maxBodyBytes);
     } catch {
-      // Either it is too large, or the client left in the midst of it; the latter reads no return.
+      // Either the body is too large, or the client disconnected while sending it and reads no response.
       if (!clientResponse.destroyed) this.#rejectTooLarge(clientResponse, requestId);
       return;
     }
@@ -178,12 +184,12 @@
         clientResponse,
         requestId,
         'malformed',
-        'the body must be JSON that names its model',
+        'the body must be JSON and name a model',
       );
   }
 
   #rejectTooLarge(clientResponse: ServerResponse, requestId: string): void {
-    const text = `more than ${this.#settings.maxBodyBytes} bytes`;
+    const text = `the body exceeds ${this.#settings.maxBodyBytes} bytes`;
     this.#responses.send(clientResponse, requestId, 'too-large', text);
   }
 
@@ -207,7 +213,7 @@
     this.#runSteps();
   }
 
-  /** Carries out the steps that have come up; a step may bring up others at once. */
+  /** Carries out the steps in order; carrying out one may cause others. */
   #runSteps(): void {
     if (this.#isRunningSteps) return;
     this.#isRunningSteps = true;
@@ -225,7 +231,7 @@
     this.#isRunningSteps = false;
   }
 
-  /** A back end that was away may be back: what waits for it is taken up. */
+  /** A back end may be up again: starts requests that wait for it. */
   #onProbeOpen(): void {
     this.#inFlightRequests.applyVerdicts(this.#now());
     this.#runSteps();
@@ -252,7 +258,7 @@
         );
         break;
       default:
-        // What is said of an earlier attempt is void.
+        // Steps for earlier attempts are ignored.
         if (exchange.current?.number === step.attempt)
           this.#runAttemptStep(exchange, exchange.current, step);
     }
@@ -272,11 +278,11 @@
     }
   }
 
-  /** The connection to the client closed, or all of it was returned: after that, its run goes on for nobody. */
+  /** The client's connection closed, or its response is complete. A run whose client is gone is canceled. */
   #onClosed(exchange: ClientExchange): void {
     this.#exchanges.delete(exchange.id);
     this.#inFlightRequests.onClientDisconnect(this.#now(), exchange.id);
-    // Its cancelling finds no entry any more.
+    // A `cancel` step would no longer find the exchange, so the run is canceled here.
     if (!exchange.clientResponse.writableFinished) exchange.current?.runnerRequest.destroy();
     this.#runSteps();
     if (this.#isDraining && this.#exchanges.size === 0) this.#onIdle?.();
@@ -291,10 +297,10 @@
     if (exchange.body.length > 0) headers['content-length'] = exchange.body.length;
     const method = exchange.clientRequest.method ?? 'GET';
     const path = verdict.isPlain ? (exchange.clientRequest.url ?? '/') : '/run';
-    // What may not be repeated gets a connection of its own: one kept alive may close just as it is written to,
-    // and nobody could tell whether it ran.
+    // A request that must not be repeated gets a new connection: a kept-alive one may close just as the request is
+    // written, which would leave unknown whether it ran.
     const agent = verdict.row.repeatable ? this.#keepAliveAgent : false;
-    // Nothing is handed to Node before the connection stands and the decision has been asked again.
+    // Nothing is written before the connection is established and the router has agreed once more.
     const runnerRequest = request({ host, port, method, path, headers, agent });
     const attempt: Attempt = { number, runnerRequest: runnerRequest, runnerResponse: undefined };
     exchange.current = attempt;
@@ -328,10 +334,10 @@
   #onResponse(exchange: ClientExchange, attempt: Attempt, runnerResponse: IncomingMessage): void {
     attempt.runnerResponse = runnerResponse;
     runnerResponse.on('error', () => this.#onDisconnect(exchange, attempt));
-    const isBegun = runnerResponse.headers['x-run'] !== 'none';
-    if (!isBegun) runnerResponse.resume();
+    const isStarted = runnerResponse.headers['x-run'] !== 'none';
+    if (!isStarted) runnerResponse.resume();
     this.#inFlightRequests.onHeaders(this.#now(), exchange.id, attempt.number, {
-      isStarted: isBegun,
+      isStarted,
       isBounded: hasSelfDefinedLength(exchange.clientRequest.method ?? 'GET', runnerResponse),
     });
     this.#runSteps();
@@ -342,18 +348,18 @@
     if (!runnerResponse) return;
     const { clientResponse } = exchange;
     const headers = forwardedHeaders(runnerResponse, HOP_HEADERS);
-    // Both at once would be two words on one end; Node's reader turns such a head away, and so do we not make one.
+    // Trailers need chunked coding. A head with a length as well would define its end twice, and Node's parser rejects it.
     if (headers['trailer'] !== undefined) delete headers['content-length'];
     headers['x-request-id'] = exchange.requestId;
     headers['x-table'] = String(table);
     if (this.#isDraining) headers['connection'] = 'close';
     clientResponse.writeHead(runnerResponse.statusCode ?? 502, headers);
-    // A stream's head is news to its client, whenever the first bytes follow.
+    // The head of a stream is sent immediately, since the first bytes of its body may follow much later.
     if (headers['content-length'] === undefined) clientResponse.flushHeaders();
     runnerResponse.on('data', () => this.#onData(exchange, attempt));
     runnerResponse.once('end', () => this.#onEnd(exchange, attempt, runnerResponse));
     runnerResponse.once('close', () => this.#onEnd(exchange, attempt, runnerResponse));
-    // Piping holds the runner back to the client's pace; how the return ends is not left to it.
+    // Piping applies the client's backpressure to the runner; the response is ended by a step of its own.
     runnerResponse.pipe(clientResponse, { end: false });
   }
 
@@ -376,16 +382,16 @@
   return list;
 }
 
-/** Ends the return properly, with the runner's trailers. */
+/** Completes the response, with the runner's trailers. */
 function completeResponse({ current, clientResponse }: ClientExchange): void {
   if (current?.runnerResponse) clientResponse.addTrailers(trailersOf(current.runnerResponse));
   clientResponse.end();
 }
 
-/** Ends the return so that no client takes it for whole. */
+/** Aborts a response in a way that no client takes it for complete. */
 function abortResponse(exchange: ClientExchange): void {
   const { clientResponse, clientRequest } = exchange;
-  // To a client of HTTP/1.0 an ordinary close would look like the end.
+  // An HTTP/1.0 client takes an orderly close of the connection for the end of the response.
   if (clientRequest.httpVersion === '1.0') clientResponse.socket?.resetAndDestroy();
   clientResponse.destroy();
 }
