--- a/src/proxy/proxy-command.ts
+++ b/src/proxy/proxy-command.ts
@@ -6,16 +6,17 @@
 import { StatusPort } from '../common/status-port.js';
 import { TableProxyProcess } from './table-proxy-process.js';
 
+/** Runs the proxy that routes by the operators' table. */
 export class ProxyCommand extends ProgramCommand {
   static override aliases = ['flow'];
   static override deprecateAliases = true;
   static override description = 'run the proxy';
   static override flags = {
     ...PROGRAM_FLAGS,
-    link: Flags.string({ description: 'loopback address of the agent beside it' }),
+    link: Flags.string({ description: 'loopback address of the local agent' }),
     status: Flags.string({ description: 'address for counters' }),
     blindMs: Flags.integer({
-      description: 'not confirmed fresh within this span, it turns new work away',
+      description: 'without a freshness confirmation for this long, new requests are rejected',
     }),
     drainMs: Flags.integer({ description: 'how long requests in flight may take after SIGTERM' }),
   };
--- a/src/proxy/proxy-process.ts
+++ b/src/proxy/proxy-process.ts
@@ -19,29 +19,31 @@
 import type { RequestDialect } from './request-dialect.js';
 import { RunnerAgent } from './runner-agent.js';
 
+/** Settings of a proxy process that routes by the operators' routes. Addresses are `host:port`. */
 export interface ProxySettings {
   readonly listen: string;
   readonly readiness: string;
   readonly readyPath: string;
-  /** The agent beside it. */
+  /** The address of the local agent. */
   readonly agentAddress: string;
   readonly zone: string;
   readonly dispatcher: Omit<
     DispatcherSettings,
     'proxyId' | 'zone' | 'random' | 'hasIdleConnection'
   >;
-  /** How long a planned stop may take, and how long clients still come after we no longer call ourselves ready. */
+  /** How long a graceful shutdown may take. */
   readonly graceMs: number;
+  /** How long the proxy goes on serving new requests after it has stopped reporting itself ready. */
   readonly lameDuckMs: number;
 }
 
 const TICK_MS = 50;
 const REPORT_EVERY_TICKS = 10;
 const URGENT_REPORT_DELAY_MS = 10;
-/** What a planned stop leaves unused of its span. */
+/** The part of `graceMs` that a graceful shutdown leaves unused. */
 const GRACE_MARGIN_MS = 700;
 
-/** The proxy by routes: the forwarder at its port, readiness at another, and the line to the agent beside it. */
+/** A proxy that routes by the operators' routes: the forwarder, a readiness endpoint, and the connection to the local agent. */
 export class ProxyProcess {
   readonly #settings: ProxySettings;
   readonly #configDialect: ConfigDialect;
@@ -101,6 +103,7 @@
     );
   }
 
+  /** Starts listening for clients and readiness checks, and connects to the agent. */
   async start(): Promise<void> {
     this.#subscription.add(
       this.#exchange.incoming$.subscribe((incoming: Incoming) => this.#onMessage(incoming)),
@@ -112,23 +115,24 @@
     this.#log.info({ zone: this.#settings.zone }, 'proxy started');
   }
 
-  /** Calls itself unready at once, serves those who still come for a while, and ends what runs. */
+  /** Reports itself unready, goes on serving new requests for the lame-duck period, then waits for those in flight. */
   async stop(): Promise<void> {
-    const { graceMs, lameDuckMs: leaveMs } = this.#settings;
+    const { graceMs, lameDuckMs: maxWaitMs } = this.#settings;
     this.#log.info({ running: this.#forwarder.size, ...this.counters() }, 'proxy draining');
     this.#dispatcher.startDraining();
     this.#forwarder.startDraining();
-    const leave = Math.min(leaveMs, graceMs / 2);
+    const waitMs = Math.min(maxWaitMs, graceMs / 2);
     await new Promise<void>((done: () => void) => {
-      setTimeout(done, leave);
+      setTimeout(done, waitMs);
     });
-    await this.#forwarder.close(Math.max(100, graceMs - leave - GRACE_MARGIN_MS));
+    await this.#forwarder.close(Math.max(100, graceMs - waitMs - GRACE_MARGIN_MS));
     this.#subscription.unsubscribe();
     this.#readiness.close();
     this.#readiness.closeAllConnections();
     this.#exchange.close();
   }
 
+  /** The counters and versions to report, by name. */
   counters(): object {
     return {
       ...this.#counters.all(),
@@ -157,7 +161,8 @@
   #tick(): void {
     this.#exchange.dial(this.#settings.agentAddress);
     this.#forwarder.tick();
-    // Until the agent has told what there is, it is asked at each tick: the first ask may have found no line yet.
+    // Until the first updates have arrived they are requested at every other tick: the agent may not have been connected
+    // yet when the first request was sent.
     const isInformed = this.#versions.has('config') && this.#versions.has('fleet');
     if (this.#ticks % (2 * REPORT_EVERY_TICKS) === 0 || (!isInformed && this.#ticks % 2 === 0))
       this.#requestUpdates();
@@ -182,7 +187,7 @@
     });
   }
 
-  /** What newly waits for a load is told at once; several at once are told together. */
+  /** Reports urgent demand after a short delay, so that one report covers several requests. */
   #afterEffects(): void {
     if (!this.#dispatcher.takeUrgentDemand() || this.#urgentReport) return;
     this.#urgentReport = setTimeout(() => this.#reportDemand(), URGENT_REPORT_DELAY_MS);
@@ -205,7 +210,7 @@
     if (message.kind === 'leaving') this.#onDrainingRunners(message.runners);
     if (message.kind !== 'update') return;
     const version = { epoch: message.epoch, count: message.count };
-    // Nothing steps back a version.
+    // Updates that are not newer than the current version are ignored.
     if (compareVersions(version, this.#version(message.topic)) <= 0) return;
     const now = monotonicNow();
     if (message.topic === 'config') this.#onConfiguration(now, message.body);
@@ -233,7 +238,7 @@
     const known = this.#version(topic);
     const delta = parseAs(FleetDeltaShape, body);
     if (topic !== 'fleet' || !delta || !this.#fleet) return;
-    // One that does not follow on what is held here is asked for anew.
+    // A delta to a version that is not held here can't be applied: if it leads to a newer one, updates are requested.
     if (known.epoch !== epoch || known.count !== from) {
       if (compareVersions({ epoch, count }, known) > 0) this.#requestUpdates();
       return;
@@ -255,7 +260,7 @@
     }
     const { routing, faults } = this.#configDialect.read(text);
     if (!routing) {
-      this.#log.warn({ faults: faults.length }, 'a configuration that cannot be read');
+      this.#log.warn({ faults: faults.length }, 'configuration cannot be parsed');
       return;
     }
     this.#routingText = text;
--- a/src/proxy/table-proxy-process.ts
+++ b/src/proxy/table-proxy-process.ts
@@ -18,7 +18,7 @@
 const FRESHNESS_EVERY_TICKS = 12;
 const DEMAND_EVERY_TICKS = 40;
 
-/** The proxy's process: the executor at its HTTP port, and the line to the agent beside it. */
+/** A proxy that routes by the operators' table: the forwarder at its HTTP port, and the connection to the local agent. */
 export class TableProxyProcess {
   readonly #settings: Infer<typeof TableProxySettingsShape>;
   readonly #log: Logger;
@@ -34,15 +34,15 @@
   constructor(settings: Infer<typeof TableProxySettingsShape>, log: Logger) {
     this.#settings = settings;
     this.#log = log;
-    const me = `flow@${settings.listen}`;
+    const proxyId = `flow@${settings.listen}`;
     this.#exchange = new Exchange(
-      { id: me, role: 'flow', zone: settings.zone, listen: '', reach: {} },
+      { id: proxyId, role: 'flow', zone: settings.zone, listen: '', reach: {} },
       (error) => this.#onExchangeError(error),
     );
     this.#router = new PolicyRouter({
       ...POLICY_ROUTER_DEFAULTS,
       freshnessBoundMs: settings.blindMs,
-      me,
+      me: proxyId,
       incarnation: newIncarnation(),
     });
     this.#forwarder = new PolicyForwarder(
@@ -57,6 +57,7 @@
     );
   }
 
+  /** Starts listening for clients, and connects to the agent. */
   async start(): Promise<void> {
     this.#subscription.add(
       this.#exchange.incoming$.subscribe((incoming: Incoming) => this.#enqueue(incoming)),
@@ -65,31 +66,27 @@
     this.#subscription.add(
       interval(TICK_MS).subscribe(() => this.#queue.submit(() => this.#tick())),
     );
-    this.#log.info({ zone: this.#settings.zone }, 'flow started');
+    this.#log.info({ zone: this.#settings.zone }, 'proxy started');
   }
 
+  /** Rejects new requests, waits for those in flight for up to the drain time, and closes all connections. */
   async stop(): Promise<void> {
-    this.#log.info({ running: this.#router.running }, 'flow draining');
+    this.#log.info({ running: this.#router.running }, 'proxy draining');
     await this.#forwarder.stop(this.#settings.drainMs);
     this.#subscription.unsubscribe();
     this.#exchange.close();
   }
 
+  /** The counters and versions to report, by name. */
   counters(): object {
-    const {
-      running,
-      pending,
-      configVersion,
-      placesVersion,
-      runnerListRevision: marks,
-    } = this.#router;
+    const { running, pending, configVersion, placesVersion, runnerListRevision } = this.#router;
     return {
       ...this.#counters.all(),
       running,
       pending,
       config: versionText(configVersion),
       places: versionText(placesVersion),
-      machines: marks,
+      machines: runnerListRevision,
       fresh: this.#wasFresh,
       memory: process.memoryUsage().rss,
     };
@@ -100,7 +97,7 @@
     this.#log.warn({ defect: error.code }, error.message);
   }
 
-  #have(): KnownVersion[] {
+  #knownVersions(): KnownVersion[] {
     return [
       { topic: 'config', ...this.#router.configVersion },
       { topic: 'places', ...this.#router.placesVersion },
@@ -116,7 +113,7 @@
       this.#exchange.send(this.#settings.link, {
         kind: 'freshnessRequest',
         nonce: this.#router.startFreshnessRequest(now),
-        have: this.#have(),
+        have: this.#knownVersions(),
         members: [],
       });
     if (this.#ticks % DEMAND_EVERY_TICKS === 0) {
@@ -146,7 +143,7 @@
         { epoch: message.epoch, count: message.count },
         message.body,
       );
-      // In force from here on: the next request is asked of the new table.
+      // The acknowledgment says that the new table is in force: the next request is routed by it.
       if (message.topic === 'config')
         this.#exchange.send(incoming.from, { kind: 'ack', ...this.#router.configVersion });
     } else if (message.kind === 'freshnessReply') {
