--- a/src/proxy/client-patience.ts
+++ b/src/proxy/client-patience.ts
@@ -7,16 +7,16 @@
  * for the gap between events. The protocol defines all three (docs/platform.md).
  */
 const MIN_SILENCE_MS = 2000;
-const TARGETS_OF_SILENCE = 4;
-const GAPS_OF_SILENCE = 8;
+const LATENCY_TARGET_FACTOR = 4;
+const GAP_TARGET_FACTOR = 8;
 
 /** How long a client of the route waits without receiving anything, ms; Infinity where it waits until its deadline. */
 export function silenceLimitMs(route: Route): number {
   if (route.kind !== 'stream') return Infinity;
   return Math.max(
     MIN_SILENCE_MS,
-    route.latencyTargetMs * TARGETS_OF_SILENCE,
-    route.gapTargetMs * GAPS_OF_SILENCE,
+    route.latencyTargetMs * LATENCY_TARGET_FACTOR,
+    route.gapTargetMs * GAP_TARGET_FACTOR,
   );
 }
 
--- a/src/proxy/connection-probes.ts
+++ b/src/proxy/connection-probes.ts
@@ -12,7 +12,7 @@
   | { readonly do: 'close'; readonly id: string };
 
 /** Is notified when a back end goes down, and when it is up again. */
-export interface Prober {
+export interface BackendStateListener {
   onBackendDown(now: Moment, id: string): void;
   onBackendUp(now: Moment, id: string): void;
 }
@@ -37,12 +37,12 @@
  * and closes them as the steps say.
  */
 export class ConnectionProbes {
-  readonly #prober: Prober;
+  readonly #listener: BackendStateListener;
   readonly #connections = new Map<string, ProbeConnection>();
   #steps: ConnectionProbeStep[] = [];
 
-  constructor(prober: Prober) {
-    this.#prober = prober;
+  constructor(listener: BackendStateListener) {
+    this.#listener = listener;
   }
 
   /** Returns the steps to carry out, in order, and clears them. */
@@ -105,7 +105,7 @@
     if (!connection || connection.generation !== generation) return;
     connection.state = 'open';
     connection.since = now;
-    if (connection.isDown) this.#prober.onBackendUp(now, id);
+    if (connection.isDown) this.#listener.onBackendUp(now, id);
     connection.isDown = false;
   }
 
@@ -125,7 +125,7 @@
   }
 
   #markDown(now: Moment, id: string, connection: ProbeConnection): void {
-    if (!connection.isDown) this.#prober.onBackendDown(now, id);
+    if (!connection.isDown) this.#listener.onBackendDown(now, id);
     connection.isDown = true;
   }
 }
--- a/src/proxy/forwarder.test.ts
+++ b/src/proxy/forwarder.test.ts
@@ -24,7 +24,7 @@
 import { Forwarder } from './forwarder.js';
 import type { RequestDialect, RequestAnnotations, RunnerAnnotations } from './request-dialect.js';
 
-/** A dialect of the test's own: x-id, x-target, x-not-run, x-seal. */
+/** A dialect for these tests, with the headers x-id, x-target, x-not-run and x-seal. */
 class TestDialect implements RequestDialect {
   readRequest(headers: IncomingHttpHeaders): RequestAnnotations {
     const id = headers['x-id'];
@@ -40,9 +40,10 @@
     };
   }
 
-  annotateRunnerRequest(headers: OutgoingHttpHeaders, said: RunnerAnnotations): void {
-    headers['x-target'] = said.runner;
-    if (said.lastEventId !== undefined) headers['last-event-id'] = String(said.lastEventId);
+  annotateRunnerRequest(headers: OutgoingHttpHeaders, annotations: RunnerAnnotations): void {
+    headers['x-target'] = annotations.runner;
+    if (annotations.lastEventId !== undefined)
+      headers['last-event-id'] = String(annotations.lastEventId);
   }
 
   readResponse(status: number, headers: IncomingHttpHeaders, attemptId: string): ResponseStatus {
@@ -102,8 +103,8 @@
 function always(): boolean {
   return true;
 }
-function nothing(): void {
-  /* no agent beside us */
+function ignore(): void {
+  /* there is no agent, and errors show in the response */
 }
 
 async function listen(server: Server | TcpServer): Promise<string> {
@@ -114,13 +115,13 @@
   return `127.0.0.1:${typeof bound === 'object' && bound !== null ? bound.port : 0}`;
 }
 
-interface Answer {
+interface ReceivedResponse {
   readonly status: number;
   readonly headers: IncomingHttpHeaders;
   readonly body: string;
-  readonly isWhole: boolean;
+  readonly isComplete: boolean;
 }
-class Bench {
+class TestProxy {
   readonly counters = new Counters();
   readonly dispatcher = new Dispatcher({
     proxyId: 'f',
@@ -136,14 +137,14 @@
     new TestDialect(),
     this.counters,
     monotonicNow,
-    nothing,
+    ignore,
   );
   readonly agent = new Agent({ keepAlive: true, maxSockets: 1 });
   readonly servers: (Server | TcpServer)[] = [];
   readonly seen: string[] = [];
   #address = '';
-  #count = 0;
-  #ticks: NodeJS.Timeout | undefined;
+  #lastRequestId = 0;
+  #tickTimer: NodeJS.Timeout | undefined;
 
   async start(
     runners: readonly (RequestListener | ((socket: Socket) => void))[],
@@ -169,11 +170,11 @@
     this.dispatcher.onConfiguration(monotonicNow(), routing, []);
     this.dispatcher.onFleet(monotonicNow(), { flows: 1, runners: list, waits: [] });
     this.#address = `127.0.0.1:${await this.forwarder.listen('127.0.0.1:0')}`;
-    this.#ticks = setInterval(() => this.forwarder.tick(), 20);
+    this.#tickTimer = setInterval(() => this.forwarder.tick(), 20);
   }
 
   async stop(): Promise<void> {
-    clearInterval(this.#ticks);
+    clearInterval(this.#tickTimer);
     this.agent.destroy();
     await this.forwarder.close(100);
     for (const server of this.servers) {
@@ -186,8 +187,12 @@
     return this.#address;
   }
 
-  ask(path: string, headers: OutgoingHttpHeaders = {}, body = 'hello'): Promise<Answer> {
-    this.#count += 1;
+  request(
+    path: string,
+    headers: OutgoingHttpHeaders = {},
+    body = 'hello',
+  ): Promise<ReceivedResponse> {
+    this.#lastRequestId += 1;
     const [host, port] = this.#address.split(':');
     const sent = request({
       host,
@@ -195,22 +200,27 @@
       method: 'POST',
       path,
       agent: this.agent,
-      headers: { host: 'h', 'x-id': `q${this.#count}`, 'content-length': body.length, ...headers },
+      headers: {
+        host: 'h',
+        'x-id': `q${this.#lastRequestId}`,
+        'content-length': body.length,
+        ...headers,
+      },
     });
-    const answer = new Promise<Answer>(
-      (done: (answer: Answer) => void, fail: (thrown: unknown) => void) => {
-        sent.once('response', (back: IncomingMessage) => {
+    const received = new Promise<ReceivedResponse>(
+      (done: (received: ReceivedResponse) => void, fail: (thrown: unknown) => void) => {
+        sent.once('response', (response: IncomingMessage) => {
           const chunks: Buffer[] = [];
-          back.on('data', (chunk: Buffer) => {
+          response.on('data', (chunk: Buffer) => {
             chunks.push(chunk);
           });
-          back.on('error', nothing);
-          back.once('close', () => {
+          response.on('error', ignore);
+          response.once('close', () => {
             done({
-              status: back.statusCode ?? 0,
-              headers: back.headers,
+              status: response.statusCode ?? 0,
+              headers: response.headers,
               body: Buffer.concat(chunks).toString(),
-              isWhole: back.complete,
+              isComplete: response.complete,
             });
           });
         });
@@ -218,21 +228,21 @@
       },
     );
     sent.end(body);
-    return answer;
+    return received;
   }
 }
 
-function idOf(asked: IncomingMessage): string {
-  const id = asked.headers['x-id'];
+function idOf(runnerRequest: IncomingMessage): string {
+  const id = runnerRequest.headers['x-id'];
   return typeof id === 'string' ? id : '';
 }
 function event(id: number): string {
   return `id: ${id}\ndata: piece ${id}\n\n`;
 }
-function sse(answer: ServerResponse, asked: IncomingMessage): void {
-  answer.writeHead(200, {
+function writeStreamHead(runnerResponse: ServerResponse, runnerRequest: IncomingMessage): void {
+  runnerResponse.writeHead(200, {
     'content-type': 'text/event-stream',
-    'x-id': idOf(asked),
+    'x-id': idOf(runnerRequest),
     'x-seal': 'first',
   });
 }
@@ -242,149 +252,167 @@
   return text;
 }
 
-async function withBench(
+async function withTestProxy(
   runners: readonly RequestListener[],
-  run: (bench: Bench) => Promise<void>,
+  run: (proxy: TestProxy) => Promise<void>,
 ): Promise<void> {
-  const bench = new Bench();
-  await bench.start(runners);
+  const proxy = new TestProxy();
+  await proxy.start(runners);
   try {
-    await run(bench);
+    await run(proxy);
   } finally {
-    await bench.stop();
+    await proxy.stop();
   }
 }
 
-/** Passes three events and part of the fourth, then breaks off. */
-function breakInMidst(asked: IncomingMessage, answer: ServerResponse): void {
-  sse(answer, asked);
-  answer.write(events(1, 3) + 'id: 4\nda', () => {
-    answer.destroy();
+/** Sends three events and part of the fourth, then disconnects. */
+function disconnectMidStream(runnerRequest: IncomingMessage, runnerResponse: ServerResponse): void {
+  writeStreamHead(runnerResponse, runnerRequest);
+  runnerResponse.write(events(1, 3) + 'id: 4\nda', () => {
+    runnerResponse.destroy();
   });
 }
-function goOn(asked: IncomingMessage, answer: ServerResponse): void {
-  const from = Number(asked.headers['last-event-id'] ?? 0) + 1;
-  sse(answer, asked);
-  answer.end(events(from, 6));
-}
-function cutAtOnce(asked: IncomingMessage): void {
-  asked.socket.destroy();
-}
-function sayWhole(asked: IncomingMessage, answer: ServerResponse): void {
-  answer.writeHead(200, { 'x-id': idOf(asked), 'x-seal': 's', 'content-length': 5 }).end('whole');
-}
-function sayHalf(asked: IncomingMessage, answer: ServerResponse): void {
-  answer.writeHead(200, { 'x-id': idOf(asked), 'content-length': 10 });
-  answer.write('whol', () => {
-    answer.destroy();
+function streamToEnd(runnerRequest: IncomingMessage, runnerResponse: ServerResponse): void {
+  const from = Number(runnerRequest.headers['last-event-id'] ?? 0) + 1;
+  writeStreamHead(runnerResponse, runnerRequest);
+  runnerResponse.end(events(from, 6));
+}
+function disconnectImmediately(runnerRequest: IncomingMessage): void {
+  runnerRequest.socket.destroy();
+}
+function respondCompletely(runnerRequest: IncomingMessage, runnerResponse: ServerResponse): void {
+  runnerResponse
+    .writeHead(200, { 'x-id': idOf(runnerRequest), 'x-seal': 's', 'content-length': 5 })
+    .end('whole');
+}
+function disconnectMidResponse(
+  runnerRequest: IncomingMessage,
+  runnerResponse: ServerResponse,
+): void {
+  runnerResponse.writeHead(200, { 'x-id': idOf(runnerRequest), 'content-length': 10 });
+  runnerResponse.write('whol', () => {
+    runnerResponse.destroy();
   });
 }
-function sayOther(_asked: IncomingMessage, answer: ServerResponse): void {
-  answer.writeHead(200, { 'x-id': 'somebody-else', 'content-length': 5 }).end('other');
-}
-function beFull(asked: IncomingMessage, answer: ServerResponse): void {
-  answer.writeHead(503, { 'x-id': idOf(asked), 'x-not-run': '1', 'content-length': 0 }).end();
-}
-function sayUnbounded(asked: IncomingMessage, answer: ServerResponse): void {
-  asked.resume();
-  answer.socket?.end(`HTTP/1.1 200 OK\r\nx-id: ${idOf(asked)}\r\nconnection: close\r\n\r\nhello`);
+function respondWithForeignId(_request: IncomingMessage, runnerResponse: ServerResponse): void {
+  runnerResponse.writeHead(200, { 'x-id': 'somebody-else', 'content-length': 5 }).end('other');
+}
+function respondFull(runnerRequest: IncomingMessage, runnerResponse: ServerResponse): void {
+  runnerResponse
+    .writeHead(503, { 'x-id': idOf(runnerRequest), 'x-not-run': '1', 'content-length': 0 })
+    .end();
+}
+function respondWithoutLength(
+  runnerRequest: IncomingMessage,
+  runnerResponse: ServerResponse,
+): void {
+  runnerRequest.resume();
+  runnerResponse.socket?.end(
+    `HTTP/1.1 200 OK\r\nx-id: ${idOf(runnerRequest)}\r\nconnection: close\r\n\r\nhello`,
+  );
 }
 
-async function checkStream(bench: Bench): Promise<void> {
-  const answer = await bench.ask('/stream/1');
-  expect([answer.status, answer.body, answer.isWhole, answer.headers['x-seal']]).toEqual([
-    200,
-    events(1, 6),
-    true,
-    'first',
-  ]);
+async function checkStream(proxy: TestProxy): Promise<void> {
+  const response = await proxy.request('/stream/1');
+  expect([response.status, response.body, response.isComplete, response.headers['x-seal']]).toEqual(
+    [200, events(1, 6), true, 'first'],
+  );
 }
-async function checkResume(bench: Bench): Promise<void> {
-  const answer = await bench.ask('/stream/1');
-  expect([answer.body, answer.isWhole]).toEqual([events(1, 6), true]);
-  expect(bench.dispatcher.counts.resumed).toBe(1);
+async function checkResume(proxy: TestProxy): Promise<void> {
+  const response = await proxy.request('/stream/1');
+  expect([response.body, response.isComplete]).toEqual([events(1, 6), true]);
+  expect(proxy.dispatcher.counts.resumed).toBe(1);
 }
-function failHard(asked: IncomingMessage, answer: ServerResponse): void {
-  answer.writeHead(500, { 'x-id': idOf(asked), 'content-length': 4 }).end('oops');
+function respondServerError(runnerRequest: IncomingMessage, runnerResponse: ServerResponse): void {
+  runnerResponse.writeHead(500, { 'x-id': idOf(runnerRequest), 'content-length': 4 }).end('oops');
 }
-/** A failure whose length is told, of which a part comes before the runner breaks off. */
-function breakFailure(status: number, contentType: string, part: string): RequestListener {
-  return (asked, answer) => {
-    asked.resume();
-    answer.writeHead(status, {
-      'x-id': idOf(asked),
+/** A response with a content length of which only a part arrives before the runner disconnects. */
+function disconnectMidBody(status: number, contentType: string, part: string): RequestListener {
+  return (runnerRequest, runnerResponse) => {
+    runnerRequest.resume();
+    runnerResponse.writeHead(status, {
+      'x-id': idOf(runnerRequest),
       'content-type': contentType,
       'content-length': part.length + 200,
     });
-    answer.write(part, () => {
-      answer.destroy();
+    runnerResponse.write(part, () => {
+      runnerResponse.destroy();
     });
   };
 }
-/** The client sees a broken answer, and the next one on its connections is its own. */
-async function expectBroken(bench: Bench, status: number, part: string): Promise<void> {
-  const answer = await bench.ask('/stream/1');
-  expect([answer.status, answer.body, answer.isWhole]).toEqual([status, part, false]);
-  expect(bench.dispatcher.counts.resumed).toBe(0);
-  bench.dispatcher.onDrainingRunners(monotonicNow(), ['r0']);
-  const next = await bench.ask('/stream/1');
-  expect([next.status, next.body, next.isWhole]).toEqual([200, events(1, 6), true]);
-}
-/** An event stream of a success that is not the one that the client has begun to get. */
-function sayOtherStatus(asked: IncomingMessage, answer: ServerResponse): void {
-  answer.writeHead(206, { 'content-type': 'text/event-stream', 'x-id': idOf(asked) });
-  answer.end(events(4, 6));
-}
-function sayPlain(asked: IncomingMessage, answer: ServerResponse): void {
-  answer.writeHead(200, { 'x-id': idOf(asked), 'content-length': 5 }).end('whole');
-}
-async function checkVain(bench: Bench): Promise<void> {
-  const answer = await bench.ask('/stream/1');
-  expect([answer.body, answer.isWhole]).toEqual([events(1, 3), false]);
-  // And the proxy goes on.
-  expect((await bench.ask('/nowhere/1')).status).toBe(503);
-}
-async function checkHeadSize(bench: Bench): Promise<void> {
-  bench.forwarder.applyLimits();
-  expect((await bench.ask('/safe/1', { 'x-large': 'x'.repeat(20_000) })).status).toBe(431);
-}
-async function checkClientResumes(bench: Bench): Promise<void> {
-  const answer = await bench.ask('/stream/1', { 'last-event-id': '4' });
-  expect([answer.body, answer.isWhole]).toEqual([events(5, 6), true]);
-}
-async function checkOnceBroken(bench: Bench): Promise<void> {
-  const answer = await bench.ask('/once/1');
-  expect([answer.status, answer.body, answer.isWhole]).toEqual([200, events(1, 3), false]);
-}
-async function checkOnceCut(bench: Bench): Promise<void> {
-  expect((await bench.ask('/once/1')).status).toBe(502);
-  expect((await bench.ask('/unsafe/1')).status).toBe(502);
-}
-async function checkSafe(bench: Bench): Promise<void> {
-  const answer = await bench.ask('/safe/1');
-  expect([answer.status, answer.body, answer.isWhole]).toEqual([200, 'whole', true]);
-}
-async function checkOther(bench: Bench): Promise<void> {
-  expect((await bench.ask('/unsafe/1')).status).toBe(502);
-  expect((await bench.ask('/safe/1')).body).toBe('whole');
-}
-async function checkFull(bench: Bench): Promise<void> {
-  const answer = await bench.ask('/unsafe/1');
-  expect([answer.status, answer.headers['retry-after']]).toEqual([503, '0.25']);
-}
-async function checkUnbounded(bench: Bench): Promise<void> {
-  expect((await bench.ask('/unsafe/1')).status).toBe(502);
-}
-async function checkSizes(bench: Bench): Promise<void> {
-  expect((await bench.ask('/safe/1', {}, 'x'.repeat(1001))).status).toBe(413);
-}
-async function checkHeaders(bench: Bench): Promise<void> {
-  const answer = await bench.ask('/safe/1?x=1', {
+/** The client receives a truncated response, and then a complete one to its next request. */
+async function expectTruncated(proxy: TestProxy, status: number, part: string): Promise<void> {
+  const response = await proxy.request('/stream/1');
+  expect([response.status, response.body, response.isComplete]).toEqual([status, part, false]);
+  expect(proxy.dispatcher.counts.resumed).toBe(0);
+  proxy.dispatcher.onDrainingRunners(monotonicNow(), ['r0']);
+  const next = await proxy.request('/stream/1');
+  expect([next.status, next.body, next.isComplete]).toEqual([200, events(1, 6), true]);
+}
+/** An event stream with a success status other than the one that the client has received. */
+function streamWithOtherStatus(
+  runnerRequest: IncomingMessage,
+  runnerResponse: ServerResponse,
+): void {
+  runnerResponse.writeHead(206, {
+    'content-type': 'text/event-stream',
+    'x-id': idOf(runnerRequest),
+  });
+  runnerResponse.end(events(4, 6));
+}
+function respondWithoutStream(
+  runnerRequest: IncomingMessage,
+  runnerResponse: ServerResponse,
+): void {
+  runnerResponse.writeHead(200, { 'x-id': idOf(runnerRequest), 'content-length': 5 }).end('whole');
+}
+async function checkTruncatedStream(proxy: TestProxy): Promise<void> {
+  const response = await proxy.request('/stream/1');
+  expect([response.body, response.isComplete]).toEqual([events(1, 3), false]);
+  // The proxy still responds.
+  expect((await proxy.request('/nowhere/1')).status).toBe(503);
+}
+async function checkHeadSize(proxy: TestProxy): Promise<void> {
+  proxy.forwarder.applyLimits();
+  expect((await proxy.request('/safe/1', { 'x-large': 'x'.repeat(20_000) })).status).toBe(431);
+}
+async function checkClientResumes(proxy: TestProxy): Promise<void> {
+  const response = await proxy.request('/stream/1', { 'last-event-id': '4' });
+  expect([response.body, response.isComplete]).toEqual([events(5, 6), true]);
+}
+async function checkOnceTruncated(proxy: TestProxy): Promise<void> {
+  const response = await proxy.request('/once/1');
+  expect([response.status, response.body, response.isComplete]).toEqual([200, events(1, 3), false]);
+}
+async function checkOnceDisconnected(proxy: TestProxy): Promise<void> {
+  expect((await proxy.request('/once/1')).status).toBe(502);
+  expect((await proxy.request('/unsafe/1')).status).toBe(502);
+}
+async function checkSafe(proxy: TestProxy): Promise<void> {
+  const response = await proxy.request('/safe/1');
+  expect([response.status, response.body, response.isComplete]).toEqual([200, 'whole', true]);
+}
+async function checkForeignId(proxy: TestProxy): Promise<void> {
+  expect((await proxy.request('/unsafe/1')).status).toBe(502);
+  expect((await proxy.request('/safe/1')).body).toBe('whole');
+}
+async function checkFull(proxy: TestProxy): Promise<void> {
+  const response = await proxy.request('/unsafe/1');
+  expect([response.status, response.headers['retry-after']]).toEqual([503, '0.25']);
+}
+async function checkWithoutLength(proxy: TestProxy): Promise<void> {
+  expect((await proxy.request('/unsafe/1')).status).toBe(502);
+}
+async function checkSizes(proxy: TestProxy): Promise<void> {
+  expect((await proxy.request('/safe/1', {}, 'x'.repeat(1001))).status).toBe(413);
+}
+async function checkHeaders(proxy: TestProxy): Promise<void> {
+  const response = await proxy.request('/safe/1?x=1', {
     'x-more': 'kept',
     connection: 'keep-alive, x-hop',
     'x-hop': 'dropped',
   });
-  const { url, headers } = JSON.parse(answer.body);
+  const { url, headers } = JSON.parse(response.body);
   expect([url, headers['x-more'], headers['x-hop'], headers['host'], headers['x-target']]).toEqual([
     '/safe/1?x=1',
     'kept',
@@ -393,57 +421,61 @@
     'r0',
   ]);
 }
-function echoHead(asked: IncomingMessage, answer: ServerResponse): void {
-  const body = JSON.stringify({ url: asked.url, headers: asked.headers });
-  answer.writeHead(200, { 'x-id': idOf(asked), 'content-length': body.length }).end(body);
+function echoHead(runnerRequest: IncomingMessage, runnerResponse: ServerResponse): void {
+  const body = JSON.stringify({ url: runnerRequest.url, headers: runnerRequest.headers });
+  runnerResponse
+    .writeHead(200, { 'x-id': idOf(runnerRequest), 'content-length': body.length })
+    .end(body);
 }
 
-test('a stream comes through whole, with the head of its runner', () =>
-  withBench([goOn], checkStream));
-test('a stream that breaks goes on at another runner inside the same answer', () =>
-  withBench([breakInMidst, goOn], checkResume));
-test('a stream that breaks and finds only failures is seen to be broken', () =>
-  withBench([breakInMidst, failHard], checkVain));
-// Guards against MIXED: the rest of a failure that breaks off must not come from another run's stream.
-test('a failure that breaks off on a resumable route is not continued by another run', async () => {
+test('a stream is forwarded completely, with the head of its runner', () =>
+  withTestProxy([streamToEnd], checkStream));
+test('a stream whose runner disconnects is continued by another runner in the same response', () =>
+  withTestProxy([disconnectMidStream, streamToEnd], checkResume));
+test('a stream whose runner disconnects is visibly truncated if the other runners fail', () =>
+  withTestProxy([disconnectMidStream, respondServerError], checkTruncatedStream));
+// Guards against MIXED: a truncated error response must not be completed with another run's stream.
+test('a truncated error response on a resumable route is not continued by another run', async () => {
   const json = '{"error":"';
-  await withBench([breakFailure(404, 'application/json', json), goOn], (bench) =>
-    expectBroken(bench, 404, json),
+  await withTestProxy([disconnectMidBody(404, 'application/json', json), streamToEnd], (proxy) =>
+    expectTruncated(proxy, 404, json),
   );
-  // A failure may come as events as well: it is none of the run that would follow.
-  await withBench([breakFailure(404, 'text/event-stream', events(1, 2)), goOn], (bench) =>
-    expectBroken(bench, 404, events(1, 2)),
+  // An error response may be an event stream as well, and another run's events are no continuation of it.
+  await withTestProxy(
+    [disconnectMidBody(404, 'text/event-stream', events(1, 2)), streamToEnd],
+    (proxy) => expectTruncated(proxy, 404, events(1, 2)),
   );
 });
-test('a success that is no event stream is not continued by one when it breaks off', () =>
-  withBench([breakFailure(200, 'text/plain', 'half'), goOn], (bench) =>
-    expectBroken(bench, 200, 'half'),
+test('a truncated success response that is no event stream is not continued by an event stream', () =>
+  withTestProxy([disconnectMidBody(200, 'text/plain', 'half'), streamToEnd], (proxy) =>
+    expectTruncated(proxy, 200, 'half'),
   ));
 test('a stream is continued only by an event stream of the same status', async () => {
-  await withBench([breakInMidst, sayPlain], checkVain);
-  await withBench([breakInMidst, sayOtherStatus], checkVain);
+  await withTestProxy([disconnectMidStream, respondWithoutStream], checkTruncatedStream);
+  await withTestProxy([disconnectMidStream, streamWithOtherStatus], checkTruncatedStream);
 });
-test('heads larger than operators allow are turned down', () =>
-  withBench([sayWhole], checkHeadSize));
-test('a client goes on after the last event it has', () => withBench([goOn], checkClientResumes));
-test('a stream that may run once is seen to be broken, at a whole event', () =>
-  withBench([breakInMidst, goOn], checkOnceBroken));
-test('what may run once and broke is told as unsure, not as refused', () =>
-  withBench([cutAtOnce, cutAtOnce], checkOnceCut));
-test('a safe answer that breaks off is asked for again', () =>
-  withBench([sayHalf, sayWhole], checkSafe));
-test('an answer to somebody else is never passed on', () =>
-  withBench([sayOther, sayWhole], checkOther));
-test('a full service is refused with when to come back', () =>
-  withBench([beFull, beFull], checkFull));
-test('an answer that does not tell its end is not passed on as whole', () =>
-  withBench([sayUnbounded], checkUnbounded));
-test('too large a body is turned down', () => withBench([sayWhole], checkSizes));
-test('heads are passed on but for what concerns one connection', () =>
-  withBench([echoHead], checkHeaders));
-/** Answers the first request twice; the surplus lies in the way of the next one on that connection. */
-test('a second answer on a kept connection reaches nobody', async () => {
-  const bench = new Bench();
+test('request heads above the configured size are rejected', () =>
+  withTestProxy([respondCompletely], checkHeadSize));
+test('a client resumes after the last event that it has received', () =>
+  withTestProxy([streamToEnd], checkClientResumes));
+test('a stream that may run once is visibly truncated after a complete event', () =>
+  withTestProxy([disconnectMidStream, streamToEnd], checkOnceTruncated));
+test('a request that may run once and whose runner disconnects is answered as failed, not as rejected', () =>
+  withTestProxy([disconnectImmediately, disconnectImmediately], checkOnceDisconnected));
+test('a safe request whose response is truncated is retried', () =>
+  withTestProxy([disconnectMidResponse, respondCompletely], checkSafe));
+test('a response with the id of another request is never forwarded', () =>
+  withTestProxy([respondWithForeignId, respondCompletely], checkForeignId));
+test('a request to a full service is rejected with a retry delay', () =>
+  withTestProxy([respondFull, respondFull], checkFull));
+test('a response that does not define its own length is not forwarded as complete', () =>
+  withTestProxy([respondWithoutLength], checkWithoutLength));
+test('a body that is too large is rejected', () => withTestProxy([respondCompletely], checkSizes));
+test('request heads are forwarded without hop-by-hop headers', () =>
+  withTestProxy([echoHead], checkHeaders));
+/** The runner responds to the first request twice; the next request on that connection could receive the surplus response. */
+test('a surplus response on a kept-alive connection is never forwarded', async () => {
+  const proxy = new TestProxy();
   function talk(socket: Socket): void {
     let count = 0;
     socket.on('data', (chunk: Buffer) => {
@@ -452,88 +484,88 @@
       const text = `HTTP/1.1 200 OK\r\nx-id: ${id}\r\ncontent-length: ${id.length}\r\n\r\n${id}`;
       socket.write(count === 1 ? text + text : text);
     });
-    socket.on('error', nothing);
+    socket.on('error', ignore);
   }
-  await bench.start([talk, talk], true);
+  await proxy.start([talk, talk], true);
   try {
     for (let index = 1; index <= 4; index += 1) {
-      const answer = await bench.ask('/safe/1');
-      if (answer.status === 200) expect(answer.body).toBe(`q${index}`);
+      const response = await proxy.request('/safe/1');
+      if (response.status === 200) expect(response.body).toBe(`q${index}`);
     }
   } finally {
-    await bench.stop();
+    await proxy.stop();
   }
 });
-test('a client that leaves cancels its run', async () => {
-  const bench = new Bench();
-  let left: () => void = nothing;
-  const isLeft = new Promise<void>((done: () => void) => {
-    left = done;
+test('the run of a client that disconnects is canceled', async () => {
+  const proxy = new TestProxy();
+  let resolveCanceled: () => void = ignore;
+  const canceled = new Promise<void>((done: () => void) => {
+    resolveCanceled = done;
   });
-  function hang(asked: IncomingMessage, answer: ServerResponse): void {
-    sse(answer, asked);
-    answer.write(event(1));
-    answer.once('close', left);
+  function hang(runnerRequest: IncomingMessage, runnerResponse: ServerResponse): void {
+    writeStreamHead(runnerResponse, runnerRequest);
+    runnerResponse.write(event(1));
+    runnerResponse.once('close', resolveCanceled);
   }
-  await bench.start([hang]);
-  const [host, port] = bench.address.split(':');
+  await proxy.start([hang]);
+  const [host, port] = proxy.address.split(':');
   const socket = connect(Number(port), host);
   socket.write('POST /stream/1 HTTP/1.1\r\nhost: h\r\nx-id: q\r\ncontent-length: 0\r\n\r\n');
   socket.once('data', () => {
     socket.destroy();
   });
-  await isLeft;
-  await bench.stop();
-  expect(bench.dispatcher.inFlight).toBe(0);
+  await canceled;
+  await proxy.stop();
+  expect(proxy.dispatcher.inFlight).toBe(0);
 });
-test('a planned stop lets what runs end and asks clients to go elsewhere', async () => {
-  const bench = new Bench();
-  let finish: () => void = nothing;
-  function slow(asked: IncomingMessage, answer: ServerResponse): void {
-    sse(answer, asked);
-    answer.write(event(1));
+test('a graceful shutdown lets running requests complete', async () => {
+  const proxy = new TestProxy();
+  let finish: () => void = ignore;
+  function slow(runnerRequest: IncomingMessage, runnerResponse: ServerResponse): void {
+    writeStreamHead(runnerResponse, runnerRequest);
+    runnerResponse.write(event(1));
     function end(): void {
-      answer.end(event(2));
+      runnerResponse.end(event(2));
     }
     finish = end;
-    if (stopAt) stopAt();
+    if (resolveRunning) resolveRunning();
   }
-  let stopAt: (() => void) | undefined;
-  const isRunning = new Promise<void>((done: () => void) => {
-    stopAt = done;
+  let resolveRunning: (() => void) | undefined;
+  const running = new Promise<void>((done: () => void) => {
+    resolveRunning = done;
   });
-  await bench.start([slow]);
-  const asked = bench.ask('/stream/1');
-  await isRunning;
-  bench.forwarder.startDraining();
-  const closed = bench.forwarder.close(5000);
+  await proxy.start([slow]);
+  const pendingResponse = proxy.request('/stream/1');
+  await running;
+  proxy.forwarder.startDraining();
+  const closed = proxy.forwarder.close(5000);
   finish();
-  const answer = await asked;
-  expect([answer.body, answer.isWhole]).toEqual([events(1, 2), true]);
+  const response = await pendingResponse;
+  expect([response.body, response.isComplete]).toEqual([events(1, 2), true]);
   await closed;
-  await bench.stop();
+  await proxy.stop();
 });
-/** What a runner never answers is told as failed; a closed connection would tell its client nothing. */
-test('a planned stop answers what has not ended at its limit', async () => {
-  const bench = new Bench();
-  let reached: () => void = nothing;
-  const isReached = new Promise<void>((done: () => void) => {
-    reached = done;
+/** If the connection were merely closed, the client would not know whether its request may have run. */
+test('a graceful shutdown answers requests as failed that have not ended at its limit', async () => {
+  const proxy = new TestProxy();
+  let resolveReached: () => void = ignore;
+  const reached = new Promise<void>((done: () => void) => {
+    resolveReached = done;
   });
   function hang(): void {
-    reached();
+    resolveReached();
   }
-  await bench.start([hang]);
+  await proxy.start([hang]);
   try {
-    const asked = bench.ask('/once/1');
-    await isReached;
-    bench.forwarder.startDraining();
-    const closed = bench.forwarder.close(50);
-    const answer = await asked;
-    expect([answer.status, answer.isWhole]).toEqual([504, true]);
+    const pendingResponse = proxy.request('/once/1');
+    await reached;
+    proxy.forwarder.startDraining();
+    const closed = proxy.forwarder.close(50);
+    const response = await pendingResponse;
+    expect([response.status, response.isComplete]).toEqual([504, true]);
     await closed;
-    expect(bench.forwarder.size).toBe(0);
+    expect(proxy.forwarder.size).toBe(0);
   } finally {
-    await bench.stop();
+    await proxy.stop();
   }
 });
--- a/src/proxy/policy-admission.ts
+++ b/src/proxy/policy-admission.ts
@@ -44,7 +44,7 @@
       return rejection('over-take', `row ${rowKey(row)} takes ${row.take} a second`, waitMs);
     const request = newRequest(now, info, row, service);
     if (!this.#view.isUnplaced(request)) return { request };
-    const text = this.#view.waitText(service) || `${info.model} is not placed yet`;
+    const text = this.#view.waitReason(service) || `${info.model} is not placed yet`;
     return rejection('waits-for-place', text, this.#view.placementDelayMs(now, service));
   }
 
--- a/src/proxy/policy-forwarder.test.ts
+++ b/src/proxy/policy-forwarder.test.ts
@@ -22,13 +22,17 @@
 import { interval } from 'rxjs';
 
 type Subscription = import('rxjs').Subscription;
-const TEXT =
+const POLICY =
   'map POST /c to check\nmap GET /l/* to lookup\nmap POST /l/* to lookup\nrow check m weight 9 late 400ms once stream\nrow check w weight 9 late 400ms once whole\nrow lookup @k weight 5 late 5s repeatable';
-type Behave = (asked: IncomingMessage, returned: ServerResponse, count: number) => void;
+type RunnerBehavior = (
+  runnerRequest: IncomingMessage,
+  runnerResponse: ServerResponse,
+  count: number,
+) => void;
 const TICK_MS = 20;
 /**
- * A clock that moves on by the bench's ticks alone. Client, proxy and back ends share one event loop: while the machine
- * leaves that no processor none of them can move, and such a span must not pass for a back end's silence.
+ * A clock that advances only with the proxy's ticks. Client, proxy and runners share one event loop: while the machine
+ * gives it no processor time none of them can act, and such a pause must not count as an idle runner.
  */
 class TickClock {
   #now = monotonicNow();
@@ -40,45 +44,47 @@
     return this.#now;
   }
 }
-type OnGate = (decision: PolicyRouter, now: Moment) => void;
-/** News comes in just after a request was drawn, before its connection stands. */
-class MarkingDecision extends PolicyRouter {
-  readonly #onGate: OnGate;
-  constructor(onGate: OnGate) {
+type OnRequestRouted = (router: PolicyRouter, now: Moment) => void;
+/** A router that receives an update right after it has picked a runner, before the connection is established. */
+class UpdatingRouter extends PolicyRouter {
+  readonly #onRequestRouted: OnRequestRouted;
+  constructor(onRequestRouted: OnRequestRouted) {
     super({ ...POLICY_ROUTER_DEFAULTS, freshnessBoundMs: 60_000, me: 'f' });
-    this.#onGate = onGate;
+    this.#onRequestRouted = onRequestRouted;
   }
-  override onRequest(now: Moment, asked: RequestInfo): void {
-    super.onRequest(now, asked);
-    process.nextTick(this.#onGate, this, now);
+  override onRequest(now: Moment, info: RequestInfo): void {
+    super.onRequest(now, info);
+    process.nextTick(this.#onRequestRouted, this, now);
   }
 }
-/** A proxy before two back ends that behave as told. */
-class Bench {
-  readonly seen: string[] = [];
+/** A proxy in front of runners with the given behaviors. */
+class TestProxy {
+  readonly requestedRunners: string[] = [];
   readonly counters = new CountersClass();
   readonly servers: Server[] = [];
-  executor: PolicyForwarder | undefined;
+  forwarder: PolicyForwarder | undefined;
   address = '';
-  decision: PolicyRouter | undefined;
+  router: PolicyRouter | undefined;
   ticks: Subscription | undefined;
-  onGate: OnGate | undefined;
+  onRequestRouted: OnRequestRouted | undefined;
   readonly #clock = new TickClock();
 
   #tick(): void {
-    this.executor?.tick(this.#clock.tick());
+    this.forwarder?.tick(this.#clock.tick());
   }
 
-  async start(behaves: readonly Behave[], hasDead = false): Promise<void> {
+  async start(behaviors: readonly RunnerBehavior[], hasUnreachableRunner = false): Promise<void> {
     const runners = [];
-    for (const [index, behave] of behaves.entries()) {
-      const seen = this.seen;
+    for (const [index, behavior] of behaviors.entries()) {
+      const requestedRunners = this.requestedRunners;
       let count = 0;
-      const server = createServer((asked: IncomingMessage, returned: ServerResponse) => {
-        seen.push(`r${index}`);
-        count += 1;
-        behave(asked, returned, count);
-      });
+      const server = createServer(
+        (runnerRequest: IncomingMessage, runnerResponse: ServerResponse) => {
+          requestedRunners.push(`r${index}`);
+          count += 1;
+          behavior(runnerRequest, runnerResponse, count);
+        },
+      );
       this.servers.push(server);
       const port = await bindServer(server, '127.0.0.1:0');
       runners.push(
@@ -100,8 +106,8 @@
         },
       );
     }
-    if (hasDead) {
-      // A port that was just closed: nobody is reached there.
+    if (hasUnreachableRunner) {
+      // A port that was just closed refuses connections.
       const closed = createTcp();
       const port = await bindServer(closed, '127.0.0.1:0');
       closed.close();
@@ -115,15 +121,15 @@
         upMs: 60_000,
       });
     }
-    const decision = this.onGate
-      ? new MarkingDecision(this.onGate)
+    const router = this.onRequestRouted
+      ? new UpdatingRouter(this.onRequestRouted)
       : new PolicyRouter({ ...POLICY_ROUTER_DEFAULTS, freshnessBoundMs: 60_000, me: 'f' });
     const now = this.#clock.now();
-    decision.onUpdate(
+    router.onUpdate(
       now,
       'config',
       { epoch: 2, count: 1 },
-      JSON.stringify({ number: 1, table: compile(TEXT).table, emptied: [], voters: [] }),
+      JSON.stringify({ number: 1, table: compile(POLICY).table, emptied: [], voters: [] }),
     );
     const seats = [];
     for (const { id, service } of runners)
@@ -132,22 +138,22 @@
       { model: 'm', seats, wait: '' },
       { model: 'w', seats, wait: '' },
     ];
-    decision.onUpdate(
+    router.onUpdate(
       now,
       'places',
       { epoch: 2, count: 1 },
       JSON.stringify({ places, runners, flows: 1, shares: [] }),
     );
-    decision.onFreshnessConfirmed(decision.startFreshnessRequest(now), { epoch: 0, count: 0 }, 0);
-    this.decision = decision;
-    this.executor = new PolicyForwarder(
-      decision,
+    router.onFreshnessConfirmed(router.startFreshnessRequest(now), { epoch: 0, count: 0 }, 0);
+    this.router = router;
+    this.forwarder = new PolicyForwarder(
+      router,
       { maxBodyBytes: 4096, connectTimeoutMs: 300, idleTimeoutMs: 200 },
       this.counters,
       () => this.#clock.now(),
     );
     this.ticks = interval(TICK_MS).subscribe(() => this.#tick());
-    this.address = `127.0.0.1:${await this.executor.listen('127.0.0.1:0')}`;
+    this.address = `127.0.0.1:${await this.forwarder.listen('127.0.0.1:0')}`;
   }
 
   post(model: string): ReturnType<typeof call> {
@@ -156,124 +162,132 @@
 
   async stop(): Promise<void> {
     this.ticks?.unsubscribe();
-    await this.executor?.stop(0);
+    await this.forwarder?.stop(0);
     for (const server of this.servers) {
       server.closeAllConnections();
       server.close();
     }
   }
 }
-function withBench(
-  behaves: readonly Behave[],
-  check: (bench: Bench) => Promise<void>,
-  hasDead = false,
+function withTestProxy(
+  behaviors: readonly RunnerBehavior[],
+  check: (proxy: TestProxy) => Promise<void>,
+  hasUnreachableRunner = false,
 ): () => Promise<void> {
   async function run(): Promise<void> {
-    const bench = new Bench();
-    await bench.start(behaves, hasDead);
+    const proxy = new TestProxy();
+    await proxy.start(behaviors, hasUnreachableRunner);
     try {
-      await check(bench);
+      await check(proxy);
     } finally {
-      await bench.stop();
+      await proxy.stop();
     }
   }
   return run;
 }
-function sayHello(_asked: IncomingMessage, returned: ServerResponse): void {
-  returned.end('hello');
-}
-function cutAtOnce(asked: IncomingMessage): void {
-  asked.socket.destroy();
-}
-function cutInMidst(asked: IncomingMessage, returned: ServerResponse): void {
-  returned.writeHead(200, { 'content-type': 'text/plain' });
-  returned.write('half a');
-  setImmediate(asked.socket.destroy.bind(asked.socket));
-}
-function beFull(_asked: IncomingMessage, returned: ServerResponse): void {
-  returned.writeHead(503, { 'x-run': 'none' }).end('full');
-}
-function saySilent(): void {
-  /* it never returns anything */
-}
-async function checkOnceBroken(bench: Bench): Promise<void> {
-  const returned = await bench.post('m');
-  expect(returned.status).toBe(502);
-  expect(returned.body).toContain('"outcome":"unsure"');
-  expect(returned.headers['retry-after']).toBeUndefined();
-  expect(bench.seen).toEqual(['r0']);
-}
-async function checkUnreached(bench: Bench): Promise<void> {
-  expect((await bench.post('m')).body).toBe('hello');
-  expect(bench.seen).toEqual(['r0']);
-}
-async function checkFull(bench: Bench): Promise<void> {
-  expect((await bench.post('m')).body).toBe('hello');
-  expect(bench.seen).toEqual(['r0', 'r1']);
-}
-async function checkAllFull(bench: Bench): Promise<void> {
-  const returned = await bench.post('m');
-  expect(returned.status).toBe(503);
-  expect(Number(returned.headers['retry-after'])).toBeGreaterThan(0);
-  expect(returned.body).toContain('turned-away');
-}
-async function checkBrokenStream(bench: Bench): Promise<void> {
-  await expect(bench.post('m')).rejects.toThrow();
-  expect(bench.seen).toEqual(['r0']);
-  expect(bench.counters.get('streams.broken')).toBe(1);
-}
-async function checkRepeat(bench: Bench): Promise<void> {
-  expect((await call('GET', bench.address, '/l/1', undefined, 5000)).body).toBe('hello');
-  expect(bench.seen).toHaveLength(2);
-  expect(bench.counters.get('repeats')).toBe(1);
-}
-async function checkLate(bench: Bench): Promise<void> {
-  const returned = await bench.post('w');
-  expect(returned.status).toBe(504);
-  expect(returned.body).toContain('unsure');
-}
-async function checkBodies(bench: Bench): Promise<void> {
-  expect((await call('POST', bench.address, '/c', '{"model":', 5000)).status).toBe(400);
+function respondHello(_request: IncomingMessage, runnerResponse: ServerResponse): void {
+  runnerResponse.end('hello');
+}
+function disconnectImmediately(runnerRequest: IncomingMessage): void {
+  runnerRequest.socket.destroy();
+}
+function disconnectMidResponse(
+  runnerRequest: IncomingMessage,
+  runnerResponse: ServerResponse,
+): void {
+  runnerResponse.writeHead(200, { 'content-type': 'text/plain' });
+  runnerResponse.write('half a');
+  setImmediate(runnerRequest.socket.destroy.bind(runnerRequest.socket));
+}
+function respondFull(_request: IncomingMessage, runnerResponse: ServerResponse): void {
+  runnerResponse.writeHead(503, { 'x-run': 'none' }).end('full');
+}
+function doNothing(): void {
+  /* as a runner, it never responds */
+}
+async function checkOnceBroken(proxy: TestProxy): Promise<void> {
+  const response = await proxy.post('m');
+  expect(response.status).toBe(502);
+  expect(response.body).toContain('"outcome":"unsure"');
+  expect(response.headers['retry-after']).toBeUndefined();
+  expect(proxy.requestedRunners).toEqual(['r0']);
+}
+async function checkUnreachable(proxy: TestProxy): Promise<void> {
+  expect((await proxy.post('m')).body).toBe('hello');
+  expect(proxy.requestedRunners).toEqual(['r0']);
+}
+async function checkFull(proxy: TestProxy): Promise<void> {
+  expect((await proxy.post('m')).body).toBe('hello');
+  expect(proxy.requestedRunners).toEqual(['r0', 'r1']);
+}
+async function checkAllFull(proxy: TestProxy): Promise<void> {
+  const response = await proxy.post('m');
+  expect(response.status).toBe(503);
+  expect(Number(response.headers['retry-after'])).toBeGreaterThan(0);
+  expect(response.body).toContain('turned-away');
+}
+async function checkTruncatedStream(proxy: TestProxy): Promise<void> {
+  await expect(proxy.post('m')).rejects.toThrow();
+  expect(proxy.requestedRunners).toEqual(['r0']);
+  expect(proxy.counters.get('streams.broken')).toBe(1);
+}
+async function checkRetry(proxy: TestProxy): Promise<void> {
+  expect((await call('GET', proxy.address, '/l/1', undefined, 5000)).body).toBe('hello');
+  expect(proxy.requestedRunners).toHaveLength(2);
+  expect(proxy.counters.get('repeats')).toBe(1);
+}
+async function checkDeadline(proxy: TestProxy): Promise<void> {
+  const response = await proxy.post('w');
+  expect(response.status).toBe(504);
+  expect(response.body).toContain('unsure');
+}
+async function checkBodies(proxy: TestProxy): Promise<void> {
+  expect((await call('POST', proxy.address, '/c', '{"model":', 5000)).status).toBe(400);
   expect(
     (
       await call(
         'POST',
-        bench.address,
+        proxy.address,
         '/c',
         JSON.stringify({ model: 'm', pad: 'x'.repeat(5000) }),
         5000,
       )
     ).status,
   ).toBe(413);
-  expect((await call('POST', bench.address, '/none', '{}', 5000)).status).toBe(404);
-  expect((await bench.post('other')).status).toBe(404);
-  expect(bench.seen).toEqual([]);
-}
-/** The back end closes its kept-alive connection just as the next request is on its way there. */
-function closeAfterFirst(asked: IncomingMessage, returned: ServerResponse, count: number): void {
-  if (count === 1) returned.end('hello');
-  else if (count === 2) asked.socket.destroy();
-  else returned.end('hello');
-}
-async function checkStale(bench: Bench): Promise<void> {
-  expect((await bench.post('m')).body).toBe('hello');
-  // A once-only request is never sent on a kept connection, so a break is always told as unsure, and it is sent once.
-  expect((await bench.post('m')).status).toBe(502);
-  expect(bench.seen).toEqual(['r0', 'r0']);
-}
-/** A client that has its return's head and reads no further. */
+  expect((await call('POST', proxy.address, '/none', '{}', 5000)).status).toBe(404);
+  expect((await proxy.post('other')).status).toBe(404);
+  expect(proxy.requestedRunners).toEqual([]);
+}
+/** The runner closes its kept-alive connection just as the next request is written to it. */
+function disconnectOnSecondRequest(
+  runnerRequest: IncomingMessage,
+  runnerResponse: ServerResponse,
+  count: number,
+): void {
+  if (count === 1) runnerResponse.end('hello');
+  else if (count === 2) runnerRequest.socket.destroy();
+  else runnerResponse.end('hello');
+}
+async function checkNoStaleConnection(proxy: TestProxy): Promise<void> {
+  expect((await proxy.post('m')).body).toBe('hello');
+  // A request that may run once is never sent on a kept-alive connection: a disconnect always leaves its outcome unknown,
+  // and it is sent only once.
+  expect((await proxy.post('m')).status).toBe(502);
+  expect(proxy.requestedRunners).toEqual(['r0', 'r0']);
+}
+/** Sends a request as a client that receives the head of its response and reads no further. */
 async function beginRequest(address: string): Promise<ClientRequest> {
   const { host, port } = parseAddress(address);
   const sent = request({ host, port, method: 'POST', path: '/c' });
-  sent.on('error', saySilent);
+  sent.on('error', doNothing);
   sent.end(JSON.stringify({ model: 'm' }));
-  const [back]: unknown[] = await once(sent, 'response');
-  if (back instanceof Object && 'on' in back && typeof back.on === 'function')
-    back.on('error', saySilent);
+  const [response]: unknown[] = await once(sent, 'response');
+  if (response instanceof Object && 'on' in response && typeof response.on === 'function')
+    response.on('error', doNothing);
   return sent;
 }
-function markFirst(decision: PolicyRouter, now: Moment): void {
-  decision.onUpdate(
+function drainFirstRunner(router: PolicyRouter, now: Moment): void {
+  router.onUpdate(
     now,
     'machines',
     { epoch: 0, count: 5 },
@@ -283,190 +297,203 @@
     }),
   );
 }
-function goSilent(_asked: IncomingMessage, returned: ServerResponse): void {
-  returned.writeHead(200);
-  returned.write('half a');
+function stallMidResponse(_request: IncomingMessage, runnerResponse: ServerResponse): void {
+  runnerResponse.writeHead(200);
+  runnerResponse.write('half a');
 }
-async function checkSilent(bench: Bench): Promise<void> {
-  await expect(bench.post('m')).rejects.toThrow();
-  expect(bench.decision?.running).toBe(0);
-  expect(bench.counters.get('returns.silent')).toBe(1);
+async function checkStalled(proxy: TestProxy): Promise<void> {
+  await expect(proxy.post('m')).rejects.toThrow();
+  expect(proxy.router?.running).toBe(0);
+  expect(proxy.counters.get('returns.silent')).toBe(1);
 }
-/** Its return has neither length nor chunks: whether it is whole can be told from nothing. */
-function sayUnbounded(asked: IncomingMessage): void {
-  asked.socket.end('HTTP/1.1 200 OK\r\ncontent-type: text/plain\r\n\r\nhalf a');
+/** The response has neither a length nor chunked coding: nothing shows whether it is complete. */
+function respondWithoutLength(runnerRequest: IncomingMessage): void {
+  runnerRequest.socket.end('HTTP/1.1 200 OK\r\ncontent-type: text/plain\r\n\r\nhalf a');
 }
-async function checkUnbounded(bench: Bench): Promise<void> {
-  await expect(bench.post('m')).rejects.toThrow();
-  expect(bench.seen).toEqual(['r0']);
+async function checkWithoutLength(proxy: TestProxy): Promise<void> {
+  await expect(proxy.post('m')).rejects.toThrow();
+  expect(proxy.requestedRunners).toEqual(['r0']);
 }
-function sayTwoEnds(asked: IncomingMessage): void {
-  asked.socket.end(
+function respondWithTwoLengths(runnerRequest: IncomingMessage): void {
+  runnerRequest.socket.end(
     'HTTP/1.1 200 OK\r\ncontent-length: 5\r\ntransfer-encoding: chunked\r\n\r\n5\r\nhello\r\n0\r\n\r\n',
   );
 }
-async function checkTwoEnds(bench: Bench): Promise<void> {
-  expect((await bench.post('m')).body).toContain('unsure');
+async function checkTwoLengths(proxy: TestProxy): Promise<void> {
+  expect((await proxy.post('m')).body).toContain('unsure');
 }
 async function sendRaw(
-  bench: Bench,
+  proxy: TestProxy,
   method: string,
   path: string,
   body?: Buffer,
-): Promise<{ readonly back: IncomingMessage; readonly body: Buffer }> {
-  const { host, port } = parseAddress(bench.address);
+): Promise<{ readonly response: IncomingMessage; readonly body: Buffer }> {
+  const { host, port } = parseAddress(proxy.address);
   const sent = request({ host, port, method, path, agent: false });
   sent.end(body);
-  const [back]: unknown[] = await once(sent, 'response');
-  if (!(back instanceof IncomingMessageClass)) throw new Error('no return');
-  return { back, body: await readBytes(back, 1 << 20) };
-}
-function echo(asked: IncomingMessage, returned: ServerResponse): void {
-  returned.writeHead(200, { 'set-cookie': ['a=1', 'b=2'], trailer: 'x-sum' });
-  asked.on('data', returned.write.bind(returned));
-  asked.on('end', () => {
-    returned.addTrailers({ 'x-sum': '7' });
-    returned.end();
+  const [response]: unknown[] = await once(sent, 'response');
+  if (!(response instanceof IncomingMessageClass)) throw new Error('no response');
+  return { response, body: await readBytes(response, 1 << 20) };
+}
+function echo(runnerRequest: IncomingMessage, runnerResponse: ServerResponse): void {
+  runnerResponse.writeHead(200, { 'set-cookie': ['a=1', 'b=2'], trailer: 'x-sum' });
+  runnerRequest.on('data', runnerResponse.write.bind(runnerResponse));
+  runnerRequest.on('end', () => {
+    runnerResponse.addTrailers({ 'x-sum': '7' });
+    runnerResponse.end();
   });
 }
-async function checkBytes(bench: Bench): Promise<void> {
+async function checkBytes(proxy: TestProxy): Promise<void> {
   const bytes = Buffer.from([0xff, 0xfe, 0x00, 0x80, 0x41, 0xc3]);
-  const { back, body } = await sendRaw(bench, 'POST', '/l/1', bytes);
+  const { response, body } = await sendRaw(proxy, 'POST', '/l/1', bytes);
   expect(body.equals(bytes)).toBe(true);
-  expect(back.headers['set-cookie']).toEqual(['a=1', 'b=2']);
-  expect(back.trailers['x-sum']).toBe('7');
-}
-function sayByMethod(asked: IncomingMessage, returned: ServerResponse): void {
-  if (asked.method === 'HEAD') returned.writeHead(200, { 'content-length': '1234' }).end();
-  else returned.writeHead(asked.url === '/l/204' ? 204 : 304, { etag: 'x' }).end();
-}
-async function checkBodiless(bench: Bench): Promise<void> {
-  const head = await sendRaw(bench, 'HEAD', '/l/1');
-  expect([head.back.statusCode, head.back.headers['content-length']]).toEqual([200, '1234']);
-  expect((await sendRaw(bench, 'GET', '/l/204')).back.statusCode).toBe(204);
-  expect((await sendRaw(bench, 'GET', '/l/304')).back.statusCode).toBe(304);
-}
-/** It returns before it has read the body. */
-function sayEarly(_asked: IncomingMessage, returned: ServerResponse): void {
-  returned.writeHead(413, { connection: 'close' }).end('too much');
-}
-async function checkEarly(bench: Bench): Promise<void> {
-  const { back, body } = await sendRaw(bench, 'POST', '/l/1', Buffer.alloc(4000, 7));
-  expect([back.statusCode, body.toString()]).toEqual([413, 'too much']);
-}
-async function checkStaleKept(bench: Bench): Promise<void> {
-  expect((await call('GET', bench.address, '/l/1', undefined, 5000)).body).toBe('hello');
-  // The only back end closed its kept connection just as it was written to: that is no break of its own.
-  expect((await call('GET', bench.address, '/l/1', undefined, 5000)).body).toBe('hello');
-  expect(bench.counters.get('runs.stale')).toBe(1);
-}
-test('a runner marked between the draw and the first byte gets nothing', async () => {
-  const bench = new Bench();
-  bench.onGate = markFirst;
-  await bench.start([sayHello, sayHello]);
-  expect((await bench.post('m')).body).toBe('hello');
-  expect(bench.seen).toEqual(['r1']);
-  await bench.stop();
+  expect(response.headers['set-cookie']).toEqual(['a=1', 'b=2']);
+  expect(response.trailers['x-sum']).toBe('7');
+}
+function respondByMethod(runnerRequest: IncomingMessage, runnerResponse: ServerResponse): void {
+  if (runnerRequest.method === 'HEAD')
+    runnerResponse.writeHead(200, { 'content-length': '1234' }).end();
+  else runnerResponse.writeHead(runnerRequest.url === '/l/204' ? 204 : 304, { etag: 'x' }).end();
+}
+async function checkBodiless(proxy: TestProxy): Promise<void> {
+  const head = await sendRaw(proxy, 'HEAD', '/l/1');
+  expect([head.response.statusCode, head.response.headers['content-length']]).toEqual([
+    200,
+    '1234',
+  ]);
+  expect((await sendRaw(proxy, 'GET', '/l/204')).response.statusCode).toBe(204);
+  expect((await sendRaw(proxy, 'GET', '/l/304')).response.statusCode).toBe(304);
+}
+/** The runner responds before it has read the body. */
+function respondBeforeBody(_request: IncomingMessage, runnerResponse: ServerResponse): void {
+  runnerResponse.writeHead(413, { connection: 'close' }).end('too much');
+}
+async function checkEarlyResponse(proxy: TestProxy): Promise<void> {
+  const { response, body } = await sendRaw(proxy, 'POST', '/l/1', Buffer.alloc(4000, 7));
+  expect([response.statusCode, body.toString()]).toEqual([413, 'too much']);
+}
+async function checkStaleConnection(proxy: TestProxy): Promise<void> {
+  expect((await call('GET', proxy.address, '/l/1', undefined, 5000)).body).toBe('hello');
+  // The only back end closed an idle connection just as it was written to: that is not a failure of the back end.
+  expect((await call('GET', proxy.address, '/l/1', undefined, 5000)).body).toBe('hello');
+  expect(proxy.counters.get('runs.stale')).toBe(1);
+}
+test('a runner that starts draining between pick and first byte receives nothing', async () => {
+  const proxy = new TestProxy();
+  proxy.onRequestRouted = drainFirstRunner;
+  await proxy.start([respondHello, respondHello]);
+  expect((await proxy.post('m')).body).toBe('hello');
+  expect(proxy.requestedRunners).toEqual(['r1']);
+  await proxy.stop();
 });
 test(
-  'a return that stands still is broken off and its slot is free',
-  withBench([goSilent], checkSilent),
+  'a response that stalls is aborted and its slot is free again',
+  withTestProxy([stallMidResponse], checkStalled),
+);
+test(
+  'a response without length or chunked coding never looks complete',
+  withTestProxy([respondWithoutLength, respondHello], checkWithoutLength),
+);
+test(
+  'a response with both length and chunked coding is invalid',
+  withTestProxy([respondWithTwoLengths], checkTwoLengths),
+);
+test(
+  'bodies, repeated headers and trailers are forwarded unchanged',
+  withTestProxy([echo], checkBytes),
 );
 test(
-  'a return without length or chunks never looks finished',
-  withBench([sayUnbounded, sayHello], checkUnbounded),
+  'responses to HEAD and responses with status 204 or 304 are forwarded unchanged',
+  withTestProxy([respondByMethod], checkBodiless),
 );
-test('a return with both length and chunks is none', withBench([sayTwoEnds], checkTwoEnds));
 test(
-  'bodies, repeated headers and trailers are passed on byte for byte',
-  withBench([echo], checkBytes),
+  'a response that starts before the runner has read the body is forwarded',
+  withTestProxy([respondBeforeBody], checkEarlyResponse),
 );
 test(
-  'heads asked for, 204 and 304 are passed on as they are',
-  withBench([sayByMethod], checkBodiless),
+  'a stale idle connection does not exclude its back end',
+  withTestProxy([disconnectOnSecondRequest], checkStaleConnection),
 );
 test(
-  'a return that begins before the body is read is passed on',
-  withBench([sayEarly], checkEarly),
+  'a request that may run once has an unknown outcome if its runner disconnects, and is not retried',
+  withTestProxy([disconnectImmediately, respondHello], checkOnceBroken),
 );
 test(
-  'a stale kept connection does not bar its back end',
-  withBench([closeAfterFirst], checkStaleKept),
+  'a request whose runner is unreachable runs at the next runner',
+  withTestProxy([respondHello], checkUnreachable, true),
 );
 test(
-  'a once-only request whose runner breaks off is unsure and never sent again',
-  withBench([cutAtOnce, sayHello], checkOnceBroken),
+  'a request that its runner has not started runs at the next runner',
+  withTestProxy([respondFull, respondHello], checkFull),
 );
 test(
-  'a runner that is not reached costs nothing: the next one runs it',
-  withBench([sayHello], checkUnreached, true),
+  'if all runners are full, the client is told when to retry',
+  withTestProxy([respondFull, respondFull], checkAllFull),
 );
 test(
-  'a runner that says it has not begun is left for the next',
-  withBench([beFull, sayHello], checkFull),
+  'a stream whose runner disconnects is visibly truncated and not continued by another run',
+  withTestProxy([disconnectMidResponse, respondHello], checkTruncatedStream),
 );
 test(
-  'when all say so the client is told when to come back',
-  withBench([beFull, beFull], checkAllFull),
+  'a repeatable request is retried at another runner within its budget',
+  withTestProxy([disconnectImmediately, respondHello], checkRetry),
 );
 test(
-  'a stream that breaks is visibly broken and not stitched',
-  withBench([cutInMidst, sayHello], checkBrokenStream),
+  'a run that passes its deadline is reported with an unknown outcome',
+  withTestProxy([doNothing], checkDeadline),
 );
 test(
-  'a repeatable request runs again elsewhere, within its budget',
-  withBench([cutAtOnce, sayHello], checkRepeat),
+  'bad bodies and unknown names never reach a runner',
+  withTestProxy([respondHello], checkBodies),
 );
-test('a run that passes its limit is told as unsure', withBench([saySilent], checkLate));
-test('bad bodies and unknown names never reach a runner', withBench([sayHello], checkBodies));
 test(
-  'a stale kept-alive connection causes no repeat and no false turning away',
-  withBench([closeAfterFirst], checkStale),
+  'a request that may run once is neither retried nor falsely rejected because of a stale connection',
+  withTestProxy([disconnectOnSecondRequest], checkNoStaleConnection),
 );
-test('a client that leaves cancels its run', async () => {
-  const bench = new Bench();
+test('the run of a client that disconnects is canceled', async () => {
+  const proxy = new TestProxy();
   const events: string[] = [];
-  let tellCut: () => void = saySilent;
-  const cut = new Promise<void>((done: () => void) => {
-    tellCut = done;
+  let resolveCanceled: () => void = doNothing;
+  const canceled = new Promise<void>((done: () => void) => {
+    resolveCanceled = done;
   });
-  function watch(asked: IncomingMessage, returned: ServerResponse): void {
-    returned.writeHead(200);
-    returned.write('begin');
-    returned.once('close', note);
-    asked.resume();
+  function watch(runnerRequest: IncomingMessage, runnerResponse: ServerResponse): void {
+    runnerResponse.writeHead(200);
+    runnerResponse.write('begin');
+    runnerResponse.once('close', note);
+    runnerRequest.resume();
   }
   function note(): void {
     events.push('cancelled');
-    tellCut();
+    resolveCanceled();
   }
-  await bench.start([watch]);
-  const sent = await beginRequest(bench.address);
+  await proxy.start([watch]);
+  const sent = await beginRequest(proxy.address);
   sent.destroy();
-  await cut;
+  await canceled;
   expect(events).toEqual(['cancelled']);
-  await bench.stop();
+  await proxy.stop();
 });
-test('a slow client holds its runner back instead of our memory', async () => {
-  const bench = new Bench();
+test('a slow client slows its runner down instead of filling the memory of the proxy', async () => {
+  const proxy = new TestProxy();
   let produced = 0;
   const LIMIT = 64 * 1024 * 1024;
-  function pour(_asked: IncomingMessage, returned: ServerResponse): void {
+  function pour(_request: IncomingMessage, runnerResponse: ServerResponse): void {
     const chunk = Buffer.alloc(64 * 1024);
     function more(): void {
       while (produced < LIMIT) {
         produced += chunk.length;
-        if (!returned.write(chunk)) {
-          returned.once('drain', more);
+        if (!runnerResponse.write(chunk)) {
+          runnerResponse.once('drain', more);
           return;
         }
       }
     }
     more();
   }
-  await bench.start([pour]);
-  const sent = await beginRequest(bench.address);
-  // The client reads nothing: the runner must be held back long before it has poured everything out.
+  await proxy.start([pour]);
+  const sent = await beginRequest(proxy.address);
+  // The client reads nothing: backpressure must stop the runner long before it has written everything.
   let before = -1;
   for (let calm = 0; calm < 2000; calm = produced === before ? calm + 1 : 0) {
     before = produced;
@@ -474,5 +501,5 @@
   }
   expect(produced).toBeLessThan(LIMIT / 2);
   sent.destroy();
-  await bench.stop();
+  await proxy.stop();
 });
--- a/src/proxy/policy-forwarder.ts
+++ b/src/proxy/policy-forwarder.ts
@@ -30,7 +30,7 @@
   readonly body: Buffer;
   readonly requestId: string;
   /** The latest attempt at a runner. */
-  current: Attempt | undefined;
+  attempt: Attempt | undefined;
 }
 
 /** One attempt of a request at a runner. */
@@ -67,7 +67,7 @@
   readonly #exchanges = new Map<number, ClientExchange>();
   readonly #keepAliveAgent = new Agent({ keepAlive: true, maxFreeSockets: 8 });
   readonly #server: Server;
-  #count = 0;
+  #lastExchangeId = 0;
   #isDraining = false;
   #isRunningSteps = false;
   #onIdle: (() => void) | undefined;
@@ -149,8 +149,8 @@
   }
 
   async #onRequest(clientRequest: IncomingMessage, clientResponse: ServerResponse): Promise<void> {
-    this.#count += 1;
-    const id = this.#count;
+    this.#lastExchangeId += 1;
+    const id = this.#lastExchangeId;
     this.#counters.add('requests');
     const requestId = requestIdOf(clientRequest);
     const { maxBodyBytes } = this.#settings;
@@ -173,12 +173,12 @@
       clientResponse,
       body,
       requestId,
-      current: undefined,
+      attempt: undefined,
     };
     const method = clientRequest.method ?? 'GET';
     const path = (clientRequest.url ?? '/').split('?')[0] ?? '/';
     const names = this.#router.needsModel(method, path) === true ? readNames(body) : NO_NAMES;
-    if (names) this.#begin(exchange, method, path, names);
+    if (names) this.#accept(exchange, method, path, names);
     else
       this.#responses.send(
         clientResponse,
@@ -193,7 +193,7 @@
     this.#responses.send(clientResponse, requestId, 'too-large', text);
   }
 
-  #begin(
+  #accept(
     exchange: ClientExchange,
     method: string,
     path: string,
@@ -259,21 +259,21 @@
         break;
       default:
         // Steps for earlier attempts are ignored.
-        if (exchange.current?.number === step.attempt)
-          this.#runAttemptStep(exchange, exchange.current, step);
+        if (exchange.attempt?.number === step.attempt)
+          this.#runAttemptStep(exchange, exchange.attempt, step);
     }
   }
 
-  #runAttemptStep(exchange: ClientExchange, current: Attempt, step: AttemptStep): void {
+  #runAttemptStep(exchange: ClientExchange, attempt: Attempt, step: AttemptStep): void {
     switch (step.do) {
       case 'write':
-        current.runnerRequest.end(exchange.body.length === 0 ? undefined : exchange.body);
+        attempt.runnerRequest.end(exchange.body.length === 0 ? undefined : exchange.body);
         break;
       case 'forward':
-        this.#forward(exchange, current, step.table);
+        this.#forward(exchange, attempt, step.table);
         break;
       case 'cancel':
-        current.runnerRequest.destroy();
+        attempt.runnerRequest.destroy();
         break;
     }
   }
@@ -283,7 +283,7 @@
     this.#exchanges.delete(exchange.id);
     this.#inFlightRequests.onClientDisconnect(this.#now(), exchange.id);
     // A `cancel` step would no longer find the exchange, so the run is canceled here.
-    if (!exchange.clientResponse.writableFinished) exchange.current?.runnerRequest.destroy();
+    if (!exchange.clientResponse.writableFinished) exchange.attempt?.runnerRequest.destroy();
     this.#runSteps();
     if (this.#isDraining && this.#exchanges.size === 0) this.#onIdle?.();
   }
@@ -303,7 +303,7 @@
     // Nothing is written before the connection is established and the router has agreed once more.
     const runnerRequest = request({ host, port, method, path, headers, agent });
     const attempt: Attempt = { number, runnerRequest: runnerRequest, runnerResponse: undefined };
-    exchange.current = attempt;
+    exchange.attempt = attempt;
     runnerRequest.once('socket', (socket) => this.#onSocket(exchange, attempt, socket));
     runnerRequest.once('response', (runnerResponse) =>
       this.#onResponse(exchange, attempt, runnerResponse),
@@ -383,8 +383,8 @@
 }
 
 /** Completes the response, with the runner's trailers. */
-function completeResponse({ current, clientResponse }: ClientExchange): void {
-  if (current?.runnerResponse) clientResponse.addTrailers(trailersOf(current.runnerResponse));
+function completeResponse({ attempt, clientResponse }: ClientExchange): void {
+  if (attempt?.runnerResponse) clientResponse.addTrailers(trailersOf(attempt.runnerResponse));
   clientResponse.end();
 }
 
--- a/src/proxy/policy-router-types.ts
+++ b/src/proxy/policy-router-types.ts
@@ -69,7 +69,7 @@
   readonly row: Row;
   readonly service: string;
   readonly arrivedAt: Moment;
-  readonly limit: Moment;
+  readonly deadline: Moment;
   /** The runner that it was last sent to; empty before the first. */
   runner: string;
   startedAt: Moment;
@@ -101,7 +101,7 @@
     row,
     service,
     arrivedAt: now,
-    limit: later(now, row.lateMs),
+    deadline: later(now, row.lateMs),
     runner: '',
     startedAt: now,
     triedRunners: new Set(),
--- a/src/proxy/policy-router.test.ts
+++ b/src/proxy/policy-router.test.ts
@@ -10,69 +10,74 @@
   type RoutingVerdict,
 } from './policy-router-types.js';
 
-const TEXT =
+const POLICY =
   'map POST /c to check\nmap GET /l to lookup\nrow check heavy weight 90 take 1000/s late 10s once stream\nrow check light weight 10 take 1000/s late 10s once stream\nrow check slow weight 10 take 5/s late 10s once\nrow lookup @kiosk weight 5 take 1000/s late 2s repeatable';
-class Bench {
-  readonly decision = new PolicyRouter({
+class TestProxy {
+  readonly router = new PolicyRouter({
     ...POLICY_ROUTER_DEFAULTS,
     freshnessBoundMs: 2500,
     me: 'f',
     maxPending: 20,
   });
   now = 0;
-  #id = 0;
-  #count = 0;
+  #lastRequestId = 0;
+  #lastVersion = 0;
 
   constructor(slots = 2) {
-    this.config([]);
-    this.places(
+    this.updateConfig([]);
+    this.updatePlaces(
       [
         { runner: 'a', primary: true, adapters: ['x'] },
         { runner: 'b', primary: false, adapters: ['x'] },
       ],
       slots,
     );
-    this.fresh();
+    this.confirmFreshness();
   }
 
-  config(emptied: string[]): void {
-    this.#count += 1;
-    this.decision.onUpdate(
+  updateConfig(emptied: string[]): void {
+    this.#lastVersion += 1;
+    this.router.onUpdate(
       moment(this.now),
       'config',
-      { epoch: 2, count: this.#count },
-      JSON.stringify({ number: this.#count, table: compile(TEXT).table, emptied, voters: [] }),
+      { epoch: 2, count: this.#lastVersion },
+      JSON.stringify({
+        number: this.#lastVersion,
+        table: compile(POLICY).table,
+        emptied,
+        voters: [],
+      }),
     );
   }
 
-  places(seats: Seat[], slots: number, flows = 2): void {
-    this.#count += 1;
+  updatePlaces(seats: Seat[], slots: number, flows = 2): void {
+    this.#lastVersion += 1;
     const runners = [
       { id: 'a', address: 'a:1', zone: 'za', service: '', slots, upMs: 60_000 },
       { id: 'b', address: 'b:1', zone: 'zb', service: '', slots, upMs: 60_000 },
       { id: 'k', address: 'k:1', zone: 'za', service: 'kiosk', slots: 0, upMs: 0 },
     ];
     const places = ['heavy', 'light', 'slow'].map((model) => placeOf(seats, model));
-    this.decision.onUpdate(
+    this.router.onUpdate(
       moment(this.now),
       'places',
-      { epoch: 2, count: this.#count },
+      { epoch: 2, count: this.#lastVersion },
       JSON.stringify({ places, runners, flows, shares: [] }),
     );
   }
 
-  fresh(): void {
-    this.decision.onFreshnessConfirmed(
-      this.decision.startFreshnessRequest(moment(this.now)),
+  confirmFreshness(): void {
+    this.router.onFreshnessConfirmed(
+      this.router.startFreshnessRequest(moment(this.now)),
       NO_VERSION,
       0,
     );
   }
 
-  ask(model: string, extra: Partial<RequestInfo> = {}): number {
-    this.#id += 1;
-    this.decision.onRequest(moment(this.now), {
-      id: this.#id,
+  request(model: string, extra: Partial<RequestInfo> = {}): number {
+    this.#lastRequestId += 1;
+    this.router.onRequest(moment(this.now), {
+      id: this.#lastRequestId,
       method: 'POST',
       path: '/c',
       model,
@@ -80,11 +85,11 @@
       prefixBlocks: [],
       ...extra,
     });
-    return this.#id;
+    return this.#lastRequestId;
   }
 
-  verdicts(): string[] {
-    return this.decision.drain().map(verdictText);
+  drainVerdicts(): string[] {
+    return this.router.drain().map(verdictText);
   }
 }
 function placeOf(seats: Seat[], model: string): Place {
@@ -102,125 +107,125 @@
 function isRunning(text: string): boolean {
   return text.includes('runs');
 }
-// Guards against FAILBACK and overloaded runners: a new leader may count a few of the proxies only.
-test('runners are given no more while a new leader counts fewer proxies', () => {
-  const bench = new Bench();
+// Guards against FAILBACK and overloaded runners: a new leader may know only a few of the proxies at first.
+test('runners get no more requests while a new leader counts fewer proxies', () => {
+  const proxy = new TestProxy();
   const seats = [{ runner: 'a', primary: true, adapters: ['x'] }];
-  // Twice an even share of eight slots, for one proxy of eight.
-  bench.places(seats, 8, 8);
-  for (let count = 0; count < 6; count += 1) bench.ask('heavy');
-  expect(bench.verdicts().filter(isRunning)).toHaveLength(2);
-  bench.places(seats, 8, 1);
-  expect(bench.verdicts()).toEqual([]);
-  bench.now += 10_000;
-  bench.fresh();
-  bench.places(seats, 8, 1);
-  bench.ask('heavy');
-  expect(bench.verdicts().filter(isRunning).length).toBeGreaterThan(0);
+  // A proxy may use twice its even share: with eight slots and eight proxies, two.
+  proxy.updatePlaces(seats, 8, 8);
+  for (let count = 0; count < 6; count += 1) proxy.request('heavy');
+  expect(proxy.drainVerdicts().filter(isRunning)).toHaveLength(2);
+  proxy.updatePlaces(seats, 8, 1);
+  expect(proxy.drainVerdicts()).toEqual([]);
+  proxy.now += 10_000;
+  proxy.confirmFreshness();
+  proxy.updatePlaces(seats, 8, 1);
+  proxy.request('heavy');
+  expect(proxy.drainVerdicts().filter(isRunning).length).toBeGreaterThan(0);
 });
-test('what was drawn is asked about again before its first byte is written', () => {
-  const bench = new Bench();
-  const ids = [bench.ask('heavy'), bench.ask('heavy'), bench.ask('heavy')];
-  expect(bench.verdicts()).toEqual(['1 runs at a', '2 runs at a', '3 runs at b']);
-  // Before the first byte of the first its runner's zone is emptied: it goes elsewhere, and has not run.
-  expect(bench.decision.mayWrite(moment(0), ids[0] ?? 0)).toBe(true);
-  bench.config(['za']);
-  expect(bench.decision.mayWrite(moment(0), ids[0] ?? 0)).toBe(false);
-  bench.decision.rerouteUnwritten(moment(0), ids[0] ?? 0);
-  expect(bench.verdicts()).toEqual(['1 runs at b']);
-  // Frozen for long, it knows nothing any more of what holds.
-  expect(bench.decision.mayWrite(moment(5000), ids[2] ?? 0)).toBe(false);
-  bench.decision.rerouteUnwritten(moment(5000), ids[2] ?? 0);
-  bench.decision.rerouteUnwritten(moment(11_000), ids[1] ?? 0);
-  expect(bench.verdicts()).toEqual(['3 blind', '2 limit-passed']);
+test('a verdict is checked again before the first byte is written', () => {
+  const proxy = new TestProxy();
+  const ids = [proxy.request('heavy'), proxy.request('heavy'), proxy.request('heavy')];
+  expect(proxy.drainVerdicts()).toEqual(['1 runs at a', '2 runs at a', '3 runs at b']);
+  // The zone of its runner is evacuated before the first byte of request 1: it has not run, and is sent to another runner.
+  expect(proxy.router.mayWrite(moment(0), ids[0] ?? 0)).toBe(true);
+  proxy.updateConfig(['za']);
+  expect(proxy.router.mayWrite(moment(0), ids[0] ?? 0)).toBe(false);
+  proxy.router.rerouteUnwritten(moment(0), ids[0] ?? 0);
+  expect(proxy.drainVerdicts()).toEqual(['1 runs at b']);
+  // After a long stall the proxy has no valid freshness confirmation.
+  expect(proxy.router.mayWrite(moment(5000), ids[2] ?? 0)).toBe(false);
+  proxy.router.rerouteUnwritten(moment(5000), ids[2] ?? 0);
+  proxy.router.rerouteUnwritten(moment(11_000), ids[1] ?? 0);
+  expect(proxy.drainVerdicts()).toEqual(['3 blind', '2 limit-passed']);
 });
-test('repeats of a service stay within a fifth and a few over the whole fleet', () => {
-  // Nine proxies, each asked 40 times for one service of which every run breaks: a fifth and a few in all.
-  let repeats = 0;
-  for (let flow = 0; flow < 9; flow += 1) {
-    const bench = new Bench();
-    bench.places([], 2, 9);
-    bench.fresh();
+test('retries of a service stay within a fifth of its requests and a few more over the whole fleet', () => {
+  // Nine proxies with 40 requests each for one service whose runs all fail: 360 / 5 + 4 retries in all.
+  let retryCount = 0;
+  for (let proxyIndex = 0; proxyIndex < 9; proxyIndex += 1) {
+    const proxy = new TestProxy();
+    proxy.updatePlaces([], 2, 9);
+    proxy.confirmFreshness();
     for (let index = 0; index < 40; index += 1) {
-      bench.now += 300;
-      bench.fresh();
-      const id = bench.ask('', { method: 'GET', path: '/l' });
-      if (bench.decision.onRunFailed(moment(bench.now), id, true, true)) {
-        repeats += 1;
-        bench.decision.onRunCompleted(moment(bench.now), id);
+      proxy.now += 300;
+      proxy.confirmFreshness();
+      const id = proxy.request('', { method: 'GET', path: '/l' });
+      if (proxy.router.onRunFailed(moment(proxy.now), id, true, true)) {
+        retryCount += 1;
+        proxy.router.onRunCompleted(moment(proxy.now), id);
       }
     }
   }
-  expect(repeats).toBeGreaterThan(60);
-  expect(repeats).toBeLessThanOrEqual(360 / 5 + 4);
+  expect(retryCount).toBeGreaterThan(60);
+  expect(retryCount).toBeLessThanOrEqual(360 / 5 + 4);
 });
-function isOver(text: string): boolean {
+function isOverRate(text: string): boolean {
   return text.endsWith('over-take');
 }
-test('kept prefixes go first, then the primary, then the least pending', () => {
-  const bench = new Bench();
-  bench.ask('heavy');
-  bench.ask('heavy', { prefixBlocks: ['p1', 'p2'] });
-  bench.ask('heavy', { prefixBlocks: ['p1', 'p9'] });
-  // The primary takes the traffic while it has room; then the understudy; a kept prefix goes before both.
-  expect(bench.verdicts()).toEqual(['1 runs at a', '2 runs at a', '3 runs at b']);
-  bench.decision.onRunCompleted(moment(1), 1);
-  bench.decision.onRunCompleted(moment(1), 2);
-  bench.decision.onRunCompleted(moment(1), 3);
-  bench.ask('heavy', { prefixBlocks: ['p1', 'p9'] });
-  expect(bench.verdicts()).toEqual(['4 runs at b']);
+test('prefers cached prefixes, then the primary, then the runner with the fewest running requests', () => {
+  const proxy = new TestProxy();
+  proxy.request('heavy');
+  proxy.request('heavy', { prefixBlocks: ['p1', 'p2'] });
+  proxy.request('heavy', { prefixBlocks: ['p1', 'p9'] });
+  // The primary gets requests while it has capacity, then the secondary; a cached prefix takes precedence over both.
+  expect(proxy.drainVerdicts()).toEqual(['1 runs at a', '2 runs at a', '3 runs at b']);
+  proxy.router.onRunCompleted(moment(1), 1);
+  proxy.router.onRunCompleted(moment(1), 2);
+  proxy.router.onRunCompleted(moment(1), 3);
+  proxy.request('heavy', { prefixBlocks: ['p1', 'p9'] });
+  expect(proxy.drainVerdicts()).toEqual(['4 runs at b']);
 });
-test('of what is pending the weightiest starts first', () => {
-  const bench = new Bench();
-  for (let index = 0; index < 4; index += 1) bench.ask('light');
-  expect(bench.verdicts()).toHaveLength(4);
-  bench.ask('light');
-  bench.ask('heavy');
-  bench.decision.onRunCompleted(moment(10), 1);
-  expect(bench.verdicts()).toEqual(['6 runs at a']);
+test('the pending request of the highest weight starts first', () => {
+  const proxy = new TestProxy();
+  for (let index = 0; index < 4; index += 1) proxy.request('light');
+  expect(proxy.drainVerdicts()).toHaveLength(4);
+  proxy.request('light');
+  proxy.request('heavy');
+  proxy.router.onRunCompleted(moment(10), 1);
+  expect(proxy.drainVerdicts()).toEqual(['6 runs at a']);
 });
-test('of a crowd, what cannot be served in time is turned away at once', () => {
-  const bench = new Bench();
-  bench.ask('light');
-  bench.now = 4000;
-  bench.fresh();
-  bench.decision.onRunCompleted(moment(4000), 1);
-  bench.verdicts();
-  // Runs take 4 s: of a crowd with 10 s each, those that cannot make it are told so at once, none near its limit.
-  for (let index = 0; index < 60; index += 1) bench.ask('light');
-  const said = bench.verdicts();
-  expect(said.filter(isCrowded).length).toBeGreaterThan(40);
-  expect(said.filter(isRunning).length).toBe(4);
-  expect(bench.decision.pending + said.length).toBe(60);
+test('requests of a burst that cannot be served in time are rejected immediately', () => {
+  const proxy = new TestProxy();
+  proxy.request('light');
+  proxy.now = 4000;
+  proxy.confirmFreshness();
+  proxy.router.onRunCompleted(moment(4000), 1);
+  proxy.drainVerdicts();
+  // Runs take 4 s and requests have 10 s: those that can't be served are rejected immediately, not near their deadline.
+  for (let index = 0; index < 60; index += 1) proxy.request('light');
+  const verdicts = proxy.drainVerdicts();
+  expect(verdicts.filter(isCrowded).length).toBeGreaterThan(40);
+  expect(verdicts.filter(isRunning).length).toBe(4);
+  expect(proxy.router.pending + verdicts.length).toBe(60);
 });
-test('nobody is held back till near the limit to be told no', () => {
-  // Nothing has ended yet, so that no length of runs is known: those that wait hear their no well before their limit.
-  const bench = new Bench(1);
-  for (let index = 0; index < 5; index += 1) bench.ask('light');
-  expect(bench.verdicts()).toHaveLength(2);
-  for (bench.now = 0; bench.now < 5000; bench.now += 100) {
-    bench.fresh();
-    bench.decision.tick(moment(bench.now));
-    if (bench.decision.pending === 0) break;
+test('no request waits until near its deadline to be rejected', () => {
+  // No run has ended yet, so the length of runs is unknown: pending requests are rejected well before their deadline.
+  const proxy = new TestProxy(1);
+  for (let index = 0; index < 5; index += 1) proxy.request('light');
+  expect(proxy.drainVerdicts()).toHaveLength(2);
+  for (proxy.now = 0; proxy.now < 5000; proxy.now += 100) {
+    proxy.confirmFreshness();
+    proxy.router.tick(moment(proxy.now));
+    if (proxy.router.pending === 0) break;
   }
-  expect(bench.verdicts().sort()).toEqual(['3 crowded', '4 crowded', '5 crowded']);
-  expect(bench.now).toBeLessThanOrEqual(3400);
+  expect(proxy.drainVerdicts().sort()).toEqual(['3 crowded', '4 crowded', '5 crowded']);
+  expect(proxy.now).toBeLessThanOrEqual(3400);
 });
-test('a proxy not confirmed fresh in time turns new work away', () => {
-  const bench = new Bench();
-  bench.now = 2499;
-  bench.ask('heavy');
-  bench.now = 2500;
-  bench.ask('heavy');
-  expect(bench.verdicts()).toEqual(['1 runs at a', '2 blind']);
+test('a proxy without a recent freshness confirmation rejects new requests', () => {
+  const proxy = new TestProxy();
+  proxy.now = 2499;
+  proxy.request('heavy');
+  proxy.now = 2500;
+  proxy.request('heavy');
+  expect(proxy.drainVerdicts()).toEqual(['1 runs at a', '2 blind']);
 });
-test('emptied zones and leaving runners are not drawn', () => {
-  const bench = new Bench();
-  bench.config(['za']);
-  bench.ask('heavy');
-  bench.ask('', { method: 'GET', path: '/l' });
-  expect(bench.verdicts()).toEqual(['1 runs at b', '2 waits-for-place']);
-  bench.decision.onUpdate(
+test('runners in evacuated zones and draining runners are not picked', () => {
+  const proxy = new TestProxy();
+  proxy.updateConfig(['za']);
+  proxy.request('heavy');
+  proxy.request('', { method: 'GET', path: '/l' });
+  expect(proxy.drainVerdicts()).toEqual(['1 runs at b', '2 waits-for-place']);
+  proxy.router.onUpdate(
     moment(0),
     'machines',
     { epoch: 0, count: 5 },
@@ -229,41 +234,41 @@
       machines: [{ id: 'b', address: 'b:1', zone: 'zb', service: '', leaving: true }],
     }),
   );
-  bench.ask('heavy');
-  expect(bench.verdicts()).toEqual(['3 waits-for-place']);
+  proxy.request('heavy');
+  expect(proxy.drainVerdicts()).toEqual(['3 waits-for-place']);
 });
-test('only what was not written runs elsewhere, or what is repeatable', () => {
-  const bench = new Bench();
-  bench.ask('heavy');
-  bench.decision.onUnprocessed(moment(0), 1, 'unreached');
-  expect(bench.verdicts()).toEqual(['1 runs at a', '1 runs at b']);
-  // Bytes were written: what may run but once never runs again.
-  expect(bench.decision.onRunFailed(moment(0), 1, true)).toBe(false);
-  bench.ask('', { method: 'GET', path: '/l' });
-  expect(bench.decision.onRunFailed(moment(0), 2, true)).toBe(true);
-  expect(bench.verdicts()).toEqual(['2 runs at k', '2 no-runner']);
+test('only unwritten or repeatable requests are sent to another runner', () => {
+  const proxy = new TestProxy();
+  proxy.request('heavy');
+  proxy.router.onUnprocessed(moment(0), 1, 'unreached');
+  expect(proxy.drainVerdicts()).toEqual(['1 runs at a', '1 runs at b']);
+  // Bytes were written: a request that may run only once is never retried.
+  expect(proxy.router.onRunFailed(moment(0), 1, true)).toBe(false);
+  proxy.request('', { method: 'GET', path: '/l' });
+  expect(proxy.router.onRunFailed(moment(0), 2, true)).toBe(true);
+  expect(proxy.drainVerdicts()).toEqual(['2 runs at k', '2 no-runner']);
 });
-test('a row takes what its share allows', () => {
-  const bench = new Bench(40);
-  for (let index = 0; index < 12; index += 1) bench.ask('slow');
-  // Half of five a second is ours: two seconds' worth may come at once.
-  expect(bench.verdicts().filter(isOver)).toHaveLength(7);
+test('a row admits what its share of the rate allows', () => {
+  const proxy = new TestProxy(40);
+  for (let index = 0; index < 12; index += 1) proxy.request('slow');
+  // This proxy's share is half of five requests per second, and the burst is two seconds of it.
+  expect(proxy.drainVerdicts().filter(isOverRate)).toHaveLength(7);
 });
-test('a client that leaves while pending never runs', () => {
-  const bench = new Bench(1);
-  bench.ask('heavy');
-  bench.ask('heavy');
-  bench.ask('heavy');
-  expect(bench.decision.pending).toBe(1);
-  bench.decision.onClientDisconnect(moment(0), 3);
-  bench.decision.onRunCompleted(moment(5), 1);
-  expect(bench.verdicts()).toEqual(['1 runs at a', '2 runs at b']);
+test('a request whose client disconnects while it is pending never runs', () => {
+  const proxy = new TestProxy(1);
+  proxy.request('heavy');
+  proxy.request('heavy');
+  proxy.request('heavy');
+  expect(proxy.router.pending).toBe(1);
+  proxy.router.onClientDisconnect(moment(0), 3);
+  proxy.router.onRunCompleted(moment(5), 1);
+  expect(proxy.drainVerdicts()).toEqual(['1 runs at a', '2 runs at b']);
 });
-test('draining turns away what waits and keeps what runs', () => {
-  const bench = new Bench(1);
-  for (let index = 0; index < 3; index += 1) bench.ask('heavy');
-  bench.decision.startDraining(moment(0));
-  bench.ask('heavy');
-  expect(bench.verdicts()).toEqual(['1 runs at a', '2 runs at b', '3 draining', '4 draining']);
-  expect(bench.decision.running).toBe(2);
+test('draining rejects pending requests and keeps running ones', () => {
+  const proxy = new TestProxy(1);
+  for (let index = 0; index < 3; index += 1) proxy.request('heavy');
+  proxy.router.startDraining(moment(0));
+  proxy.request('heavy');
+  expect(proxy.drainVerdicts()).toEqual(['1 runs at a', '2 runs at b', '3 draining', '4 draining']);
+  expect(proxy.router.running).toBe(2);
 });
--- a/src/proxy/policy-router.ts
+++ b/src/proxy/policy-router.ts
@@ -4,7 +4,7 @@
 import type { Version } from '../common/version.js';
 import { ServiceBudgets, type TokenBudget } from './token-budget.js';
 import { PolicyPicker } from './policy-picker.js';
-import type { ProbedBackend, Prober } from './connection-probes.js';
+import type { ProbedBackend, BackendStateListener } from './connection-probes.js';
 import {
   isPlainService,
   type AdmittedRequest,
@@ -29,7 +29,7 @@
  * Decides for each request where it runs, whether it waits, or why it is rejected. Does no I/O: the forwarder carries out
  * the verdicts. Every request ends in exactly one way: its run ended, it was rejected, or its client disconnected.
  */
-export class PolicyRouter implements Prober {
+export class PolicyRouter implements BackendStateListener {
   readonly #settings: PolicyRouterSettings;
   readonly #freshness: Freshness;
   readonly #view: PolicyView;
@@ -125,9 +125,9 @@
    */
   mayWrite(now: Moment, id: number): boolean {
     const request = this.#running.get(id);
-    if (!request || !this.isFresh(now) || now >= request.limit) return false;
+    if (!request || !this.isFresh(now) || now >= request.deadline) return false;
     return (
-      this.#view.rowNow(request) !== undefined &&
+      this.#view.currentRow(request) !== undefined &&
       this.#view.candidates(request).some((candidate) => candidate.id === request.runner)
     );
   }
@@ -137,17 +137,17 @@
     const request = this.#endRun(now, id, false);
     if (!request) return;
     request.triedRunners.delete(request.runner);
-    if (now >= request.limit)
+    if (now >= request.deadline)
       this.#reject(id, 'limit-passed', 'its limit passed before it was begun');
     else if (!this.isFresh(now)) this.#reject(id, 'blind', STALE_TEXT);
-    else if (!this.#view.rowNow(request)) this.#rejectUnmapped(id);
+    else if (!this.#view.currentRow(request)) this.#rejectUnmapped(id);
     else this.#retryOrFail(now, request, 'waits-for-place', 'its place was lost');
     this.#startPending(now);
   }
 
   #readmitPending(): void {
     for (const request of this.#pending.splice(0)) {
-      const row = this.#view.rowNow(request);
+      const row = this.#view.currentRow(request);
       if (row) this.#pending.push({ ...request, row });
       else this.#rejectUnmapped(request.info.id);
     }
@@ -158,7 +158,7 @@
 
   /** The back ends to probe: nothing else shows whether they have restarted. */
   probedBackends(): readonly ProbedBackend[] {
-    return this.#view.plainBackEnds();
+    return this.#view.plainBackends();
   }
 
   /** A probe found that a back end is down. */
@@ -251,7 +251,7 @@
     for (const request of [...this.#pending]) {
       const { service, arrivedAt, row } = request;
       if (this.#view.isUnplaced(request)) {
-        const text = this.#view.waitText(service) || 'its place was lost';
+        const text = this.#view.waitReason(service) || 'its place was lost';
         this.#remove(request, 'waits-for-place', text, this.#view.placementDelayMs(now, service));
         continue;
       }
@@ -305,7 +305,7 @@
       address: placed.address,
       isPlain: isPlainService(request.service),
       row: request.row,
-      limit: request.limit,
+      limit: request.deadline,
       table: this.tableNumber,
     });
   }
@@ -363,7 +363,7 @@
 
   /** Whether the request may be retried. The budget is checked last, since spending from it can't be undone. */
   #mayRetry(now: Moment, request: AdmittedRequest): boolean {
-    if (!request.row.repeatable || this.#isDraining || now >= request.limit) return false;
+    if (!request.row.repeatable || this.#isDraining || now >= request.deadline) return false;
     return this.#budget(now, request.service).trySpend();
   }
 
@@ -394,5 +394,5 @@
 }
 
 function byWeight(a: AdmittedRequest, b: AdmittedRequest): number {
-  return b.row.weight - a.row.weight || a.limit - b.limit || a.info.id - b.info.id;
+  return b.row.weight - a.row.weight || a.deadline - b.deadline || a.info.id - b.info.id;
 }
--- a/src/proxy/policy-view.ts
+++ b/src/proxy/policy-view.ts
@@ -125,7 +125,7 @@
   }
 
   /** The current version of the row that admitted a request; undefined if another row or none matches it now. */
-  rowNow(request: AdmittedRequest): Row | undefined {
+  currentRow(request: AdmittedRequest): Row | undefined {
     const row = this.rowOf(request.info);
     return row && rowKey(row) === rowKey(request.row) ? row : undefined;
   }
@@ -149,7 +149,7 @@
   }
 
   /** The leader's text on why a service is not placed yet; empty where there is none. */
-  waitText(service: string): string {
+  waitReason(service: string): string {
     return this.#waits.get(service)?.text ?? '';
   }
 
@@ -165,7 +165,7 @@
   }
 
   /** The plain back ends, which don't report when they restart. */
-  plainBackEnds(): readonly ProbedBackend[] {
+  plainBackends(): readonly ProbedBackend[] {
     const list: ProbedBackend[] = [];
     for (const { id, address, service } of this.#placed.values())
       if (service !== '') list.push({ id, address });
--- a/src/proxy/runner-agent.test.ts
+++ b/src/proxy/runner-agent.test.ts
@@ -11,9 +11,9 @@
 test('a connection that its runner keeps for a second is reused, and closed before that time is up', async () => {
   const runner = new Runner({ connection: 'keep-alive', 'keep-alive': 'timeout=1' });
   await runner.start();
-  await runner.ask();
+  await runner.request();
   expect(runner.agent.hasIdleConnection('127.0.0.1', runner.port)).toBe(true);
-  await runner.ask();
+  await runner.request();
   expect(runner.connections).toBe(1);
   const [socket] = runner.agent.freeSockets[`127.0.0.1:${runner.port}:`] ?? [];
   // The proxy's timer closes it before the runner's does.
@@ -23,8 +23,8 @@
 test('a connection whose response says `connection: close` is not kept', async () => {
   const runner = new Runner({ connection: 'close' });
   await runner.start();
-  await runner.ask();
-  await runner.ask();
+  await runner.request();
+  await runner.request();
   expect(runner.connections).toBe(2);
   expect(runner.agent.hasIdleConnection('127.0.0.1', runner.port)).toBe(false);
   runner.stop();
@@ -39,8 +39,8 @@
   constructor(headers: Readonly<Record<string, string>>) {
     this.#server = createServer(
       { keepAliveTimeout: 60_000 },
-      (_asked: IncomingMessage, answer: ServerResponse) => {
-        answer.writeHead(200, { ...headers, 'content-length': 2 }).end('ok');
+      (_request: IncomingMessage, response: ServerResponse) => {
+        response.writeHead(200, { ...headers, 'content-length': 2 }).end('ok');
       },
     );
     this.#server.on('connection', () => this.#count());
@@ -66,14 +66,14 @@
   }
 
   /** Resolves once the response has been read and its connection is idle or closed. */
-  async ask(): Promise<void> {
+  async request(): Promise<void> {
     const { agent, port } = this;
     await new Promise<void>((done: () => void, fail: (thrown: unknown) => void) => {
       const sent = request({ host: '127.0.0.1', port, agent });
-      sent.once('response', (back: IncomingMessage) => {
-        agent.recordKeepAlive(back);
-        back.resume();
-        back.once('close', done);
+      sent.once('response', (response: IncomingMessage) => {
+        agent.recordKeepAlive(response);
+        response.resume();
+        response.once('close', done);
       });
       sent.once('error', fail);
       sent.end();
--- a/src/proxy/testing/batch-runner.ts
+++ b/src/proxy/testing/batch-runner.ts
@@ -1,13 +1,16 @@
-/** A runner that works on requests in batches: each step reads a piece of waiting prompts and makes a token for each other. */
+/**
+ * A simulated runner with continuous batching: each step prefills a chunk of the waiting prompts and generates one token
+ * for each request whose prompt is done.
+ */
 
-/** The engine's figures, as deployments state theirs: ms, tokens, and requests at once. */
+/** The figures of the engine, in the form in which deployments state theirs: ms, tokens, and concurrent requests. */
 const STEP_MS = 6.73;
 const STEP_MS_PER_REQUEST = 0.022;
 const PREFILL_TOKENS_PER_MS = 30.6;
 const PREFILL_CHUNK_TOKENS = 1024;
 const SLOTS = 48;
 
-/** A request at a runner; the callbacks are called once each. */
+/** A request at a runner; each callback is called once. */
 export interface BatchJob {
   promptTokens: number;
   outputTokens: number;
@@ -16,28 +19,28 @@
   readonly onEnd: () => void;
 }
 
-/** Runs a callback so many ms from now. */
-export type RunLater = (delayMs: number, callback: () => void) => void;
+/** Schedules a callback after a delay, ms. */
+export type Schedule = (delayMs: number, callback: () => void) => void;
 
-/** One runner on virtual time. */
+/** One runner, on virtual time. */
 export class BatchRunner {
-  readonly #runLater: RunLater;
-  readonly #slowness: number;
+  readonly #schedule: Schedule;
+  readonly #stepTimeFactor: number;
   readonly #queue: BatchJob[] = [];
   #active: BatchJob[] = [];
   #isStepping = false;
-  /** Requests that came so far. */
-  arrivals = 0;
+  /** The number of requests that have arrived. */
+  arrivalCount = 0;
 
-  /** `slowness`: how many times as long its steps take. */
-  constructor(runLater: RunLater, slowness: number) {
-    this.#runLater = runLater;
-    this.#slowness = slowness;
+  /** `stepTimeFactor`: multiplies the duration of each step; 1 for a runner of normal speed. */
+  constructor(schedule: Schedule, stepTimeFactor: number) {
+    this.#schedule = schedule;
+    this.#stepTimeFactor = stepTimeFactor;
   }
 
   /** A request arrived. */
   add(job: BatchJob): void {
-    this.arrivals += 1;
+    this.arrivalCount += 1;
     this.#queue.push(job);
     this.#step();
   }
@@ -51,20 +54,20 @@
     if (this.#active.length === 0) return;
     const decoding = this.#active.filter(({ promptTokens }) => promptTokens <= 0);
     const prefillTokens = this.#prefill();
-    const tookMs =
+    const stepMs =
       STEP_MS + this.#active.length * STEP_MS_PER_REQUEST + prefillTokens / PREFILL_TOKENS_PER_MS;
     this.#isStepping = true;
-    this.#runLater(tookMs * this.#slowness, () => this.#endStep(decoding));
+    this.#schedule(stepMs * this.#stepTimeFactor, () => this.#endStep(decoding));
   }
 
   #prefill(): number {
-    let left = PREFILL_CHUNK_TOKENS;
+    let tokensLeft = PREFILL_CHUNK_TOKENS;
     for (const job of this.#active) {
-      const tokens = Math.min(left, Math.max(0, job.promptTokens));
+      const tokens = Math.min(tokensLeft, Math.max(0, job.promptTokens));
       job.promptTokens -= tokens;
-      left -= tokens;
+      tokensLeft -= tokens;
     }
-    return PREFILL_CHUNK_TOKENS - left;
+    return PREFILL_CHUNK_TOKENS - tokensLeft;
   }
 
   #endStep(decoding: readonly BatchJob[]): void {
--- a/src/proxy/testing/proxy-fleet.ts
+++ b/src/proxy/testing/proxy-fleet.ts
@@ -1,4 +1,4 @@
-/** Many dispatchers before runners that work in batches, on virtual time: what no proxy alone can see shows here. */
+/** Many dispatchers in front of batching runners, on virtual time: shows effects that no single proxy can observe. */
 import { mean } from 'simple-statistics';
 import { later, moment, type Moment } from '../../common/ids.js';
 import type { FleetRunner } from '../../placement/fleet.js';
@@ -9,26 +9,27 @@
 import { headOf, ROUTING } from './dispatch-fixtures.js';
 
 const ZONES = ['za', 'zb', 'zc'];
-/** One way, within a zone and between two, ms; a new connection takes a round trip and a little. */
-const NEAR_MS = 0.5;
-const FAR_MS = 1.4;
-const HANDSHAKE_MS = 1;
-/** How many times as long a slow runner takes: some of a service's runners are slower, or others load them more. */
-const SLOWNESS = 1.8;
+/** One-way network latency within a zone and between two zones, ms. */
+const SAME_ZONE_LATENCY_MS = 0.5;
+const CROSS_ZONE_LATENCY_MS = 1.4;
+/** What a new connection takes beyond a round trip, ms. */
+const CONNECT_OVERHEAD_MS = 1;
+/** The duration of a slow runner's steps, relative to others: some runners are slower, or have other load as well. */
+const SLOW_STEP_TIME_FACTOR = 1.8;
 const TICK_MS = 50;
-/** So long after the last request all have surely ended. */
+/** How long a run goes on after its last request; all requests have ended by then. */
 const SETTLING_MS = 10_000;
-/** Means of the prompt, of which the shared part is as large as the deployments', and of the output, tokens. */
+/** The prompt's shared part, which is as large as in deployments, and the means of its other part and of the output, tokens. */
 const SHARED_TOKENS = 155;
-const OWN_TOKENS = 490;
-const OUTPUT_TOKENS = 70;
+const MEAN_UNSHARED_TOKENS = 490;
+const MEAN_OUTPUT_TOKENS = 70;
 
-/** The size of a fleet and what it is asked for. */
+/** The size of a fleet and its load. */
 export interface ProxyFleetOptions {
   readonly proxies: number;
-  /** Runners of the one model; they are spread over the zones. */
+  /** The number of runners, which all have the same model and are spread over the zones. */
   readonly runners: number;
-  /** So many of the runners take longer for each step. */
+  /** The number of runners whose steps take longer. */
   readonly slowRunners: number;
   readonly requestsPerSecond: number;
   readonly seed: number;
@@ -45,12 +46,12 @@
   readonly outputTokens: number;
 }
 
-/** A fleet of proxies and runners. */
+/** A simulated fleet of proxies and runners. */
 export class ProxyFleet {
   readonly #options: ProxyFleetOptions;
   readonly #random: Seeded;
   readonly #runners = new Map<string, BatchRunner>();
-  readonly #facts: FleetRunner[] = [];
+  readonly #fleetRunners: FleetRunner[] = [];
   readonly #proxies: Proxy[] = [];
   readonly #pending = new Map<number, PendingRequest>();
   readonly #scheduler = new Scheduler();
@@ -63,17 +64,17 @@
     for (let index = 0; index < options.proxies; index += 1) this.#addProxy(index);
   }
 
-  /** How many requests a slow runner got against the others. */
+  /** The mean number of requests per slow runner, divided by that of the other runners. */
   get slowRunnersShare(): number {
-    const arrivals = [...this.#runners.values()].map((runner) => runner.arrivals);
+    const arrivals = [...this.#runners.values()].map((runner) => runner.arrivalCount);
     const { slowRunners } = this.#options;
     return mean(arrivals.slice(0, slowRunners)) / mean(arrivals.slice(slowRunners));
   }
 
-  /** Lets requests arrive for so long, ms, and ends a while after the last. */
-  run(forMs: number): void {
-    const until = later(this.#now, forMs);
-    this.#arrive(until);
+  /** Sends requests for a duration, ms, and then lets them end. */
+  run(durationMs: number): void {
+    const until = later(this.#now, durationMs);
+    this.#sendRequestsUntil(until);
     this.#tick(until);
     this.#scheduler.runUntil(later(until, SETTLING_MS));
   }
@@ -81,7 +82,7 @@
   #addRunner(index: number): void {
     const id = `runner-${index}`;
     const zone = ZONES[index % ZONES.length] ?? '';
-    this.#facts.push({
+    this.#fleetRunners.push({
       id,
       address: `${id}:1`,
       zone,
@@ -95,8 +96,8 @@
     this.#runners.set(
       id,
       new BatchRunner(
-        (delayMs, callback) => this.#later(delayMs, callback),
-        index < this.#options.slowRunners ? SLOWNESS : 1,
+        (delayMs, callback) => this.#schedule(delayMs, callback),
+        index < this.#options.slowRunners ? SLOW_STEP_TIME_FACTOR : 1,
       ),
     );
   }
@@ -115,7 +116,7 @@
     dispatcher.onConfiguration(this.#now, ROUTING, []);
     dispatcher.onFleet(this.#now, {
       flows: this.#options.proxies,
-      runners: this.#facts,
+      runners: this.#fleetRunners,
       waits: [],
     });
     this.#proxies.push({ id, dispatcher, idleConnections });
@@ -125,59 +126,69 @@
     return moment(this.#scheduler.now);
   }
 
-  #later(delayMs: number, run: () => void): void {
-    this.#scheduler.after(delayMs, run);
+  #schedule(delayMs: number, callback: () => void): void {
+    this.#scheduler.after(delayMs, callback);
   }
 
-  #arrive(until: Moment): void {
+  #sendRequestsUntil(until: Moment): void {
     if (this.#now >= until) return;
-    this.#request();
+    this.#sendRequest();
     const meanMs = 1000 / this.#options.requestsPerSecond;
-    this.#later(-Math.log(1 - this.#random.next()) * meanMs, () => this.#arrive(until));
+    this.#schedule(-Math.log(1 - this.#random.next()) * meanMs, () =>
+      this.#sendRequestsUntil(until),
+    );
   }
 
   #tick(until: Moment): void {
     for (const proxy of this.#proxies) {
       proxy.dispatcher.tick(this.#now);
-      this.#obey(proxy);
+      this.#applyEffects(proxy);
     }
-    if (this.#now < until) this.#later(TICK_MS, () => this.#tick(until));
+    if (this.#now < until) this.#schedule(TICK_MS, () => this.#tick(until));
   }
 
-  #request(): void {
+  #sendRequest(): void {
     const proxy = this.#random.pick(this.#proxies);
     if (!proxy) return;
     this.#lastRequestId += 1;
     const id = this.#lastRequestId;
-    const promptTokens = SHARED_TOKENS + Math.round(this.#random.between(0, 2 * OWN_TOKENS));
-    const outputTokens = Math.ceil(this.#random.between(0, 2 * OUTPUT_TOKENS));
+    const promptTokens =
+      SHARED_TOKENS + Math.round(this.#random.between(0, 2 * MEAN_UNSHARED_TOKENS));
+    const outputTokens = Math.ceil(this.#random.between(0, 2 * MEAN_OUTPUT_TOKENS));
     this.#pending.set(id, { promptTokens, outputTokens });
     const prefix = [
       { id: `shared-${this.#random.below(100)}`, tokens: SHARED_TOKENS },
       { id: `own-${id}`, tokens: promptTokens - SHARED_TOKENS },
     ];
     proxy.dispatcher.onRequest(this.#now, headOf(id, { promptTokens, prefix }));
-    this.#obey(proxy);
+    this.#applyEffects(proxy);
   }
 
-  #obey(proxy: Proxy): void {
+  #applyEffects(proxy: Proxy): void {
     for (const effect of proxy.dispatcher.drainEffects())
       if (effect.do === 'send') this.#connect(proxy, effect);
   }
 
   #connect(proxy: Proxy, effect: DispatchEffect & { readonly do: 'send' }): void {
-    const runner = this.#facts.find(({ id }) => id === effect.runner);
-    const linkMs = runner?.zone === ZONES[proxy.id % ZONES.length] ? NEAR_MS : FAR_MS;
-    const idle = proxy.idleConnections.get(effect.address) ?? 0;
-    if (idle > 0) proxy.idleConnections.set(effect.address, idle - 1);
-    this.#later(idle > 0 ? 0 : 2 * linkMs + HANDSHAKE_MS, () => {
+    const runner = this.#fleetRunners.find(({ id }) => id === effect.runner);
+    const latencyMs =
+      runner?.zone === ZONES[proxy.id % ZONES.length]
+        ? SAME_ZONE_LATENCY_MS
+        : CROSS_ZONE_LATENCY_MS;
+    const idleCount = proxy.idleConnections.get(effect.address) ?? 0;
+    if (idleCount > 0) proxy.idleConnections.set(effect.address, idleCount - 1);
+    this.#schedule(idleCount > 0 ? 0 : 2 * latencyMs + CONNECT_OVERHEAD_MS, () => {
       if (proxy.dispatcher.onConnect(this.#now, effect.id, effect.attempt))
-        this.#later(linkMs, () => this.#begin(proxy, effect, linkMs));
-      this.#obey(proxy);
+        this.#schedule(latencyMs, () => this.#startRun(proxy, effect, latencyMs));
+      this.#applyEffects(proxy);
     });
   }
 
-  #begin(proxy: Proxy, effect: DispatchEffect & { readonly do: 'send' }, linkMs: number): void {
+  #startRun(
+    proxy: Proxy,
+    effect: DispatchEffect & { readonly do: 'send' },
+    latencyMs: number,
+  ): void {
     const request = this.#pending.get(effect.id);
     if (!request) return;
     const { id, attempt, address } = effect;
@@ -187,7 +198,7 @@
       outputTokens: request.outputTokens,
       hasStarted: false,
       onFirstToken: () =>
-        this.#later(linkMs, () => {
+        this.#schedule(latencyMs, () => {
           const head = {
             status: 200,
             isUnprocessed: false,
@@ -196,13 +207,13 @@
           };
           dispatcher.onHeaders(this.#now, id, attempt, head);
           dispatcher.onData(this.#now, id, attempt);
-          this.#obey(proxy);
+          this.#applyEffects(proxy);
         }),
       onEnd: () =>
-        this.#later(linkMs, () => {
+        this.#schedule(latencyMs, () => {
           dispatcher.onComplete(this.#now, id, attempt);
           idleConnections.set(address, (idleConnections.get(address) ?? 0) + 1);
-          this.#obey(proxy);
+          this.#applyEffects(proxy);
         }),
     });
   }
