--- a/src/proxy/proxy-command.ts
+++ b/src/proxy/proxy-command.ts
@@ -21,6 +21,7 @@
     drainMs: Flags.integer({ description: 'how long requests in flight may take after SIGTERM' }),
   };
 
+  /** Runs the proxy until the process is asked to stop. */
   async run(): Promise<void> {
     const { flags } = await this.parse(ProxyCommand);
     const settings = this.parseSettings(TableProxySettingsShape, flags);
