--- a/src/proxy/runner-agent.test.ts
+++ b/src/proxy/runner-agent.test.ts
@@ -8,23 +8,23 @@
 import { expect, test } from 'vitest';
 import { RunnerAgent } from './runner-agent.js';
 
-test('a connection that is kept for a second is used again, and not beyond that', async () => {
+test('a connection that its runner keeps for a second is reused, and closed before that time is up', async () => {
   const runner = new Runner({ connection: 'keep-alive', 'keep-alive': 'timeout=1' });
   await runner.start();
-  await runner.ask();
+  await runner.request();
   expect(runner.agent.hasIdleConnection('127.0.0.1', runner.port)).toBe(true);
-  await runner.ask();
+  await runner.request();
   expect(runner.connections).toBe(1);
   const [socket] = runner.agent.freeSockets[`127.0.0.1:${runner.port}:`] ?? [];
-  // It is let go by its own timer, before the runner's.
+  // The proxy's timer closes it before the runner's does.
   expect(socket?.timeout).toBe(850);
   runner.stop();
 });
-test('a connection that says it closes is not kept', async () => {
+test('a connection whose response says `connection: close` is not kept', async () => {
   const runner = new Runner({ connection: 'close' });
   await runner.start();
-  await runner.ask();
-  await runner.ask();
+  await runner.request();
+  await runner.request();
   expect(runner.connections).toBe(2);
   expect(runner.agent.hasIdleConnection('127.0.0.1', runner.port)).toBe(false);
   runner.stop();
@@ -39,8 +39,8 @@
   constructor(headers: Readonly<Record<string, string>>) {
     this.#server = createServer(
       { keepAliveTimeout: 60_000 },
-      (_asked: IncomingMessage, answer: ServerResponse) => {
-        answer.writeHead(200, { ...headers, 'content-length': 2 }).end('ok');
+      (_request: IncomingMessage, response: ServerResponse) => {
+        response.writeHead(200, { ...headers, 'content-length': 2 }).end('ok');
       },
     );
     this.#server.on('connection', () => this.#count());
@@ -65,15 +65,15 @@
     this.#server.close();
   }
 
-  /** Resolves once the answer is read and its connection is free, or gone. */
-  async ask(): Promise<void> {
+  /** Resolves once the response has been read and its connection is idle or closed. */
+  async request(): Promise<void> {
     const { agent, port } = this;
     await new Promise<void>((done: () => void, fail: (thrown: unknown) => void) => {
       const sent = request({ host: '127.0.0.1', port, agent });
-      sent.once('response', (back: IncomingMessage) => {
-        agent.recordKeepAlive(back);
-        back.resume();
-        back.once('close', done);
+      sent.once('response', (response: IncomingMessage) => {
+        agent.recordKeepAlive(response);
+        response.resume();
+        response.once('close', done);
       });
       sent.once('error', fail);
       sent.end();
