--- a/src/proxy/admission.ts
+++ b/src/proxy/admission.ts
@@ -4,18 +4,18 @@
 import type { PrefixBlock, RequestHead } from './dispatch-types.js';
 import type { RoutedRequest } from './routed-request.js';
 
-/** With each request the longest time left that came on a route fades by this factor. */
-const MAX_TIME_DECAY = 0.999;
-/** A request with so much of that longest time is its client's first try. */
+/** Factor by which the recorded maximum time left of a route decays with each request. */
+const MAX_TIME_LEFT_DECAY = 0.999;
+/** A request with at least this share of that maximum time left counts as its client's first attempt. */
 const FIRST_ATTEMPT_SHARE = 0.98;
 
-/** Finds the route and the service of requests by the configuration in force. */
+/** Assigns a route and a service to each request, by the configuration in force. */
 export class Admission {
   #routing: Routing | undefined;
   #index: RouteIndex | undefined;
-  /** Each split's credit, by route. */
+  /** Current weights of the smooth weighted round-robin, one for each split, by route name. */
   readonly #credits = new Map<string, number[]>();
-  /** The longest time left that came on a route lately: a request with as much is its client's first try. */
+  /** Decaying maximum of the time that recent requests of a route had left, by route name. */
   readonly #maxTimeLeftMs = new Map<string, number>();
 
   /** The configuration in force; undefined before the first. */
@@ -23,7 +23,7 @@
     return this.#routing;
   }
 
-  /** Takes up a configuration; the one in force already changes nothing. */
+  /** Applies a configuration; the one already in force is ignored, so that the round-robin goes on. */
   configure(routing: Routing): void {
     if (routing === this.#routing) return;
     this.#routing = routing;
@@ -31,7 +31,7 @@
     this.#credits.clear();
   }
 
-  /** The request with its route and service; undefined where there is none for it. */
+  /** Returns the request with its route and service; undefined if no route matches or the service is unknown. */
   admit(now: Moment, head: RequestHead): RoutedRequest | undefined {
     const route = this.#index?.match(head.host, head.path);
     const service = route ? this.#index?.service(this.#pickService(route)) : undefined;
@@ -48,25 +48,28 @@
   }
 
   #isFirstAttempt(route: Route, timeLeftMs: number): boolean {
-    const maxMs = Math.max((this.#maxTimeLeftMs.get(route.name) ?? 0) * MAX_TIME_DECAY, timeLeftMs);
+    const maxMs = Math.max(
+      (this.#maxTimeLeftMs.get(route.name) ?? 0) * MAX_TIME_LEFT_DECAY,
+      timeLeftMs,
+    );
     this.#maxTimeLeftMs.set(route.name, maxMs);
     return timeLeftMs >= maxMs * FIRST_ATTEMPT_SHARE;
   }
 
-  /** Services by weight in turn, so that few requests already come out by their weights. */
+  /** Smooth weighted round-robin: even a few requests are distributed according to the weights. */
   #pickService(route: Route): string {
     if (route.splits.length === 1) return route.splits[0]?.service ?? '';
-    const credits = this.#credits.get(route.name) ?? route.splits.map(nothing);
+    const credits = this.#credits.get(route.name) ?? route.splits.map(zero);
     this.#credits.set(route.name, credits);
     let total = 0;
-    let best = 0;
+    let bestIndex = 0;
     for (const [index, split] of route.splits.entries()) {
       total += split.weight;
       credits[index] = (credits[index] ?? 0) + split.weight;
-      if ((credits[index] ?? 0) > (credits[best] ?? 0)) best = index;
+      if ((credits[index] ?? 0) > (credits[bestIndex] ?? 0)) bestIndex = index;
     }
-    credits[best] = (credits[best] ?? 0) - total;
-    return route.splits[best]?.service ?? '';
+    credits[bestIndex] = (credits[bestIndex] ?? 0) - total;
+    return route.splits[bestIndex]?.service ?? '';
   }
 }
 
@@ -78,10 +81,10 @@
   timeLeftMs: number,
   isFirstAttempt: boolean,
 ): RoutedRequest {
-  // The last part is the request's own.
+  // The last block belongs to this request alone; those before it may be shared.
   const sharedBlocks = head.prefix.slice(0, -1);
   let sharedPrefixTokens = 0;
-  for (const part of sharedBlocks) sharedPrefixTokens += part.tokens;
+  for (const block of sharedBlocks) sharedPrefixTokens += block.tokens;
   const modelUnit =
     service.engine && head.model !== '' ? `${service.name}\n${head.model}\n${head.adapter}` : '';
   const deadline = later(now, Math.min(timeLeftMs, route.timeoutMs));
@@ -110,10 +113,10 @@
   };
 }
 
-function idOf(part: PrefixBlock): string {
-  return part.id;
+function idOf(block: PrefixBlock): string {
+  return block.id;
 }
 
-function nothing(): number {
+function zero(): number {
   return 0;
 }
--- a/src/proxy/attempt-handler.ts
+++ b/src/proxy/attempt-handler.ts
@@ -4,7 +4,7 @@
 import type { Dispatcher } from './dispatcher.js';
 import type { ResponseHead } from './dispatch-types.js';
 
-/** Passes the events of attempts to the dispatcher, and has the effects that follow applied. */
+/** Passes the events of attempts to the dispatcher, and applies the effects that result. */
 export class AttemptHandler {
   readonly #dispatcher: Dispatcher;
   readonly #counters: Counters;
@@ -24,7 +24,7 @@
     this.#applyEffects = applyEffects;
   }
 
-  /** The connection is established. Returns whether the request may be written; where not, the attempt is aborted. */
+  /** The connection is established. Returns whether the request may be written; if not, the attempt is aborted. */
   onConnect(attempt: Attempt): boolean {
     if (this.#dispatcher.onConnect(this.#now(), attempt.exchange.id, attempt.send.attempt))
       return true;
@@ -40,7 +40,7 @@
     this.#applyEffects();
   }
 
-  /** The head of a response arrived; of one that proves the request unprocessed, the complete response. */
+  /** The head of a response arrived; if it proves the request unprocessed, the complete response has arrived. */
   onHeaders(attempt: Attempt, head: ResponseHead): void {
     this.#dispatcher.onHeaders(this.#now(), attempt.exchange.id, attempt.send.attempt, head);
     this.#applyEffects();
@@ -67,7 +67,7 @@
     this.#applyEffects();
   }
 
-  /** The response cannot be forwarded: closes its connection, as if the runner had closed it. */
+  /** Aborts a response that cannot be forwarded: handled as if the runner had closed the connection. */
   abort(attempt: Attempt): void {
     attempt.runnerRequest.destroy();
     this.onDisconnect(attempt);
--- a/src/proxy/attempt-tracker.ts
+++ b/src/proxy/attempt-tracker.ts
@@ -5,18 +5,21 @@
 import { isRetryable, mayFollow, type RoutedRequest } from './routed-request.js';
 import type { TrackedRunner } from './tracked-runner.js';
 
-/** Statuses that promise a client that its request was not processed: only a runner's proof permits that. */
+/**
+ * Statuses by which a client concludes that its request was not processed. Where repeating the request could do harm, they
+ * are not forwarded unless the runner proved that.
+ */
 const REJECTION_STATUSES: ReadonlySet<number> = new Set([408, 421, 429, 503]);
 /** Status of a runner that does not have the model that was requested (RFC 9110, 15.5.20). */
 const MISDIRECTED = 421;
 /** Status of a runner at which the request's deadline passed. */
 const GATEWAY_TIMEOUT = 504;
-/** When a client shall retry after a runner did not process its request: the model is missing, or the runner is full. */
+/** Retry delays for a client whose request the runner did not process: the model is missing, or the runner is full. */
 const MISSING_RETRY_AFTER_MS = 150;
 const FULL_RETRY_AFTER_MS = 250;
-/** How long after a request's deadline its attempt is cancelled; the client no longer waits. */
+/** How long after a request's deadline, when its client no longer waits, the attempt is cancelled. */
 const DEADLINE_GRACE_MS = 30;
-/** The shortest time without any data from a runner after which a retryable request leaves it. */
+/** The minimum time without any data from a runner after which a retryable request is moved to another one. */
 const MIN_RESPONSE_TIMEOUT_MS = 300;
 /** A runner that closed a connection early is ejected if it sent nothing on any connection for this long. */
 const IDLE_RUNNER_MS = 200;
@@ -54,7 +57,7 @@
     return true;
   }
 
-  /** The idle connection had closed before anything was written: its runner is not to blame. */
+  /** The idle connection had closed before anything was written: this does not count as a failure of the runner. */
   onIdleConnectionClosed(now: Moment, id: number, attempt: number): void {
     const request = this.#state.requests.withCurrentAttempt(id, attempt);
     if (request?.phase === 'connecting') this.#placeUnsent(now, request);
@@ -81,7 +84,7 @@
 
   // ---- the response
 
-  /** The head of a response arrived; one that proves the request unprocessed is passed in once it is complete. */
+  /** The head of a response arrived. If it proves the request unprocessed, called once the response is complete. */
   onHeaders(now: Moment, id: number, attempt: number, head: ResponseHead): void {
     const request = this.#state.requests.withCurrentAttempt(id, attempt);
     if (request?.phase !== 'sent') return;
@@ -97,7 +100,7 @@
       return;
     }
     const isFailure = head.status >= 500;
-    // A deadline that passed at the runner says nothing of the runner.
+    // 504: the request's deadline passed at the runner, which is not a failure of the runner.
     if (isFailure && head.status !== GATEWAY_TIMEOUT) runner?.onRequestFailed(now);
     if (isFailure && this.#retryFailure(now, request)) return;
     request.phase = 'responding';
@@ -106,7 +109,7 @@
     this.#state.effects.push({ do: 'forward', id, attempt });
   }
 
-  /** The runner answered 5xx: retries a retryable request elsewhere. Returns false where the response is to be forwarded. */
+  /** The runner responded with 5xx: retries a retryable request. Returns false if the response is to be forwarded. */
   #retryFailure(now: Moment, request: RoutedRequest): boolean {
     if (!isRetryable(request) || !this.#state.retryPolicy.mayRetry(now, request)) return false;
     request.mayHaveRun = true;
@@ -175,14 +178,14 @@
     this.#onAttemptFailed(now, request, isStale ? undefined : runner);
   }
 
-  /** A stale idle connection says little of its runner: where there is no other, a new connection to it may do. */
+  /** A stale idle connection says little about its runner: if no other is available, a new connection to it may work. */
   #allowNewConnection(now: Moment, request: RoutedRequest): void {
     if (this.#state.picker.hasAvailable(now, request)) return;
     request.triedRunners.delete(request.runner);
     request.needsNewConnection = true;
   }
 
-  /** An attempt that may have been processed has failed. `runner`: the runner to blame, if any. */
+  /** An attempt that may have been processed has failed. `runner`: the runner that the failure counts against, if any. */
   #onAttemptFailed(now: Moment, request: RoutedRequest, runner: TrackedRunner | undefined): void {
     const { outcomes, counts, retryPolicy } = this.#state;
     request.mayHaveRun = true;
@@ -217,7 +220,7 @@
     this.#placeAfterFailedConnect(now, request);
   }
 
-  /** A runner that sends nothing on any connection is ejected, and retryable requests leave it. */
+  /** Ejects the runner of a retryable request if it sends nothing on any connection, and retries the request. */
   #checkUnresponsiveRunner(now: Moment, request: RoutedRequest): void {
     const runner = this.#runnerOf(request);
     if (!runner || !isRetryable(request)) return;
@@ -260,7 +263,7 @@
 /** Whether the response may be forwarded to the client of the request. */
 function isForwardable(request: RoutedRequest, head: ResponseHead): boolean {
   if (!head.isGenuine) return false;
-  // A status that promises what the runner did not prove must not reach the client of a request that may run only once.
+  // Without the runner's proof the client would retry, though the request may have been processed and must not be again.
   if (REJECTION_STATUSES.has(head.status) && !isRetryable(request)) return false;
   return mayFollow(request, head);
 }
@@ -277,6 +280,6 @@
     return;
   }
   runner.onModelMissing(now, request);
-  // A plain runner has no models: what it lacks is its entire service.
+  // A plain runner has no models, so it does not serve the service at all.
   if (request.modelUnit === '') runner.eject(now);
 }
--- a/src/proxy/demand-counter.ts
+++ b/src/proxy/demand-counter.ts
@@ -1,22 +1,22 @@
-/** Requests for a model, or for an adapter of it where named, since last told. */
+/** Requests for a model, or for one of its adapters if named, since the last report. */
 export interface ModelDemandCount {
   model: string;
   adapter: string;
   count: number;
 }
 
-/** Requests of a row since last told. */
+/** Requests that matched a row of the policy table, since the last report. */
 export interface RowDemandCount {
   row: string;
   count: number;
 }
 
-/** What was asked for at a proxy since it last told the leader. */
+/** Counts the requests at a proxy by row and by model, between two reports to the leader. */
 export class DemandCounter {
   #units = new Map<string, number>();
   #rows = new Map<string, number>();
 
-  /** Counts one request of a row; a request to plain back ends names no model. */
+  /** Counts a request that matched the row; a request to plain backends names no model. */
   count(row: string, model: string | undefined, adapter: string): void {
     add(this.#rows, row);
     if (model === undefined) return;
@@ -24,7 +24,7 @@
     if (adapter !== '') add(this.#units, `${model}\n${adapter}`);
   }
 
-  /** Hands over what was counted, and begins anew. */
+  /** Returns the counts since the last call and resets them. */
   take(): { units: ModelDemandCount[]; rows: RowDemandCount[] } {
     const units = [];
     for (const [unit, count] of this.#units) {
--- a/src/proxy/dispatch-types.ts
+++ b/src/proxy/dispatch-types.ts
@@ -1,13 +1,13 @@
-/** The events and effects of the dispatcher: what the forwarder passes in, and what it has to carry out. */
+/** Types of the dispatcher's events, effects and settings: what the forwarder passes in, and what it has to carry out. */
 import type { RetryBudgetSettings } from './retry-budget.js';
 
-/** A block of a prompt that several requests may share, with its length in tokens. */
+/** A block of a prompt that several requests may share. `tokens`: its length. */
 export interface PrefixBlock {
   readonly id: string;
   readonly tokens: number;
 }
 
-/** What the head of a client's request states, in haretrack's terms. */
+/** What the dispatcher needs to know of a client's request; independent of the deployment's dialect. */
 export interface RequestHead {
   readonly id: number;
   readonly host: string;
@@ -16,11 +16,11 @@
   readonly adapter: string;
   readonly promptTokens: number;
   readonly prefix: readonly PrefixBlock[];
-  /** How long the client still waits, ms; undefined where it does not state that. */
+  /** How long the client still waits, ms; undefined if it does not state that. */
   readonly timeLeftMs: number | undefined;
 }
 
-/** What the forwarder has to do, one member for each effect. An effect on an attempt that is no longer current is void. */
+/** What the forwarder has to do. An effect on an attempt that is no longer current is to be ignored. */
 export type DispatchEffect =
   | {
       readonly do: 'send';
@@ -32,10 +32,10 @@
       readonly urgency: number;
       readonly isBuffered: boolean;
       readonly isResumable: boolean;
-      /** Whether idle connections of the pool must not be used for it. */
+      /** Whether the attempt must not use an idle connection of the pool. */
       readonly needsNewConnection: boolean;
     }
-  /** Reject the request: no runner has processed it or will. The client is told when to retry. */
+  /** Reject the request: no runner has processed it or will. The response states when to retry. */
   | {
       readonly do: 'reject';
       readonly id: number;
@@ -54,15 +54,15 @@
 /** What a deployment's dialect reads from the head of a runner's response. */
 export interface ResponseStatus {
   readonly status: number;
-  /** Whether the runner states, for this very request, that it has not processed it and will not. */
+  /** Whether the runner states that it has not processed this request, identified by its id, and will not. */
   readonly isUnprocessed: boolean;
-  /** Whether the response belongs to this request: it echoes the request's id, and is sealed where it is a success. */
+  /** Whether the response belongs to this request: it echoes the request's id, and a success carries the runner's seal. */
   readonly isGenuine: boolean;
 }
 
 /** What the dispatcher needs to know of the head of a runner's response. */
 export interface ResponseHead extends ResponseStatus {
-  /** Whether its body is a `text/event-stream` (WHATWG HTML, 9.2), which another run can continue after any event. */
+  /** Whether its body is a `text/event-stream` (WHATWG HTML, 9.2), which another attempt can resume after any event. */
   readonly isEventStream: boolean;
 }
 
@@ -72,11 +72,11 @@
   readonly proxyId: string;
   readonly zone: string;
   readonly retry: RetryBudgetSettings;
-  /** By which factor the fleet may exceed the rate of a runner that is warming up. */
+  /** Factor by which the fleet may exceed the request rate of a runner that is warming up. */
   readonly warmupExcess: number;
-  /** How long connecting to a runner may take, ms. */
+  /** Timeout of connecting to a runner, ms. */
   readonly connectTimeoutMs: number;
-  /** Whether the pool has an idle connection to that address; a new one costs the runner time. */
+  /** Whether the pool has an idle connection to the address; accepting a new one costs the runner time. */
   readonly hasIdleConnection: (address: string) => boolean;
   /** A random number in [0, 1); injected so that simulated runs can be repeated. */
   readonly random: () => number;
--- a/src/proxy/dispatcher-state.ts
+++ b/src/proxy/dispatcher-state.ts
@@ -10,7 +10,7 @@
 import { RunnerPicker } from './runner-picker.js';
 import { ModelDemand } from './model-demand.js';
 
-/** The components that the placement of requests and the tracking of attempts share; each owns a state of its own. */
+/** The components that `RequestPlacement` and `AttemptTracker` share; each component owns its part of the state. */
 export class DispatcherState {
   readonly fleet = new FleetView();
   readonly forecast = new LoadForecast();
--- a/src/proxy/dispatcher.ts
+++ b/src/proxy/dispatcher.ts
@@ -28,9 +28,10 @@
 const EVENT_LOOP_STALL_MS = 150;
 
 /**
- * Decides for each request of this proxy where it is sent, what waits for a load, what is tried again and what is
- * refused. Pure: told what came and when, it drains effects; the forwarder obeys. It only joins its parts: requests are
- * admitted, placed, and followed at their runners.
+ * Decides for each request of this proxy to which runner it is sent, and whether it waits for a model to load, is retried
+ * or is rejected. Does no I/O: events are passed in with their times, and the forwarder carries out the effects that it
+ * drains. The work is delegated: `Admission` finds the route, `RequestPlacement` the runner, and `AttemptTracker` handles
+ * the events of attempts.
  */
 export class Dispatcher {
   readonly #proxyId: string;
@@ -80,7 +81,7 @@
     return this.#state.effects.drain();
   }
 
-  /** Begins a graceful shutdown: from here on it is not ready, though it still serves. */
+  /** Begins a graceful shutdown: the proxy is no longer ready, but still serves requests. */
   startDraining(): void {
     this.#isDraining = true;
   }
@@ -103,7 +104,7 @@
     this.#placement.placeAll(now);
   }
 
-  /** Runners were reported as draining, past the leader: they get no new request, whatever a later snapshot says. */
+  /** Runners were reported as draining outside the leader's snapshots: they get no new request, whatever a later one says. */
   onDrainingRunners(now: Moment, runners: readonly string[]): void {
     this.#state.fleet.markDraining(now, runners);
     this.#placement.placeAll(now);
@@ -146,7 +147,7 @@
   /** Periodic tick: applies deadlines and timeouts. */
   tick(now: Moment): void {
     this.#earlyRequests.tick(now);
-    // After a stall of this process, data that arrived meanwhile has not been read yet: no runner can be blamed.
+    // After a stall of this process, data that arrived in the meantime is still unread: a runner may not be at fault.
     const wasStalled = now - this.#lastTickAt > EVENT_LOOP_STALL_MS;
     this.#lastTickAt = now;
     for (const request of [...this.#state.requests.all()])
@@ -154,7 +155,7 @@
       else this.#attempts.checkTimeouts(now, request, wasStalled);
   }
 
-  /** The process ends: ends every request, by a rejection where no runner can have processed it, else by a failure. */
+  /** The process is stopping: rejects every request that no runner can have processed, and fails all others. */
   abortAll(): void {
     this.#earlyRequests.rejectAll();
     for (const request of [...this.#state.requests.all()])
@@ -164,7 +165,7 @@
 
   // ---- attempts
 
-  /** The attempt has a connection. Returns whether the request may be written to it; time has passed since it was placed. */
+  /** The attempt has a connection. Returns whether the request may still be written; time has passed since its placement. */
   onConnect(now: Moment, id: number, attempt: number): boolean {
     return this.#attempts.onConnect(now, id, attempt);
   }
@@ -201,12 +202,12 @@
 
   // ---- demand, as it is reported to the leader
 
-  /** Whether requests newly wait for a model, so that the leader should be notified at once; resets that. */
+  /** Whether requests have started to wait for a model, so that the leader should be notified at once; resets the flag. */
   takeUrgentDemand(): boolean {
     return this.#state.demand.takeUrgent();
   }
 
-  /** Demand by model and adapter: arrivals since the last call, and what waits and runs now. */
+  /** Demand by model and adapter: arrivals since the last call, and the requests that wait and run now. */
   takeDemandReport(now: Moment): FleetDemand {
     return { flow: this.#proxyId, units: this.#state.demand.takeReports(now) };
   }
--- a/src/proxy/early-requests.ts
+++ b/src/proxy/early-requests.ts
@@ -4,12 +4,13 @@
 
 /** How long after its start a proxy usually knows its configuration. */
 const USUAL_STARTUP_MS = 800;
-/** How long before that a request is held for it, and how many are. */
+/** Requests are queued only within this time before the configuration is expected. */
 const EARLY_QUEUE_WINDOW_MS = 450;
+/** Maximum number of queued requests. */
 const MAX_EARLY_REQUESTS = 500;
-/** The least time after which one that is refused is told to come back. */
+/** Minimum retry delay given to the client of a rejected request. */
 const MIN_RETRY_AFTER_MS = 400;
-/** When a client may come back whose request this process has no time left for: others serve at once. */
+/** Retry delay given to clients when this process stops: other proxies can serve the request at once. */
 const STOPPED_RETRY_AFTER_MS = 100;
 
 interface EarlyRequest {
@@ -18,19 +19,19 @@
 }
 
 /**
- * Requests that came before we had any configuration. Whoever comes shortly before it is due is held until then; who
- * comes sooner is told when to come back.
+ * Requests that arrived before this proxy had a configuration. Those that arrive shortly before it is expected are queued
+ * until then; earlier ones are rejected, with a retry delay.
  */
 export class EarlyRequests {
   readonly #outcomes: RequestOutcomes;
   readonly #requests = new Map<number, EarlyRequest>();
   #startedAt: Moment | undefined;
 
-  constructor(answers: RequestOutcomes) {
-    this.#outcomes = answers;
+  constructor(outcomes: RequestOutcomes) {
+    this.#outcomes = outcomes;
   }
 
-  /** A request came: it is held or refused. */
+  /** A request arrived: queues or rejects it. */
   add(now: Moment, head: RequestHead): void {
     this.#startedAt ??= now;
     const expectedMs = USUAL_STARTUP_MS - (now - this.#startedAt);
@@ -46,7 +47,7 @@
     this.#requests.set(head.id, { head, rejectAt: later(now, timeoutMs) });
   }
 
-  /** Hands over what was held, in the order in which it came. */
+  /** Removes and returns the queued requests, in order of arrival. */
   release(): RequestHead[] {
     const heads: RequestHead[] = [];
     for (const { head } of this.#requests.values()) heads.push(head);
@@ -54,7 +55,7 @@
     return heads;
   }
 
-  /** Refuses all that is held, since this process ends. */
+  /** Rejects all queued requests, because this process is stopping. */
   rejectAll(): void {
     for (const { id } of this.release())
       this.#outcomes.rejectUnrouted(id, 'no-config', STOPPED_RETRY_AFTER_MS);
@@ -65,10 +66,10 @@
     this.#requests.delete(id);
   }
 
-  /** Refuses what was held for long enough. */
+  /** Rejects requests that were queued for too long. */
   tick(now: Moment): void {
-    for (const [id, { rejectAt: until }] of this.#requests) {
-      if (now < until) continue;
+    for (const [id, { rejectAt }] of this.#requests) {
+      if (now < rejectAt) continue;
       this.#requests.delete(id);
       this.#outcomes.rejectUnrouted(id, 'no-config', MIN_RETRY_AFTER_MS);
     }
--- a/src/proxy/event-loop-guard.ts
+++ b/src/proxy/event-loop-guard.ts
@@ -1,16 +1,17 @@
 import { setImmediate as nextTurn } from 'node:timers/promises';
 import { later, moment, type Moment } from '../common/ids.js';
 
-/** A tick that is late by more than this was held up by a stall of the whole process. */
+/** A longer gap between ticks means that the whole process was stalled. */
 const EVENT_LOOP_STALL_MS = 500;
-/** For so long after it what is read may have lain in a socket since before. */
+/** How long after a stall data that is read may have been in a socket's buffer since before its end. */
 const RECOVERY_MS = 100;
-/** Turns of the event loop in which the ends of connections are read that lie behind what was read first. */
+/** Event loop turns that it takes to read the end of a connection behind the data that is read first. */
 const DRAIN_EVENT_LOOP_TURNS = 3;
 
 /**
- * Notices that the process stood still, frozen or starved. What is then read first was written any time before, and the
- * end of the same connection may lie right behind it: nothing is begun for anybody before that was read too.
+ * Detects that the process was stalled, for instance suspended or without CPU time. Data that is read right after a stall may
+ * have been written long before, and the end of its connection may follow directly. No request must be started before that
+ * has been read too, as its client may be gone.
  */
 export class EventLoopGuard {
   readonly #now: () => Moment;
@@ -22,7 +23,7 @@
     this.#lastTickAt = now();
   }
 
-  /** Called regularly while the process runs. */
+  /** To be called regularly while the process runs. */
   tick(): void {
     const now = this.#now();
     if (now - this.#lastTickAt > EVENT_LOOP_STALL_MS)
@@ -30,12 +31,13 @@
     this.#lastTickAt = now;
   }
 
+  /** Whether the process is stalled or was until a moment ago, so that unread data may be old. */
   get isRecovering(): boolean {
     const now = this.#now();
     return now - this.#lastTickAt > EVENT_LOOP_STALL_MS || now < this.#recoveringUntil;
   }
 
-  /** Resolves once everything that lay in the sockets has been read. */
+  /** Resolves once all data that was in the sockets' buffers has been read. */
   async drainSockets(): Promise<void> {
     for (let turn = 0; turn < DRAIN_EVENT_LOOP_TURNS; turn += 1) await nextTurn();
   }
--- a/src/proxy/first-event-times.ts
+++ b/src/proxy/first-event-times.ts
@@ -1,19 +1,25 @@
 import type { Route } from '../route/routing.js';
 
-/** What a new time counts against those before. */
+/** Weight of a new observation in the average. */
 const SMOOTHING_FACTOR = 0.1;
 
-/** How long runners take to the first event of a stream, or to the answer, by route; new times count more than old ones. */
+/**
+ * How long runners take from the request to the first event of a stream, or to the response otherwise: an exponential moving
+ * average for each route.
+ */
 export class FirstEventTimes {
   readonly #averageMs = new Map<string, number>();
 
-  /** A request of the route took so long. */
+  /** Records how long a request of the route took, ms. */
   record(route: Route, tookMs: number): void {
-    const known = this.#averageMs.get(route.name) ?? tookMs;
-    this.#averageMs.set(route.name, known * (1 - SMOOTHING_FACTOR) + tookMs * SMOOTHING_FACTOR);
+    const previousMs = this.#averageMs.get(route.name) ?? tookMs;
+    this.#averageMs.set(
+      route.name,
+      previousMs * (1 - SMOOTHING_FACTOR) + tookMs * SMOOTHING_FACTOR,
+    );
   }
 
-  /** How long it usually takes, ms; undefined where nothing is known yet. */
+  /** The average of the route, ms; undefined before the first observation. */
   averageMs(route: Route): number | undefined {
     return this.#averageMs.get(route.name);
   }
--- a/src/proxy/fleet-view.ts
+++ b/src/proxy/fleet-view.ts
@@ -6,48 +6,48 @@
 
 const NO_RUNNERS: readonly TrackedRunner[] = [];
 
-/** The runners as the leader last reported them, and the zones that operators have evacuated. */
+/** The runners as the leader last reported them, the runners that are draining, and the evacuated zones. */
 export class FleetView {
   readonly #runners = new Map<string, TrackedRunner>();
-  /** How many proxies share limits that hold over the fleet. */
+  /** The number of proxies that share fleet-wide limits. */
   readonly proxyCount = new PublishedProxyCount();
   readonly #byService = new Map<string, TrackedRunner[]>();
   readonly #draining = new DrainingRunners();
   #evacuatedZones = new Set<string>();
   #isKnown = false;
 
-  /** Whether a report on the fleet has arrived. */
+  /** Whether a snapshot of the fleet has arrived. */
   get isKnown(): boolean {
     return this.#isKnown;
   }
 
-  /** From now on nothing new goes to runners in these zones, and in no others for that reason. */
+  /** Replaces the evacuated zones; runners in them get no new requests. */
   setEvacuatedZones(zones: readonly string[]): void {
     this.#evacuatedZones = new Set(zones);
   }
 
-  /** Takes a new snapshot of the fleet. */
+  /** Applies a new snapshot of the fleet. */
   update(now: Moment, fleet: Fleet): void {
     this.#isKnown = true;
     this.proxyCount.set(now, fleet.flows);
     const listed = new Set<string>();
-    for (const facts of fleet.runners) {
-      listed.add(facts.id);
-      const known = this.#runners.get(facts.id);
-      if (known) known.update(now, facts);
-      else this.#runners.set(facts.id, new TrackedRunner(now, facts));
+    for (const info of fleet.runners) {
+      listed.add(info.id);
+      const known = this.#runners.get(info.id);
+      if (known) known.update(now, info);
+      else this.#runners.set(info.id, new TrackedRunner(now, info));
     }
     this.#removeUnlisted(listed);
     this.#groupByService();
     this.#draining.update(now, fleet);
   }
 
-  /** Marks runners as draining, as reported past the leader; no later snapshot takes that back. */
+  /** Marks runners as draining that were reported so outside the snapshots; no later snapshot revokes that. */
   markDraining(now: Moment, runners: readonly string[]): void {
     this.#draining.add(now, runners);
   }
 
-  /** A runner that is no longer listed stays known while requests of this proxy are at it. */
+  /** Removes runners that are no longer listed; those that still process requests of this proxy are only marked. */
   #removeUnlisted(listed: ReadonlySet<string>): void {
     for (const [id, runner] of this.#runners) {
       if (listed.has(id)) continue;
@@ -66,7 +66,7 @@
     }
   }
 
-  /** The runner of that id; one that is no longer listed is known while requests of this proxy are at it. */
+  /** The runner with the id. A runner that is no longer listed is found while it processes requests of this proxy. */
   runner(id: string): TrackedRunner | undefined {
     return this.#runners.get(id);
   }
--- a/src/proxy/in-flight-requests.ts
+++ b/src/proxy/in-flight-requests.ts
@@ -4,30 +4,31 @@
 import type { PolicyRouter } from './policy-router.js';
 import type { RequestInfo, RunVerdict } from './policy-router-types.js';
 
-/** What whoever has the connections must do now. */
+/** What the owner of the connections has to do next. */
 export type ForwardStep =
-  /** Connect to that runner, and write nothing yet. */
+  /** Connect to the runner, but write nothing yet. */
   | {
       readonly do: 'connect';
       readonly id: number;
       readonly attempt: number;
       readonly verdict: RunVerdict;
     }
+  /** Write the request to the runner. */
   | { readonly do: 'write'; readonly id: number; readonly attempt: number }
-  /** Pass on to the client the head that came, and what follows. */
+  /** Forward the response to the client, from the head that arrived. `table`: number of the policy table that was used. */
   | {
       readonly do: 'forward';
       readonly id: number;
       readonly attempt: number;
       readonly table: number;
     }
-  /** All was passed on, and the runner said so itself: end the client's return properly. */
+  /** The runner's response is complete: end the client's response normally. */
   | { readonly do: 'complete'; readonly id: number; readonly attempt: number }
-  /** End the client's return so that it is seen to be broken. */
+  /** End the client's response in a way that shows the client that it is incomplete. */
   | { readonly do: 'abort'; readonly id: number }
-  /** Drop the connection to the runner. */
+  /** Close the connection to the runner. */
   | { readonly do: 'cancel'; readonly id: number; readonly attempt: number }
-  /** The final word on a request that got none from a runner. */
+  /** Answer a request that gets no runner's response with an error. `retryMs`: when to retry; 0 if unknown. */
   | {
       readonly do: 'respondError';
       readonly id: number;
@@ -36,40 +37,44 @@
       readonly retryMs: number;
     };
 
+/** Timeouts of requests at runners. */
 export interface InFlightSettings {
-  /** The most; of a short lateness no more than an eighth. */
+  /** Timeout of connecting, ms; limited to an eighth of the row's time limit. */
   readonly connectTimeoutMs: number;
-  /** How long a return that has begun may stand still, for the runner's sake or the client's. */
+  /** How long a response may make no progress, whether because of the runner or of the client, ms. */
   readonly idleTimeoutMs: number;
 }
 
-/** How a head that came back ends, if it does, and whether the runner has begun the request at all. */
+/** What `InFlightRequests` needs to know of the head of a runner's response. */
 export interface RunnerResponseHead {
+  /** Whether the runner has started to process the request; false if it states that it has not and will not. */
   readonly isStarted: boolean;
+  /** Whether the message states its own length (Content-Length or chunks), so that a cut-off response is recognized. */
   readonly isBounded: boolean;
 }
 
 interface InFlightRequest {
   readonly info: RequestInfo;
-  stage: 'pending' | 'connecting' | 'written' | 'returning';
-  /** Counts the runners it was drawn to; what is heard of an earlier one is void. */
+  stage: 'pending' | 'connecting' | 'written' | 'responding';
+  /** Number of the current attempt; events of an earlier one are ignored. */
   attempt: number;
   verdict: RunVerdict | undefined;
-  /** Whether bytes of it may have reached a runner at some time: it is then never told as turned away. */
+  /** Whether bytes of it may have reached a runner: then no response may claim that it was not processed. */
   isWritten: boolean;
+  /** The value of `isWritten` before the current attempt. */
   wasWrittenBefore: boolean;
   isBounded: boolean;
   lastActivityAt: Moment;
 }
 
-/** A tick that comes so late shows that this process stood still, not the runners. */
+/** A longer gap between ticks means that this process was stalled, not the runners. */
 const EVENT_LOOP_STALL_MS = 1000;
-/** A return that stood still for long may not be cut at the very tick after our own stall. */
+/** Additional time after a stall of this process before a response that makes no progress is aborted. */
 const STALL_RECOVERY_MS = 1000;
 
 /**
- * What is known of each request on its way, pure: it hears what happens on the connections and says what to do.
- * The HTTP executor and the simulator both drive it, so that the rules on data are tried on virtual time.
+ * The state of each request in flight. Does no I/O: events of the connections are passed in, and the resulting steps are
+ * drained. Both the HTTP forwarder and the simulator drive it, so that its rules are also tested on virtual time.
  */
 export class InFlightRequests {
   readonly #router: PolicyRouter;
@@ -85,17 +90,19 @@
     this.#counters = counters;
   }
 
+  /** The number of requests in flight. */
   get size(): number {
     return this.#inFlightRequests.size;
   }
 
+  /** Removes and returns the steps since the last call; they must be carried out in this order. */
   drainSteps(): ForwardStep[] {
     const steps = this.#steps;
     this.#steps = [];
     return steps;
   }
 
-  /** A request has come whole. */
+  /** A request was read completely. */
   onRequest(now: Moment, info: RequestInfo): void {
     this.#inFlightRequests.set(info.id, {
       info,
@@ -111,17 +118,19 @@
     this.applyVerdicts(now);
   }
 
+  /** Begins a graceful shutdown. */
   startDraining(now: Moment): void {
     this.#router.startDraining(now);
     this.applyVerdicts(now);
   }
 
+  /** Periodic tick: applies deadlines and timeouts. */
   tick(now: Moment): void {
     this.#router.tick(now);
     const gap = this.#lastTickAt === undefined ? 0 : now - this.#lastTickAt;
     this.#lastTickAt = now;
     for (const request of [...this.#inFlightRequests.values()]) {
-      // What came in while we stood still is read only after this tick.
+      // Data that arrived during a stall of this process is read only after this tick.
       if (gap > EVENT_LOOP_STALL_MS)
         request.lastActivityAt = later(request.lastActivityAt, gap + STALL_RECOVERY_MS);
       this.#check(now, request);
@@ -132,8 +141,8 @@
   #check(now: Moment, request: InFlightRequest): void {
     const { verdict, stage } = request;
     if (!verdict || stage === 'pending') return;
-    // A stream that has begun in time goes on; anything else ends with its limit.
-    const isLate = now >= verdict.limit && !(stage === 'returning' && verdict.row.stream);
+    // A stream that has started in time continues; any other request ends at its limit.
+    const isLate = now >= verdict.limit && !(stage === 'responding' && verdict.row.stream);
     if (isLate) this.#onDeadline(now, request);
     else if (
       stage === 'connecting' &&
@@ -146,7 +155,7 @@
       this.#cancel(request);
       this.#onConnectFailed(now, request);
     } else if (
-      stage === 'returning' &&
+      stage === 'responding' &&
       now >= later(request.lastActivityAt, this.#settings.idleTimeoutMs)
     ) {
       this.#counters.add('returns.silent');
@@ -159,11 +168,11 @@
     this.#counters.add('runs.late');
     this.#cancel(request);
     const { id } = request.info;
-    if (request.stage === 'returning') {
+    if (request.stage === 'responding') {
       this.#abortResponse(now, request);
       return;
     }
-    // How long it has gone on already says how long runs are, at the least.
+    // Recorded as a completed run: the time that it took so far is a lower bound of a run's duration.
     if (request.stage === 'written') this.#router.onRunCompleted(now, id);
     else this.#router.onClientDisconnect(now, id);
     this.#end(request);
@@ -176,9 +185,9 @@
     });
   }
 
-  // ---- what is heard of the connections
+  // ---- events of the connections
 
-  /** The connection stands, new or kept. Only now is it known when the first byte would go. */
+  /** The connection is established, new or reused. Whether the request may still be written is decided only now. */
   onConnect(now: Moment, id: number, attempt: number): void {
     const request = this.#current(id, attempt, 'connecting');
     if (!request) return;
@@ -195,17 +204,18 @@
     this.applyVerdicts(now);
   }
 
+  /** The head of a response arrived. */
   onHeaders(now: Moment, id: number, attempt: number, head: RunnerResponseHead): void {
     const request = this.#current(id, attempt, 'written');
     if (!request?.verdict) return;
     if (!head.isStarted) {
-      // The runner's own word that it has not begun this request and will not.
+      // The runner states that it has not started to process this request and will not.
       this.#counters.add('runs.full');
       request.isWritten = request.wasWrittenBefore;
       request.stage = 'pending';
       this.#router.onUnprocessed(now, id, 'full');
     } else {
-      request.stage = 'returning';
+      request.stage = 'responding';
       request.isBounded = head.isBounded;
       request.lastActivityAt = now;
       this.#steps.push({ do: 'forward', id, attempt, table: request.verdict.table });
@@ -213,16 +223,17 @@
     this.applyVerdicts(now);
   }
 
+  /** Bytes of the response arrived, or the client has accepted some. */
   onData(now: Moment, id: number, attempt: number): void {
-    const request = this.#current(id, attempt, 'returning');
+    const request = this.#current(id, attempt, 'responding');
     if (request) request.lastActivityAt = now;
   }
 
-  /** The runner's return came to its end. */
+  /** The runner's response ended. */
   onComplete(now: Moment, id: number, attempt: number): void {
-    const request = this.#current(id, attempt, 'returning');
+    const request = this.#current(id, attempt, 'responding');
     if (!request) return;
-    // One that has neither length nor chunks ends alike whether it is whole or its runner crashed.
+    // Without a length or chunks, a complete response ends in the same way as one whose runner crashed.
     if (!request.isBounded) {
       this.onDisconnect(now, id, attempt, false);
       return;
@@ -234,12 +245,12 @@
     this.applyVerdicts(now);
   }
 
-  /** The connection to the runner failed or closed before its return's end. */
+  /** The connection to the runner failed, or closed before the response was complete. */
   onDisconnect(now: Moment, id: number, attempt: number, isStale: boolean): void {
     const request = this.#inFlightRequests.get(id);
     if (!request || request.attempt !== attempt || request.stage === 'pending') return;
     if (request.stage === 'connecting') this.#onConnectFailed(now, request);
-    else if (request.stage === 'returning') {
+    else if (request.stage === 'responding') {
       this.#cancel(request);
       this.#abortResponse(now, request);
     } else {
@@ -260,7 +271,7 @@
     this.applyVerdicts(now);
   }
 
-  /** The client went away: its run is cancelled. */
+  /** The client disconnected: cancels its request. */
   onClientDisconnect(now: Moment, id: number): void {
     const request = this.#inFlightRequests.get(id);
     if (!request) return;
@@ -271,7 +282,7 @@
     this.applyVerdicts(now);
   }
 
-  // ---- what follows
+  // ---- transitions
 
   #current(
     id: number,
@@ -303,7 +314,7 @@
     this.#router.onRunFailed(now, request.info.id, false);
   }
 
-  /** Takes up the verdicts that have come about. */
+  /** Applies the router's verdicts since the last call. */
   applyVerdicts(now: Moment): void {
     for (
       let verdicts = this.#router.drain();
@@ -316,7 +327,7 @@
         if (verdict.do === 'run') this.#connect(now, request, verdict);
         else {
           this.#end(request);
-          // Once bytes were written, no return ever claims that it was turned away.
+          // Once bytes were written, no response may claim that the request was not processed.
           if (request.isWritten)
             this.#steps.push({
               do: 'respondError',
@@ -349,7 +360,7 @@
   }
 }
 
-/** Seconds after which coming back is worth while: from what is known, else the kind's own. */
+/** The value of Retry-After, seconds: from `retryMs` (0 if unknown), else the default of the error; 0 for none. */
 export function retryAfterSeconds(kind: ErrorCode, retryMs: number): number {
   const { retryAfterSeconds: retryAfter } = ERROR_RESPONSES[kind];
   return retryAfter === 0 || retryMs === 0
--- a/src/proxy/latency-excess.ts
+++ b/src/proxy/latency-excess.ts
@@ -1,28 +1,29 @@
 import { moment, type Moment } from '../common/ids.js';
 
-/** How fast an observation loses its weight, ms: about as long as a runner's queue takes to change. */
+/** Time constant of the exponential decay, ms: about as long as a runner's queue takes to change. */
 const DECAY_MS = 2000;
-/** What a new observation counts against those before, where it is lower; a higher one counts at once. */
+/** Weight of a new observation that is lower than the current value; a higher one replaces the value. */
 const FALL_FACTOR = 0.3;
 
 /**
- * How much slower a runner was of late than runners usually are for the same routes (a peak-sensitive moving average).
- * A proxy knows its own requests alone; queues that others filled show in the time that first events take.
+ * How much slower than usual for their routes the recent first events of a runner were (peak-sensitive moving average).
+ * A proxy knows only its own requests; queues that other proxies have filled show in the time to the first event.
  */
 export class LatencyExcess {
   #valueMs = 0;
-  #at: Moment = moment(0);
+  #recordedAt: Moment = moment(0);
 
-  /** A first event took so much longer than is usual for its route; negative where it came sooner. */
+  /** Records by how much a first event exceeded the usual time of its route, ms; negative if it was faster. */
   record(now: Moment, excessMs: number): void {
-    const known = this.valueMs(now);
-    const next = excessMs > known ? excessMs : known + (excessMs - known) * FALL_FACTOR;
-    this.#valueMs = Math.max(0, next);
-    this.#at = now;
+    const currentMs = this.valueMs(now);
+    const nextMs =
+      excessMs > currentMs ? excessMs : currentMs + (excessMs - currentMs) * FALL_FACTOR;
+    this.#valueMs = Math.max(0, nextMs);
+    this.#recordedAt = now;
   }
 
-  /** The excess now, ms; without observations it fades, so that the runner is tried again. */
+  /** The current excess, ms. It decays without observations, so that the runner is tried again. */
   valueMs(now: Moment): number {
-    return this.#valueMs * Math.exp(-(now - this.#at) / DECAY_MS);
+    return this.#valueMs * Math.exp(-(now - this.#recordedAt) / DECAY_MS);
   }
 }
--- a/src/proxy/load-forecast.ts
+++ b/src/proxy/load-forecast.ts
@@ -3,20 +3,20 @@
 
 interface Forecast {
   readonly expectedAt: Moment;
-  /** Whether the load is under way at a runner. */
+  /** Whether a runner is already loading it, rather than the load waiting for its start. */
   readonly isLoading: boolean;
 }
 
-/** What the leader said of loads that are waited for or under way, by model and adapter. */
+/** When model loads are expected to complete, as the leader last reported, by model and adapter. */
 export class LoadForecast {
   readonly #forecasts = new Map<string, Forecast>();
 
-  /** Takes up what the leader says now; what it said before is void. */
+  /** Replaces the forecasts by those of a new snapshot. */
   update(now: Moment, fleet: Fleet): void {
     this.#forecasts.clear();
     for (const wait of fleet.waits) if (wait.readyMs > 0) this.#addWait(now, wait);
     for (const runner of fleet.runners)
-      for (const coming of runner.coming) this.#addLoading(now, coming);
+      for (const load of runner.coming) this.#addLoading(now, load);
   }
 
   #addWait(now: Moment, { model, adapter, readyMs }: FleetWait): void {
@@ -26,16 +26,19 @@
     });
   }
 
-  /** Of several that are under way the first counts, and each counts before one that only waits. */
+  /** The earliest load in progress counts; any load in progress takes precedence over a waiting one. */
   #addLoading(now: Moment, { model, adapter, readyMs }: FleetWait): void {
     const key = keyOf(model, adapter);
-    const at = later(now, readyMs);
+    const expectedAt = later(now, readyMs);
     const known = this.#forecasts.get(key);
-    if (!known?.isLoading || at < known.expectedAt)
-      this.#forecasts.set(key, { expectedAt: at, isLoading: true });
+    if (!known?.isLoading || expectedAt < known.expectedAt)
+      this.#forecasts.set(key, { expectedAt, isLoading: true });
   }
 
-  /** When the model with the adapter ('' for none), or else the model itself, is due as far as the leader told. */
+  /**
+   * When the load of the model with the adapter ('' for none) is expected to complete, or else that of the model alone;
+   * undefined if the leader reported neither.
+   */
   expectedAt(model: string, adapter: string): Moment | undefined {
     const withAdapter =
       adapter === '' ? undefined : this.#forecasts.get(keyOf(model, adapter))?.expectedAt;
--- a/src/proxy/model-demand.ts
+++ b/src/proxy/model-demand.ts
@@ -4,49 +4,49 @@
 
 type ModelDemandReport = FleetDemand['units'][number];
 
-/** What is asked for of one model with one adapter ('' for none) at one service. */
+/** Demand for one model with one adapter ('' for none) of one service. */
 interface ModelDemandState {
   readonly service: string;
   readonly model: string;
   readonly adapter: string;
-  /** Requests that came since the last report. */
+  /** Requests that arrived since the last report. */
   count: number;
   /** Requests that are at a runner. */
   running: number;
   readonly waiting: Set<RoutedRequest>;
-  /** Requests that were refused, but are expected again until then, and the most urgent of them. */
-  returnsExpectedUntil: Moment;
-  expectedReturns: number;
+  /** Until when clients of rejected requests are expected to retry, how many, and the most urgent priority among them. */
+  retriesExpectedUntil: Moment;
+  expectedRetries: number;
   expectedPriority: number;
 }
 
 const NEVER = moment(-1e12);
 const LOWEST_PRIORITY = 9;
-/** A request that was refused is still expected for so long after its load is due. */
-const RETURN_WINDOW_MS = 500;
+/** How long after the expected completion of a load the retry of a rejected request is still expected. */
+const RETRY_WINDOW_MS = 500;
 
-/** What is asked for of each model and adapter, as the leader is told. Plain services have no units. */
+/** Demand by model and adapter, as reported to the leader. Requests to plain services are not counted. */
 export class ModelDemand {
   readonly #units = new Map<string, ModelDemandState>();
   #hasNewWaits = false;
 
-  /** A request came. */
+  /** A request arrived. */
   onRequest(request: RoutedRequest): void {
     if (request.modelUnit !== '') this.#stateOf(request).count += 1;
   }
 
-  /** It is given to a runner. */
+  /** An attempt of the request at a runner has started. */
   onAttemptStart(request: RoutedRequest): void {
     if (request.modelUnit !== '') this.#stateOf(request).running += 1;
   }
 
-  /** It is at that runner no more. */
+  /** The attempt has ended. */
   onAttemptEnd(request: RoutedRequest): void {
     const unit = this.#units.get(request.modelUnit);
     if (unit) unit.running = Math.max(0, unit.running - 1);
   }
 
-  /** It waits for a runner. */
+  /** The request has started to wait for a runner. */
   onWaitStart(request: RoutedRequest): void {
     if (request.modelUnit === '') return;
     const unit = this.#stateOf(request);
@@ -54,44 +54,44 @@
     unit.waiting.add(request);
   }
 
-  /** It waits no more. */
+  /** The request no longer waits. */
   onWaitEnd(request: RoutedRequest): void {
     if (request.modelUnit !== '') this.#units.get(request.modelUnit)?.waiting.delete(request);
   }
 
-  /** No runner holds what it needs: where that is new the leader should hear of it at once. */
+  /** No runner has the model or adapter that the request needs: urgent if no such request was known before. */
   onModelMissing(now: Moment, request: RoutedRequest): void {
     const unit = this.#stateOf(request);
-    if (unit.returnsExpectedUntil < now && unit.waiting.size === 0) this.#hasNewWaits = true;
+    if (unit.retriesExpectedUntil < now && unit.waiting.size === 0) this.#hasNewWaits = true;
   }
 
-  /** It is refused, but comes back once its load is due: what it needs is still wanted. */
+  /** The request is rejected, but its client is expected to retry once the load completes, in `expectedMs`. */
   onReturnExpected(now: Moment, request: RoutedRequest, expectedMs: number): void {
     const unit = this.#stateOf(request);
-    if (unit.returnsExpectedUntil < now) unit.expectedReturns = 0;
-    unit.returnsExpectedUntil = later(now, expectedMs + RETURN_WINDOW_MS);
-    unit.expectedReturns += 1;
+    if (unit.retriesExpectedUntil < now) unit.expectedRetries = 0;
+    unit.retriesExpectedUntil = later(now, expectedMs + RETRY_WINDOW_MS);
+    unit.expectedRetries += 1;
     unit.expectedPriority = Math.min(unit.expectedPriority, request.route.priority);
   }
 
-  /** Whether something new waits that the leader should hear of at once; told once. */
+  /** Whether requests have started to wait, so that the leader should be notified at once; resets the flag. */
   takeUrgent(): boolean {
     const isUrgent = this.#hasNewWaits;
     this.#hasNewWaits = false;
     return isUrgent;
   }
 
-  /** What is asked for now, and what came since the last report. */
+  /** Returns the current demand and the arrivals since the last report, and resets the latter. */
   takeReports(now: Moment): ModelDemandReport[] {
     const reports: ModelDemandReport[] = [];
     for (const [key, unit] of this.#units) {
-      const wanted = now < unit.returnsExpectedUntil ? unit.expectedReturns : 0;
-      const waiting = unit.waiting.size + wanted;
+      const expectedRetries = now < unit.retriesExpectedUntil ? unit.expectedRetries : 0;
+      const waiting = unit.waiting.size + expectedRetries;
       if (unit.count === 0 && waiting === 0 && unit.running === 0) {
-        if (now > unit.returnsExpectedUntil) this.#units.delete(key);
+        if (now > unit.retriesExpectedUntil) this.#units.delete(key);
         continue;
       }
-      reports.push(reportOf(unit, waiting, wanted > 0));
+      reports.push(reportOf(unit, waiting, expectedRetries > 0));
       unit.count = 0;
     }
     return reports;
@@ -107,8 +107,8 @@
       count: 0,
       running: 0,
       waiting: new Set(),
-      returnsExpectedUntil: NEVER,
-      expectedReturns: 0,
+      retriesExpectedUntil: NEVER,
+      expectedRetries: 0,
       expectedPriority: LOWEST_PRIORITY,
     };
     this.#units.set(request.modelUnit, unit);
@@ -116,8 +116,12 @@
   }
 }
 
-function reportOf(unit: ModelDemandState, waiting: number, isWanted: boolean): ModelDemandReport {
-  let priority = isWanted ? unit.expectedPriority : LOWEST_PRIORITY;
+function reportOf(
+  unit: ModelDemandState,
+  waiting: number,
+  hasExpectedRetries: boolean,
+): ModelDemandReport {
+  let priority = hasExpectedRetries ? unit.expectedPriority : LOWEST_PRIORITY;
   for (const { route } of unit.waiting) priority = Math.min(priority, route.priority);
   const { service, model, adapter, count, running } = unit;
   return { service, model, adapter, count, waiting, running, priority };
--- a/src/proxy/outlier-detection.ts
+++ b/src/proxy/outlier-detection.ts
@@ -2,30 +2,30 @@
 import { FailureBackoff } from './failure-backoff.js';
 
 /**
- * How long a runner is avoided after an error response; doubled by each further one. A proxy of a large fleet sends a
- * runner a request every second or two: a shorter time would end before the next request.
+ * How long a runner is avoided after a failure; doubles with each further one. In a large fleet a proxy sends a runner only
+ * one request every second or two, so a shorter time would end before the next request.
  */
 const MIN_SUSPECT_MS = 4000;
 const MAX_SUSPECT_MS = 16_000;
 
 /**
- * Suspicion of a runner that answers with errors though its health checks pass. A suspect is avoided, not excluded: it is
- * still used where no other runner has the model, so a wrong suspicion costs little.
+ * Detects a runner that responds with errors although its health checks pass. A suspect is avoided but not excluded: it is
+ * still used if no other runner has the model, so a false positive costs little.
  */
 export class OutlierDetection {
   readonly #backoff = new FailureBackoff(MIN_SUSPECT_MS, MAX_SUSPECT_MS);
 
-  /** It answered with a server error, or broke off. Failures while it is a suspect already are not counted. */
+  /** The runner responded with a server error, or closed the connection early. Not counted while it is a suspect. */
   onFailure(now: Moment): void {
     this.#backoff.onFailure(now);
   }
 
-  /** It answered without an error. A runner that fails a part of its requests is not cleared by one that succeeds. */
+  /** The runner responded without an error. One success does not clear a runner that fails some of its requests. */
   onSuccess(): void {
     this.#backoff.halve();
   }
 
-  /** Whether other runners are to be preferred. */
+  /** Whether other runners are preferred to it. */
   isSuspect(now: Moment): boolean {
     return this.#backoff.isActive(now);
   }
--- a/src/proxy/prefix-cache.ts
+++ b/src/proxy/prefix-cache.ts
@@ -1,27 +1,28 @@
-/** How many parts of prompts are remembered for each runner and service. */
+/** Maximum number of prompt blocks that are remembered for each runner and service. */
 const MAX_CACHED_BLOCKS = 32;
 
-/** Which parts of prompts each runner was given last, and so may still keep. */
+/** The prompt blocks that each runner was sent recently, and so may still have in its prefix cache. */
 export class PrefixCache {
   readonly #blocks = new Map<string, readonly string[]>();
 
-  /** How many of the leading parts this runner was given lately. */
-  cachedBlocks(runner: string, service: string, parts: readonly string[]): number {
+  /** The number of leading blocks that the runner was sent recently. */
+  cachedBlocks(runner: string, service: string, blocks: readonly string[]): number {
     const known = this.#blocks.get(keyOf(runner, service)) ?? [];
     let count = 0;
-    for (const part of parts) {
-      if (!known.includes(part)) break;
+    for (const block of blocks) {
+      if (!known.includes(block)) break;
       count += 1;
     }
     return count;
   }
 
-  record(runner: string, service: string, parts: readonly string[]): void {
-    if (parts.length === 0) return;
+  /** Records that the runner is sent a prompt with these blocks. */
+  record(runner: string, service: string, blocks: readonly string[]): void {
+    if (blocks.length === 0) return;
     const key = keyOf(runner, service);
-    const newest = new Set(parts);
-    const rest = (this.#blocks.get(key) ?? []).filter((part) => !newest.has(part));
-    this.#blocks.set(key, [...parts, ...rest].slice(0, MAX_CACHED_BLOCKS));
+    const newest = new Set(blocks);
+    const rest = (this.#blocks.get(key) ?? []).filter((block) => !newest.has(block));
+    this.#blocks.set(key, [...blocks, ...rest].slice(0, MAX_CACHED_BLOCKS));
   }
 }
 
--- a/src/proxy/published-proxy-count.ts
+++ b/src/proxy/published-proxy-count.ts
@@ -2,16 +2,16 @@
 import { SlidingMaximum } from '../common/sliding-maximum.js';
 import { PROXY_COUNT_RETENTION_MS } from '../placement/fleet.js';
 
-/** After a start the number counts as settled once it has not grown for this long: agents that are up have joined by then. */
+/** After the start the count is settled once it has not grown for this long: agents that are up have joined within it. */
 const SETTLING_MS = 1000;
 
 /**
- * The number of proxies that share limits over the whole fleet, as leaders publish it. A leader may not know all of them yet:
- * a smaller number counts only after a while, and the first ones only as far as `isSettled` says.
+ * The number of proxies that share fleet-wide limits, as published by leaders. A new leader may not know all proxies yet, so a
+ * smaller number takes effect only after a delay. The first numbers after the start are not reliable, see `isSettled`.
  */
 export class PublishedProxyCount {
   readonly #recent = new SlidingMaximum(PROXY_COUNT_RETENTION_MS);
-  /** From when on it is settled; undefined before the first number. */
+  /** When the count is settled; undefined before the first number. */
   #settledAt: Moment | undefined;
 
   /** A leader published this number. */
@@ -21,14 +21,14 @@
     this.#recent.set(now, count);
   }
 
-  /** The number to divide by, at least 1. */
+  /** The number of proxies by which to divide a limit, at least 1. */
   value(now: Moment): number {
     return Math.max(1, this.#recent.value(now));
   }
 
   /**
-   * Whether all proxies can be expected to be counted. After a start of many at once they are not, and nobody holds a former
-   * number: until then this proxy takes no part of what must not be exceeded.
+   * Whether all proxies can be expected to be counted. When many start at once they are not yet, and no former number is
+   * known: until the count is settled, this proxy must not use its share of a limit that must not be exceeded.
    */
   isSettled(now: Moment): boolean {
     return this.#settledAt !== undefined && now >= this.#settledAt;
