--- a/src/proxy/admission.test.ts
+++ b/src/proxy/admission.test.ts
@@ -7,9 +7,12 @@
   admission.configure(ROUTING);
   return admission;
 }
-test('a request gets route, service, unit and deadline, or nothing', () => {
-  const blank = new Admission();
-  expect([blank.routing, blank.admit(at(0), headOf(1))]).toEqual([undefined, undefined]);
+test('a request gets a route, a service, a model unit and a deadline, or is not admitted', () => {
+  const unconfigured = new Admission();
+  expect([unconfigured.routing, unconfigured.admit(at(0), headOf(1))]).toEqual([
+    undefined,
+    undefined,
+  ]);
   const admission = admissionOf();
   expect(admission.admit(at(0), headOf(1, { path: '/none/x' }))).toBe(undefined);
   const request = admission.admit(at(10), headOf(1, { adapter: 'a1', timeLeftMs: 9000 }));
@@ -24,7 +27,7 @@
   const plain = admission.admit(at(10), headOf(2, { path: '/safe/x', timeLeftMs: 300 }));
   expect(plain).toMatchObject({ service: { name: 'web' }, modelUnit: '', deadline: 310 });
 });
-test('the last part of a prompt is its own, and those before are shared', () => {
+test('all blocks of a prompt but the last are shared', () => {
   const prefix = [
     { id: 'p', tokens: 400 },
     { id: 'q', tokens: 300 },
@@ -33,7 +36,7 @@
   const request = admissionOf().admit(at(0), headOf(1, { prefix }));
   expect(request).toMatchObject({ sharedPrefixTokens: 700, sharedPrefixKey: 'm//p,q' });
 });
-test('services are taken in turn by weight', () => {
+test('services are picked by weighted round-robin', () => {
   const admission = admissionOf();
   const services: (string | undefined)[] = [];
   for (let id = 0; id < 8; id += 1) {
@@ -42,7 +45,7 @@
   }
   expect(services.join()).toBe('llm,llm,web,llm,llm,llm,web,llm');
 });
-test('who has about the longest time that came lately is at its first try', () => {
+test('a request with about the longest time left of recent ones counts as a first attempt', () => {
   const admission = admissionOf();
   const attempts: (boolean | undefined)[] = [];
   for (const timeLeftMs of [4000, 3930, 3900, undefined, 4000])
--- a/src/proxy/dispatcher-once.test.ts
+++ b/src/proxy/dispatcher-once.test.ts
@@ -7,8 +7,8 @@
 
 const TIMEOUT_MS = 1000;
 const TICK_MS = 50;
-/** What a request may be held past its route's timeout at no price. */
-const PRICED_MS = 250;
+/** A request must end within this time after its route's timeout. */
+const MAX_OVERRUN_MS = 250;
 const RUNNERS = ['a', 'b', 'c', 'd'];
 
 const BASE: Route = {
@@ -54,7 +54,7 @@
   limits: { maxHeaderBytes: 1, maxBodyBytes: 1, headerWaitMs: 1, idleMs: 1 },
 };
 
-/** The head of an answer that belongs to its request, has run, and is no stream. */
+/** The head of a response that belongs to its request, index was processed, and that is not a stream. */
 const HEAD: ResponseHead = {
   status: 200,
   isUnprocessed: false,
@@ -98,7 +98,13 @@
   return dispatcher;
 }
 
-function ask(dispatcher: Dispatcher, now: number, id: number, path: string, leftMs: number): void {
+function sendRequest(
+  dispatcher: Dispatcher,
+  now: number,
+  id: number,
+  path: string,
+  timeLeftMs: number,
+): void {
   dispatcher.onRequest(moment(now), {
     id,
     host: 'h',
@@ -107,40 +113,40 @@
     adapter: '',
     promptTokens: 0,
     prefix: [],
-    timeLeftMs: leftMs,
+    timeLeftMs,
   });
 }
 
 function kindOf(effect: DispatchEffect): string {
   return effect.do;
 }
-// ---- time
-test('a request that comes with no time left is refused and not sent', () => {
-  for (const leftMs of [0, -5]) {
+// ---- deadlines
+test('a request that arrives with no time left is rejected and not sent', () => {
+  for (const timeLeftMs of [0, -5]) {
     const dispatcher = newDispatcher();
-    ask(dispatcher, 0, 1, '/once/1', leftMs);
+    sendRequest(dispatcher, 0, 1, '/once/1', timeLeftMs);
     expect(dispatcher.drainEffects()).toMatchObject([{ do: 'reject', reason: 'late' }]);
   }
 });
-test('a request whose time ran out before it was written is refused at once', () => {
+test('a request whose deadline passes before it is written is rejected at once', () => {
   const dispatcher = newDispatcher();
-  ask(dispatcher, 0, 1, '/once/1', 100);
+  sendRequest(dispatcher, 0, 1, '/once/1', 100);
   expect(dispatcher.drainEffects().map(kindOf)).toEqual(['send']);
-  // The connection stands only after a freeze: nothing is written, and no other runner is connected to.
+  // The connection is established after a stall: nothing is written, and no other runner is connected to.
   expect(dispatcher.onConnect(moment(150), 1, 1)).toBe(false);
   expect(dispatcher.drainEffects()).toMatchObject([{ do: 'reject', reason: 'late' }]);
   expect(dispatcher.inFlight).toBe(0);
 });
-test("nothing is held a quarter of a second past its route's timeout, at whatever stage it is", () => {
+test("every request ends within 250 ms after its route's timeout, at any stage", () => {
   for (const { prefix } of ROUTES) {
-    for (const stage of ['connecting', 'written', 'answering', 'begun']) {
+    for (const stage of ['connecting', 'written', 'responding', 'started']) {
       const dispatcher = newDispatcher();
-      ask(dispatcher, 0, 1, `${prefix}1`, 60_000);
+      sendRequest(dispatcher, 0, 1, `${prefix}1`, 60_000);
       if (stage !== 'connecting') dispatcher.onConnect(moment(900), 1, 1);
-      if (stage === 'answering' || stage === 'begun') {
+      if (stage === 'responding' || stage === 'started') {
         dispatcher.onHeaders(moment(910), 1, 1, HEAD);
       }
-      if (stage === 'begun') dispatcher.onData(moment(920), 1, 1);
+      if (stage === 'started') dispatcher.onData(moment(920), 1, 1);
       dispatcher.drainEffects();
       let endedAt = 0;
       for (let now = 950; endedAt === 0 && now < 2 * TIMEOUT_MS; now += TICK_MS) {
@@ -152,17 +158,17 @@
         }
       }
       expect(endedAt, `${prefix} ${stage}`).toBeGreaterThan(0);
-      expect(endedAt, `${prefix} ${stage}`).toBeLessThan(TIMEOUT_MS + PRICED_MS);
+      expect(endedAt, `${prefix} ${stage}`).toBeLessThan(TIMEOUT_MS + MAX_OVERRUN_MS);
     }
   }
 });
 
-// ---- tries
+// ---- attempts
 
-/** How often a request is written where each attempt ends like this. */
-function writesOf(path: string, end: (dispatcher: Dispatcher, attempt: number) => void): number {
+/** How often a request is written if `end` ends each of its attempts. */
+function countWrites(path: string, end: (dispatcher: Dispatcher, attempt: number) => void): number {
   const dispatcher = newDispatcher();
-  ask(dispatcher, 0, 1, path, TIMEOUT_MS);
+  sendRequest(dispatcher, 0, 1, path, TIMEOUT_MS);
   let writes = 0;
   for (
     let effects = dispatcher.drainEffects();
@@ -177,40 +183,41 @@
   }
   return writes;
 }
-function breakOff(dispatcher: Dispatcher, attempt: number): void {
+function disconnect(dispatcher: Dispatcher, attempt: number): void {
   dispatcher.onDisconnect(moment(1), 1, attempt, false);
 }
-function fail(dispatcher: Dispatcher, attempt: number): void {
+function respondWithError(dispatcher: Dispatcher, attempt: number): void {
   dispatcher.onHeaders(moment(1), 1, attempt, { ...HEAD, status: 500 });
 }
-function turnAway(dispatcher: Dispatcher, attempt: number): void {
+function rejectUnprocessed(dispatcher: Dispatcher, attempt: number): void {
   dispatcher.onHeaders(moment(1), 1, attempt, { ...HEAD, status: 503, isUnprocessed: true });
 }
-test("one try is written as often as its route's tries allow, and no more", () => {
+test("a request is written as often as its route's maximum of attempts allows, and no more often", () => {
   for (const { prefix, maxAttempts, kind, isResumable } of ROUTES) {
     const isRetryable = kind === 'safe' || isResumable;
-    expect(writesOf(`${prefix}1`, turnAway), prefix).toBe(maxAttempts);
-    expect(writesOf(`${prefix}1`, breakOff), prefix).toBe(isRetryable ? maxAttempts : 1);
-    expect(writesOf(`${prefix}1`, fail), prefix).toBe(isRetryable ? maxAttempts : 1);
+    expect(countWrites(`${prefix}1`, rejectUnprocessed), prefix).toBe(maxAttempts);
+    expect(countWrites(`${prefix}1`, disconnect), prefix).toBe(isRetryable ? maxAttempts : 1);
+    expect(countWrites(`${prefix}1`, respondWithError), prefix).toBe(isRetryable ? maxAttempts : 1);
   }
 });
 
 // ---- any order of events
 
 interface Step {
-  readonly what:
-    | 'ask'
-    | 'write'
+  readonly event:
+    | 'request'
+    | 'connected'
     | 'head'
-    | 'broke'
-    | 'unreached'
-    | 'unwritten'
-    | 'moved'
-    | 'ended'
-    | 'gone'
+    | 'disconnected'
+    | 'connectFailed'
+    | 'idleClosed'
+    | 'data'
+    | 'completed'
+    | 'clientDisconnected'
     | 'tick'
-    | 'leave';
-  readonly which: number;
+    | 'runnerDrains';
+  /** The request, counted back from the latest, or the index of the runner. */
+  readonly target: number;
   readonly status: number;
   readonly isUnprocessed: boolean;
   readonly isGenuine: boolean;
@@ -220,169 +227,188 @@
 }
 
 const STEP = fc.record<Step>({
-  what: fc.oneof(
-    { weight: 6, arbitrary: fc.constant('write' as const) },
-    { weight: 9, arbitrary: fc.constantFrom('head', 'head', 'broke', 'broke', 'ask') },
-    { weight: 3, arbitrary: fc.constantFrom('unreached', 'unwritten', 'moved', 'tick', 'leave') },
-    { weight: 1, arbitrary: fc.constantFrom('ended', 'gone') },
+  event: fc.oneof(
+    { weight: 6, arbitrary: fc.constant('connected' as const) },
+    {
+      weight: 9,
+      arbitrary: fc.constantFrom('head', 'head', 'disconnected', 'disconnected', 'request'),
+    },
+    {
+      weight: 3,
+      arbitrary: fc.constantFrom('connectFailed', 'idleClosed', 'data', 'tick', 'runnerDrains'),
+    },
+    { weight: 1, arbitrary: fc.constantFrom('completed', 'clientDisconnected') },
   ),
-  which: fc.nat(3).map(mostlyLatest),
+  target: fc.nat(3).map(mostlyLatest),
   status: fc.constantFrom(200, 400, 408, 421, 429, 500, 503, 504),
   isUnprocessed: fc.boolean(),
   isGenuine: fc.boolean(),
   isEventStream: fc.boolean(),
   isStale: fc.boolean(),
-  // Mostly at once: else its time is over before a request has met much.
+  // Mostly no time passes: otherwise requests would expire before many events have happened to them.
   afterMs: fc.constantFrom(0, 0, 0, 0, 0, 0, 0, 0, 5, 5, 5, 60, 400),
 });
 
-/** The latest request is met most often, so that it goes through many attempts. */
+/** Most events apply to the latest request, so that it goes through many attempts. */
 function mostlyLatest(number: number): number {
   return number === 3 ? 1 : 0;
 }
 
-/** What is known of one request from outside: where it was written, what was proven, and what its client was told. */
-interface Seen {
+/** The observed state of a request: where it was written, what runners have proven, and how its client was answered. */
+interface ObservedRequest {
   readonly route: Route;
-  readonly written: { readonly attempt: number; readonly runner: string; isDisproven: boolean }[];
+  readonly written: {
+    readonly attempt: number;
+    readonly runner: string;
+    isProvenUnprocessed: boolean;
+  }[];
   attempt: number;
   runner: string;
-  told: string;
-  /** The head of the last answer that came, and of the one of which the client has got a part. */
+  outcome: string;
+  /** The heads of the last response, and of the first one of which the client received data. */
   lastHead: ResponseHead | undefined;
-  begunHead: ResponseHead | undefined;
+  startedHead: ResponseHead | undefined;
 }
 
-/** Plays steps against the dispatcher and holds it to the rules after each. */
-class Play {
+/** Applies steps to a dispatcher and checks the rules after each. */
+class RuleChecker {
   readonly #dispatcher = newDispatcher();
-  readonly #seen = new Map<number, Seen>();
+  readonly #requests = new Map<number, ObservedRequest>();
   #now = 0;
 
   step(step: Step): void {
     this.#now += step.afterMs;
     const now = moment(this.#now);
-    if (step.what === 'ask') this.#ask();
-    else if (step.what === 'tick') this.#dispatcher.tick(now);
-    else if (step.what === 'leave') this.#leave(step);
-    else this.#answer(step);
-    this.#follow();
+    if (step.event === 'request') this.#sendRequest();
+    else if (step.event === 'tick') this.#dispatcher.tick(now);
+    else if (step.event === 'runnerDrains') this.#drainRunner(step);
+    else this.#onAttemptEvent(step);
+    this.#checkEffects();
   }
 
-  #ask(): void {
-    const route = ROUTES[this.#seen.size % ROUTES.length] ?? BASE;
-    const id = this.#seen.size + 1;
-    this.#seen.set(id, {
+  #sendRequest(): void {
+    const route = ROUTES[this.#requests.size % ROUTES.length] ?? BASE;
+    const id = this.#requests.size + 1;
+    this.#requests.set(id, {
       route,
       written: [],
       attempt: 0,
       runner: '',
-      told: '',
+      outcome: '',
       lastHead: undefined,
-      begunHead: undefined,
+      startedHead: undefined,
     });
-    ask(this.#dispatcher, this.#now, id, `${route.prefix}1`, TIMEOUT_MS);
+    sendRequest(this.#dispatcher, this.#now, id, `${route.prefix}1`, TIMEOUT_MS);
   }
 
-  #leave({ which }: Step): void {
+  #drainRunner({ target }: Step): void {
     const runners: FleetRunner[] = [];
     for (const [index, id] of RUNNERS.entries()) {
-      runners.push({ ...runnerOf(id), isLeaving: index === which });
+      runners.push({ ...runnerOf(id), isLeaving: index === target });
     }
     this.#dispatcher.onFleet(moment(this.#now), { flows: 1, runners, waits: [] });
   }
 
-  /** Something happens to the attempt under way of one of the latest requests. */
-  #answer({ what, which, status, isUnprocessed, isGenuine, isEventStream, isStale }: Step): void {
-    const id = this.#seen.size - which;
-    const seen = this.#seen.get(id);
-    if (!seen || seen.attempt === 0) return;
-    const { attempt } = seen;
+  /** Passes an event of the current attempt of one of the latest requests to the dispatcher. */
+  #onAttemptEvent({
+    event,
+    target,
+    status,
+    isUnprocessed,
+    isGenuine,
+    isEventStream,
+    isStale,
+  }: Step): void {
+    const id = this.#requests.size - target;
+    const request = this.#requests.get(id);
+    if (!request || request.attempt === 0) return;
+    const { attempt } = request;
     const now = moment(this.#now);
     const dispatcher = this.#dispatcher;
-    if (what === 'write' && dispatcher.onConnect(now, id, attempt)) {
-      seen.written.push({ attempt, runner: seen.runner, isDisproven: false });
+    if (event === 'connected' && dispatcher.onConnect(now, id, attempt)) {
+      request.written.push({ attempt, runner: request.runner, isProvenUnprocessed: false });
     }
-    if (what === 'head') {
+    if (event === 'head') {
       const head: ResponseHead = {
         status,
         isUnprocessed: isUnprocessed && status >= 400,
         isGenuine,
         isEventStream,
       };
-      seen.lastHead = head;
-      const last = seen.written.at(-1);
-      // A runner's word counts for the attempt under way, before anything else of an answer came.
-      const isProof = head.isUnprocessed && last?.attempt === attempt && seen.told === '';
-      if (isProof && last) last.isDisproven = true;
+      request.lastHead = head;
+      const last = request.written.at(-1);
+      // A runner's proof counts only for the current attempt, and only before another response has arrived.
+      const isProof = head.isUnprocessed && last?.attempt === attempt && request.outcome === '';
+      if (isProof && last) last.isProvenUnprocessed = true;
       dispatcher.onHeaders(now, id, attempt, head);
     }
-    if (what === 'broke') dispatcher.onDisconnect(now, id, attempt, isStale);
-    if (what === 'unreached') dispatcher.onConnectFailed(now, id, attempt);
-    if (what === 'unwritten') dispatcher.onIdleConnectionClosed(now, id, attempt);
-    if (what === 'moved') {
+    if (event === 'disconnected') dispatcher.onDisconnect(now, id, attempt, isStale);
+    if (event === 'connectFailed') dispatcher.onConnectFailed(now, id, attempt);
+    if (event === 'idleClosed') dispatcher.onIdleConnectionClosed(now, id, attempt);
+    if (event === 'data') {
       dispatcher.onData(now, id, attempt);
-      if (seen.told === `forward ${attempt}`) seen.begunHead ??= seen.lastHead;
+      if (request.outcome === `forward ${attempt}`) request.startedHead ??= request.lastHead;
     }
-    if (what === 'ended' && seen.told.startsWith('forward'))
+    if (event === 'completed' && request.outcome.startsWith('forward'))
       dispatcher.onComplete(now, id, attempt);
-    if (what === 'gone') dispatcher.onClientDisconnect(now, id);
+    if (event === 'clientDisconnected') dispatcher.onClientDisconnect(now, id);
   }
 
-  #follow(): void {
+  #checkEffects(): void {
     for (const effect of this.#dispatcher.drainEffects()) {
-      const seen = this.#seen.get(effect.id);
-      if (!seen) throw new Error('an effect for nobody');
-      if (effect.do === 'send') this.#sent(seen, effect.attempt, effect.runner);
-      if (effect.do === 'forward') this.#forwarded(seen, effect.attempt);
-      if (effect.do === 'reject') this.#refused(seen);
-      if (effect.do === 'fail') seen.told = 'fail';
-      if (effect.do !== 'send' && effect.do !== 'forward') seen.attempt = 0;
+      const request = this.#requests.get(effect.id);
+      if (!request) throw new Error('effect for an unknown request');
+      if (effect.do === 'send') this.#onSend(request, effect.attempt, effect.runner);
+      if (effect.do === 'forward') this.#onForward(request, effect.attempt);
+      if (effect.do === 'reject') this.#onReject(request);
+      if (effect.do === 'fail') request.outcome = 'fail';
+      if (effect.do !== 'send' && effect.do !== 'forward') request.attempt = 0;
     }
-    for (const seen of this.#seen.values()) {
-      const runners = new Set(seen.written.map(runnerIn));
-      if (runners.size > seen.route.maxAttempts) throw new Error('more runners than attempts');
+    for (const request of this.#requests.values()) {
+      const runners = new Set(request.written.map(runnerOfAttempt));
+      if (runners.size > request.route.maxAttempts) throw new Error('more runners than attempts');
     }
   }
 
-  #sent(seen: Seen, attempt: number, runner: string): void {
-    const isOnce = !(seen.route.kind === 'safe' || seen.route.isResumable);
-    if (isOnce && seen.written.some(mayHaveRun))
-      throw new Error('sent again after it may have run');
-    if (seen.begunHead && !isContinuable(seen.route, seen.begunHead))
-      throw new Error('sent again to continue an answer that is no event stream of a success');
-    seen.attempt = attempt;
-    seen.runner = runner;
+  #onSend(request: ObservedRequest, attempt: number, runner: string): void {
+    const isUnrepeatable = !(request.route.kind === 'safe' || request.route.isResumable);
+    if (isUnrepeatable && request.written.some(mayHaveBeenProcessed))
+      throw new Error('sent again after it may have been processed');
+    if (request.startedHead && !isContinuable(request.route, request.startedHead))
+      throw new Error('sent again to continue a response that is not a successful event stream');
+    request.attempt = attempt;
+    request.runner = runner;
   }
 
-  #forwarded(seen: Seen, attempt: number): void {
-    const { begunHead, lastHead } = seen;
-    const isSameKind = lastHead?.isEventStream && lastHead.status === begunHead?.status;
-    if (begunHead && !isSameKind) throw new Error('continued by an answer of another kind');
-    seen.told = `forward ${attempt}`;
+  #onForward(request: ObservedRequest, attempt: number): void {
+    const { startedHead, lastHead } = request;
+    const isSameKind = lastHead?.isEventStream && lastHead.status === startedHead?.status;
+    if (startedHead && !isSameKind) throw new Error('continued by a response of another kind');
+    request.outcome = `forward ${attempt}`;
   }
 
-  #refused(seen: Seen): void {
-    if (seen.written.some(mayHaveRun)) throw new Error('refused after it may have run');
-    seen.told = 'reject';
+  #onReject(request: ObservedRequest): void {
+    if (request.written.some(mayHaveBeenProcessed))
+      throw new Error('rejected after it may have been processed');
+    request.outcome = 'reject';
   }
 }
 
-function runnerIn(written: { readonly runner: string }): string {
+function runnerOfAttempt(written: { readonly runner: string }): string {
   return written.runner;
 }
 function isContinuable(route: Route, { status, isEventStream }: ResponseHead): boolean {
   return route.kind === 'stream' && isEventStream && status === 200;
 }
-function mayHaveRun(written: { readonly isDisproven: boolean }): boolean {
-  return !written.isDisproven;
+function mayHaveBeenProcessed(written: { readonly isProvenUnprocessed: boolean }): boolean {
+  return !written.isProvenUnprocessed;
 }
 
 function checkAnyOrder(steps: readonly Step[]): void {
-  const play = new Play();
-  for (const step of steps) play.step(step);
+  const checker = new RuleChecker();
+  for (const step of steps) checker.step(step);
 }
-test('in any order of events nothing runs twice that may run once, nor is refused after it may have run, nor runs on more runners than attempts', () => {
+test('in any order of events requests are neither repeated nor rejected where that is not allowed, nor exceed their attempts', () => {
   const steps = fc.array(STEP, { minLength: 1, maxLength: 60, size: 'max' });
   fc.assert(fc.property(steps, checkAnyOrder), { numRuns: 3000, seed: 17 });
 });
--- a/src/proxy/dispatcher.test.ts
+++ b/src/proxy/dispatcher.test.ts
@@ -30,7 +30,7 @@
   isSticky: true,
   isResumable: true,
 };
-const once: Route = {
+const unsafe: Route = {
   ...route,
   name: 'verdict',
   prefix: '/verdict/',
@@ -51,7 +51,7 @@
 };
 const routing: Routing = {
   version: 1,
-  routes: [route, once, plain],
+  routes: [route, unsafe, plain],
   limits: { maxHeaderBytes: 1, maxBodyBytes: 1, headerWaitMs: 1, idleMs: 1 },
   services: [
     {
@@ -114,11 +114,15 @@
     this.dispatcher.onFleet(moment(0), { flows: 1, runners: [...runners], waits });
   }
 
-  fleet(runners: readonly FleetRunner[], flows = 1): void {
-    this.dispatcher.onFleet(moment(this.now), { flows, runners: [...runners], waits: [] });
+  updateFleet(runners: readonly FleetRunner[], proxyCount = 1): void {
+    this.dispatcher.onFleet(moment(this.now), {
+      flows: proxyCount,
+      runners: [...runners],
+      waits: [],
+    });
   }
 
-  ask(path: string, more: Partial<RequestHead> = {}): number {
+  request(path: string, more: Partial<RequestHead> = {}): number {
     this.#id += 1;
     this.dispatcher.onRequest(moment(this.now), {
       id: this.#id,
@@ -134,12 +138,12 @@
     return this.#id;
   }
 
-  /** The request is written to the runner it was sent to. */
-  write(id: number, attempt = 1): boolean {
+  /** The attempt gets a connection; returns whether the request is written. */
+  connect(id: number, attempt = 1): boolean {
     return this.dispatcher.onConnect(moment(this.now), id, attempt);
   }
 
-  answer(id: number, status: number, isUnprocessed = false, attempt = 1): void {
+  respond(id: number, status: number, isUnprocessed = false, attempt = 1): void {
     this.dispatcher.onHeaders(moment(this.now), id, attempt, {
       status,
       isUnprocessed,
@@ -148,8 +152,8 @@
     });
   }
 
-  said(): string[] {
-    return this.dispatcher.drainEffects().map(textOf);
+  effects(): string[] {
+    return this.dispatcher.drainEffects().map(describeEffect);
   }
 }
 
@@ -159,12 +163,12 @@
 function always(): boolean {
   return true;
 }
-function textOf(effect: DispatchEffect): string {
+function describeEffect(effect: DispatchEffect): string {
   switch (effect.do) {
     case 'send':
       return `${effect.id} to ${effect.runner}`;
     case 'reject':
-      return `${effect.id} refused ${effect.reason} ${Math.round(effect.retryAfterMs)}`;
+      return `${effect.id} rejected ${effect.reason} ${Math.round(effect.retryAfterMs)}`;
     case 'fail':
       return `${effect.id} failed`;
     default:
@@ -172,12 +176,12 @@
   }
 }
 
-test('its own zone goes first, until another has much less to do', () => {
+test('a runner in the own zone is preferred, unless one in another zone has much less load', () => {
   const bench = new Bench([runner('a', 'za', ['m']), runner('b', 'zb', ['m'])]);
-  for (let index = 0; index < 3; index += 1) bench.ask('/check/1');
-  expect(bench.said()).toEqual(['1 to a', '2 to b', '3 to a']);
+  for (let index = 0; index < 3; index += 1) bench.request('/check/1');
+  expect(bench.effects()).toEqual(['1 to a', '2 to b', '3 to a']);
 });
-test('long shared parts go where all proxies send them', () => {
+test('all proxies send a long shared prefix to the same runner', () => {
   const runners = [runner('a', 'za', ['m']), runner('b', 'zb', ['m']), runner('c', 'zc', ['m'])];
   const chosen = new Set<string>();
   for (const zone of ['za', 'zb', 'zc']) {
@@ -210,164 +214,166 @@
   }
   expect(chosen.size).toBe(1);
 });
-test('nothing is sent to a runner that leaves, in an evacuated zone, or without the model', () => {
+test('no request is sent to a runner that is draining, in an evacuated zone or without the model', () => {
   const bench = new Bench([
     runner('a', 'za', ['m'], { isLeaving: true }),
     runner('b', 'zb', ['m']),
     runner('c', 'zc', ['rare']),
   ]);
-  bench.ask('/check/1');
-  expect(bench.said()).toEqual(['1 to b']);
+  bench.request('/check/1');
+  expect(bench.effects()).toEqual(['1 to b']);
   bench.dispatcher.onConfiguration(moment(0), routing, ['zb']);
-  bench.ask('/verdict/1', { timeLeftMs: 6000 });
-  expect(bench.said()).toEqual([]);
+  bench.request('/verdict/1', { timeLeftMs: 6000 });
+  expect(bench.effects()).toEqual([]);
   bench.dispatcher.onConfiguration(moment(0), routing, []);
-  expect(bench.said()).toEqual(['2 to b']);
-  bench.ask('/nowhere/1');
-  expect(bench.said()).toEqual(['3 refused no-route 0']);
+  expect(bench.effects()).toEqual(['2 to b']);
+  bench.request('/nowhere/1');
+  expect(bench.effects()).toEqual(['3 rejected no-route 0']);
 });
-test('a model on its way is waited for while it is still in time', () => {
+test('a request waits for a model load that completes in time', () => {
   const bench = new Bench([runner('a', 'za', ['m'])]);
-  bench.ask('/verdict/1', { model: 'rare', timeLeftMs: 6000 });
-  expect(bench.said()).toEqual([]);
+  bench.request('/verdict/1', { model: 'rare', timeLeftMs: 6000 });
+  expect(bench.effects()).toEqual([]);
   expect(bench.dispatcher.takeUrgentDemand()).toBe(true);
   bench.now = 300;
-  bench.fleet([
+  bench.updateFleet([
     runner('a', 'za', ['m'], { coming: [{ model: 'rare', adapter: '', readyMs: 600 }] }),
   ]);
   bench.dispatcher.tick(moment(bench.now));
-  expect(bench.said()).toEqual([]);
+  expect(bench.effects()).toEqual([]);
   bench.now = 900;
-  bench.fleet([runner('a', 'za', ['m', 'rare'])]);
-  expect(bench.said()).toEqual(['1 to a']);
+  bench.updateFleet([runner('a', 'za', ['m', 'rare'])]);
+  expect(bench.effects()).toEqual(['1 to a']);
 });
-test('what would come too late is refused at once with when to come back, and waited for the second time', () => {
+test('a first attempt that would be served late is rejected with a retry delay, and the next attempt waits', () => {
   const bench = new Bench([runner('a', 'za', ['m'], { coming: [] })]);
-  const first = bench.ask('/check/1', { model: 'rare' });
-  expect(bench.said()).toEqual([`${first} refused not-loaded 1160`]);
-  // The same client a second later: it has less time left, and is held until its model is there.
+  const first = bench.request('/check/1', { model: 'rare' });
+  expect(bench.effects()).toEqual([`${first} rejected not-loaded 1160`]);
+  // The same client a second later: it has less time left, and waits until its model is loaded.
   bench.now = 1160;
-  const second = bench.ask('/check/1', { model: 'rare', timeLeftMs: 3800 });
-  expect(bench.said()).toEqual([]);
+  const second = bench.request('/check/1', { model: 'rare', timeLeftMs: 3800 });
+  expect(bench.effects()).toEqual([]);
   bench.now = 1400;
-  bench.fleet([runner('a', 'za', ['m', 'rare'])]);
-  expect(bench.said()).toEqual([`${second} to a`]);
+  bench.updateFleet([runner('a', 'za', ['m', 'rare'])]);
+  expect(bench.effects()).toEqual([`${second} to a`]);
 });
-test('a runner that says it did not run it costs one retry', () => {
+test('a response that proves a request unprocessed costs one retry', () => {
   const bench = new Bench([runner('a', 'za', ['m']), runner('b', 'zb', ['m'])]);
-  const id = bench.ask('/check/1');
-  expect(bench.write(id)).toBe(true);
-  bench.answer(id, 503, true);
-  expect(bench.said()).toEqual([`${id} to a`, `${id} to b`]);
-  bench.write(id, 2);
-  bench.answer(id, 503, true, 2);
-  expect(bench.said()).toEqual([`${id} refused full 250`]);
+  const id = bench.request('/check/1');
+  expect(bench.connect(id)).toBe(true);
+  bench.respond(id, 503, true);
+  expect(bench.effects()).toEqual([`${id} to a`, `${id} to b`]);
+  bench.connect(id, 2);
+  bench.respond(id, 503, true, 2);
+  expect(bench.effects()).toEqual([`${id} rejected full 250`]);
 });
-test('what may run once is never sent again after it was written, nor told as refused', () => {
+test('a request that must not be repeated is neither retried nor rejected after it was written', () => {
   const bench = new Bench([runner('a', 'za', ['m']), runner('b', 'zb', ['m'])]);
-  const id = bench.ask('/verdict/1', { timeLeftMs: 6000 });
-  bench.write(id);
+  const id = bench.request('/verdict/1', { timeLeftMs: 6000 });
+  bench.connect(id);
   bench.dispatcher.onDisconnect(moment(10), id, 1, false);
-  expect(bench.said()).toEqual([`${id} to a`, `${id} failed`]);
-  const late = bench.ask('/verdict/1', { timeLeftMs: 1000 });
-  bench.said();
-  bench.write(late);
+  expect(bench.effects()).toEqual([`${id} to a`, `${id} failed`]);
+  const late = bench.request('/verdict/1', { timeLeftMs: 1000 });
+  bench.effects();
+  bench.connect(late);
   bench.now = 1100;
   bench.dispatcher.tick(moment(bench.now));
-  expect(bench.said()).toEqual([`${late} cancel`, `${late} failed`]);
+  expect(bench.effects()).toEqual([`${late} cancel`, `${late} failed`]);
 });
-test('a resumable stream goes on elsewhere, a failed safe request too', () => {
+test('a resumable stream and a failed safe request are retried at another runner', () => {
   const bench = new Bench([
     runner('a', 'za', ['m']),
     runner('b', 'zb', ['m']),
     runner('w', 'za', [], { service: 'web' }),
     runner('x', 'za', [], { service: 'web' }),
   ]);
-  const id = bench.ask('/check/1');
-  bench.write(id);
-  bench.answer(id, 200);
+  const id = bench.request('/check/1');
+  bench.connect(id);
+  bench.respond(id, 200);
   bench.dispatcher.onData(moment(20), id, 1);
   bench.dispatcher.onDisconnect(moment(30), id, 1, false);
-  expect(bench.said()).toEqual([`${id} to a`, `${id} forward`, `${id} to b`]);
-  bench.write(id, 2);
+  expect(bench.effects()).toEqual([`${id} to a`, `${id} forward`, `${id} to b`]);
+  bench.connect(id, 2);
   bench.dispatcher.onDisconnect(moment(40), id, 2, false);
-  expect(bench.said()).toEqual([`${id} failed`]);
-  const safe = bench.ask('/lookup/1');
-  bench.write(safe);
-  bench.answer(safe, 500);
-  expect(bench.said()).toEqual([`${safe} to w`, `${safe} cancel`, `${safe} to x`]);
+  expect(bench.effects()).toEqual([`${id} failed`]);
+  const safe = bench.request('/lookup/1');
+  bench.connect(safe);
+  bench.respond(safe, 500);
+  expect(bench.effects()).toEqual([`${safe} to w`, `${safe} cancel`, `${safe} to x`]);
 });
-// Guards against MIXED: a failure that was forwarded for want of another runner must not be continued once there is one.
-test('a failure that was forwarded is not continued at a runner that comes free later', () => {
+// Guards against violations of MIXED: an error response that was forwarded, as no other runner was available, must not be
+// continued with another runner's response once one is available.
+test('an error response that was forwarded is not continued at a runner that becomes available later', () => {
   const [failing, other] = [runner('a', 'za', ['m']), runner('b', 'zb', ['m'])];
   const bench = new Bench([failing]);
-  const id = bench.ask('/check/1');
-  bench.write(id);
-  bench.answer(id, 500);
+  const id = bench.request('/check/1');
+  bench.connect(id);
+  bench.respond(id, 500);
   bench.dispatcher.onData(moment(20), id, 1);
-  bench.fleet([failing, other]);
+  bench.updateFleet([failing, other]);
   bench.dispatcher.onDisconnect(moment(270), id, 1, false);
-  expect(bench.said()).toEqual([`${id} to a`, `${id} forward`, `${id} failed`]);
+  expect(bench.effects()).toEqual([`${id} to a`, `${id} forward`, `${id} failed`]);
 });
-test('a connection that cannot be made costs nothing', () => {
+test('a connection that fails does not use up an attempt', () => {
   const bench = new Bench([runner('a', 'za', ['m']), runner('b', 'zb', ['m'])]);
-  const id = bench.ask('/verdict/1', { timeLeftMs: 6000 });
+  const id = bench.request('/verdict/1', { timeLeftMs: 6000 });
   bench.dispatcher.onConnectFailed(moment(5), id, 1);
-  expect(bench.said()).toEqual([`${id} to a`, `${id} to b`]);
-  bench.ask('/check/1');
-  expect(bench.said()).toEqual(['2 to b']);
+  expect(bench.effects()).toEqual([`${id} to a`, `${id} to b`]);
+  bench.request('/check/1');
+  expect(bench.effects()).toEqual(['2 to b']);
 });
-test('a runner that falls silent is left by what may be repeated', () => {
+test('a retryable request is moved from a runner that stops responding', () => {
   const bench = new Bench([runner('a', 'za', ['m']), runner('b', 'zb', ['m'])]);
-  const id = bench.ask('/check/1');
-  bench.write(id);
-  bench.said();
+  const id = bench.request('/check/1');
+  bench.connect(id);
+  bench.effects();
   for (bench.now = 50; bench.now <= 600; bench.now += 50) bench.dispatcher.tick(moment(bench.now));
-  expect(bench.said()).toEqual([`${id} cancel`, `${id} to b`]);
+  expect(bench.effects()).toEqual([`${id} cancel`, `${id} to b`]);
 });
-test('a cold runner gets no more than our part of what it bears', () => {
-  // 37 a second, half as many again and five: none of these may be passed, and some must get through.
-  for (const flows of [1, 3, 9, 37, 80, 300]) {
-    const most = mostCold(flows, () => flows);
-    expect(most).toBeLessThanOrEqual(37 * 1.5 + 5);
-    expect(most).toBeGreaterThan(10);
+test('a warming runner gets no more than its permitted request rate from all proxies', () => {
+  // The limit is 1.5 times the rate of 37 per second, plus five; some requests must be sent.
+  for (const proxyCount of [1, 3, 9, 37, 80, 300]) {
+    const rate = peakRate(proxyCount, () => proxyCount);
+    expect(rate).toBeLessThanOrEqual(37 * 1.5 + 5);
+    expect(rate).toBeGreaterThan(10);
   }
 });
-// Guards against FAILBACK: a new leader that does not know all proxies yet must not let each of them send more.
-test('a cold runner gets no more than it bears while a new leader counts a third of the proxies', () => {
-  for (const flows of [3, 9, 36, 300]) {
-    const most = mostCold(flows, (now) => (now < NEW_LEADER_MS ? flows : Math.ceil(flows / 3)));
-    expect(most).toBeLessThanOrEqual(37 * 1.5 + 5);
-    expect(most).toBeGreaterThan(10);
+// Guards against violations of FAILBACK: while a new leader does not know all proxies yet, each must not send more.
+test('a warming runner gets no more than its permitted rate while a new leader counts a third of the proxies', () => {
+  for (const count of [3, 9, 36, 300]) {
+    const rate = peakRate(count, (now) => (now < NEW_LEADER_MS ? count : Math.ceil(count / 3)));
+    expect(rate).toBeLessThanOrEqual(37 * 1.5 + 5);
+    expect(rate).toBeGreaterThan(10);
   }
 });
-// Guards against FAILBACK: after a start of all proxies and control nodes at once nobody knows how many there are.
-test('a cold runner gets no more than it bears while all proxies start and are counted one after the other', () => {
-  for (const flows of [3, 9, 36, 300]) {
-    const counted = (now: number): number => Math.min(flows, 1 + Math.floor((now / 1200) * flows));
-    const most = mostCold(flows, counted);
-    expect(most).toBeLessThanOrEqual(37 * 1.5 + 5);
-    // Once all are counted it is used.
-    expect(most).toBeGreaterThan(10);
+// Guards against violations of FAILBACK: when all proxies and control nodes start at once, the number of proxies is unknown.
+test('a warming runner gets no more than its permitted rate while all proxies start and are counted one by one', () => {
+  for (const proxyCount of [3, 9, 36, 300]) {
+    const publishedCount = (now: number): number =>
+      Math.min(proxyCount, 1 + Math.floor((now / 1200) * proxyCount));
+    const rate = peakRate(proxyCount, publishedCount);
+    expect(rate).toBeLessThanOrEqual(37 * 1.5 + 5);
+    // Once all proxies are counted, requests are sent.
+    expect(rate).toBeGreaterThan(10);
   }
 });
-test('between the choice and the first byte the runner may have begun to leave', () => {
+test('a runner that starts draining before the request is written does not get it', () => {
   const bench = new Bench([runner('a', 'za', ['m']), runner('b', 'zb', ['m'])]);
-  const id = bench.ask('/verdict/1', { timeLeftMs: 6000 });
-  bench.fleet([runner('a', 'za', ['m'], { isLeaving: true }), runner('b', 'zb', ['m'])]);
-  expect(bench.write(id)).toBe(false);
-  expect(bench.said()).toEqual([`${id} to a`, `${id} to b`]);
+  const id = bench.request('/verdict/1', { timeLeftMs: 6000 });
+  bench.updateFleet([runner('a', 'za', ['m'], { isLeaving: true }), runner('b', 'zb', ['m'])]);
+  expect(bench.connect(id)).toBe(false);
+  expect(bench.effects()).toEqual([`${id} to a`, `${id} to b`]);
 });
-test('demand names what waits and what came', () => {
+test('demand reports waiting requests and arrivals by model', () => {
   const bench = new Bench([runner('a', 'za', ['m'])]);
-  bench.ask('/check/1');
-  bench.ask('/verdict/1', { model: 'rare', timeLeftMs: 6000 });
+  bench.request('/check/1');
+  bench.request('/verdict/1', { model: 'rare', timeLeftMs: 6000 });
   expect(bench.dispatcher.takeDemandReport(moment(0)).units).toEqual([
     { service: 'llm', model: 'm', adapter: '', count: 1, waiting: 0, running: 1, priority: 9 },
     { service: 'llm', model: 'rare', adapter: '', count: 1, waiting: 1, running: 0, priority: 1 },
   ]);
 });
-test('before any configuration a request is told to come back, or held when it is due', () => {
+test('before the first configuration a request is rejected, or queued if the configuration is expected soon', () => {
   const dispatcher = new Dispatcher({
     proxyId: 'f',
     zone: 'za',
@@ -377,7 +383,7 @@
     random: zero,
     hasIdleConnection: always,
   });
-  function ask(now: number, id: number): void {
+  function request(now: number, id: number): void {
     dispatcher.onRequest(moment(now), {
       id,
       host: 'h.example',
@@ -389,29 +395,29 @@
       timeLeftMs: 5000,
     });
   }
-  function said(): string[] {
-    return dispatcher.drainEffects().map(textOf);
+  function effects(): string[] {
+    return dispatcher.drainEffects().map(describeEffect);
   }
-  ask(0, 1);
-  expect(said()).toEqual(['1 refused no-config 800']);
-  ask(500, 2);
-  ask(510, 3);
+  request(0, 1);
+  expect(effects()).toEqual(['1 rejected no-config 800']);
+  request(500, 2);
+  request(510, 3);
   dispatcher.onClientDisconnect(moment(520), 3);
-  expect(said()).toEqual([]);
+  expect(effects()).toEqual([]);
   dispatcher.onConfiguration(moment(1000), routing, []);
   dispatcher.onFleet(moment(1000), { flows: 1, runners: [runner('a', 'za', ['m'])], waits: [] });
-  expect(said()).toEqual(['2 to a']);
+  expect(effects()).toEqual(['2 to a']);
 });
-test('what was foretold before anybody asked here counts too', () => {
+test('a load that was forecast before the first request counts too', () => {
   const coming = runner('a', 'za', ['m'], {
     coming: [{ model: 'rare', adapter: '', readyMs: 200 }],
   });
   const bench = new Bench([coming]);
-  // Foretold to all before anybody here asked: it is waited for, though it usually takes longer than its aim.
-  bench.ask('/check/1', { model: 'rare' });
-  expect(bench.said()).toEqual([]);
+  // The request waits for the forecast load, though the usual load time exceeds the route's latency target.
+  bench.request('/check/1', { model: 'rare' });
+  expect(bench.effects()).toEqual([]);
 });
-test('nothing is in flight at the end of any storm, and each request ends once', () => {
+test('after random events nothing is in flight, and each request has ended once', () => {
   for (let seed = 1; seed <= 200; seed += 1) {
     const numbers = new Seeded(seed);
     const random = () => numbers.next();
@@ -427,13 +433,13 @@
     const lastWritten = new Map<number, number>();
     const paths = ['/check/1', '/verdict/1', '/lookup/1'];
     const pathOf = new Map<number, string>();
-    function follow(): void {
+    function recordEffects(): void {
       for (const effect of bench.dispatcher.drainEffects()) {
         if (effect.do === 'send') open.set(effect.id, effect.attempt);
         else if (effect.do === 'reject' || effect.do === 'fail') {
           ended.set(effect.id, (ended.get(effect.id) ?? 0) + 1);
           open.delete(effect.id);
-          // What may have run is never told as refused, unless it may be repeated anyway and its runner took it back.
+          // A request that may have been processed is not rejected, unless its runner proved that it was not.
           if (effect.do === 'reject') expect(written.get(effect.id) ?? 0).toBe(0);
         } else if (effect.do === 'cancel') open.delete(effect.id);
       }
@@ -444,7 +450,7 @@
       const chance = random();
       if (chance < 0.3) {
         const path = paths[Math.floor(random() * 3)] ?? '';
-        const id = bench.ask(path, {
+        const id = bench.request(path, {
           model: path.startsWith('/lookup') ? '' : random() < 0.5 ? 'm' : 'rare',
           timeLeftMs: 500 + random() * 5000,
         });
@@ -469,7 +475,7 @@
               isEventStream: true,
             });
           else if (what < 0.7) {
-            // Only the attempt it came from is taken back, and only if it had been written.
+            // The proof counts only for the attempt that was written last.
             const count = written.get(id) ?? 0;
             if (count > 0 && lastWritten.get(id) === attempt) written.set(id, count - 1);
             bench.dispatcher.onHeaders(now, id, attempt, {
@@ -494,28 +500,28 @@
           }
         }
       }
-      follow();
+      recordEffects();
     }
     bench.now += 10_000;
     bench.dispatcher.tick(moment(bench.now));
-    follow();
+    recordEffects();
     expect(bench.dispatcher.inFlight).toBe(0);
     for (const times of ended.values()) expect(times).toBe(1);
   }
 });
 
 const NEW_LEADER_MS = 2000;
-/** How long the runner is cold, and how often the number of proxies is told. */
-const COLD_MS = 6000;
-const TOLD_EVERY_MS = 100;
+/** How long the runner is warming up, and how often the number of proxies is published. */
+const WARM_UP_MS = 6000;
+const PUBLISH_INTERVAL_MS = 100;
 
 /**
- * The most that a cold runner gets in any sliding second from so many proxies, all of which have much to send. `counted` is
- * the number of proxies that leaders tell at a moment, ms.
+ * The maximum number of requests that a warming runner gets in any second from `proxyCount` proxies, all under high load.
+ * `publishedCount`: the number of proxies that leaders publish at a time, ms.
  */
-function mostCold(flows: number, counted: (now: number) => number): number {
+function peakRate(proxyCount: number, publishedCount: (now: number) => number): number {
   const sent: number[] = [];
-  for (let index = 0; index < flows; index += 1) {
+  for (let index = 0; index < proxyCount; index += 1) {
     const dispatcher = new Dispatcher({
       proxyId: `flow-${index}`,
       zone: 'za',
@@ -526,12 +532,12 @@
       hasIdleConnection: always,
     });
     dispatcher.onConfiguration(moment(0), routing, []);
-    const runners = [runner('a', 'za', ['m'], { coldMs: COLD_MS })];
+    const runners = [runner('a', 'za', ['m'], { coldMs: WARM_UP_MS })];
     let id = 0;
-    for (let now = 0; now < COLD_MS - 100; now += 10) {
+    for (let now = 0; now < WARM_UP_MS - 100; now += 10) {
       id += 1;
-      if (now % TOLD_EVERY_MS === 0)
-        dispatcher.onFleet(moment(now), { flows: counted(now), runners, waits: [] });
+      if (now % PUBLISH_INTERVAL_MS === 0)
+        dispatcher.onFleet(moment(now), { flows: publishedCount(now), runners, waits: [] });
       dispatcher.onRequest(moment(now), {
         id,
         host: 'h.example',
@@ -550,19 +556,19 @@
       }
     }
   }
-  let most = 0;
+  let maxRate = 0;
   for (const end of sent)
-    most = Math.max(most, sent.filter((at) => at > end - 1000 && at <= end).length);
-  return most;
+    maxRate = Math.max(maxRate, sent.filter((at) => at > end - 1000 && at <= end).length);
+  return maxRate;
 }
 
-test('at the end of the process every request is answered, and refused only if it cannot have run', () => {
+test('when the process stops every request ends, and is rejected only if it cannot have been processed', () => {
   const bench = new Bench([runner('a', 'za', ['m'])]);
-  const waiting = bench.ask('/verdict/1', { model: 'rare' });
-  const connecting = bench.ask('/verdict/2');
-  const written = bench.ask('/verdict/3');
-  bench.write(written);
-  bench.said();
+  const waiting = bench.request('/verdict/1', { model: 'rare' });
+  const connecting = bench.request('/verdict/2');
+  const written = bench.request('/verdict/3');
+  bench.connect(written);
+  bench.effects();
   bench.dispatcher.abortAll();
   const kinds = bench.dispatcher.drainEffects().map(describeEnd);
   expect(kinds).toEqual([
@@ -574,7 +580,7 @@
   ]);
   expect(bench.dispatcher.inFlight).toBe(0);
 });
-test('requests that came before any configuration are refused at the end of the process', () => {
+test('requests that arrived before the first configuration are rejected when the process stops', () => {
   const fresh = new Dispatcher({
     proxyId: 'f',
     zone: 'za',
--- a/src/proxy/draining-runner.test.ts
+++ b/src/proxy/draining-runner.test.ts
@@ -55,7 +55,7 @@
   return true;
 }
 
-/** A dispatcher of one proxy, asked for requests one at a time. */
+/** A proxy with one dispatcher, which gets requests one at a time. */
 class Proxy {
   readonly dispatcher = new Dispatcher({
     proxyId: 'f',
@@ -70,14 +70,14 @@
 
   constructor(runners: readonly FleetRunner[]) {
     this.dispatcher.onConfiguration(moment(0), routing, []);
-    this.tell(0, runners);
+    this.updateFleet(0, runners);
   }
 
-  tell(at: number, runners: readonly FleetRunner[]): void {
+  updateFleet(at: number, runners: readonly FleetRunner[]): void {
     this.dispatcher.onFleet(moment(at), { flows: 1, runners: [...runners], waits: [] });
   }
 
-  take(at: number): number {
+  request(at: number): number {
     this.#id += 1;
     this.dispatcher.onRequest(moment(at), {
       id: this.#id,
@@ -100,11 +100,11 @@
     return runners;
   }
 
-  /** Which of the runners get anything of so many requests. */
-  used(at: number, count: number = 6): readonly string[] {
+  /** The runners that get any of `count` requests. */
+  runnersUsed(at: number, count: number = 6): readonly string[] {
     const runners = new Set<string>();
     for (let index = 0; index < count; index += 1) {
-      const id = this.take(at);
+      const id = this.request(at);
       for (const name of this.sentTo()) runners.add(name);
       this.dispatcher.onClientDisconnect(moment(at), id);
       this.dispatcher.drainEffects();
@@ -112,42 +112,42 @@
     return [...runners].sort();
   }
 }
-test('a runner told to leave past the leader is used no more', () => {
+test('a runner reported as draining outside the snapshots gets no more requests', () => {
   const proxy = new Proxy([runner('a'), runner('b')]);
-  proxy.take(1);
+  proxy.request(1);
   expect(proxy.sentTo()).toEqual(['a']);
   proxy.dispatcher.onDrainingRunners(moment(10), ['a']);
-  // The choice was made before; right before the first byte it is made anew.
+  // The runner was picked before; it is checked again right before the request is written.
   expect(proxy.dispatcher.onConnect(moment(11), 1, 1)).toBe(false);
   expect(proxy.sentTo()).toEqual(['b']);
-  expect(proxy.used(20)).toEqual(['b']);
+  expect(proxy.runnersUsed(20)).toEqual(['b']);
 });
-test('no word on the fleet, however late, makes a leaving runner ready again', () => {
+test('no later snapshot makes a draining runner ready again', () => {
   const proxy = new Proxy([runner('a'), runner('b')]);
   proxy.dispatcher.onDrainingRunners(moment(10), ['a']);
   for (let at = 1000; at <= 200_000; at += 1000) {
-    // Each word is another one, and all call it ready.
-    proxy.tell(at, [{ ...runner('a'), slots: 64 + (at % 7) }, runner('b')]);
-    expect(proxy.used(at, 2)).toEqual(['b']);
+    // The snapshots differ, and all report the runner as ready.
+    proxy.updateFleet(at, [{ ...runner('a'), slots: 64 + (at % 7) }, runner('b')]);
+    expect(proxy.runnersUsed(at, 2)).toEqual(['b']);
   }
 });
-test('what one leader called leaving no other makes ready again', () => {
+test('a runner that one snapshot reported as draining is not made ready by the next', () => {
   const proxy = new Proxy([runner('a', true), runner('b')]);
-  expect(proxy.used(10)).toEqual(['b']);
-  proxy.tell(20, [runner('a'), runner('b')]);
-  expect(proxy.used(30)).toEqual(['b']);
+  expect(proxy.runnersUsed(10)).toEqual(['b']);
+  proxy.updateFleet(20, [runner('a'), runner('b')]);
+  expect(proxy.runnersUsed(30)).toEqual(['b']);
 });
-test('a mark may come before the runner is known', () => {
+test('a runner may be reported as draining before it is known', () => {
   const proxy = new Proxy([runner('b')]);
   proxy.dispatcher.onDrainingRunners(moment(10), ['a']);
-  proxy.tell(20, [runner('a'), runner('b')]);
-  expect(proxy.used(30)).toEqual(['b']);
+  proxy.updateFleet(20, [runner('a'), runner('b')]);
+  expect(proxy.runnersUsed(30)).toEqual(['b']);
 });
-test('a mark goes once no word has named its runner for a minute', () => {
+test('a draining runner is forgotten once no snapshot has listed it for a minute', () => {
   const proxy = new Proxy([runner('a'), runner('b')]);
   proxy.dispatcher.onDrainingRunners(moment(0), ['a']);
-  // Off the list for long: nobody may name it any more, and its mark costs no memory.
-  for (let at = 1000; at <= 62_000; at += 1000) proxy.tell(at, [runner('b')]);
-  proxy.tell(63_000, [runner('a')]);
-  expect(proxy.used(63_010)).toEqual(['a']);
+  // Once no snapshot can list the runner any more, its entry must not take up memory.
+  for (let at = 1000; at <= 62_000; at += 1000) proxy.updateFleet(at, [runner('b')]);
+  proxy.updateFleet(63_000, [runner('a')]);
+  expect(proxy.runnersUsed(63_010)).toEqual(['a']);
 });
--- a/src/proxy/early-requests.test.ts
+++ b/src/proxy/early-requests.test.ts
@@ -13,48 +13,48 @@
     new RequestOutcomes(new OpenRequests(new ModelDemand()), this.effects, new DispatchCounts()),
   );
 
-  /** Requests refused since the last call, with when to come back. */
-  refused(): [number, number][] {
-    const refused: [number, number][] = [];
+  /** Ids and retry delays of the requests that were rejected since the last call. */
+  rejected(): [number, number][] {
+    const rejected: [number, number][] = [];
     for (const effect of this.effects.drain())
-      if (effect.do === 'reject') refused.push([effect.id, effect.retryAfterMs]);
-    return refused;
+      if (effect.do === 'reject') rejected.push([effect.id, effect.retryAfterMs]);
+    return rejected;
   }
 }
-test('who comes shortly before the configuration is due is held for it in turn', () => {
+test('requests that arrive shortly before the configuration is expected are queued in order', () => {
   const bench = new Bench();
   bench.early.add(at(0), headOf(1));
-  expect(bench.refused()).toEqual([[1, 800]]);
+  expect(bench.rejected()).toEqual([[1, 800]]);
   bench.early.add(at(349), headOf(2));
-  expect(bench.refused()).toEqual([[2, 451]]);
-  const held = [headOf(3), headOf(4), headOf(5)];
-  for (const head of held) bench.early.add(at(350), head);
+  expect(bench.rejected()).toEqual([[2, 451]]);
+  const queued = [headOf(3), headOf(4), headOf(5)];
+  for (const head of queued) bench.early.add(at(350), head);
   bench.early.remove(4);
-  expect(bench.refused()).toEqual([]);
-  expect(bench.early.release()).toEqual([held[0], held[2]]);
+  expect(bench.rejected()).toEqual([]);
+  expect(bench.early.release()).toEqual([queued[0], queued[2]]);
   expect(bench.early.release()).toEqual([]);
 });
-test('nobody is held for more than half of its time, nor once it is long overdue', () => {
+test('no request is queued for more than half of its time left, nor when the configuration is long overdue', () => {
   const bench = new Bench();
   bench.early.add(at(0), headOf(1));
   bench.early.add(at(400), headOf(2, { timeLeftMs: 600 }));
   bench.early.add(at(400), headOf(3, { timeLeftMs: undefined }));
-  bench.refused();
+  bench.rejected();
   bench.early.tick(at(699));
-  expect(bench.refused()).toEqual([]);
+  expect(bench.rejected()).toEqual([]);
   bench.early.tick(at(700));
-  expect(bench.refused()).toEqual([[2, 400]]);
+  expect(bench.rejected()).toEqual([[2, 400]]);
   bench.early.tick(at(800));
-  expect(bench.refused()).toEqual([[3, 400]]);
-  // The configuration is long overdue: nobody is held for it any more.
+  expect(bench.rejected()).toEqual([[3, 400]]);
+  // The configuration is long overdue: requests are no longer queued.
   bench.early.add(at(1601), headOf(4));
-  expect(bench.refused()).toEqual([[4, 400]]);
+  expect(bench.rejected()).toEqual([[4, 400]]);
 });
-test('no more than 500 are held', () => {
+test('at most 500 requests are queued', () => {
   const bench = new Bench();
   bench.early.add(at(0), headOf(0));
   for (let id = 1; id <= 501; id += 1) bench.early.add(at(500), headOf(id));
-  expect(bench.refused()).toEqual([
+  expect(bench.rejected()).toEqual([
     [0, 800],
     [501, 400],
   ]);
--- a/src/proxy/event-loop-stall.test.ts
+++ b/src/proxy/event-loop-stall.test.ts
@@ -4,7 +4,7 @@
 import { at, headOf, ROUTING, runnerOf } from './testing/dispatch-fixtures.js';
 
 const TICK_MS = 50;
-const CONNECT_MS = 300;
+const CONNECT_TIMEOUT_MS = 300;
 
 function zero(): number {
   return 0;
@@ -16,14 +16,14 @@
   return effect.do;
 }
 
-/** A proxy with one runner, whose process has ticked for a while. */
-function ticking(untilMs: number): Dispatcher {
+/** A dispatcher with one runner that has ticked regularly until `untilMs`. */
+function newTickedDispatcher(untilMs: number): Dispatcher {
   const dispatcher = new Dispatcher({
     proxyId: 'f',
     zone: 'za',
     retry: { ratio: 0.2, extra: 50, windowMs: 10_000 },
     warmupExcess: 1.5,
-    connectTimeoutMs: CONNECT_MS,
+    connectTimeoutMs: CONNECT_TIMEOUT_MS,
     random: zero,
     hasIdleConnection: always,
   });
@@ -33,21 +33,21 @@
   return dispatcher;
 }
 
-/** The connection came to stand while the process stood still: its first tick comes before it can have read that. */
-test("a proxy's own standstill is not taken for a runner that cannot be reached", () => {
-  const dispatcher = ticking(1000);
+/** The connection was established during a stall of the process; the first tick comes before that event is read. */
+test('a stall of the proxy does not count as a connect timeout of the runner', () => {
+  const dispatcher = newTickedDispatcher(1000);
   dispatcher.onRequest(at(1000), headOf(1));
   expect(dispatcher.drainEffects().map(kindOf)).toEqual(['send']);
-  dispatcher.tick(at(1000 + CONNECT_MS + 100));
+  dispatcher.tick(at(1000 + CONNECT_TIMEOUT_MS + 100));
   expect(dispatcher.drainEffects()).toEqual([]);
-  expect(dispatcher.onConnect(at(1000 + CONNECT_MS + 101), 1, 1)).toBe(true);
+  expect(dispatcher.onConnect(at(1000 + CONNECT_TIMEOUT_MS + 101), 1, 1)).toBe(true);
 });
-test('a runner that does not answer after it either is given up one tick later', () => {
-  const dispatcher = ticking(1000);
+test('a connection that is still not established one tick after a stall times out', () => {
+  const dispatcher = newTickedDispatcher(1000);
   dispatcher.onRequest(at(1000), headOf(1));
   dispatcher.drainEffects();
-  dispatcher.tick(at(1000 + CONNECT_MS + 100));
-  // Nothing had come by then: the runner does not answer.
-  dispatcher.tick(at(1000 + CONNECT_MS + 100 + TICK_MS));
+  dispatcher.tick(at(1000 + CONNECT_TIMEOUT_MS + 100));
+  // All events have been read by the next tick: the runner did not accept the connection.
+  dispatcher.tick(at(1000 + CONNECT_TIMEOUT_MS + 100 + TICK_MS));
   expect(dispatcher.drainEffects().map(kindOf)).toEqual(['cancel', 'reject']);
 });
--- a/src/proxy/fleet-view.test.ts
+++ b/src/proxy/fleet-view.test.ts
@@ -8,17 +8,17 @@
   return runner.facts.id;
 }
 
-function openOf(fleet: FleetView): string[] {
+function acceptingRunners(fleet: FleetView): string[] {
   return fleet.runnersOf('llm').filter(fleet.acceptsRequests, fleet).map(idOf);
 }
 
-function told(view: FleetView, now: number, ...runners: FleetRunner[]): void {
+function update(view: FleetView, now: number, ...runners: FleetRunner[]): void {
   view.update(at(now), { flows: 0, runners, waits: [] });
 }
-test('nothing new goes to a runner that leaves or whose zone is evacuated', () => {
+test('a runner that is draining or in an evacuated zone gets no new requests', () => {
   const view = new FleetView();
   expect([view.isKnown, view.runnersOf('llm')]).toEqual([false, []]);
-  told(
+  update(
     view,
     0,
     runnerOf('a'),
@@ -27,26 +27,26 @@
     runnerOf('d', { service: 'web' }),
   );
   expect([view.isKnown, view.proxyCount.value(at(0))]).toEqual([true, 1]);
-  expect(openOf(view)).toEqual(['a', 'b']);
+  expect(acceptingRunners(view)).toEqual(['a', 'b']);
   view.setEvacuatedZones(['zb']);
-  expect(openOf(view)).toEqual(['a']);
+  expect(acceptingRunners(view)).toEqual(['a']);
   view.setEvacuatedZones([]);
-  expect(openOf(view)).toEqual(['a', 'b']);
+  expect(acceptingRunners(view)).toEqual(['a', 'b']);
 });
-test('a runner off the list is known, and closed, for as long as something is at it', () => {
+test('a runner that is no longer listed is known, but gets no requests, while it processes one', () => {
   const view = new FleetView();
-  told(view, 0, runnerOf('a'), runnerOf('b'));
+  update(view, 0, runnerOf('a'), runnerOf('b'));
   const busy = view.runner('a');
   const request = requestOf(at(0), 1);
   busy?.addRequest(at(0), request);
-  told(view, 10);
-  // What runs there goes on; what nothing is at is forgotten.
+  update(view, 10);
+  // The runner with a request is retained; the one without is forgotten.
   expect([view.runner('a'), view.runner('b')]).toEqual([busy, undefined]);
-  expect(openOf(view)).toEqual([]);
-  told(view, 20, runnerOf('a'));
+  expect(acceptingRunners(view)).toEqual([]);
+  update(view, 20, runnerOf('a'));
   expect(view.runner('a')).toBe(busy);
-  expect(openOf(view)).toEqual(['a']);
+  expect(acceptingRunners(view)).toEqual(['a']);
   busy?.removeRequest(request);
-  told(view, 30);
+  update(view, 30);
   expect(view.runner('a')).toBe(undefined);
 });
--- a/src/proxy/latency-excess.test.ts
+++ b/src/proxy/latency-excess.test.ts
@@ -2,7 +2,7 @@
 import { LatencyExcess } from './latency-excess.js';
 import { at } from './testing/dispatch-fixtures.js';
 
-test('a slow first event counts at once, faster ones take it back by parts', () => {
+test('a slow first event counts fully at once, faster ones reduce the excess gradually', () => {
   const excess = new LatencyExcess();
   excess.record(at(0), 100);
   expect(excess.valueMs(at(0))).toBe(100);
@@ -12,7 +12,7 @@
   expect(excess.valueMs(at(0))).toBe(200);
 });
 
-test('without observations it fades', () => {
+test('the excess decays without observations', () => {
   const excess = new LatencyExcess();
   excess.record(at(0), 100);
   expect(excess.valueMs(at(2000))).toBeCloseTo(100 / Math.E);
--- a/src/proxy/load-forecast.test.ts
+++ b/src/proxy/load-forecast.test.ts
@@ -1,7 +1,7 @@
 import { expect, test } from 'vitest';
 import { LoadForecast } from './load-forecast.js';
 import { at, runnerOf } from './testing/dispatch-fixtures.js';
-test('the first load under way is forecast, then what waits, until told anew', () => {
+test('forecasts prefer the earliest load in progress to a waiting one, and a new snapshot replaces them', () => {
   const forecast = new LoadForecast();
   expect(forecast.expectedAt('m', '')).toBe(undefined);
   forecast.update(at(100), {
@@ -17,11 +17,11 @@
       runnerOf('c', { coming: [{ model: 'm', adapter: 'x', readyMs: 20 }] }),
     ],
   });
-  // The first load under way counts, though one that only waits would be due sooner.
+  // The earliest load in progress counts, although a waiting one is reported to be ready sooner.
   expect(forecast.expectedAt('m', '')).toBe(400);
   expect(forecast.expectedAt('m', 'x')).toBe(120);
   expect(forecast.expectedAt('m', 'y')).toBe(400);
-  // Nothing is told where it cannot be.
+  // A load without an estimate has no forecast.
   expect(forecast.expectedAt('n', '')).toBe(undefined);
   expect(forecast.expectedAt('o', '')).toBe(170);
   forecast.update(at(200), { flows: 1, waits: [], runners: [] });
--- a/src/proxy/load-wait.test.ts
+++ b/src/proxy/load-wait.test.ts
@@ -29,8 +29,8 @@
     new FirstEventTimes(),
   );
 
-  /** What becomes of a request that came 0 ms after the start, judged so many ms after it. */
-  judge(now: number, more: Partial<RequestHead> = {}, isFirstAttempt = true): LoadVerdict {
+  /** The decision at `now` on a new request that arrived at 0 ms. */
+  decideOnNew(now: number, more: Partial<RequestHead> = {}, isFirstAttempt = true): LoadVerdict {
     const request = { ...requestOf(at(0), 1, more), isFirstAttempt };
     return this.#wait.decide(at(now), request);
   }
@@ -39,8 +39,8 @@
     return this.#wait.decide(at(now), request);
   }
 
-  /** The leader tells in how long `m` is due. */
-  tell(readyMs: number): void {
+  /** The leader reports in how many ms `m` will be loaded. */
+  forecastLoad(readyMs: number): void {
     const waits = [{ model: 'm', adapter: '', readyMs }];
     this.forecast.update(at(0), { flows: 1, runners: [], waits });
   }
@@ -52,42 +52,54 @@
 function always(): boolean {
   return true;
 }
-test('who would be served late comes back if there is time, waits, or is refused', () => {
+test('a request that would be served late is rejected if its client can retry in time, and waits otherwise', () => {
   const bench = new Bench();
-  expect(bench.judge(0, { model: 'x' })).toEqual({ do: 'unknownModel' });
-  // Nothing is told: 1.5 times the engine's 600 ms, and 200 ms; too late for the target of 500 ms, so it comes back.
-  expect(bench.judge(0)).toEqual({ do: 'rejectUntilLoaded', expectedMs: 1100, retryAfterMs: 1160 });
-  // Its next try would have no time: it waits.
-  expect(bench.judge(0, { timeLeftMs: 2000 })).toEqual({ do: 'wait', forMs: 150 });
-  // Not even that: it is refused with a third of its time.
-  expect(bench.judge(0, { timeLeftMs: 960 })).toEqual({
+  expect(bench.decideOnNew(0, { model: 'x' })).toEqual({ do: 'unknownModel' });
+  // No forecast: 1.5 times the engine's 600 ms plus 200 ms, too late for the target of 500 ms, so the client retries.
+  expect(bench.decideOnNew(0)).toEqual({
+    do: 'rejectUntilLoaded',
+    expectedMs: 1100,
+    retryAfterMs: 1160,
+  });
+  // The next attempt would not have enough time: the request waits.
+  expect(bench.decideOnNew(0, { timeLeftMs: 2000 })).toEqual({ do: 'wait', forMs: 150 });
+  // Too little time to wait as well: it is rejected, with about a third of its time left as retry delay.
+  expect(bench.decideOnNew(0, { timeLeftMs: 960 })).toEqual({
     do: 'rejectUntilLoaded',
     expectedMs: 1100,
     retryAfterMs: 300,
   });
-  // At a later try it waits for as long as there is any time.
-  expect(bench.judge(0, { timeLeftMs: 960 }, false)).toEqual({ do: 'wait', forMs: 150 });
-  expect(bench.judge(840, { timeLeftMs: 960 }, false).do).toBe('rejectUntilLoaded');
-  // A quarter of the target is over: nobody is sent away any more.
-  expect(bench.judge(126)).toEqual({ do: 'wait', forMs: 150 });
+  // A later attempt waits while there is any time left.
+  expect(bench.decideOnNew(0, { timeLeftMs: 960 }, false)).toEqual({ do: 'wait', forMs: 150 });
+  expect(bench.decideOnNew(840, { timeLeftMs: 960 }, false).do).toBe('rejectUntilLoaded');
+  // A quarter of the latency target has passed: the request is no longer rejected.
+  expect(bench.decideOnNew(126)).toEqual({ do: 'wait', forMs: 150 });
 });
-test("the leader's word on a load goes before what such loads usually take", () => {
+test("the leader's forecast takes precedence over the usual load time", () => {
   const bench = new Bench();
-  bench.tell(100);
-  expect(bench.judge(0)).toEqual({ do: 'wait', forMs: 100 });
-  bench.tell(10);
-  expect(bench.judge(0)).toEqual({ do: 'wait', forMs: 40 });
-  bench.tell(450);
-  expect(bench.judge(0)).toEqual({ do: 'rejectUntilLoaded', expectedMs: 450, retryAfterMs: 510 });
+  bench.forecastLoad(100);
+  expect(bench.decideOnNew(0)).toEqual({ do: 'wait', forMs: 100 });
+  bench.forecastLoad(10);
+  expect(bench.decideOnNew(0)).toEqual({ do: 'wait', forMs: 40 });
+  bench.forecastLoad(450);
+  expect(bench.decideOnNew(0)).toEqual({
+    do: 'rejectUntilLoaded',
+    expectedMs: 450,
+    retryAfterMs: 510,
+  });
 });
-test('an adapter of a model that is held is soon there', () => {
+test('an adapter of a loaded model is expected soon', () => {
   const bench = new Bench();
   bench.fleet.update(at(0), { flows: 1, runners: [runnerOf('a')], waits: [] });
-  expect(bench.judge(0, { adapter: 'a2' })).toEqual({ do: 'wait', forMs: 80 });
+  expect(bench.decideOnNew(0, { adapter: 'a2' })).toEqual({ do: 'wait', forMs: 80 });
 });
 
-/** A stream whose client gives it up after 2.4 s of silence, though its deadline is 6 s away. */
-function impatient(arrivedAt: number, timeLeftMs: number, isFirstAttempt: boolean): RoutedRequest {
+/** A stream whose client gives up after 2.4 s without an event, before its deadline. */
+function impatientRequest(
+  arrivedAt: number,
+  timeLeftMs: number,
+  isFirstAttempt: boolean,
+): RoutedRequest {
   const request = requestOf(at(arrivedAt), 1);
   const route = { ...request.route, latencyTargetMs: 300, gapTargetMs: 300, timeoutMs: 6000 };
   const deadline = at(arrivedAt + timeLeftMs);
@@ -99,32 +111,32 @@
     isFirstAttempt,
   };
 }
-test('a load that its client will not wait for in silence is met by its next attempt', () => {
+test("a load that takes longer than the client waits is left to the client's next attempt", () => {
   const bench = new Bench();
-  // Due after the client gave up, and within reach of its next attempt: sent away at once for as long as it obeys.
-  bench.tell(3500);
-  expect(bench.decide(0, impatient(0, 6000, true))).toEqual({
+  // The client gives up before the load, but its next attempt can reach it: rejected with the longest delay it obeys.
+  bench.forecastLoad(3500);
+  expect(bench.decide(0, impatientRequest(0, 6000, true))).toEqual({
     do: 'rejectUntilLoaded',
     expectedMs: 3500,
     retryAfterMs: 1875,
   });
-  // That next attempt waits.
-  expect(bench.decide(1900, impatient(1900, 4100, false)).do).toBe('wait');
-  // Due within its patience: it waits at its first attempt already.
-  bench.tell(2200);
-  expect(bench.decide(0, impatient(0, 6000, true)).do).toBe('wait');
+  // The next attempt waits.
+  expect(bench.decide(1900, impatientRequest(1900, 4100, false)).do).toBe('wait');
+  // The load completes before the client gives up: already the first attempt waits.
+  bench.forecastLoad(2200);
+  expect(bench.decide(0, impatientRequest(0, 6000, true)).do).toBe('wait');
 });
-test('a load out of reach of both attempts is waited for until patience ends, and no longer', () => {
+test('a request waits for a load that neither attempt can reach until the client gives up, and no longer', () => {
   const bench = new Bench();
-  bench.tell(5500);
-  const request = impatient(0, 6000, true);
+  bench.forecastLoad(5500);
+  const request = impatientRequest(0, 6000, true);
   expect(bench.decide(0, request).do).toBe('wait');
-  // Once the next attempt would meet the load, the client is sent away.
+  // Once the next attempt would reach the load, the request is rejected.
   expect(bench.decide(2300, request)).toMatchObject({ do: 'rejectUntilLoaded' });
-  bench.tell(60_000);
+  bench.forecastLoad(60_000);
   expect(bench.decide(0, request).do).toBe('rejectUntilLoaded');
-  // A last attempt is kept, for the load may come sooner, but it is answered before its client leaves.
-  const last = impatient(0, 4000, false);
+  // The last attempt waits, as the load may complete sooner, but is rejected before its client gives up.
+  const last = impatientRequest(0, 4000, false);
   expect(bench.decide(2200, last).do).toBe('wait');
   expect(bench.decide(2300, last).do).toBe('rejectUntilLoaded');
 });
--- a/src/proxy/model-demand.test.ts
+++ b/src/proxy/model-demand.test.ts
@@ -3,7 +3,7 @@
 import { ModelDemand } from './model-demand.js';
 
 const UNIT = { service: 'llm', model: 'm', adapter: '' };
-test('what came is reported once, what waits and runs for as long as it does', () => {
+test('arrivals are reported once, waiting and running requests as long as they wait or run', () => {
   const demand = new ModelDemand();
   const first = requestOf(at(0), 1);
   const second = requestOf(at(0), 2);
@@ -23,7 +23,7 @@
   demand.onAttemptEnd(second);
   expect(demand.takeReports(at(3))).toEqual([]);
 });
-test('a request that was refused is wanted until 500 ms after its load is due', () => {
+test('the retry of a rejected request is expected until 500 ms after its load should complete', () => {
   const demand = new ModelDemand();
   const request = requestOf(at(0), 1);
   demand.onModelMissing(at(0), request);
@@ -34,18 +34,18 @@
   ]);
   expect(demand.takeReports(at(800))).toEqual([]);
 });
-test('what waits is urgent when it is new, once', () => {
+test('demand is urgent once, when requests start to wait', () => {
   const demand = new ModelDemand();
   const request = requestOf(at(0), 1);
   expect(demand.takeUrgent()).toBe(false);
   demand.onWaitStart(request);
   expect([demand.takeUrgent(), demand.takeUrgent()]).toEqual([true, false]);
-  // Another one for the same unit is no news.
+  // Another request for the same model is not urgent.
   demand.onWaitStart(requestOf(at(0), 2));
   demand.onModelMissing(at(1), request);
   expect(demand.takeUrgent()).toBe(false);
 });
-test('plain services have no units', () => {
+test('requests to plain services are not counted', () => {
   const demand = new ModelDemand();
   const request = requestOf(at(0), 1, { path: '/safe/x', model: '' });
   demand.onRequest(request);
--- a/src/proxy/request-outcomes.test.ts
+++ b/src/proxy/request-outcomes.test.ts
@@ -11,38 +11,42 @@
 class Bench {
   readonly requests = new OpenRequests(new ModelDemand());
   readonly counts = new DispatchCounts();
-  readonly #effects = new EffectQueue();
-  readonly answers = new RequestOutcomes(this.requests, this.#effects, this.counts);
+  readonly #effectQueue = new EffectQueue();
+  readonly outcomes = new RequestOutcomes(this.requests, this.#effectQueue, this.counts);
 
-  take(more: Partial<RoutedRequest>): RoutedRequest {
+  add(more: Partial<RoutedRequest>): RoutedRequest {
     const request = { ...requestOf(at(0), 1), ...more };
     this.requests.add(request);
     return request;
   }
 
-  /** What was told, of a request that must have ended by it. */
-  told(): DispatchEffect[] {
+  /** Returns the effects; the request must have ended. */
+  effectsAtEnd(): DispatchEffect[] {
     expect(this.requests.size).toBe(0);
-    return this.#effects.drain();
+    return this.#effectQueue.drain();
   }
 }
-test('what never ran is refused', () => {
+test('a request that was not processed is rejected', () => {
   const bench = new Bench();
-  bench.answers.reject(bench.take({}), 'full', 250);
-  expect(bench.told()).toEqual([{ do: 'reject', id: 1, reason: 'full', retryAfterMs: 250 }]);
-  bench.answers.expire(bench.take({}));
-  expect(bench.told()).toEqual([{ do: 'reject', id: 1, reason: 'late', retryAfterMs: 100 }]);
-  bench.answers.fail(bench.take({}));
-  expect(bench.told()).toEqual([{ do: 'fail', id: 1, isTimeout: false }]);
+  bench.outcomes.reject(bench.add({}), 'full', 250);
+  expect(bench.effectsAtEnd()).toEqual([
+    { do: 'reject', id: 1, reason: 'full', retryAfterMs: 250 },
+  ]);
+  bench.outcomes.expire(bench.add({}));
+  expect(bench.effectsAtEnd()).toEqual([
+    { do: 'reject', id: 1, reason: 'late', retryAfterMs: 100 },
+  ]);
+  bench.outcomes.fail(bench.add({}));
+  expect(bench.effectsAtEnd()).toEqual([{ do: 'fail', id: 1, isTimeout: false }]);
   expect([bench.counts.refused, bench.counts.failed]).toEqual([2, 1]);
 });
-test('what may have run, or was begun to be answered, is never told as refused', () => {
+test('a request is not rejected once it may have been processed or its response has started', () => {
   const bench = new Bench();
   for (const more of [{ mayHaveRun: true }, { isResponseStarted: true }]) {
-    bench.answers.reject(bench.take(more), 'full', 250);
-    expect(bench.told()).toEqual([{ do: 'fail', id: 1, isTimeout: false }]);
-    bench.answers.expire(bench.take(more));
-    expect(bench.told()).toEqual([{ do: 'fail', id: 1, isTimeout: true }]);
+    bench.outcomes.reject(bench.add(more), 'full', 250);
+    expect(bench.effectsAtEnd()).toEqual([{ do: 'fail', id: 1, isTimeout: false }]);
+    bench.outcomes.expire(bench.add(more));
+    expect(bench.effectsAtEnd()).toEqual([{ do: 'fail', id: 1, isTimeout: true }]);
   }
   expect([bench.counts.refused, bench.counts.failed]).toEqual([0, 4]);
 });
--- a/src/proxy/retry-policy.test.ts
+++ b/src/proxy/retry-policy.test.ts
@@ -11,16 +11,16 @@
     const retry = { ratio: 0, extra, windowMs: 10_000 };
     const fleet = new FleetView();
     const settings = { proxyId: 'f', zone: 'za', retry, warmupExcess: 1, connectTimeoutMs: 300 };
-    const choice = new RunnerPicker(
+    const picker = new RunnerPicker(
       { ...settings, hasIdleConnection: always, random: zero },
       fleet,
     );
-    this.retry = new RetryPolicy(retry, fleet, choice);
-    fleet.update(at(0), { flows: 1, runners: runners.map(listed), waits: [] });
+    this.retry = new RetryPolicy(retry, fleet, picker);
+    fleet.update(at(0), { flows: 1, runners: runners.map(newRunner), waits: [] });
   }
 }
 
-function listed(id: string): ReturnType<typeof runnerOf> {
+function newRunner(id: string): ReturnType<typeof runnerOf> {
   return runnerOf(id);
 }
 function zero(): number {
@@ -29,7 +29,7 @@
 function always(): boolean {
   return true;
 }
-test('tries, time and another runner bound retries', () => {
+test('retries are limited by attempts, time left and available runners', () => {
   const { retry } = new Bench(100, 'a', 'b');
   const request = requestOf(at(0), 1);
   request.attemptsSent = 1;
@@ -45,19 +45,19 @@
     false,
     false,
   ]);
-  // Where it is proven that it did not run a wait for a place may do.
+  // An unprocessed request needs no available runner: it can wait for capacity.
   expect(retry.mayRetryUnprocessed(at(0), request)).toBe(true);
   request.attemptsSent = 2;
   expect(retry.mayRetryUnprocessed(at(0), request)).toBe(false);
 });
-test('the budget is asked last, and a yes is paid for', () => {
+test('the budget is checked last, and charged only for retries that are allowed', () => {
   const { retry } = new Bench(4, 'a', 'b');
   const request = requestOf(at(0), 1);
   request.attemptsSent = 2;
-  // A no that is no matter of the budget costs nothing.
+  // A retry that is denied for another reason costs nothing.
   for (let count = 0; count < 10; count += 1) expect(retry.mayRetry(at(0), request)).toBe(false);
   request.attemptsSent = 1;
-  const answers: boolean[] = [];
-  for (let count = 0; count < 3; count += 1) answers.push(retry.mayRetry(at(0), request));
-  expect(answers).toEqual([true, true, false]);
+  const decisions: boolean[] = [];
+  for (let count = 0; count < 3; count += 1) decisions.push(retry.mayRetry(at(0), request));
+  expect(decisions).toEqual([true, true, false]);
 });
--- a/src/proxy/testing/dispatch-fixtures.ts
+++ b/src/proxy/testing/dispatch-fixtures.ts
@@ -1,4 +1,4 @@
-/** Routes, runners and requests for the tests of the dispatcher's parts. */
+/** Routes, runners and requests for the tests of the dispatcher's components. */
 import { moment, type Moment } from '../../common/ids.js';
 import type { FleetRunner } from '../../placement/fleet.js';
 import type { Engine, Route, Routing, Service } from '../../route/routing.js';
@@ -41,7 +41,7 @@
   isSticky: true,
   isResumable: true,
 };
-/** A resumable stream, what may run once, a safe lookup, and a route to two services by weight. */
+/** Routes: a resumable stream, unsafe requests, safe requests, and one that is split over two services by weight. */
 export const ROUTING: Routing = {
   version: 1,
   routes: [
@@ -68,7 +68,7 @@
   services: [LLM, WEB],
 };
 
-/** The head of a request for the model `m` on the stream. */
+/** The head of a request for the model `m` on the stream's route. */
 export function headOf(id: number, more: Partial<RequestHead> = {}): RequestHead {
   return {
     id,
@@ -83,16 +83,16 @@
   };
 }
 
-/** The same, admitted at that moment. */
+/** The same request, admitted at `now`. */
 export function requestOf(now: Moment, id: number, more: Partial<RequestHead> = {}): RoutedRequest {
   const admission = new Admission();
   admission.configure(ROUTING);
   const request = admission.admit(now, headOf(id, more));
-  if (!request) throw new Error('no route for it');
+  if (!request) throw new Error('no route matches the request');
   return request;
 }
 
-/** A runner of the service with an engine that holds `m` with the adapter `a1`. */
+/** A runner of the service with an engine; it has loaded `m` with the adapter `a1`. */
 export function runnerOf(id: string, more: Partial<FleetRunner> = {}): FleetRunner {
   return {
     id,
@@ -108,7 +108,7 @@
   };
 }
 
-/** A moment so many ms after the tests' start. */
+/** The moment `ms` milliseconds after the start of the test. */
 export function at(ms: number): Moment {
   return moment(ms);
 }
--- a/src/proxy/token-budget.test.ts
+++ b/src/proxy/token-budget.test.ts
@@ -1,6 +1,6 @@
 import { expect, test } from 'vitest';
 import { ServiceBudgets, TokenBudget } from './token-budget.js';
-test('repeats stay within a fifth and a few', () => {
+test('retries stay within a fifth of the first attempts and the extra ones', () => {
   const budget = new TokenBudget(0.2, 3);
   let spent = 0;
   for (let index = 0; index < 1000; index += 1) {
@@ -11,7 +11,7 @@
   expect(spent).toBeGreaterThan(190);
 });
 
-// Guards against BUDGET: a proxy that began alone must not keep the part of all for good.
+// Guards against violations of BUDGET: a proxy that started alone must not retain the extra retries of all proxies.
 test('the extra retries of a budget follow the number of proxies', () => {
   const budgets = new ServiceBudgets(0.2, 10);
   for (let count = 0; count < 100; count += 1) budgets.of('s', 1).credit();
