--- a/src/proxy/in-flight-requests.ts
+++ b/src/proxy/in-flight-requests.ts
@@ -63,7 +63,7 @@
   isWritten: boolean;
   /** The value of `isWritten` before the current attempt. */
   wasWrittenBefore: boolean;
-  isBounded: boolean;
+  hasSelfDefinedLength: boolean;
   lastActivityAt: Moment;
 }
 
@@ -111,7 +111,7 @@
       verdict: undefined,
       isWritten: false,
       wasWrittenBefore: false,
-      isBounded: false,
+      hasSelfDefinedLength: false,
       lastActivityAt: now,
     });
     this.#router.onRequest(now, info);
@@ -216,7 +216,7 @@
       this.#router.onUnprocessed(now, id, 'full');
     } else {
       request.stage = 'responding';
-      request.isBounded = head.isBounded;
+      request.hasSelfDefinedLength = head.isBounded;
       request.lastActivityAt = now;
       this.#steps.push({ do: 'forward', id, attempt, table: request.verdict.table });
     }
@@ -234,7 +234,7 @@
     const request = this.#current(id, attempt, 'responding');
     if (!request) return;
     // Without a length or chunks, a complete response ends in the same way as one whose runner crashed.
-    if (!request.isBounded) {
+    if (!request.hasSelfDefinedLength) {
       this.onDisconnect(now, id, attempt, false);
       return;
     }
--- a/src/proxy/runner-pool.ts
+++ b/src/proxy/runner-pool.ts
@@ -6,7 +6,7 @@
   /** Requests of this proxy that the runner processes now. */
   running: number;
   /** Moving average of request durations, ms; 0 before the first. */
-  meanMs: number;
+  meanDurationMs: number;
   fullUntil: Moment;
   failedUntil: Moment;
   /** Start of the current slow start window, and the requests started in it. */
@@ -60,7 +60,7 @@
 
   /** Moving average of request durations at the runner, ms; 0 before the first. */
   meanMs(id: string): number {
-    return this.#states.get(id)?.meanMs ?? 0;
+    return this.#states.get(id)?.meanDurationMs ?? 0;
   }
 
   /** Maximum of concurrent requests of this proxy at the runner: its share of the slots, reduced during slow start. */
@@ -106,8 +106,10 @@
     if (!state) return;
     state.running = Math.max(0, state.running - 1);
     if (durationMs === undefined) return;
-    state.meanMs =
-      state.meanMs === 0 ? durationMs : state.meanMs * (1 - MEAN_WEIGHT) + durationMs * MEAN_WEIGHT;
+    state.meanDurationMs =
+      state.meanDurationMs === 0
+        ? durationMs
+        : state.meanDurationMs * (1 - MEAN_WEIGHT) + durationMs * MEAN_WEIGHT;
   }
 
   /** The runner reported that it is full. */
@@ -162,7 +164,7 @@
   const never = moment(-1);
   return {
     running: 0,
-    meanMs: 0,
+    meanDurationMs: 0,
     fullUntil: never,
     failedUntil: never,
     slowStartWindow: now,
--- a/src/proxy/tracked-runner.ts
+++ b/src/proxy/tracked-runner.ts
@@ -50,12 +50,12 @@
   /** Shared prompt prefixes that were sent to it, the oldest first. */
   readonly #sentPrefixes = new Map<string, Moment>();
 
-  constructor(now: Moment, info: FleetRunner) {
-    this.#info = info;
-    this.#source = info;
-    this.#sourceJson = JSON.stringify(info);
+  constructor(now: Moment, report: FleetRunner) {
+    this.#info = report;
+    this.#source = report;
+    this.#sourceJson = JSON.stringify(report);
     this.#lastActivityAt = now;
-    this.#warmUpEnd = later(now, info.coldMs);
+    this.#warmUpEnd = later(now, report.coldMs);
   }
 
   /** The leader's last report on the runner. */
@@ -72,14 +72,14 @@
   }
 
   /** Applies a report of the leader on the runner. */
-  update(now: Moment, info: FleetRunner): void {
+  update(now: Moment, report: FleetRunner): void {
     // Reports that did not change are the same object, so that most of a fleet needs no comparison.
-    if (this.#source === info) return;
-    const json = JSON.stringify(info);
+    if (this.#source === report) return;
+    const json = JSON.stringify(report);
     if (this.#sourceJson === json) return;
-    if (info.coldMs !== this.#info.coldMs) this.#warmUpEnd = later(now, info.coldMs);
-    this.#info = info;
-    this.#source = info;
+    if (report.coldMs !== this.#info.coldMs) this.#warmUpEnd = later(now, report.coldMs);
+    this.#info = report;
+    this.#source = report;
     this.#sourceJson = json;
     this.#modelsMissing.clear();
   }
