--- a/src/proxy/event-loop-guard.ts
+++ b/src/proxy/event-loop-guard.ts
@@ -3,7 +3,7 @@
 
 /** A longer gap between ticks means that the whole process was stalled. */
 const EVENT_LOOP_STALL_MS = 500;
-/** How long after a stall data that is read may have been in a socket's buffer since before its end. */
+/** For this long after a stall, data that is read may have been in a socket's buffer since the stall. */
 const RECOVERY_MS = 100;
 /** Event loop turns that it takes to read the end of a connection behind the data that is read first. */
 const DRAIN_EVENT_LOOP_TURNS = 3;
--- a/src/proxy/runner-pool.ts
+++ b/src/proxy/runner-pool.ts
@@ -84,7 +84,7 @@
     if (state.running >= capacity) return false;
     const age = now - state.upSince;
     if (age >= this.#slowStartMs) return true;
-    // Slow start limits the rate of starts too: with short requests, a limit of concurrency alone would not.
+    // Slow start limits the rate of starts too: short requests would otherwise flood the runner at any concurrency.
     if (now - state.slowStartWindow >= SLOW_START_WINDOW_MS) {
       state.slowStartWindow = now;
       state.slowStartRuns = 0;
@@ -100,7 +100,7 @@
     state.slowStartRuns += 1;
   }
 
-  /** A request ended. `durationMs`: undefined if it did not complete normally, as its duration is then not typical. */
+  /** A request ended. `durationMs`: undefined if it says nothing about usual durations, as after a failure. */
   onEnd(id: string, durationMs: number | undefined): void {
     const state = this.#states.get(id);
     if (!state) return;
