--- a/src/proxy/attempt-tracker.ts
+++ b/src/proxy/attempt-tracker.ts
@@ -2,7 +2,7 @@
 import type { ResponseHead } from './dispatch-types.js';
 import type { DispatcherState } from './dispatcher-state.js';
 import type { RequestPlacement } from './request-placement.js';
-import { isRetryable, mayFollow, type RoutedRequest } from './routed-request.js';
+import { isRetryable, canContinueWith, type RoutedRequest } from './routed-request.js';
 import type { TrackedRunner } from './tracked-runner.js';
 
 /**
@@ -265,7 +265,7 @@
   if (!head.isGenuine) return false;
   // Without the runner's proof the client would retry, though the request may have been processed and must not be again.
   if (REJECTION_STATUSES.has(head.status) && !isRetryable(request)) return false;
-  return mayFollow(request, head);
+  return canContinueWith(request, head);
 }
 
 /** Records why the runner did not process the request. */
--- a/src/proxy/fleet-view.test.ts
+++ b/src/proxy/fleet-view.test.ts
@@ -5,7 +5,7 @@
 import { at, requestOf, runnerOf } from './testing/dispatch-fixtures.js';
 
 function idOf(runner: TrackedRunner): string {
-  return runner.facts.id;
+  return runner.info.id;
 }
 
 function acceptingRunners(fleet: FleetView): string[] {
--- a/src/proxy/fleet-view.ts
+++ b/src/proxy/fleet-view.ts
@@ -59,7 +59,7 @@
   #groupByService(): void {
     this.#byService.clear();
     for (const runner of this.#runners.values()) {
-      const { service } = runner.facts;
+      const { service } = runner.info;
       const known = this.#byService.get(service);
       if (known) known.push(runner);
       else this.#byService.set(service, [runner]);
@@ -78,7 +78,7 @@
 
   /** Whether the runner may get new requests: it is not draining, and its zone is not evacuated. */
   acceptsRequests(runner: TrackedRunner): boolean {
-    const { id, zone, isLeaving } = runner.facts;
+    const { id, zone, isLeaving } = runner.info;
     return !isLeaving && !this.#draining.has(id) && !this.#evacuatedZones.has(zone);
   }
 }
--- a/src/proxy/in-flight-requests.ts
+++ b/src/proxy/in-flight-requests.ts
@@ -50,7 +50,7 @@
   /** Whether the runner has started to process the request; false if it states that it has not and will not. */
   readonly isStarted: boolean;
   /** Whether the message states its own length (Content-Length or chunks), so that a cut-off response is recognized. */
-  readonly isBounded: boolean;
+  readonly hasSelfDefinedLength: boolean;
 }
 
 interface InFlightRequest {
@@ -216,7 +216,7 @@
       this.#router.onUnprocessed(now, id, 'full');
     } else {
       request.stage = 'responding';
-      request.hasSelfDefinedLength = head.isBounded;
+      request.hasSelfDefinedLength = head.hasSelfDefinedLength;
       request.lastActivityAt = now;
       this.#steps.push({ do: 'forward', id, attempt, table: request.verdict.table });
     }
--- a/src/proxy/model-demand.test.ts
+++ b/src/proxy/model-demand.test.ts
@@ -27,8 +27,8 @@
   const demand = new ModelDemand();
   const request = requestOf(at(0), 1);
   demand.onModelMissing(at(0), request);
-  demand.onReturnExpected(at(0), request, 300);
-  demand.onReturnExpected(at(0), request, 300);
+  demand.onClientRetryExpected(at(0), request, 300);
+  demand.onClientRetryExpected(at(0), request, 300);
   expect(demand.takeReports(at(799))).toEqual([
     { ...UNIT, count: 0, waiting: 2, running: 0, priority: 2 },
   ]);
--- a/src/proxy/model-demand.ts
+++ b/src/proxy/model-demand.ts
@@ -66,7 +66,7 @@
   }
 
   /** The request is rejected, but its client is expected to retry once the load completes, in `expectedMs`. */
-  onReturnExpected(now: Moment, request: RoutedRequest, expectedMs: number): void {
+  onClientRetryExpected(now: Moment, request: RoutedRequest, expectedMs: number): void {
     const unit = this.#stateOf(request);
     if (unit.retriesExpectedUntil < now) unit.expectedRetries = 0;
     unit.retriesExpectedUntil = later(now, expectedMs + RETRY_WINDOW_MS);
--- a/src/proxy/policy-forwarder.ts
+++ b/src/proxy/policy-forwarder.ts
@@ -338,7 +338,10 @@
     if (!isStarted) runnerResponse.resume();
     this.#inFlightRequests.onHeaders(this.#now(), exchange.id, attempt.number, {
       isStarted,
-      isBounded: hasSelfDefinedLength(exchange.clientRequest.method ?? 'GET', runnerResponse),
+      hasSelfDefinedLength: hasSelfDefinedLength(
+        exchange.clientRequest.method ?? 'GET',
+        runnerResponse,
+      ),
     });
     this.#runSteps();
   }
--- a/src/proxy/policy-picker.ts
+++ b/src/proxy/policy-picker.ts
@@ -64,7 +64,7 @@
     let meanMs = 0;
     for (const { id } of this.#view.candidates(request)) {
       capacity += this.#capacity(now, id);
-      meanMs = Math.max(meanMs, this.#runners.meanMs(id), longest.get(id) ?? 0);
+      meanMs = Math.max(meanMs, this.#runners.meanDurationMs(id), longest.get(id) ?? 0);
     }
     return { waitMs: ((aheadCount + 1) * meanMs) / Math.max(1, capacity), meanMs };
   }
--- a/src/proxy/request-placement.ts
+++ b/src/proxy/request-placement.ts
@@ -97,12 +97,12 @@
       this.#wait(now, request, verdict.forMs);
       return;
     }
-    demand.onReturnExpected(now, request, verdict.expectedMs);
+    demand.onClientRetryExpected(now, request, verdict.expectedMs);
     outcomes.reject(request, 'not-loaded', verdict.retryAfterMs);
   }
 
   #send(now: Moment, request: RoutedRequest, runner: TrackedRunner): void {
-    const { id, address } = runner.facts;
+    const { id, address } = runner.info;
     request.phase = 'connecting';
     request.attempt += 1;
     request.runner = id;
--- a/src/proxy/routed-request.ts
+++ b/src/proxy/routed-request.ts
@@ -54,7 +54,7 @@
 }
 
 /** Whether the response may be forwarded: as the first one, or as the continuation of the one that has started. */
-export function mayFollow(request: RoutedRequest, head: ResponseHead): boolean {
+export function canContinueWith(request: RoutedRequest, head: ResponseHead): boolean {
   if (!request.isResponseStarted) return true;
   const isSameKind = head.isEventStream && head.status === request.forwardedHead?.status;
   return isSameKind && isResponseContinuable(request);
--- a/src/proxy/runner-picker.test.ts
+++ b/src/proxy/runner-picker.test.ts
@@ -32,7 +32,7 @@
   }
 
   pick(request: RoutedRequest, now = 0): string | undefined {
-    return this.picker.pick(at(now), request)?.facts.id;
+    return this.picker.pick(at(now), request)?.info.id;
   }
 }
 
--- a/src/proxy/runner-picker.ts
+++ b/src/proxy/runner-picker.ts
@@ -73,7 +73,7 @@
   }
 
   #isAvailable(now: Moment, request: RoutedRequest, runner: TrackedRunner): boolean {
-    if (!this.#fleet.acceptsRequests(runner) || request.triedRunners.has(runner.facts.id))
+    if (!this.#fleet.acceptsRequests(runner) || request.triedRunners.has(runner.info.id))
       return false;
     if (runner.isBackingOff(now)) return false;
     if (request.modelUnit !== '' && !runner.hasModelUnit(now, request)) return false;
@@ -92,7 +92,7 @@
     const proxyCount = this.#fleet.proxyCount.value(now);
     const totalRate = service.warmupPerSecond * Math.max(1, warmupExcess) * WARM_UP_SHARE;
     const ownRate = Math.floor(totalRate / proxyCount);
-    if (ownRate < 1 && hashText(`${proxyId}\n${runner.facts.id}`) % proxyCount >= totalRate)
+    if (ownRate < 1 && hashText(`${proxyId}\n${runner.info.id}`) % proxyCount >= totalRate)
       return false;
     return runner.warmUpRate(now) < Math.max(1, ownRate);
   }
@@ -104,7 +104,7 @@
     for (const runner of runners) {
       if (!this.#fleet.acceptsRequests(runner) || !runner.isListedWithModel(request.head.model))
         continue;
-      const { id } = runner.facts;
+      const { id } = runner.info;
       const score = hashText(`${request.sharedPrefixKey}\n${id}`);
       if (score > highestScore) {
         highestScore = score;
@@ -120,7 +120,7 @@
     runner: TrackedRunner,
     affinityRunner: string | undefined,
   ): number {
-    const { facts: runnerInfo } = runner;
+    const { info: runnerInfo } = runner;
     let cost = runner.pendingPromptTokens + runner.inFlight * RUNNING_REQUEST_COST;
     if (runnerInfo.zone !== this.#settings.zone) cost += OTHER_ZONE_COST;
     if (runner.isWarmingUp(now)) cost += WARM_UP_COST;
--- a/src/proxy/runner-pool.ts
+++ b/src/proxy/runner-pool.ts
@@ -59,7 +59,7 @@
   }
 
   /** Moving average of request durations at the runner, ms; 0 before the first. */
-  meanMs(id: string): number {
+  meanDurationMs(id: string): number {
     return this.#states.get(id)?.meanDurationMs ?? 0;
   }
 
--- a/src/proxy/tracked-runner.ts
+++ b/src/proxy/tracked-runner.ts
@@ -59,7 +59,7 @@
   }
 
   /** The leader's last report on the runner. */
-  get facts(): FleetRunner {
+  get info(): FleetRunner {
     return this.#info;
   }
   /** The number of this proxy's requests at the runner. */
--- a/src/rehearsal/proxy-connections.ts
+++ b/src/rehearsal/proxy-connections.ts
@@ -146,7 +146,7 @@
       heard.hasHead = isBegun;
       requests.onHeaders(proxy.now(), id, attempt, {
         isStarted: isBegun,
-        isBounded: isBounded || proxy.wrong === 'unbounded-as-whole',
+        hasSelfDefinedLength: isBounded || proxy.wrong === 'unbounded-as-whole',
       });
     });
   }
