--- a/src/control/control-components.ts
+++ b/src/control/control-components.ts
@@ -27,17 +27,17 @@
 import type { VotersChange } from './voter-plan.js';
 import { VoterSetWriter } from './voter-set-writer.js';
 
-/** What the components need of the core that they belong to. */
+/** The operations of the core that its components call. */
 export interface CoreHooks {
-  /** Whether orders may be given to runners at this moment. */
+  /** Whether orders may be sent to runners at this moment. */
   readonly mayOrder: (now: Moment) => boolean;
-  /** Applies what the election and the replicated state have decided. */
+  /** Applies the pending effects of the election and of the replicated state. */
   readonly drainEffects: (now: Moment) => void;
-  /** All nodes to which this node wants a connection. */
+  /** The ids of all nodes that this node needs a connection to. */
   readonly peers: () => readonly string[];
 }
 
-/** The components of a control node, each with one concern: constructed here and wired to each other. */
+/** The components of a control node, each with one responsibility; constructs them and connects them to each other. */
 export class ControlComponents {
   readonly sessions: Sessions;
   readonly members: KnownMembers;
@@ -51,9 +51,9 @@
   readonly forwarding: CommandForwarding;
   readonly reads: QuorumReads;
   readonly voterSet: VoterSetWriter;
-  /** Only in a deployment, where voters are replaced without an operator. */
+  /** Present only in a deployment, where voters are replaced without an operator. */
   readonly membership: VoterMembership | undefined;
-  /** Only in a deployment, where only the leader polls the list of runners. */
+  /** Present only in a deployment, where the leader alone polls the list of runners. */
   readonly drainingRunners: DrainingRunnersReader | undefined;
   readonly repair: ReplicaRepair;
   readonly takeover: Takeover;
@@ -89,7 +89,7 @@
     });
     this.placement = this.#makePlacement(placer);
     this.updates = this.#makeUpdates();
-    this.orders = this.#makeOrders();
+    this.orders = this.#makeEdits();
     this.forwarding = this.#makeForwarding(now);
     this.reads = this.#makeReads();
     this.voterSet = new VoterSetWriter({ ...replica, ...this.#writers() });
@@ -115,7 +115,7 @@
     });
   }
 
-  /** The components by which the leader writes. */
+  /** The components that the leader writes with. */
   #writers(): { readonly writer: PartitionWriter; readonly document: ConfigStore } {
     return { writer: this.writer, document: this.document };
   }
@@ -124,12 +124,12 @@
     return new RelayTree({
       ...this.#replica,
       sessions: this.sessions,
-      controlNodeChildren: () => this.#updatedVoters(),
+      controlNodeChildren: () => this.#voterChildren(),
     });
   }
 
-  /** The leader sends updates to the other voters as well. */
-  #updatedVoters(): readonly NodeId[] {
+  /** The other voters, which the leader sends updates to as well; none while this node does not lead. */
+  #voterChildren(): readonly NodeId[] {
     const { elector, voters, me } = this.#replica;
     if (!elector.isLeading()) return [];
     return voters.quorum.all.filter((id) => id !== me);
@@ -156,7 +156,7 @@
     });
   }
 
-  #makeOrders(): OperatorEdits {
+  #makeEdits(): OperatorEdits {
     const { document } = this;
     const { counters, effects } = this.#replica;
     const host = {
--- a/src/control/control-core.ts
+++ b/src/control/control-core.ts
@@ -78,7 +78,7 @@
   get isServing(): boolean {
     return this.#replica.leadership.isServing;
   }
-  /** All voters by the newest configuration known here; both sets during a joint configuration. */
+  /** All voters of the newest configuration known here; those of both sets during a joint configuration. */
   get voters(): readonly NodeId[] {
     return this.#replica.voters.quorum.all;
   }
@@ -109,23 +109,23 @@
     return this.#replica.effects.drain();
   }
 
-  /** Whether an order may be written to a runner at this moment; checked again right before each write. */
+  /** Whether an order may be sent to a runner at this moment; checked again right before each write. */
   mayOrder(now: Moment): boolean {
     const { elector, leadership } = this.#replica;
     return !this.#isRetiring && elector.mayOrder(now) && leadership.isServing;
   }
 
-  /** Until when orders may be sent, unless the lease is renewed. */
+  /** When the lease ends unless it is renewed; no order may be sent after that. */
   leaseEnd(): Moment {
     return this.#replica.elector.leaseEnd;
   }
 
-  /** The seed nodes of changed settings; they are contacted while no leader is known. */
+  /** Replaces the seed nodes after a change of the settings; they are contacted while no leader is known. */
   setSeeds(seeds: readonly string[]): void {
     this.#seeds = seeds;
   }
 
-  /** All nodes to which this node wants a connection. */
+  /** The ids of all nodes that this node needs a connection to. */
   get peers(): readonly string[] {
     const ids = new Set<string>(this.voters);
     if (this.#isWithoutLeader()) for (const seed of this.#seeds) ids.add(seed);
@@ -133,7 +133,7 @@
     return [...ids];
   }
 
-  /** Whether a planned stop waits for this voter to be replaced. */
+  /** Whether a planned stop is waiting until this voter is replaced. */
   get isHandingOver(): boolean {
     return this.#components.membership?.isHandingOver ?? false;
   }
@@ -158,7 +158,7 @@
     this.#drainEffects(now);
   }
 
-  /** A message of another node; `zone` is that node's zone, '' if it is unknown. */
+  /** A message from another node; `zone` is the zone of that node, '' if it is unknown. */
   onMessage(now: Moment, from: string, message: Message, zone: string = ''): void {
     const { forwarding, zones, stateMessages, memberMessages } = this.#components;
     forwarding.onHeard(from);
@@ -180,7 +180,7 @@
     this.#drainEffects(now);
   }
 
-  /** The store effect of this version of a partition is on disk. */
+  /** The `store` effect for this version of a partition has completed: the version is on disk. */
   onPersisted(now: Moment, partition: PartitionName, version: Version): void {
     const { votes, elector } = this.#replica;
     if (partition === VOTE_RECORD) {
@@ -234,15 +234,15 @@
     if (this.#isDeployed) this.#drainEffects(now);
   }
 
-  /** A command at this node's own API; the answer is a `reply` effect with this id. */
+  /** A command from this node's own API; the answer is a `reply` effect with this id. */
   onCommand(now: Moment, id: number, verb: string, body: string): void {
     this.#components.commands.onCommand(now, id, verb, body);
     this.#drainEffects(now);
   }
 
   /**
-   * Begins or continues a planned stop: waits for a replacement and for the outcomes of orders, then gives the lease back.
-   * Returns whether the node may stop now. While an order may still be in flight the lease is not given back: it expires.
+   * Begins or continues a planned stop: waits for a replacement and for the outcomes of orders, then releases the lease.
+   * Returns whether the node may stop now. While an order may still be in flight the lease is not released: it expires.
    */
   retire(now: Moment): boolean {
     const { membership, placement } = this.#components;
@@ -255,7 +255,7 @@
     return true;
   }
 
-  // ---- messages by family
+  // ---- messages by kind
 
   /** Announcements and departures of voters in a deployment, and of draining runners while there is no leader. */
   #onMembershipMessage(now: Moment, from: string, message: Message): boolean {
@@ -296,12 +296,12 @@
     this.#onCandidate(from, message);
     elector.onMessage(now, nodeId(from), message);
     if (message.kind !== 'victory' && message.kind !== 'renew') return;
-    // These carry the leader's clock, which bounds the age of forwarded commands.
+    // Both carry the leader's clock, which limits the age of forwarded commands.
     if (elector.leader === from && elector.epoch === message.epoch)
       this.#components.forwarding.onLeaderClock(leaderClockOf(message));
   }
 
-  /** A node that is no voter as known here is a candidate: there may be a newer configuration. */
+  /** Requests updates from a candidate that is not a known voter: it may have a newer configuration. */
   #onCandidate(from: string, { kind }: Message): void {
     const isOfCandidate = kind === 'propose' || kind === 'victory' || kind === 'renew';
     if (this.#isDeployed && isOfCandidate && !this.#isVoter(from))
@@ -314,12 +314,12 @@
     const { elector, state, voters } = this.#replica;
     const { takeover, updates } = this.#components;
     takeover.update(now);
-    for (let isBusy = true; isBusy;) {
-      const decided = elector.drain();
-      for (const effect of decided) this.#applyVoteEffect(effect);
-      const changed = state.drain();
-      for (const effect of changed) this.#applyStateEffect(now, effect);
-      isBusy = decided.length + changed.length > 0;
+    for (let hasEffects = true; hasEffects;) {
+      const voteEffects = elector.drain();
+      for (const effect of voteEffects) this.#applyVoteEffect(effect);
+      const stateEffects = state.drain();
+      for (const effect of stateEffects) this.#applyStateEffect(now, effect);
+      hasEffects = voteEffects.length + stateEffects.length > 0;
       voters.follow();
       takeover.update(now);
     }
@@ -348,28 +348,31 @@
     placement.onCommitted(now, body?.services ?? []);
   }
 
-  #onConfigCommitted(now: Moment, { version, tokens, members: named }: CommittedEffect): void {
+  #onConfigCommitted(
+    now: Moment,
+    { version, tokens, members: reportedMembers }: CommittedEffect,
+  ): void {
     const { document, orders, members } = this.#components;
     const { voters, elector, me } = this.#replica;
     document.onCommitted(version);
     voters.follow();
-    orders.onCommitted(now, version, tokens, [...named, ...members.possible(now)]);
-    // No longer a voter: in a planned stop the lease is given back by `retire`, any other leader steps down.
+    orders.onCommitted(now, version, tokens, [...reportedMembers, ...members.possible(now)]);
+    // A leader that is no longer a voter steps down, except in a planned stop, where `retire` releases the lease.
     if (!this.#isRetiring && !voters.quorum.includes(me)) elector.stepDown();
   }
 
-  /** Ends an operator's replacement of a voter; in a deployment the membership does so. */
+  /** Completes an operator's replacement of a voter; in a deployment `VoterMembership` does so. */
   #completeReplacement(now: Moment): void {
     if (!this.#isDeployed && this.isServing) this.#components.voterSet.completeReplacement(now);
   }
 
-  // ---- who votes
+  // ---- voters
 
   #isVoter(id: string): boolean {
     return this.#replica.voters.quorum.includes(nodeId(id));
   }
 
-  /** Whether this node is no voter as far as it knows, or knows no leader. */
+  /** Whether this node knows no leader, or is not a voter in the configuration that it knows. */
   #isWithoutLeader(): boolean {
     const { me, elector } = this.#replica;
     return !this.#isVoter(me) || elector.leader === undefined;
--- a/src/control/control-replica.ts
+++ b/src/control/control-replica.ts
@@ -15,7 +15,7 @@
 import { Leadership } from './leadership.js';
 import { readVotes, VoteStorage } from './vote-storage.js';
 
-/** What every control node has, whether it leads or not: its vote, its replica, and the voters it knows. */
+/** The state of a control node, leader or not: its votes, its replica, the voters that it knows, and its pending effects. */
 export interface ControlReplica {
   readonly me: NodeId;
   readonly elector: Elector;
@@ -29,7 +29,7 @@
   readonly effects: EffectQueue;
 }
 
-/** Builds them from the partitions found on the disk. */
+/** Creates the state of a control node from the partitions found on its disk. */
 export function makeReplica(
   settings: ControlSettings,
   stored: readonly StoredPartition[],
