--- a/src/control/control-snapshot.ts
+++ b/src/control/control-snapshot.ts
@@ -16,7 +16,7 @@
 import type { DrainingRunnersReader } from './draining-runners-reader.js';
 import type { ReplicaRepair } from './replica-repair.js';
 
-/** What the metrics of a control node are read from. */
+/** The components that the metrics of a control node are read from. */
 export interface MetricsSources {
   readonly me: NodeId;
   readonly elector: Elector;
@@ -32,7 +32,7 @@
   readonly mayOrder: (now: Moment) => boolean;
 }
 
-/** A snapshot of a node for its metrics; a query without effects. */
+/** Takes a snapshot of a node for its metrics, without side effects. */
 export function metricsOf(now: Moment, sources: MetricsSources): ControlMetrics {
   const { elector, state, leadership, counters, repair } = sources;
   const contact = elector.majorityContact(now);
--- a/src/control/control-status.ts
+++ b/src/control/control-status.ts
@@ -14,7 +14,7 @@
 import type { PlacementControl } from './placement-control.js';
 import type { RelayTree } from './relay-tree.js';
 
-/** What the status of a control node is read from. */
+/** The components that the status of a control node is read from. */
 export interface StatusSources {
   readonly me: NodeId;
   readonly zone: string;
@@ -40,34 +40,41 @@
   readonly parent: string;
 }
 
-/** What operators see of a control node, as JSON. */
+/** The status of a control node as operators get it, in JSON. */
 export interface ControlStatus {
   readonly me: string;
   readonly zone: string;
+  /** The status of this node's replica. */
   readonly standing: ReplicaStatusName;
+  /** Whether an agent or proxy is known that has a configuration of an earlier cluster. */
   readonly membersHoldState: boolean;
   readonly role: Elector['role'];
   readonly epoch: number;
+  /** The id of the leader; '' if none is known. */
   readonly leader: string;
   readonly serving: boolean;
   readonly mayOrder: boolean;
   readonly leaseLeftMs: number;
   readonly voters: readonly string[];
-  /** The score of each voter by its links, from 0. */
+  /** The election score of each voter, computed from its links; at least 0. */
   readonly scores: Readonly<Record<string, number>>;
-  /** The version of each part in this node's own replica. */
+  /** The version of each partition in this node's own replica. */
   readonly parts: Readonly<Record<string, string>>;
+  /** The partitions that are corrupt on this node's disk. */
   readonly unsound: readonly string[];
+  /** How many partitions of other replicas this node has repaired by anti-entropy. */
   readonly mended: number;
+  /** The version of the newest published configuration; `none` if there is none. */
   readonly config: string;
   readonly placesVersion: string;
+  /** The revision of the list of machines. */
   readonly machines: number;
   readonly members: readonly MemberStatus[];
   readonly places: object | undefined;
   readonly intents: readonly Intent[];
 }
 
-/** A snapshot of a node for its operators; a query without effects. */
+/** Takes a snapshot of a node for operators, without side effects. */
 export function statusOf(now: Moment, sources: StatusSources): ControlStatus {
   const { elector, state, replicaStatus, relay, leadership, placement } = sources;
   const places = relay.latest('places');
@@ -99,11 +106,11 @@
 function scoresOf({ elector, voters }: StatusSources): Record<string, number> {
   const scores: Record<string, number> = {};
   const { all } = voters.quorum;
-  for (const voter of all) scores[voter] = rounded(elector.scores.total(voter, all));
+  for (const voter of all) scores[voter] = roundToThousandths(elector.scores.total(voter, all));
   return scores;
 }
 
-function rounded(score: number): number {
+function roundToThousandths(score: number): number {
   return Math.round(score * 1000) / 1000;
 }
 
@@ -119,7 +126,7 @@
   return item ? versionText(item.version) : 'none';
 }
 
-/** Each member once, though more than one node may know of it. */
+/** Lists each member once, although several nodes may report it. */
 function membersOf({ members, tree }: StatusSources): MemberStatus[] {
   const list: MemberStatus[] = [];
   const seen = new Set<string>();
