--- a/src/control/control-node-zones.ts
+++ b/src/control/control-node-zones.ts
@@ -1,13 +1,14 @@
 import type { Moment, NodeId } from '../common/ids.js';
 import type { ControlNodeZone } from '../common/messages.js';
 
-/** Tells when a control node was last heard of; nothing if it never was. */
+/** The times of the last heartbeats of control nodes. */
 export interface Heartbeats {
+  /** When a control node was last heard; `undefined` if it never was. */
   lastHeardAt(node: NodeId): Moment | undefined;
 }
 
-/** A control node that was silent for longer is described without its zone. */
-const REACHABLE_MS = 1000;
+/** A control node that has been silent for this long is described without its zone. */
+const REACHABILITY_TIMEOUT_MS = 1000;
 
 /** The zones of the control nodes, as they report them. */
 export class ControlNodeZones {
@@ -16,7 +17,7 @@
   readonly #heartbeats: Heartbeats;
   readonly #zones = new Map<string, string>();
 
-  /** `me` is this node, which is in `zone`. */
+  /** `me` is the id of this node, and `zone` its zone. */
   constructor(me: NodeId, zone: string, heartbeats: Heartbeats) {
     this.#me = me;
     this.#zone = zone;
@@ -33,7 +34,7 @@
     return this.#zones.get(id) ?? '';
   }
 
-  /** These nodes as agents get them, which prefer one in their own zone. */
+  /** The given nodes with their zones, as sent to agents; an agent prefers a node in its own zone. */
   describe(now: Moment, ids: readonly NodeId[]): ControlNodeZone[] {
     const list: ControlNodeZone[] = [];
     for (const id of ids)
@@ -41,9 +42,9 @@
     return list;
   }
 
-  /** A silent node has no zone, so that no agent prefers it. */
+  /** The zone of a node; '' if the node is silent, so that no agent prefers it. */
   #reachableZoneOf(now: Moment, id: NodeId): string {
-    const at = this.#heartbeats.lastHeardAt(id);
-    return at !== undefined && now - at < REACHABLE_MS ? this.zoneOf(id) : '';
+    const heardAt = this.#heartbeats.lastHeardAt(id);
+    return heardAt !== undefined && now - heardAt < REACHABILITY_TIMEOUT_MS ? this.zoneOf(id) : '';
   }
 }
--- a/src/control/departing-voters.ts
+++ b/src/control/departing-voters.ts
@@ -1,13 +1,13 @@
 import type { Moment } from '../common/ids.js';
 
-/** A departing voter announces it five times a second; one that no longer does has stopped, or gave up. */
+/** A departing voter notifies the leader every 200 ms; one that no longer does has stopped or ended its wait. */
 const DEPARTURE_TIMEOUT_MS = 1000;
 
-/** Voters in a planned stop, as far as the leader has been notified. */
+/** The voters that have recently notified the leader of a planned stop. */
 export class DepartingVoters {
   readonly #announcedAt = new Map<string, Moment>();
 
-  /** The voter announced that it is to stop. */
+  /** The voter announced its planned stop. */
   onDeparture(now: Moment, id: string): void {
     this.#announcedAt.set(id, now);
   }
@@ -17,7 +17,7 @@
     return this.#announcedAt.has(id);
   }
 
-  /** Forgets voters that no longer announce it. */
+  /** Removes voters whose last announcement has expired. */
   tick(now: Moment): void {
     for (const [id, at] of this.#announcedAt)
       if (now - at > DEPARTURE_TIMEOUT_MS) this.#announcedAt.delete(id);
