--- a/src/control/draining-runners-reader.ts
+++ b/src/control/draining-runners-reader.ts
@@ -6,12 +6,12 @@
 import type { Elector } from '../election/elector.js';
 import type { ListedRunner } from '../placement/fleet.js';
 
-/** What the reader needs of its control node. */
+/** The parts of the control node that the reader uses. */
 export interface DrainingRunnersHost {
   readonly me: string;
   readonly elector: Elector;
   readonly relay: Relay;
-  /** Who votes, by the newest configuration known here. */
+  /** The voters of the newest configuration known here. */
   quorum(): Quorum;
   /** Whether this node leads and has read the complete state: it then reads the list as the leader. */
   isServing(): boolean;
@@ -22,17 +22,17 @@
   send(to: string, message: Message): void;
 }
 
-/** Without a sign of a serving leader for so long the list is read here: two renewals of its lease are missing. */
+/** A voter reads the list after this time without evidence of a serving leader: two lease renewals are missing. */
 export const LEADERLESS_MS = 600;
-/** By how much later each further voter begins, in the order of the voters, and all of them at most. */
+/** Delay between the starts of successive voters, in the order of the voters, and the limit of the delays of all voters. */
 const STAGGER_MS = 150;
 const MAX_STAGGER_MS = 600;
 /** Interval at which one voter reads, and how much longer the others wait for its notification. */
 const READ_INTERVAL_MS = 1000;
 const PEER_SLACK_MS = 250;
-/** A failed reading is retried after twice the time, up to this. */
+/** The interval doubles after each failed read, up to this maximum. */
 const MAX_BACKOFF_MS = 4000;
-/** Ticks come every 50 ms; after a gap longer than this, messages that arrived meanwhile are handled before a decision. */
+/** Ticks come every 50 ms; after a longer gap than this, no read begins before the messages received meanwhile are handled. */
 const EVENT_LOOP_STALL_MS = 400;
 
 /**
@@ -42,7 +42,7 @@
 export class DrainingRunnersReader {
   readonly #host: DrainingRunnersHost;
   readonly #runners = new DrainingRunnerIds();
-  /** The last sign that a leader serves. */
+  /** When there was last evidence of a serving leader. */
   #lastServedAt: Moment;
   #lastTickAt: Moment;
   #nextReadAt: Moment;
@@ -61,6 +61,7 @@
     return this.#reads;
   }
 
+  /** Begins to read the list if no leader is known to serve and a read is due. */
   tick(now: Moment): void {
     this.#runners.tick(now);
     const wasStalled = now - this.#lastTickAt > EVENT_LOOP_STALL_MS;
@@ -69,25 +70,25 @@
     if (wasStalled || now < this.#nextReadAt || !this.#isReadDue(now)) return;
     this.#reads += 1;
     this.#nextReadAt = later(now, this.#backoffMs);
-    // Until its result arrives, this reading counts as failed.
+    // This read counts as failed until its result arrives.
     this.#backoffMs = Math.min(MAX_BACKOFF_MS, this.#backoffMs * 2);
     this.#host.pollRunnerList();
   }
 
-  /** The list was read here as the serving leader: after its epoch this node waits as if it had read it as any voter. */
+  /** This node read the list as the serving leader. Once its epoch ends, it waits the usual interval before it reads again. */
   onListReadAsLeader(now: Moment): void {
     this.#backoffMs = READ_INTERVAL_MS;
     this.#nextReadAt = later(now, READ_INTERVAL_MS);
   }
 
-  /** The list was read here while this node does not serve. */
+  /** This node read the list while it does not serve. */
   onRunnerList(now: Moment, runners: readonly ListedRunner[]): void {
     this.#backoffMs = READ_INTERVAL_MS;
     this.#nextReadAt = moment(Math.min(this.#nextReadAt, later(now, READ_INTERVAL_MS)));
     const ids: string[] = [];
     for (const runner of runners) if (runner.isLeaving) ids.push(runner.id);
     this.#addAndForward(now, ids);
-    // The complete set, even if empty: it also says that the other voters need not read the list.
+    // The complete set, even if it is empty: it also notifies the other voters that they need not read the list.
     for (const voter of this.#host.quorum().all)
       if (voter !== this.#host.me) this.#notify(voter, this.#runners.ids);
   }
@@ -96,25 +97,25 @@
   onDrainingRunners(now: Moment, from: string, runners: readonly string[]): void {
     this.#addAndForward(now, runners);
     if (!this.#isVoter(from)) return;
-    // That voter has just read the list: this node reads it only if the other stops.
+    // That voter has just read the list: this node reads it only once the other one no longer does.
     this.#backoffMs = READ_INTERVAL_MS;
     this.#nextReadAt = later(now, READ_INTERVAL_MS + PEER_SLACK_MS + this.#staggerMs());
   }
 
-  /** A child requested updates: ids that did not reach it are sent again. */
+  /** A child requested updates; the ids that it lacks are sent again. */
   onUpdateRequest(from: string, have: readonly KnownVersion[]): void {
-    // To a voter this would say that the list was read just now.
+    // A voter would conclude that the list has just been read.
     if (this.#isVoter(from)) return;
     const runners = this.#runners.missingFrom(have);
     if (runners.length > 0) this.#notify(from, runners);
   }
 
   #addAndForward(now: Moment, ids: readonly string[]): void {
-    const fresh = this.#runners.add(now, ids);
-    if (fresh.length === 0) return;
+    const added = this.#runners.add(now, ids);
+    if (added.length === 0) return;
     // While this node leads without serving, voters are its children too: they are notified as voters.
     for (const child of this.#host.children())
-      if (!this.#isVoter(child)) this.#notify(child, fresh);
+      if (!this.#isVoter(child)) this.#notify(child, added);
   }
 
   #notify(to: string, runners: readonly string[]): void {
@@ -138,17 +139,17 @@
       this.#lastServedAt = elector.leaderLastHeardAt;
   }
 
-  /** Whether a reading is due here; never at a node that is no voter, which gets no lease renewals. */
+  /** Whether a read is due at this node; never if it is not a voter, since it then gets no lease renewals. */
   #isReadDue(now: Moment): boolean {
     return (
       this.#isVoter(this.#host.me) && now - this.#lastServedAt >= LEADERLESS_MS + this.#staggerMs()
     );
   }
 
-  /** Voters are staggered by their index, so that usually one of them reads and notifies the others. */
+  /** The delay of this voter, by its index: usually one voter reads the list first and notifies the others. */
   #staggerMs(): number {
     const { all } = this.#host.quorum();
-    const place = Math.max(0, all.indexOf(nodeId(this.#host.me)));
-    return place * Math.min(STAGGER_MS, MAX_STAGGER_MS / all.length);
+    const index = Math.max(0, all.indexOf(nodeId(this.#host.me)));
+    return index * Math.min(STAGGER_MS, MAX_STAGGER_MS / all.length);
   }
 }
--- a/src/control/effect-queue.ts
+++ b/src/control/effect-queue.ts
@@ -3,7 +3,7 @@
 import type { CoreLogEvent } from './control-log-event.js';
 import type { CommandAnswer, Origin } from './command-answers.js';
 
-/** The effects that a control node's core has decided on and its host has not yet fetched, in order. */
+/** The effects that the core of a control node requested and its host has not fetched yet, in order. */
 export class EffectQueue {
   #pending: ControlEffect[] = [];
 
@@ -12,17 +12,17 @@
     this.#pending.push(effect);
   }
 
-  /** Sends a message to another node. */
+  /** Appends a `send` effect: a message to another node. */
   send(to: string, message: Message): void {
     this.add({ do: 'send', to, message });
   }
 
-  /** Writes a log event. */
+  /** Appends a `log` effect. */
   log(event: CoreLogEvent): void {
     this.add({ do: 'log', event });
   }
 
-  /** Answers a command where it came from: this node's own API, or the node that forwarded it. */
+  /** Answers a command at its origin: this node's own API, or the node that forwarded the command. */
   answer(origin: Origin, answer: CommandAnswer): void {
     if (origin.from === '') this.add({ do: 'reply', id: origin.id, ...answer });
     else this.send(origin.from, { kind: 'commandReply', id: origin.id, ...answer });
