--- a/src/control/followed-voters.ts
+++ b/src/control/followed-voters.ts
@@ -13,7 +13,7 @@
   readonly body: string;
 }
 
-/** Where configurations are found, and what has to follow the voters that they name. */
+/** The sources of configurations, and the components that use the voters named in them. */
 export interface VoterSources {
   readonly elector: Elector;
   readonly state: ReplicatedState;
@@ -26,17 +26,17 @@
 export class FollowedVoters {
   readonly #sources: VoterSources;
   #quorum: Quorum;
-  /** The configuration whose voters are followed. */
-  #followed = '';
+  /** The text of the configuration that was applied last. */
+  #appliedConfig = '';
   /** The newest configuration read while taking over the leadership, if it names other voters. */
-  #read: VersionedConfig | undefined;
+  #configRead: VersionedConfig | undefined;
 
   constructor(seeds: Quorum, sources: VoterSources) {
     this.#quorum = seeds;
     this.#sources = sources;
   }
 
-  /** The voters that decide now. */
+  /** The voters in effect, in one set or in the two sets of a joint configuration. */
   get quorum(): Quorum {
     return this.#quorum;
   }
@@ -44,13 +44,13 @@
   /** Applies the voters of the newest configuration, if it changed. */
   follow(): void {
     const body = this.#newestConfig();
-    if (body === this.#followed) return;
-    this.#followed = body;
+    if (body === this.#appliedConfig) return;
+    this.#appliedConfig = body;
     const quorum = quorumOf(body);
     if (quorum) this.useQuorum(quorum);
   }
 
-  /** From here on these voters decide, in elections and in the replicated state. */
+  /** Puts these voters into effect, for elections and for the replicated state. */
   useQuorum(quorum: Quorum): void {
     if (quorum.text === this.#quorum.text) return;
     this.#quorum = quorum;
@@ -61,19 +61,19 @@
 
   /** A configuration was read from a majority while taking over the leadership. */
   onConfigRead(config: VersionedConfig): void {
-    this.#read = config;
+    this.#configRead = config;
   }
 
-  /** This node no longer takes over: what it read is no longer followed. */
+  /** This node no longer takes over: the configuration that it read is ignored from now on. */
   clearConfigRead(): void {
-    this.#read = undefined;
+    this.#configRead = undefined;
   }
 
-  /** The newest of the local replica, the published one, and the one read while taking over. */
+  /** The newest of three configurations: in the local replica, published, and read while taking over. */
   #newestConfig(): string {
     let version = this.#sources.state.versionOf(CONFIG_PARTITION);
     let body = this.#sources.state.replicaBody(CONFIG_PARTITION);
-    for (const other of [this.#sources.relay?.latest('config'), this.#read]) {
+    for (const other of [this.#sources.relay?.latest('config'), this.#configRead]) {
       if (!other || !isNewer(other.version, version)) continue;
       version = other.version;
       body = other.body;
--- a/src/control/known-members.ts
+++ b/src/control/known-members.ts
@@ -12,35 +12,35 @@
 
 /** Allowance, in milliseconds, for clock drift and message delay: past the bound plus this, an unconfirmed member is stale. */
 const FRESHNESS_SLACK_MS = 200;
-/** Stands for members that cannot be known; it acknowledges nothing. */
-const UNKNOWN: MemberVersion = { id: 'unknown', zone: '', address: '', epoch: 0, count: 0 };
+/** Placeholder for members that this node cannot know; it never acknowledges anything. */
+const UNKNOWN_MEMBER: MemberVersion = { id: 'unknown', zone: '', address: '', epoch: 0, count: 0 };
 
-/** The members (agents and their proxies) that may still work by an older configuration, and what each acknowledged. */
+/** The members (agents and their proxies) that may still use an older configuration, and the version that each acknowledged. */
 export class KnownMembers {
   readonly #sessions: Sessions;
   readonly #freshnessBoundMs: number;
-  /** Until then there may be unknown members: ones confirmed fresh through this node before its process started. */
+  /** Unknown members may exist until then: members that were confirmed fresh through this node before its process started. */
   readonly #unknownUntil: Moment;
-  /** When each member last requested a confirmation through this node, with a session here or not. */
+  /** When each member last requested a confirmation through this node, whether it has a session here or not. */
   readonly #requestedAt = new Map<string, Moment>();
   /** The members of other control nodes, as those reported them, by node. */
   readonly #reportedByNode = new Map<string, ReportedMembers>();
   readonly #acked = new Map<string, Version>();
 
-  /** A member not confirmed fresh within `freshnessBoundMs` rejects new work. */
+  /** A member that was not confirmed fresh within `freshnessBoundMs` rejects new work. */
   constructor(sessions: Sessions, freshnessBoundMs: number, now: Moment) {
     this.#sessions = sessions;
     this.#freshnessBoundMs = freshnessBoundMs;
     this.#unknownUntil = later(now, freshnessBoundMs + FRESHNESS_SLACK_MS);
   }
 
-  /** Forgets members that have been silent for twice the freshness bound. */
+  /** Removes members that have been silent for twice the freshness bound. */
   tick(now: Moment): void {
-    const rememberMs = this.#freshnessBoundMs * 2;
+    const retentionMs = this.#freshnessBoundMs * 2;
     for (const [id, at] of this.#requestedAt)
-      if (now - at > rememberMs) this.#requestedAt.delete(id);
-    for (const [node, heard] of this.#reportedByNode)
-      if (now - heard.at > rememberMs) this.#reportedByNode.delete(node);
+      if (now - at > retentionMs) this.#requestedAt.delete(id);
+    for (const [node, report] of this.#reportedByNode)
+      if (now - report.at > retentionMs) this.#reportedByNode.delete(node);
   }
 
   /** These members requested a freshness confirmation through this node. */
@@ -59,12 +59,12 @@
       this.#acked.set(id, { epoch: version.epoch, count: version.count });
   }
 
-  /** The newest configuration that a member acknowledged, or else the one that it reported. */
+  /** The newest version of the configuration that a member acknowledged, or else the version that it reported. */
   ackedBy(member: MemberVersion): Version {
     return this.#acked.get(member.id) ?? member;
   }
 
-  /** Members with a present or recent session here, and those recently confirmed fresh through this node. */
+  /** Members with a current or recent session here, and those that recently requested a confirmation through this node. */
   own(): MemberVersion[] {
     const list = [...this.#sessions.recentMembers()];
     const ids = new Set<string>();
@@ -74,30 +74,33 @@
     return list;
   }
 
-  /** All known members; one may occur more than once. */
+  /** All known members; a member may occur more than once. */
   all(): MemberVersion[] {
     const list = this.own();
-    for (const heard of this.#reportedByNode.values()) list.push(...heard.members);
+    for (const report of this.#reportedByNode.values()) list.push(...report.members);
     return list;
   }
 
-  /** All known members, and after a start one that never acknowledges: a commit is then in force only once all others are stale. */
+  /**
+   * All known members, and soon after a start an unknown one that never acknowledges: a commit is then in force only once
+   * each member that has not acknowledged it is stale.
+   */
   possible(now: Moment): MemberVersion[] {
     const list = this.all();
-    if (now < this.#unknownUntil) list.push(UNKNOWN);
+    if (now < this.#unknownUntil) list.push(UNKNOWN_MEMBER);
     return list;
   }
 
-  /** How many members are known, at least one. */
+  /** The number of known members, at least 1. */
   count(): number {
     const ids = new Set<string>();
     for (const member of this.all()) ids.add(member.id);
     return Math.max(1, ids.size);
   }
 
-  /** Whether no member works by an older configuration than the committed one any more. */
+  /** Whether no member uses a configuration older than the committed one any more. */
   isInForce(now: Moment, commit: Commit): boolean {
-    // Whoever has not acknowledged by then was last confirmed fresh before the commit, so that it rejects new work.
+    // After this time a member that has not acknowledged was last confirmed fresh before the commit, so it rejects new work.
     return (
       now >= later(commit.at, this.#freshnessBoundMs + FRESHNESS_SLACK_MS) ||
       this.#haveAllAcked(commit.members, commit.version)
