--- a/src/control/leadership.ts
+++ b/src/control/leadership.ts
@@ -1,5 +1,5 @@
 /**
- * The leadership that this node has acted upon. The elector may already have decided otherwise; the takeover follows it
+ * The leadership that this node has applied. The elector may already be in another state; `Takeover` applies its state
  * after each input.
  */
 export class Leadership {
@@ -11,18 +11,18 @@
     return this.#epoch;
   }
 
-  /** Whether the complete state was read from a majority and rewritten in this epoch. Nothing is answered before. */
+  /** Whether the complete state was read from a majority and rewritten in this epoch; this node answers nothing before. */
   get isServing(): boolean {
     return this.#isServing;
   }
 
-  /** Begins to lead in an epoch, without serving yet; 0 ends the leadership. */
+  /** Begins to lead in an epoch, without serving yet; an epoch of 0 ends the leadership. */
   begin(epoch: number): void {
     this.#epoch = epoch;
     this.#isServing = false;
   }
 
-  /** The state was taken over: from now on this node serves. */
+  /** Begins to serve: this node has taken over the state. */
   serve(): void {
     this.#isServing = true;
   }
--- a/src/control/lease.ts
+++ b/src/control/lease.ts
@@ -1,17 +1,17 @@
-/** What the lease allows the sender of orders: right before an order is written, and while it is in flight. */
+/** Checks of the lease by the sender of orders: right before an order is written, and while it is in flight. */
 
 import type { Moment } from '../common/ids.js';
 
-/** The lease of the node that orders runners. */
+/** The lease of the leader, without which no orders may be sent to runners. */
 export interface Lease {
   /** Whether the node leads, serves and holds the lease at this moment. */
   mayOrder(now: Moment): boolean;
-  /** Until when orders may be sent, unless the lease is renewed. */
+  /** When the lease ends unless it is renewed; no order may be sent after that. */
   leaseEnd(): Moment;
 }
 
 /**
- * No order is written within this time, in milliseconds, before the lease ends, and one in flight is cancelled then. It
+ * No order is written within this time, in milliseconds, before the lease ends, and one in flight is canceled then. It
  * is longer than a runner may take to accept an order (`ACCEPT_WITHIN_MS`): an order that was checked right before it
  * was written is accepted within the lease, even if this process was suspended in between.
  */
--- a/src/control/leased-send.ts
+++ b/src/control/leased-send.ts
@@ -4,35 +4,35 @@
 import type { Moment } from '../common/ids.js';
 import { mayWrite, remainingOrderTimeMs, type Lease } from './lease.js';
 
-/** How a call within the lease ended. */
+/** The result of a call that was made within the lease. */
 export interface LeasedResponse {
-  /** HTTP status of the response; undefined if none came. */
+  /** The HTTP status of the response; `undefined` if there was none. */
   readonly status: number | undefined;
   /** Whether anything was written: if so, the call may have had its effect. */
   readonly isWritten: boolean;
 }
 
-/** Nothing is written on a connection that was not made within this time. */
+/** Nothing is written on a connection that was not established within this time. */
 export const CONNECT_TIMEOUT_MS = 500;
-/** A call without a response ends after so long, or earlier with the lease. */
+/** A call without a response ends after this time, or earlier if the lease ends. */
 export const RESPONSE_TIMEOUT_MS = 1000;
-/** A longer body of a response is not read to its end. */
+/** A response body is not read beyond this size. */
 const MAX_RESPONSE_BYTES = 65_536;
 
 /**
- * Sends a call that only the holder of the lease may make. The connection is made first, so that the lease is checked
- * right before the first byte is written. Never rejects.
+ * Sends a request that only the holder of the lease may send. The connection is established first, so that the lease is
+ * checked right before the first byte is written. The returned promise never rejects.
  */
 export function sendWithinLease(
-  sent: ClientRequest,
+  request: ClientRequest,
   body: string,
   lease: Lease,
   now: () => Moment,
 ): Promise<LeasedResponse> {
-  return new LeasedCall(sent, body, lease, now).run();
+  return new LeasedCall(request, body, lease, now).run();
 }
 
-/** One call on its own connection. */
+/** One request on its own connection. */
 class LeasedCall {
   readonly #request: ClientRequest;
   readonly #body: string;
@@ -42,8 +42,8 @@
   #resolve: ((response: LeasedResponse) => void) | undefined;
   #isWritten = false;
 
-  constructor(sent: ClientRequest, body: string, lease: Lease, now: () => Moment) {
-    this.#request = sent;
+  constructor(request: ClientRequest, body: string, lease: Lease, now: () => Moment) {
+    this.#request = request;
     this.#body = body;
     this.#lease = lease;
     this.#now = now;
@@ -57,14 +57,14 @@
   }
 
   #start(): void {
-    const sent = this.#request;
-    sent.once('socket', (socket: Socket) => this.#onSocket(socket));
-    sent.once('response', (response: IncomingMessage) => void this.#onResponse(response));
-    sent.on('error', () => this.#end(undefined));
-    const limitMs = Math.min(RESPONSE_TIMEOUT_MS, remainingOrderTimeMs(this.#lease, this.#now()));
+    const request = this.#request;
+    request.once('socket', (socket: Socket) => this.#onSocket(socket));
+    request.once('response', (response: IncomingMessage) => void this.#onResponse(response));
+    request.on('error', () => this.#end(undefined));
+    const timeoutMs = Math.min(RESPONSE_TIMEOUT_MS, remainingOrderTimeMs(this.#lease, this.#now()));
     this.#timers.push(
       setTimeout(() => this.#onConnectTimeout(), CONNECT_TIMEOUT_MS),
-      setTimeout(() => this.#end(undefined), limitMs),
+      setTimeout(() => this.#end(undefined), timeoutMs),
     );
   }
 
@@ -87,7 +87,7 @@
     try {
       await readBody(response, MAX_RESPONSE_BYTES);
     } catch {
-      // The status alone is the result; a body that breaks off changes nothing.
+      // Only the status matters: an incomplete body does not change the result.
     }
     this.#end(response.statusCode ?? 0);
   }
