--- a/src/control/member-messages.ts
+++ b/src/control/member-messages.ts
@@ -14,10 +14,10 @@
 import type { RelayTree } from './relay-tree.js';
 import type { UpdateExchange } from './update-exchange.js';
 
-/** The components that handle messages of members, and of other control nodes on their members. */
+/** The components that handle messages from members, and messages from other control nodes about their members. */
 export interface MemberMessageDependencies {
   readonly me: NodeId;
-  /** Whether this is a deployment: there freshness needs no confirmation, and agents are notified of all voters. */
+  /** Whether this is a deployment, where freshness needs no confirmation and agents are notified of all voters. */
   readonly isDeployed: boolean;
   readonly elector: Elector;
   readonly replicaStatus: ReplicaStatus;
@@ -43,15 +43,17 @@
 const DEPLOYED_REPORT_INTERVAL_MS = 500;
 const NEVER = moment(-1e12);
 
-/** Routes messages of agents, and messages of control nodes on what their agents have acknowledged and need. */
+/** Routes messages from agents, and messages from control nodes about the acknowledgements and demand of their agents. */
 export class MemberMessages {
   readonly #dependencies: MemberMessageDependencies;
-  readonly #reportMs: number;
+  readonly #reportIntervalMs: number;
   #reportedAt: Moment = NEVER;
 
   constructor(dependencies: MemberMessageDependencies) {
     this.#dependencies = dependencies;
-    this.#reportMs = dependencies.isDeployed ? DEPLOYED_REPORT_INTERVAL_MS : REPORT_INTERVAL_MS;
+    this.#reportIntervalMs = dependencies.isDeployed
+      ? DEPLOYED_REPORT_INTERVAL_MS
+      : REPORT_INTERVAL_MS;
   }
 
   /** Handles a message; returns false if it is not about members. */
@@ -99,7 +101,7 @@
   }
 
   #report(now: Moment): void {
-    if (now < later(this.#reportedAt, this.#reportMs)) return;
+    if (now < later(this.#reportedAt, this.#reportIntervalMs)) return;
     this.#reportedAt = now;
     const { tree, sessions, updates, effects } = this.#dependencies;
     tree.reassignParents();
@@ -135,23 +137,26 @@
   #onAcked(now: Moment, from: string, acknowledged: readonly MemberVersion[]): void {
     const { members, isDeployed } = this.#dependencies;
     for (const member of acknowledged) members.onAck(member.id, member);
-    // Without a deployment, quorum reads name the members that are alive.
+    // Otherwise quorum reads report the members that are alive.
     if (isDeployed) members.onMembersReported(now, from, acknowledged);
   }
 
-  /** From a child of the relay tree, an agent that cannot reach its parent, or, with a negative nonce, a peer that wants updates alone. */
+  /**
+   * From a child in the relay tree, from an agent that cannot reach its parent, or, with a negative nonce, from a peer that
+   * requests only updates.
+   */
   #onFreshnessRequest(now: Moment, from: string, message: FreshnessRequest): void {
     const { relay, updates, reads, drainingRunners, isDeployed } = this.#dependencies;
     const { nonce, members, have } = message;
     relay.onKnownVersions(from, have);
     drainingRunners?.onUpdateRequest(from, have);
     if (nonce < 0) updates.onUpdateRequest(from);
-    else if (isDeployed) this.#replyUnconfirmed(from, nonce);
+    else if (isDeployed) this.#replyWithoutConfirmation(from, nonce);
     else reads.confirmFreshness(now, { child: from, nonce, members });
   }
 
-  /** Freshness needs no confirmation in a deployment: the request was for updates, and the reply shows that we are alive. */
-  #replyUnconfirmed(to: string, nonce: number): void {
+  /** Freshness needs no confirmation in a deployment: the request was for updates, and the reply shows that this node is alive. */
+  #replyWithoutConfirmation(to: string, nonce: number): void {
     const version = this.#dependencies.relay.version('config');
     this.#dependencies.effects.send(to, { kind: 'freshnessReply', nonce, ...version, marks: 0 });
   }
--- a/src/control/state-messages.ts
+++ b/src/control/state-messages.ts
@@ -10,7 +10,7 @@
 import type { ReplicaRepair } from './replica-repair.js';
 import type { VoteStorage } from './vote-storage.js';
 
-/** The components that handle messages on the replicated state. */
+/** The components that handle messages about the replicated state. */
 export interface StateMessageDependencies {
   readonly elector: Elector;
   readonly state: ReplicatedState;
@@ -29,7 +29,7 @@
   { kind: 'read' | 'readReply' | 'write' | 'writeReply' | 'digest' | 'digestReply' }
 >;
 
-/** Routes messages between control nodes on the replicated state, and its completed disk writes. */
+/** Routes messages between control nodes about the replicated state, and its completed disk writes. */
 export class StateMessages {
   readonly #dependencies: StateMessageDependencies;
 
@@ -57,7 +57,7 @@
     }
   }
 
-  /** Requests the replicas that this node must read before it may count, and acts once there are enough. */
+  /** Requests the replicas that this node must read before it may count in majorities, and repairs its own once it has enough. */
   tick(now: Moment): void {
     const { replicaStatus, repair, voters, effects } = this.#dependencies;
     for (const { to, message } of replicaStatus.tick(now, voters.quorum)) effects.send(to, message);
@@ -70,7 +70,7 @@
     this.#dependencies.repair.onPersisted(now, partition);
   }
 
-  /** A read without an epoch is for a repair, by a node that does not count yet. */
+  /** A read without an epoch is for the repair of a node that may not count in majorities yet. */
   #onRead(now: Moment, from: NodeId, message: ReadMessage): void {
     if (message.epoch !== 0) {
       this.#onStateMessage(now, from, message);
@@ -95,12 +95,12 @@
 
   #onStateMessage(now: Moment, from: NodeId, message: PartitionMessage): void {
     const { state, members, replicaStatus } = this.#dependencies;
-    // Only the reply to a write names members.
-    const named = message.kind === 'write' ? members.possible(now) : [];
-    state.onMessage(now, from, message, this.#grantedEpoch(), named, replicaStatus.name);
+    // Only the reply to a write reports members.
+    const reportedMembers = message.kind === 'write' ? members.possible(now) : [];
+    state.onMessage(now, from, message, this.#grantedEpoch(), reportedMembers, replicaStatus.name);
   }
 
-  /** The epoch that this voter granted, persisted, and has not left since; 0 if there is none. */
+  /** The epoch that this voter has granted and persisted and is still in; 0 if there is none. */
   #grantedEpoch(): number {
     const { replicaStatus, elector, votes } = this.#dependencies;
     const isBinding = replicaStatus.name === 'sound' && votes.persistedGrant === elector.epoch;
