--- a/src/control/peer-idle-clock.ts
+++ b/src/control/peer-idle-clock.ts
@@ -4,8 +4,8 @@
 const EVENT_LOOP_STALL_MS = 400;
 
 /**
- * Measures how long peers have been idle. While this process was stalled it received nothing, which proves nothing about
- * its peers: their idle time counts from the end of the last stall.
+ * Measures how long peers have been idle. A stalled process receives nothing, so the silence of its peers during a stall
+ * means nothing: their idle time counts from the end of the last stall.
  */
 export class PeerIdleClock {
   #tickedAt: Moment;
@@ -22,7 +22,10 @@
     this.#tickedAt = now;
   }
 
-  /** Milliseconds since the peer was last heard, without our own stalls; 0 for a peer that was never pinged. */
+  /**
+   * Milliseconds since the peer was last heard, counted from the end of the last stall at the earliest; 0 for a peer that was
+   * never pinged.
+   */
   idleMs(now: Moment, heardAt: Moment | undefined): number {
     if (heardAt === undefined) return 0;
     return now - Math.max(heardAt, this.#runningSince);
