--- a/src/control/quorum-reads.ts
+++ b/src/control/quorum-reads.ts
@@ -20,7 +20,7 @@
 import type { TableManager } from './table-manager.js';
 import type { UpdateExchange } from './update-exchange.js';
 
-/** The components by which quorum reads are made and answered. */
+/** The components that quorum reads use. */
 export interface QuorumReadDependencies {
   readonly me: NodeId;
   readonly incarnation: number;
@@ -40,18 +40,18 @@
   readonly onConfirmation: (now: Moment, id: number, isNewest: boolean) => void;
 }
 
-/** What a quorum read that this node needs itself is for: a client's read, or the rejection of an edit. */
+/** The purpose of a quorum read that this node itself requests: a client's read, or the rejection of an edit. */
 type Purpose = { readonly do: 'read'; readonly origin: Origin } | { readonly do: 'refusal' };
 
 interface ReadReply {
   readonly version: Version;
   /** The revision of the list of machines; `marks` on the wire. */
-  readonly evacuations: number;
+  readonly machinesRevision: number;
 }
 
 interface PendingRead {
   readonly nonce: number;
-  /** The voters that are read from. */
+  /** The voters that are being read from. */
   readonly quorum: Quorum;
   readonly replies: Map<NodeId, ReadReply>;
 }
@@ -59,8 +59,8 @@
 type QuorumReadMessage = Extract<Message, { kind: 'quorumRead' }>;
 type QuorumReadReply = Extract<Message, { kind: 'quorumReadReply' }>;
 
-/** The `child` of a request that this node makes for itself. */
-const OWN = '';
+/** The `child` of a request by this node itself. */
+const OWN_REQUEST = '';
 
 /**
  * Reads the version of the newest configuration from a majority of the voters. That confirms the freshness of members,
@@ -79,24 +79,24 @@
     this.#confirmation = new FreshnessConfirmation(dependencies.incarnation);
   }
 
-  /** Requests a quorum read that begins after this call, for a rejection; returns its id. */
+  /** Requests a quorum read for a rejection; it begins after this call. Returns its id. */
   confirmRefusal(): number {
     return this.#request({ do: 'refusal' });
   }
 
-  /** Answers a client's read with the newest configuration, once a quorum read has proved it to be the newest. */
+  /** Answers a client's read with the newest configuration, once a quorum read has shown it to be the newest. */
   read(origin: Origin): void {
     this.#request({ do: 'read', origin });
   }
 
-  /** A member, or a control node on behalf of many, requests that its freshness is confirmed. */
+  /** A member, or a node on behalf of several members, requests a confirmation of its freshness. */
   confirmFreshness(now: Moment, request: ChildRequest): void {
     this.#dependencies.members.onRequest(now, request.members);
     this.#confirmation.enqueue(request);
     this.tick(now);
   }
 
-  /** Begins a quorum read if one is requested, or repeats the requests that have no reply yet. */
+  /** Begins a quorum read if one is requested, or repeats the unanswered requests of the one in flight. */
   tick(now: Moment): void {
     const { quorum } = this.#dependencies.voters;
     const nonce = this.#nextNonce(now, quorum);
@@ -108,8 +108,8 @@
   }
 
   #nextNonce(now: Moment, quorum: Quorum): number | undefined {
-    // Over slow links replies take longer than the retry interval, and those to a new nonce would never be in time: the read
-    // in flight goes on with the replies that it has. Another set of voters needs a new read.
+    // Over slow links replies take longer than the retry interval, and with a new nonce for each retry they would never be in
+    // time: the read in flight continues with the replies that it has. Another set of voters needs a new read.
     if (this.#inFlight?.quorum.text === quorum.text) return this.#confirmation.retry(now);
     return this.#confirmation.begin(now, this.#dependencies.elector.extraRoundTripMs);
   }
@@ -124,24 +124,26 @@
     }
   }
 
+  /** Another control node requests the version stored here; its message also reports its members. */
   onQuorumRead(now: Moment, from: string, message: QuorumReadMessage): void {
     this.#onMembers(now, from, message.members);
     const reply = this.#reply(now, message.nonce);
     if (reply) this.#dependencies.effects.send(from, reply);
   }
 
+  /** A voter replied to a quorum read: completes the read in flight once a majority has replied. */
   onQuorumReadReply(now: Moment, from: NodeId, message: QuorumReadReply): void {
     const read = this.#inFlight;
     if (!read || read.nonce !== message.nonce) return;
     const version = { epoch: message.epoch, count: message.count };
-    read.replies.set(from, { version, evacuations: message.marks });
+    read.replies.set(from, { version, machinesRevision: message.marks });
     if (!this.#dependencies.voters.quorum.isMajority(new Set(read.replies.keys()))) return;
     this.#inFlight = undefined;
     this.#complete(now, read.nonce, newestOf(read.replies.values()));
     this.tick(now);
   }
 
-  /** This node no longer leads: pending reads fail. Rejections are answered by the component that requested their confirmation. */
+  /** This node no longer leads: pending reads fail. A rejection is answered by the component that requested its confirmation. */
   abandon(): void {
     for (const purpose of this.#purposes.values())
       if (purpose.do === 'read') this.#reject(purpose.origin, 'the leader changed');
@@ -151,7 +153,7 @@
   #request(purpose: Purpose): number {
     this.#lastId += 1;
     this.#purposes.set(this.#lastId, purpose);
-    this.#confirmation.enqueue({ child: OWN, nonce: this.#lastId, members: [] });
+    this.#confirmation.enqueue({ child: OWN_REQUEST, nonce: this.#lastId, members: [] });
     return this.#lastId;
   }
 
@@ -165,14 +167,14 @@
     if (reply) this.onQuorumReadReply(now, this.#dependencies.me, reply);
   }
 
-  /** The version stored at this node; `undefined` while it cannot tell. */
+  /** The reply with the version stored at this node; `undefined` while this node must not reply. */
   #reply(now: Moment, nonce: number): QuorumReadReply | undefined {
     const { replicaStatus, state, table, updates, needsMachines } = this.#dependencies;
-    // A node that lost its disk, or whose partition is corrupt, may have acknowledged a newer version than it can tell.
+    // A node that lost its disk, or whose partition is corrupt, may have acknowledged a newer version than it has now.
     if (replicaStatus.name !== 'sound' || state.corruptPartitions().includes(CONFIG_PARTITION))
       return undefined;
     const marks = table.machines.revision;
-    // Without a list we cannot tell which machines are leaving, though a node may have known before we started.
+    // Without a list this node does not know which machines are leaving, although a node may have known before this one started.
     if (needsMachines && marks === 0) {
       updates.requestMachineList(now);
       return undefined;
@@ -181,26 +183,27 @@
   }
 
   #complete(now: Moment, nonce: number, newest: ReadReply): void {
-    const { version, evacuations } = newest;
+    const { version, machinesRevision } = newest;
     for (const request of this.#confirmation.complete(nonce)) {
-      if (request.child === OWN) this.#onOwnReadDone(now, request.nonce, version);
+      if (request.child === OWN_REQUEST) this.#onOwnReadComplete(now, request.nonce, version);
       else
         this.#dependencies.effects.send(request.child, {
           kind: 'freshnessReply',
           nonce: request.nonce,
           ...version,
-          marks: evacuations,
+          marks: machinesRevision,
         });
     }
   }
 
-  /** `newest` is the newest version stored at a majority, committed or not. */
-  #onOwnReadDone(now: Moment, id: number, newest: Version): void {
+  /** `newest` is the newest version that a majority replied with, committed or not. */
+  #onOwnReadComplete(now: Moment, id: number, newest: Version): void {
     const purpose = this.#purposes.get(id);
     if (!purpose) return;
     this.#purposes.delete(id);
     const { leadership } = this.#dependencies;
-    // In our epoch only we commit: if no later epoch was seen, the newest that we know to be committed is the newest of all.
+    // Only this node commits in its epoch: if no later epoch was seen, the newest version that it knows to be committed is the
+    // newest of all.
     const isNewest = leadership.isServing && newest.epoch <= leadership.epoch;
     if (purpose.do === 'refusal') this.#dependencies.onConfirmation(now, id, isNewest);
     else this.#answerRead(purpose.origin, newest, isNewest);
@@ -209,9 +212,9 @@
   #answerRead(origin: Origin, newest: Version, isNewest: boolean): void {
     const { leadership, relay, effects } = this.#dependencies;
     const item = relay.latest('config');
-    const isOurs = isNewest && item?.version.epoch === leadership.epoch;
-    if (!leadership.isServing || !item || (!isOurs && isNewer(newest, item.version)))
-      this.#reject(origin, 'a newer configuration is being written; ask again');
+    const isOfOwnEpoch = isNewest && item?.version.epoch === leadership.epoch;
+    if (!leadership.isServing || !item || (!isOfOwnEpoch && isNewer(newest, item.version)))
+      this.#reject(origin, 'a newer configuration is being written; retry the read');
     else effects.answer(origin, { status: 200, body: item.body });
   }
 
@@ -222,10 +225,10 @@
 
 function newestOf(replies: Iterable<ReadReply>): ReadReply {
   let version = NO_VERSION;
-  let evacuations = 0;
+  let machinesRevision = 0;
   for (const reply of replies) {
     if (isNewer(reply.version, version)) version = reply.version;
-    evacuations = Math.max(evacuations, reply.evacuations);
+    machinesRevision = Math.max(machinesRevision, reply.machinesRevision);
   }
-  return { version, evacuations };
+  return { version, machinesRevision };
 }
