--- a/src/control/relay-tree.ts
+++ b/src/control/relay-tree.ts
@@ -4,25 +4,25 @@
 import type { Sessions } from '../dissemination/sessions.js';
 import type { EffectQueue } from './effect-queue.js';
 
-/** What the relay tree is made from, and what it feeds. */
+/** The components that the relay tree is computed from, and those that it updates. */
 export interface RelayTreeDependencies {
   readonly sessions: Sessions;
   readonly relay: Relay;
   readonly effects: EffectQueue;
-  /** The other control nodes that get updates from here as well. */
+  /** The other control nodes that get their updates from this node as well. */
   readonly controlNodeChildren: () => readonly string[];
 }
 
 type JoinMessage = Extract<Message, { kind: 'join' }>;
 
-/** The tree along which agents relay updates: assigns each its parent, and makes those without one children of this node. */
+/** The tree that agents relay updates along: assigns each agent its parent, and makes agents without one children of this node. */
 export class RelayTree {
   readonly #dependencies: RelayTreeDependencies;
   readonly #parentOf = new Map<string, string>();
   #children: ReadonlySet<string> = new Set();
 
-  constructor(parts: RelayTreeDependencies) {
-    this.#dependencies = parts;
+  constructor(dependencies: RelayTreeDependencies) {
+    this.#dependencies = dependencies;
   }
 
   /** The parent of an agent: '' for a child of this node, and for an unknown agent. */
@@ -30,22 +30,22 @@
     return this.#parentOf.get(id) ?? '';
   }
 
-  /** Whether a node gets its updates from here. */
+  /** Whether a node gets its updates from this node. */
   isChild(id: string): boolean {
     return this.#children.has(id);
   }
 
-  /** The nodes that get their updates from here. */
+  /** The nodes that get their updates from this node. */
   children(): Iterable<string> {
     return this.#children;
   }
 
-  /** An agent joined, or joins again because its parent is unreachable. */
+  /** An agent joined, or joined again because its parent is unreachable. */
   onJoin(now: Moment, from: string, message: JoinMessage): void {
     const { sessions, effects } = this.#dependencies;
     sessions.onJoin(now, from, message.zone, message.address, message);
     if (message.lost !== '') sessions.onUnreachable(now, message.lost);
-    // The tree is costly with many sessions: it is computed here only where this message may change it, else at the tick.
+    // With many sessions the tree is costly to compute: here only if this message may change it, otherwise at the periodic report.
     if (!this.#parentOf.has(from) || message.lost !== '') this.reassignParents();
     effects.send(from, { kind: 'assignParent', parent: this.parentOf(from) });
   }
@@ -56,13 +56,13 @@
     this.#dependencies.relay.removeChild(id);
   }
 
-  /** Computes the tree anew, and notifies agents whose parent changed. */
+  /** Recomputes the tree, and notifies the agents whose parent changed. */
   reassignParents(): void {
     const tree = this.#dependencies.sessions.relayParents();
     const children: string[] = [];
     for (const [id, parent] of tree) {
-      const before = this.#parentOf.get(id);
-      if (before !== undefined && before !== parent)
+      const previousParent = this.#parentOf.get(id);
+      if (previousParent !== undefined && previousParent !== parent)
         this.#dependencies.effects.send(id, { kind: 'assignParent', parent });
       this.#parentOf.set(id, parent);
       if (parent === '') children.push(id);
--- a/src/control/update-exchange.ts
+++ b/src/control/update-exchange.ts
@@ -10,7 +10,7 @@
 import type { RelayTree } from './relay-tree.js';
 import type { TableManager } from './table-manager.js';
 
-/** Where updates come from and go to. */
+/** The components that updates come from and go to. */
 export interface UpdateExchangeDependencies {
   readonly me: NodeId;
   readonly relay: Relay;
@@ -32,32 +32,32 @@
 const UPDATES_ONLY_NONCE = -1;
 const NEVER = moment(-1e12);
 
-/** Updates of the topics that every node gets: received, forwarded, and requested where they are missing. */
+/** Receives, forwards and requests updates of the topics that every node gets. */
 export class UpdateExchange {
   readonly #dependencies: UpdateExchangeDependencies;
   #machineListRequestedAt: Moment = NEVER;
 
-  constructor(parts: UpdateExchangeDependencies) {
-    this.#dependencies = parts;
+  constructor(dependencies: UpdateExchangeDependencies) {
+    this.#dependencies = dependencies;
   }
 
-  /** Sends the children what they lack. */
+  /** Sends the children the updates that they lack. */
   flush(): void {
     const { relay, effects } = this.#dependencies;
     for (const { to, message } of relay.flush()) effects.send(to, message);
   }
 
-  /** Requests from a node whatever it has that is newer than ours. */
+  /** Requests from a node all updates that are newer than those known here. */
   request(from: string): void {
     this.#request(from, this.#dependencies.relay.knownVersions());
   }
 
-  /** Requests from every known member all that it has, as if nothing were known here. */
+  /** Requests all updates from every known member, as if nothing were known here. */
   requestAll(): void {
     for (const member of this.#dependencies.members.all()) this.#request(member.id, []);
   }
 
-  /** A node requested updates. One that is no child gets them once only: its own parent sends it all later ones. */
+  /** A node requested updates. A node that is not a child gets them only once: its own parent sends it all later ones. */
   onUpdateRequest(from: string): void {
     this.flush();
     if (!this.#dependencies.tree.isChild(from)) this.#dependencies.relay.removeChild(from);
@@ -76,7 +76,7 @@
       this.#dependencies.voters.follow();
   }
 
-  /** A delta arrived. Where it does not follow on the version known here, the missing updates are requested from its sender. */
+  /** A delta arrived. If its base is not the version known here, the missing updates are requested from its sender. */
   onDelta(from: string, message: DeltaMessage): void {
     const { relay } = this.#dependencies;
     const version = { epoch: message.epoch, count: message.count };
@@ -84,13 +84,13 @@
     if (isNewer(version, relay.version(message.topic))) this.request(from);
   }
 
-  /** The platform's list of machines arrived; it is used and forwarded if it is newer than the known one. */
+  /** A list of machines arrived, from the platform or another node; it is used and forwarded if it is newer than the known one. */
   onMachineList(machines: Machines): void {
     if (!this.#dependencies.table.onMachineList(machines)) return;
     const version = { epoch: 0, count: machines.revision };
     const body = JSON.stringify(machines);
     this.#dependencies.relay.offer('machines', version, body);
-    // Every node forwards a new list at once, leader or not: it says which machines are draining.
+    // Every node forwards a new list at once, leader or not, since it shows which machines are draining.
     for (const peer of this.#peers())
       this.#dependencies.effects.send(peer, {
         kind: 'update',
@@ -100,7 +100,7 @@
       });
   }
 
-  /** Requests the list of machines from agents and peers: after a start while the platform is unreachable they still know it. */
+  /** Requests the list of machines from agents and peers: they still know it if this node started while the platform was unreachable. */
   requestMachineList(now: Moment): void {
     if (now < later(this.#machineListRequestedAt, MACHINE_LIST_REQUEST_INTERVAL_MS)) return;
     this.#machineListRequestedAt = now;
