--- a/src/control/replica-repair.ts
+++ b/src/control/replica-repair.ts
@@ -8,7 +8,7 @@
 import type { FollowedVoters } from './followed-voters.js';
 import type { VoteStorage } from './vote-storage.js';
 
-/** The components that take part in a repair. */
+/** The components that a repair uses. */
 export interface RepairDependencies {
   readonly me: NodeId;
   readonly elector: Elector;
@@ -18,45 +18,45 @@
   readonly voters: FollowedVoters;
   readonly counters: ControlCounters;
   readonly effects: EffectQueue;
-  /** Whether a node that is no voter is repaired as well, as in a deployment. */
+  /** Whether spares exist: nodes that are not voters and are repaired as well, as in a deployment. */
   readonly hasSpares: boolean;
-  /** Applies what the election has decided in the meantime. */
+  /** Applies the effects that the election has requested in the meantime. */
   readonly drainEffects: (now: Moment) => void;
 }
 
-/** Partitions read for a repair that are not on disk yet. */
+/** A repair whose partitions are not all on disk yet. */
 interface PendingRepair {
   readonly epoch: number;
   readonly pending: Set<PartitionName>;
 }
 
 /**
- * Makes a replica healthy that may not count yet: it starts a new cluster, or stores the partitions that it read from its
- * peers. It counts once a vote record is on disk, which is written after all partitions.
+ * Makes a replica healthy that may not count in majorities yet: it starts a new cluster, or stores the partitions that it
+ * read from its peers. It counts once a vote record is on disk, which is written after all partitions.
  */
 export class ReplicaRepair {
   readonly #dependencies: RepairDependencies;
   #repair: PendingRepair | undefined;
-  /** This node counts once the vote record of this count is on disk. */
-  #healthyOnceStored: number | undefined;
+  /** This node counts in majorities once the vote record of this count is on disk. */
+  #healthyAtVoteCount: number | undefined;
 
   constructor(dependencies: RepairDependencies) {
     this.#dependencies = dependencies;
   }
 
-  /** Whether the outcome is decided, and not yet on disk. */
+  /** Whether the outcome is decided but not on disk yet. */
   get isInProgress(): boolean {
-    return this.#repair !== undefined || this.#healthyOnceStored !== undefined;
+    return this.#repair !== undefined || this.#healthyAtVoteCount !== undefined;
   }
 
-  /** Whether votes may be written: not before every partition is on disk. */
+  /** Whether votes may be written: only after every partition is on disk. */
   get mayPersistVotes(): boolean {
     return (
-      this.#dependencies.replicaStatus.name === 'sound' || this.#healthyOnceStored !== undefined
+      this.#dependencies.replicaStatus.name === 'sound' || this.#healthyAtVoteCount !== undefined
     );
   }
 
-  /** Starts a new cluster or begins to store a repair, if that is decided and not yet in progress. */
+  /** Starts a new cluster or begins to store the partitions read, if that is decided and not in progress yet. */
   resolve(now: Moment, outcome: ReplicaStatusOutcome | undefined): void {
     if (!outcome || this.isInProgress) return;
     if (outcome.become === 'founded') {
@@ -64,7 +64,7 @@
       this.#beginToVote(now, outcome.epoch);
     } else {
       this.#dependencies.effects.log({ event: 'replica read from peers', epoch: outcome.epoch });
-      // Only partitions newer than ours are stored, and waited for.
+      // Only partitions newer than those of this replica are stored and waited for.
       const pending = new Set(this.#dependencies.state.adopt(outcome.copies));
       this.#dependencies.voters.follow();
       this.#repair = { epoch: outcome.epoch, pending };
@@ -80,8 +80,8 @@
 
   /** A vote record is on disk. */
   onVotePersisted(version: Version): void {
-    if (this.#healthyOnceStored === undefined || version.count < this.#healthyOnceStored) return;
-    this.#healthyOnceStored = undefined;
+    if (this.#healthyAtVoteCount === undefined || version.count < this.#healthyAtVoteCount) return;
+    this.#healthyAtVoteCount = undefined;
     this.#dependencies.replicaStatus.resolve();
     this.#dependencies.effects.log({ event: 'replica became healthy' });
   }
@@ -92,12 +92,12 @@
     this.#repair = undefined;
     this.#dependencies.counters.countRepair();
     const { hasSpares, voters, me } = this.#dependencies;
-    // A spare has granted nothing that binds here: it joins the current epoch, and needs no election.
+    // A spare has granted no vote that could bind it here: it joins the current epoch and needs no election.
     this.#beginToVote(now, hasSpares && !voters.quorum.includes(me) ? 0 : repair.epoch);
   }
 
   #beginToVote(now: Moment, epoch: number): void {
-    this.#healthyOnceStored = this.#dependencies.votes.nextCount;
+    this.#healthyAtVoteCount = this.#dependencies.votes.nextCount;
     this.#dependencies.elector.setMayVote(true, { epoch, grantEpoch: 0, grantLeader: '' }, now);
   }
 }
--- a/src/control/takeover.ts
+++ b/src/control/takeover.ts
@@ -18,7 +18,7 @@
 import type { UpdateExchange } from './update-exchange.js';
 import type { VoterMembership } from './voter-membership.js';
 
-/** The components that begin and end their work with the leadership. */
+/** The components that a takeover uses, and those that begin or end their work with the leadership. */
 export interface TakeoverDependencies {
   readonly elector: Elector;
   readonly leadership: Leadership;
@@ -36,14 +36,14 @@
   readonly effects: EffectQueue;
 }
 
-/** How long the leader waits for members when it recovers the policy table from them. */
+/** How long the leader waits for updates from members when it recovers the policy table. */
 const RECOVERY_MS = 2000;
 
-/** Follows the elected leader: this node takes over the state when it is elected, and steps down when it no longer leads. */
+/** Applies the outcome of elections: this node takes over the state when it is elected, and steps down when it no longer leads. */
 export class Takeover {
   readonly #dependencies: TakeoverDependencies;
   #leader = '';
-  /** Whether members may have a newer configuration than any majority of the replicas. */
+  /** Whether members may have a newer configuration than every majority of the replicas. */
   #hasMissingWrites = false;
   #recoverUntil: Moment | undefined;
 
@@ -51,17 +51,17 @@
     this.#dependencies = dependencies;
   }
 
-  /** Whether the policy table is being recovered from the members; until then nothing is ordered or placed. */
+  /** Whether the policy table is being recovered from the members; meanwhile no orders are sent and nothing is placed. */
   get isRecovering(): boolean {
     return this.#recoverUntil !== undefined;
   }
 
-  /** An operator declared replicas as lost: newer configurations are requested from members before this node serves. */
+  /** An operator declared replicas as lost: newer configurations are requested from members when this node begins to serve. */
   expectMissingWrites(): void {
     this.#hasMissingWrites = true;
   }
 
-  /** Acts upon a change of the leader, if there was one. Called after every input and effect. */
+  /** Handles a change of the leader, if there was one. Called after every input and effect. */
   update(now: Moment): void {
     const { elector, leadership, state, tree } = this.#dependencies;
     this.#onLeader(elector.leader ?? '');
@@ -79,21 +79,21 @@
     const { leadership, document, membership, placement, effects } = this.#dependencies;
     leadership.serve();
     effects.log({ event: SERVING_STARTED, epoch: leadership.epoch });
-    const isFound = document.load();
-    // Only committed tables are published: one that was published and that no majority stores was lost with their disks.
+    const isConfigStored = document.load();
+    // Only committed tables are published: a published table that no majority stores was lost with the disks of voters.
     if (document.unstoredUpdate()) this.#hasMissingWrites = true;
     if (this.#hasMissingWrites) this.#beginRecovery(now);
     else document.publishLoaded();
     const docs = this.#readServices();
     if (membership) {
-      // Nodes that start later must find the voters stored, whatever seeds they are given.
-      if (!isFound) document.write(now, document.newest(), 0);
+      // Nodes that start later must find the voters in the stored configuration, whichever seeds they are given.
+      if (!isConfigStored) document.write(now, document.newest(), 0);
       membership.onTakeover();
     }
     placement.beginLeading(now, docs);
   }
 
-  /** Ends the recovery of the policy table when its time is over. */
+  /** Ends the recovery of the policy table once members had time to reply. */
   tick(now: Moment): void {
     if (this.#recoverUntil === undefined || now < this.#recoverUntil) return;
     if (this.#dependencies.leadership.isServing) this.#endRecovery(now);
--- a/src/control/vote-storage.ts
+++ b/src/control/vote-storage.ts
@@ -16,7 +16,7 @@
 
 /** The votes that a node finds on its disk when it starts. */
 export interface StoredVotes {
-  /** Whether the replica stored beside them may count in majorities. */
+  /** The status of the replica stored beside them, which says whether it may count in majorities. */
   readonly status: ReplicaStatusName;
   /** The count of the newest record; 0 if there is none. Counts grow with each record. */
   readonly count: number;
@@ -42,19 +42,19 @@
   readonly grantEpoch: number;
 }
 
-/** Writes this node's vote records to its disk, and knows which of them are persisted. */
+/** Writes this node's vote records to its disk, and tracks which of them are persisted. */
 export class VoteStorage {
   readonly #effects: EffectQueue;
-  /** By the count of the record. */
+  /** The records being written, by their counts. */
   readonly #pendingVotes = new Map<number, PendingVote>();
   #count: number;
   #persistedGrant: number;
 
-  /** `count` is that of the record on disk, `keptGrant` the epoch granted by it. */
-  constructor(effects: EffectQueue, count: number, keptGrant: number) {
+  /** `count` is the count of the record on disk, `persistedGrant` the epoch granted by it. */
+  constructor(effects: EffectQueue, count: number, persistedGrant: number) {
     this.#effects = effects;
     this.#count = count;
-    this.#persistedGrant = keptGrant;
+    this.#persistedGrant = persistedGrant;
   }
 
   /** The epoch granted by the newest record on disk; 0 if there is none. */
@@ -67,7 +67,7 @@
     return this.#count + 1;
   }
 
-  /** Writes a record; `onPersisted` returns its token once it is on disk. */
+  /** Writes a record; `onPersisted` passes on its token once the record is on disk. */
   persist(token: number, record: VoteRecord): void {
     this.#count += 1;
     this.#pendingVotes.set(this.#count, { token, grantEpoch: record.grantEpoch });
@@ -79,13 +79,13 @@
     });
   }
 
-  /** This record is on disk, and with it all before it; `kept` is told the token of each. */
-  onPersisted(version: Version, kept: (token: number) => void): void {
+  /** This record and all earlier ones are on disk; calls `onRecordPersisted` with the token of each. */
+  onPersisted(version: Version, onRecordPersisted: (token: number) => void): void {
     for (const [count, pending] of this.#pendingVotes) {
       if (count > version.count) continue;
       this.#pendingVotes.delete(count);
       if (count === version.count) this.#persistedGrant = pending.grantEpoch;
-      kept(pending.token);
+      onRecordPersisted(pending.token);
     }
   }
 }
