--- a/src/control/voter-handover.ts
+++ b/src/control/voter-handover.ts
@@ -1,15 +1,15 @@
 import { later, type Moment } from '../common/ids.js';
 
-/** How long a planned stop waits for a replacement: half of the time that a stop may take, the rest is for open requests. */
+/** How long a planned stop waits for a replacement: half of the time that a stop may take; the rest is for open requests. */
 const HANDOVER_TIMEOUT_MS = 4000;
-/** The leader replies at once: without a reply within this time, and without a known spare, there is no replacement. */
+/** The leader replies at once: if there is no reply within this time and no known spare, the voter will not be replaced. */
 const REPLY_TIMEOUT_MS = 600;
-/** How often the leader is notified: it may change in the meantime. */
+/** Interval between notifications; they are repeated since the leader may change. */
 const NOTIFY_INTERVAL_MS = 200;
 
 /**
- * The planned stop of a voter. It stays until a spare has replaced it, by way of a joint configuration, so that the number
- * of live voters never falls. It does not wait if no spare has announced itself.
+ * The planned stop of a voter. The voter stays until a spare has replaced it through a joint configuration, so that the
+ * number of live voters never falls. It does not wait if no spare has announced itself.
  */
 export class VoterHandover {
   readonly #beganAt: Moment;
@@ -21,12 +21,12 @@
     this.#beganAt = now;
   }
 
-  /** Whether the voter may stop: it is replaced, nobody can replace it, or the wait timed out. */
+  /** Whether the voter may stop: it is replaced, no spare can replace it, or the wait timed out. */
   get isOver(): boolean {
     return this.#isOver;
   }
 
-  /** Whether the leader has to be notified now that this voter is to stop. */
+  /** Whether a notification of the leader is due. */
   isNotifyDue(now: Moment): boolean {
     return this.#notifiedAt === undefined || now >= later(this.#notifiedAt, NOTIFY_INTERVAL_MS);
   }
@@ -36,13 +36,13 @@
     this.#notifiedAt = now;
   }
 
-  /** The leader's reply: whether the voter may stop, since it is replaced or nobody can replace it. */
+  /** The leader replied whether the voter may stop: it is replaced, or no spare can replace it. */
   onReply(mayStop: boolean): void {
     this.#hasReply = true;
     if (mayStop) this.#isOver = true;
   }
 
-  /** Ends the wait when it timed out; `hasSpare` says whether a spare is known here. */
+  /** Ends the wait once it timed out; `hasSpare` is whether a spare is known here. */
   tick(now: Moment, hasSpare: boolean): void {
     const hasNoReplacement =
       !this.#hasReply && !hasSpare && now >= later(this.#beganAt, REPLY_TIMEOUT_MS);
--- a/src/control/voter-membership.ts
+++ b/src/control/voter-membership.ts
@@ -13,7 +13,7 @@
 import { PeerIdleClock } from './peer-idle-clock.js';
 import { VoterPlan, type AnnouncedNode, type VotersChange, type VoterView } from './voter-plan.js';
 
-/** What the membership needs of its control node. */
+/** The parts of the control node that the membership uses. */
 export interface MembershipHost {
   readonly me: string;
   readonly zone: string;
@@ -25,7 +25,7 @@
   readonly replicaStatus: ReplicaStatus;
   /** The voters by the newest configuration known here. */
   readonly voters: { readonly quorum: Quorum };
-  /** All nodes to which this node has a connection or wants one. */
+  /** The ids of all nodes that this node needs a connection to. */
   peers(): readonly string[];
   /** Whether this node leads and has taken over the state. */
   readonly leadership: { readonly isServing: boolean };
@@ -34,9 +34,9 @@
   /** The zone of a control node; '' if unknown. */
   zoneOf(id: string): string;
   send(to: string, message: Message): void;
-  /** Rewrites all partitions but the configuration, so that they are stored at a majority of each set. */
+  /** Rewrites all partitions except the configuration, so that they are stored at a majority of each set. */
   rewritePartitions(now: Moment): void;
-  /** Writes a new set of voters, or two that form a joint configuration. */
+  /** Writes a new set of voters, or two sets that form a joint configuration. */
   writeVoters(now: Moment, change: VotersChange): void;
 }
 
@@ -44,7 +44,7 @@
 type LeaveMessage = Extract<Message, { kind: 'leave' }>;
 type LeaveReply = Extract<Message, { kind: 'leaveReply' }>;
 
-/** How often a spare announces itself, and for how long the announcement is valid. */
+/** How often a spare announces itself, and how long an announcement is valid. */
 const ANNOUNCE_INTERVAL_MS = 500;
 const ANNOUNCEMENT_TIMEOUT_MS = 1500;
 /** A voter without a leader for this long announces itself as well: it may have been removed. */
@@ -52,7 +52,7 @@
 const NEVER = moment(-1e12);
 
 /**
- * Changes the voters of a deployment: spares announce themselves, voters in a planned stop announce their departure, and
+ * Manages the voters of a deployment: spares announce themselves, voters in a planned stop announce their departure, and
  * the leader changes the set of voters accordingly.
  */
 export class VoterMembership implements VoterView {
@@ -64,7 +64,7 @@
   #handover: VoterHandover | undefined;
   #announcedAt: Moment = NEVER;
   #leaderSeenAt: Moment;
-  #hasVoted = false;
+  #wasVoter = false;
   #now: Moment;
 
   constructor(host: MembershipHost, now: Moment) {
@@ -74,41 +74,48 @@
     this.#now = now;
   }
 
-  // ---- what the plan is based on: `VoterView`
+  // ---- `VoterView`, the input of the plan
 
+  /** The id of this node. */
   get me(): string {
     return this.#host.me;
   }
+  /** The voters of the configuration as last written by this leader. */
   get voters(): readonly (readonly string[])[] {
     return this.#host.document().voters;
   }
+  /** The wanted number of voters, if departed ones were removed. */
   get voterCount(): number | undefined {
     return this.#host.document().seats;
   }
+  /** The nodes whose announcements are valid, in the order in which they first announced themselves. */
   get announced(): readonly AnnouncedNode[] {
     return [...this.#announced.values()];
   }
 
+  /** Milliseconds since the voter was last heard, from the end of this process's last stall at the earliest. */
   idleMs(voter: string): number {
     return this.#idleClock.idleMs(this.#now, this.#host.elector.lastHeardAt(nodeId(voter)));
   }
 
+  /** Whether the node is in a planned stop; it may be this node. */
   isLeaving(id: string): boolean {
     return this.#departing.has(id) || (id === this.me && this.#handover !== undefined);
   }
 
+  /** The zone of a voter; '' if unknown. */
   zoneOf(voter: string): string {
     return voter === this.me ? this.#host.zone : this.#host.zoneOf(voter);
   }
 
   // ---- inputs
 
-  /** This node has taken over the leadership: it cannot tell how far its predecessor came with a change. */
+  /** This node has taken over the leadership. It does not know how far its predecessor got with a change, so it starts over. */
   onTakeover(): void {
     this.#plan.reset();
   }
 
-  /** Announces this node if that is due, and continues or begins a change of voters at the leader. */
+  /** Announces this node if that is due, and at the leader continues or begins a change of voters. */
   tick(now: Moment): void {
     this.#now = now;
     this.#idleClock.tick(now);
@@ -120,7 +127,7 @@
     this.#changeVoters(now);
   }
 
-  /** A spare announced itself: it is remembered, sent a newer configuration, and reported to the leader. */
+  /** A spare announced itself: records it, sends it a newer configuration, and forwards the announcement to the leader. */
   onAnnounce(now: Moment, from: string, message: AnnounceMessage): void {
     const { id, zone, isFirst, isSound } = message;
     const host = this.#host;
@@ -129,7 +136,7 @@
     const config = host.relay.latest('config');
     if (config && from === id && isNewer(config.version, message))
       host.send(id, { kind: 'update', topic: 'config', ...config.version, body: config.body });
-    // Forwarded once: an announcement that another node forwarded is not forwarded again.
+    // An announcement that another node forwarded is not forwarded again.
     const leader = host.elector.leader;
     if (leader !== undefined && leader !== host.me && from === id) host.send(leader, message);
   }
@@ -143,17 +150,17 @@
     this.#host.send(from, { kind: 'leaveReply', mayStop: this.#mayStop(message.id) });
   }
 
-  /** The leader's reply to our own planned stop. */
+  /** The leader replied to the planned stop of this node. */
   onLeaveReply(message: LeaveReply): void {
     this.#handover?.onReply(message.mayStop);
   }
 
-  /** Whether a planned stop waits for a replacement. */
+  /** Whether a planned stop of this node is waiting for a replacement. */
   get isHandingOver(): boolean {
     return this.#handover !== undefined && !this.#handover.isOver;
   }
 
-  /** Begins or continues a planned stop; returns whether this node has to stay until it is replaced. */
+  /** Begins or continues a planned stop; returns whether this node has to wait until it is replaced. */
   mustStayVoter(now: Moment): boolean {
     const host = this.#host;
     if (!this.#handover) {
@@ -176,7 +183,7 @@
     return !handover.isOver;
   }
 
-  /** Whether this node is no voter as far as it knows, or knows no leader. */
+  /** Whether this node knows no leader, or is not a voter in the configuration that it knows. */
   #isWithoutLeader(): boolean {
     const { me } = this.#host;
     return (
@@ -191,7 +198,7 @@
   #announce(now: Moment): void {
     const host = this.#host;
     const isVoter = host.voters.quorum.includes(nodeId(host.me));
-    if (isVoter) this.#hasVoted = true;
+    if (isVoter) this.#wasVoter = true;
     // A node in a planned stop must not become a voter again.
     if (this.#handover || now < later(this.#announcedAt, ANNOUNCE_INTERVAL_MS)) return;
     if (isVoter && now < later(this.#leaderSeenAt, LEADERLESS_MS)) return;
@@ -203,8 +210,8 @@
       zone: host.zone,
       epoch,
       count,
-      // A node that was a voter before may have been replaced while it was away.
-      isFirst: host.isFirstStart && !this.#hasVoted,
+      // A node that was a voter before may have been replaced while it was down or isolated.
+      isFirst: host.isFirstStart && !this.#wasVoter,
       isSound: this.#isHealthy(),
     } as const;
     for (const peer of host.peers()) host.send(peer, message);
@@ -213,7 +220,7 @@
   #changeVoters(now: Moment): void {
     const host = this.#host;
     if (!host.leadership.isServing || host.state.isWriting(CONFIG_PARTITION)) return;
-    // The state must be on a majority of the new voters too before the new set alone decides.
+    // The state must be stored at a majority of the new voters before the new set alone decides.
     const isRewriting =
       this.voters.length === 2 &&
       allPartitions().some((partition) => host.state.isWriting(partition));
@@ -222,14 +229,14 @@
     else if (change.do === 'voters' && !isRewriting) host.writeVoters(now, change);
   }
 
-  /** Whether a voter in a planned stop is replaced, or nobody can replace it. */
+  /** Whether a voter in a planned stop is replaced, or no spare can replace it. */
   #mayStop(id: string): boolean {
-    const [current, following] = this.voters;
-    if (!current || following || this.#host.state.isWriting(CONFIG_PARTITION)) return false;
+    const [current, next] = this.voters;
+    if (!current || next || this.#host.state.isWriting(CONFIG_PARTITION)) return false;
     return !current.includes(id) || !this.#hasSpare(current);
   }
 
-  /** Whether a node announced itself that could become a voter, possibly after a repair. */
+  /** Whether some announced node could become a voter, possibly after a repair. */
   #hasSpare(voters: readonly string[]): boolean {
     for (const id of this.#announced.keys()) {
       if (!voters.includes(id) && !this.isLeaving(id)) return true;
--- a/src/control/voter-set-writer.ts
+++ b/src/control/voter-set-writer.ts
@@ -10,7 +10,7 @@
 import type { PartitionWriter } from './partition-writer.js';
 import type { VotersChange } from './voter-plan.js';
 
-/** The components by which a change of the voters is written. */
+/** The components that a change of the voters is written with. */
 export interface VoterSetDependencies {
   readonly elector: Elector;
   readonly state: ReplicatedState;
@@ -28,7 +28,7 @@
     this.#dependencies = dependencies;
   }
 
-  /** Writes a new set of voters, or two that form a joint configuration. */
+  /** Writes a new set of voters, or two sets that form a joint configuration. */
   writeVoters(now: Moment, change: VotersChange): void {
     const { document, effects, voters } = this.#dependencies;
     const doc = document.newest();
@@ -39,28 +39,28 @@
     });
     const seats = change.voterCount === undefined ? {} : { seats: change.voterCount };
     const changed = { ...doc, voters: change.voters.map((set) => [...set]), ...seats };
-    // A joint configuration decides from here on, also on its own commit. A single set applies once it is committed, so that
-    // the voters that are let go learn of it.
+    // A joint configuration takes effect at once, for its own commit too. A single set takes effect once it is committed, so
+    // that the removed voters learn of it.
     const joint = change.voters.length === 2 ? quorumOf(encodeConfigDoc(changed)) : undefined;
     if (joint) voters.useQuorum(joint);
     document.write(now, changed, 0);
   }
 
-  /** Rewrites all partitions but the configuration, so that they are stored at a majority of each set. */
+  /** Rewrites all partitions except the configuration, so that they are stored at a majority of each set. */
   rewritePartitions(now: Moment): void {
     const { writer, state } = this.#dependencies;
     for (const partition of allPartitions())
       if (partition !== CONFIG_PARTITION) writer.write(now, partition, state.body(partition), 0);
   }
 
-  /** Ends an operator's replacement of a voter: once all new voters take part in the quorum, the new set alone decides. */
+  /** Completes an operator's replacement of a voter: once all new voters take part in the quorum, the new set alone decides. */
   completeReplacement(now: Moment): void {
     const { document } = this.#dependencies;
     const doc = document.newest();
     const [, next] = doc.voters;
     if (doc.voters.length !== 2 || !next || document.isWriting) return;
-    const holders: ReadonlySet<NodeId> = this.#dependencies.elector.quorumMembers;
-    if (next.map(nodeId).every(holders.has, holders))
+    const quorumMembers: ReadonlySet<NodeId> = this.#dependencies.elector.quorumMembers;
+    if (next.map(nodeId).every(quorumMembers.has, quorumMembers))
       document.write(now, { ...doc, voters: [next] }, 0);
   }
 }
