--- a/src/control/effect-queue.test.ts
+++ b/src/control/effect-queue.test.ts
@@ -1,6 +1,6 @@
 import { expect, test } from 'vitest';
 import { EffectQueue } from './effect-queue.js';
-test('effects are drained once, in the order in which they came', () => {
+test('effects are drained once, in the order in which they were added', () => {
   const effects = new EffectQueue();
   effects.log({ event: 'leader changed', leader: 'a', epoch: 1 });
   effects.send('b', { kind: 'demand', body: '' });
@@ -12,7 +12,7 @@
   ]);
   expect(effects.drain()).toEqual([]);
 });
-test('a command is answered where it came from', () => {
+test('a command is answered at its origin', () => {
   const effects = new EffectQueue();
   const answer = { status: 200, body: '{}' };
   effects.answer({ from: '', id: 3 }, answer);
