--- a/src/control/followed-voters.test.ts
+++ b/src/control/followed-voters.test.ts
@@ -11,22 +11,22 @@
 
 const SEEDS = ['a', 'b', 'c'].map(nodeId);
 
-/** The first node, with a copy of the configuration that names `held`, as version 2.1. */
-function follower(held: readonly string[], relay: Relay | undefined): FollowedVoters {
-  return new FollowedVoters(new Quorum(SEEDS), sourcesOf(held, relay));
+/** At node `a`, whose replica has a configuration with the voters `storedVoters`, as version 2.1. */
+function followedVoters(storedVoters: readonly string[], relay: Relay | undefined): FollowedVoters {
+  return new FollowedVoters(new Quorum(SEEDS), sourcesOf(storedVoters, relay));
 }
 
-function sourcesOf(held: readonly string[], relay: Relay | undefined): VoterSources {
+function sourcesOf(storedVoters: readonly string[], relay: Relay | undefined): VoterSources {
   const quorum = new Quorum(SEEDS);
-  const stored = {
+  const storedConfig = {
     partition: CONFIG_PARTITION,
     version: { epoch: 2, count: 1 },
-    body: bodyOf(held),
+    body: bodyOf(storedVoters),
     isIntact: true,
   };
   return {
     elector: new Elector(nodeId('a'), quorum, VOTE_DEFAULTS, moment(0), undefined),
-    state: new ReplicatedState(nodeId('a'), quorum, allPartitions(), [stored]),
+    state: new ReplicatedState(nodeId('a'), quorum, allPartitions(), [storedConfig]),
     relay,
     counters: new ControlCounters(),
   };
@@ -35,9 +35,9 @@
 function bodyOf(voters: readonly string[]): string {
   return JSON.stringify({ voters: [voters] });
 }
-test('the voters of the newest configuration are followed, wherever it is known from', () => {
+test('the voters of the newest configuration are used, whichever source it comes from', () => {
   const relay = new Relay();
-  const voters = follower(['a', 'b', 'd'], relay);
+  const voters = followedVoters(['a', 'b', 'd'], relay);
   expect(voters.quorum.all).toEqual(SEEDS);
   voters.follow();
   expect(voters.quorum.all).toEqual(['a', 'b', 'd']);
@@ -52,18 +52,23 @@
   expect(voters.quorum.all).toEqual(['a', 'd', 'e']);
 });
 test('an older configuration changes nothing', () => {
-  const voters = follower(['a', 'b', 'd'], undefined);
+  const voters = followedVoters(['a', 'b', 'd'], undefined);
   voters.follow();
   voters.onConfigRead({ version: { epoch: 1, count: 9 }, body: bodyOf(['f']) });
   voters.follow();
   expect(voters.quorum.all).toEqual(['a', 'b', 'd']);
 });
-test('the same voters again are no change', () => {
+test('applying the same voters again is not counted as a change', () => {
   const sources = sourcesOf(['a', 'b', 'd'], undefined);
   const voters = new FollowedVoters(new Quorum(SEEDS), sources);
   voters.follow();
   voters.follow();
   voters.useQuorum(new Quorum(['a', 'b', 'd'].map(nodeId)));
-  const own = { electionsStarted: 0, votesGranted: 0, copiesMended: 0, leaderlessReadings: 0 };
-  expect(sources.counters.eventsWith(own).voterChanges).toBe(1);
+  const electorCounts = {
+    electionsStarted: 0,
+    votesGranted: 0,
+    copiesMended: 0,
+    leaderlessReadings: 0,
+  };
+  expect(sources.counters.eventsWith(electorCounts).voterChanges).toBe(1);
 });
--- a/src/control/known-members.test.ts
+++ b/src/control/known-members.test.ts
@@ -5,7 +5,7 @@
 import { Sessions } from '../dissemination/sessions.js';
 import { KnownMembers } from './known-members.js';
 
-const BLIND_MS = 1000;
+const FRESHNESS_BOUND_MS = 1000;
 const STARTED = moment(0);
 const SETTLED = moment(5000);
 
@@ -19,32 +19,32 @@
   return ids;
 }
 
-/** With a session of member `a`. */
-function known(): KnownMembers {
-  const sessions = new Sessions(500, BLIND_MS * 2);
+/** Known members with a session of member `a`. */
+function knownMembers(): KnownMembers {
+  const sessions = new Sessions(500, FRESHNESS_BOUND_MS * 2);
   sessions.onJoin(SETTLED, 'a', 'z', 'a:1', NO_VERSION);
-  return new KnownMembers(sessions, BLIND_MS, STARTED);
+  return new KnownMembers(sessions, FRESHNESS_BOUND_MS, STARTED);
 }
-test('members are known by session, by asking and from others, for twice the blind span', () => {
-  const members = known();
+test('members are known from sessions, requests and other nodes, for twice the freshness bound', () => {
+  const members = knownMembers();
   members.onRequest(SETTLED, ['a', 'b']);
   members.onMembersReported(SETTLED, 'other', [memberOf('b'), memberOf('c')]);
   expect(idsOf(members.own())).toEqual(['a', 'b']);
   expect(idsOf(members.all())).toEqual(['a', 'b', 'b', 'c']);
   expect(members.count()).toBe(3);
-  members.tick(moment(SETTLED + BLIND_MS * 2 + 1));
+  members.tick(moment(SETTLED + FRESHNESS_BOUND_MS * 2 + 1));
   expect(idsOf(members.all())).toEqual(['a']);
 });
-test('a node that has just started may have forgotten some', () => {
-  const members = known();
-  expect(idsOf(members.possible(moment(BLIND_MS + 199)))).toEqual(['a', 'unknown']);
-  expect(idsOf(members.possible(moment(BLIND_MS + 200)))).toEqual(['a']);
+test('a node that has just started assumes that there is an unknown member', () => {
+  const members = knownMembers();
+  expect(idsOf(members.possible(moment(FRESHNESS_BOUND_MS + 199)))).toEqual(['a', 'unknown']);
+  expect(idsOf(members.possible(moment(FRESHNESS_BOUND_MS + 200)))).toEqual(['a']);
 });
-test('at least one member is counted', () => {
-  expect(new KnownMembers(new Sessions(500, 2000), BLIND_MS, STARTED).count()).toBe(1);
+test('the number of members is at least 1', () => {
+  expect(new KnownMembers(new Sessions(500, 2000), FRESHNESS_BOUND_MS, STARTED).count()).toBe(1);
 });
-test('a commit is in force once all acknowledged it or a later one', () => {
-  const members = known();
+test('a commit is in force once all members have acknowledged it or a later one', () => {
+  const members = knownMembers();
   const version = { epoch: 2, count: 5 };
   const commit = { version, at: SETTLED, members: new Set(['a', 'b']) };
   members.onAck('a', version);
@@ -55,8 +55,8 @@
   expect(members.ackedBy(memberOf('b'))).toEqual({ epoch: 3, count: 1 });
   expect(members.isInForce(SETTLED, commit)).toBe(true);
 });
-test('a commit is in force once whoever has not acknowledged it is blind', () => {
+test('a commit is in force once the members that have not acknowledged it are stale', () => {
   const commit = { version: { epoch: 2, count: 5 }, at: SETTLED, members: new Set(['b']) };
-  expect(known().isInForce(moment(SETTLED + BLIND_MS + 199), commit)).toBe(false);
-  expect(known().isInForce(moment(SETTLED + BLIND_MS + 200), commit)).toBe(true);
+  expect(knownMembers().isInForce(moment(SETTLED + FRESHNESS_BOUND_MS + 199), commit)).toBe(false);
+  expect(knownMembers().isInForce(moment(SETTLED + FRESHNESS_BOUND_MS + 200), commit)).toBe(true);
 });
