--- a/src/control/partition-writer.test.ts
+++ b/src/control/partition-writer.test.ts
@@ -5,8 +5,8 @@
 
 const NOW = moment(0);
 
-/** One write is under way at a time; all that come meanwhile are one next write, as in the replicated state. */
-class State implements WritableState {
+/** As in the replicated state, one write is in flight at a time, and all that are requested meanwhile become one next write. */
+class FakeState implements WritableState {
   count = 0;
 
   write(_now: Moment, _partition: PartitionName, _body: string, _token: number): number {
@@ -17,8 +17,8 @@
     return 'replica';
   }
 }
-test('a commit takes the body written as its version, the last of those that waited', () => {
-  const state = new State();
+test('a commit returns the body written as its version, which is the last of the queued ones', () => {
+  const state = new FakeState();
   const writer = new PartitionWriter(state);
   writer.write(NOW, CONFIG_PARTITION, 'first', 0);
   state.count = 1;
@@ -27,8 +27,8 @@
   expect(writer.takeCommitted(CONFIG_PARTITION, { epoch: 1, count: 1 })).toBe('first');
   expect(writer.takeCommitted(CONFIG_PARTITION, { epoch: 1, count: 2 })).toBe('third');
 });
-test('what was not written here is read from the replica', () => {
-  const writer = new PartitionWriter(new State());
+test('a body that was not written here is read from the replica', () => {
+  const writer = new PartitionWriter(new FakeState());
   writer.write(NOW, CONFIG_PARTITION, 'first', 0);
   writer.clear();
   expect(writer.takeCommitted(CONFIG_PARTITION, { epoch: 1, count: 1 })).toBe('replica');
--- a/src/control/quorum-reads.test.ts
+++ b/src/control/quorum-reads.test.ts
@@ -8,13 +8,13 @@
 const NOW = moment(10_000);
 const EPOCH = 4;
 const COMMITTED = { epoch: EPOCH, count: 7 };
-const READER = { from: '', id: 5 };
-/** The first round's number: one after the incarnation. */
+const ORIGIN = { from: '', id: 5 };
+/** The nonce of the first quorum read: one more than the incarnation. */
 const NONCE = 1001;
 const OTHER = nodeId('b');
 
-/** A leader that serves, with a configuration that it knows to be committed. */
-function leader(): DutyNode {
+/** A serving leader, with a configuration that it knows to be committed. */
+function servingLeader(): DutyNode {
   const node = new DutyNode(SOUND_DISK);
   node.duties.updates.onMachineList(MACHINES);
   node.replica.leadership.begin(EPOCH);
@@ -33,9 +33,9 @@
   for (const effect of effects) if (effect.do === 'reply') return effect.status;
   return undefined;
 }
-test('a read is answered once a majority told what it holds', () => {
-  const node = leader();
-  node.duties.reads.read(READER);
+test('a read is answered once a majority has replied with its versions', () => {
+  const node = servingLeader();
+  node.duties.reads.read(ORIGIN);
   node.duties.reads.tick(NOW);
   const request = { kind: 'quorumRead', nonce: NONCE, members: [] };
   expect(node.sent()).toEqual([
@@ -43,23 +43,23 @@
     ['c', request],
   ]);
   reply(node, COMMITTED);
-  const answer = { do: 'reply', id: READER.id, status: 200, body: 'the configuration' };
+  const answer = { do: 'reply', id: ORIGIN.id, status: 200, body: 'the configuration' };
   expect(node.drain()).toEqual([answer]);
-  // The round is over: another return of it answers nothing.
+  // The quorum read is complete: another reply to it has no effect.
   reply(node, COMMITTED);
   expect(node.drain()).toEqual([]);
 });
-test('a read is turned away where a later leader has written', () => {
-  const node = leader();
-  node.duties.reads.read(READER);
+test('a read is rejected if a later leader has written', () => {
+  const node = servingLeader();
+  node.duties.reads.read(ORIGIN);
   node.duties.reads.tick(NOW);
   node.drain();
   reply(node, { epoch: EPOCH + 1, count: 1 });
   expect(statusOf(node.drain())).toBe(503);
 });
-test('whoever stands down turns its reads away at once, and no later answer follows', () => {
-  const node = leader();
-  node.duties.reads.read(READER);
+test('a node that steps down rejects its pending reads at once, and does not answer them again later', () => {
+  const node = servingLeader();
+  node.duties.reads.read(ORIGIN);
   node.duties.reads.tick(NOW);
   node.drain();
   node.duties.reads.abandon();
@@ -67,22 +67,22 @@
   reply(node, COMMITTED);
   expect(node.drain()).toEqual([]);
 });
-test('a member is confirmed by the newest configuration and list that a majority holds', () => {
-  const node = leader();
+test('a member is confirmed with the newest configuration and list of machines of a majority', () => {
+  const node = servingLeader();
   node.duties.reads.confirmFreshness(NOW, { child: 'm', nonce: 9, members: ['m'] });
   expect(node.sent()).toHaveLength(2);
   reply(node, COMMITTED);
   const { revision: marks } = MACHINES;
   expect(node.sent()).toEqual([['m', { kind: 'freshnessReply', nonce: 9, ...COMMITTED, marks }]]);
 });
-test('a node that may have held something newer, or knows no list, tells nothing', () => {
+test('a node that may have stored a newer version, or has no list of machines, does not reply', () => {
   const message: Message = { kind: 'quorumRead', nonce: 3, members: [] };
   const blank = new DutyNode([]);
   blank.duties.updates.onMachineList(MACHINES);
   blank.drain();
   blank.duties.reads.onQuorumRead(NOW, 'b', message);
   expect(blank.sent()).toEqual([]);
-  const unlisted = new DutyNode(SOUND_DISK);
-  unlisted.duties.reads.onQuorumRead(NOW, 'b', message);
-  for (const [, sent] of unlisted.sent()) expect(sent.kind).toBe('freshnessRequest');
+  const withoutList = new DutyNode(SOUND_DISK);
+  withoutList.duties.reads.onQuorumRead(NOW, 'b', message);
+  for (const [, sent] of withoutList.sent()) expect(sent.kind).toBe('freshnessRequest');
 });
--- a/src/control/unserved-quorum-read.test.ts
+++ b/src/control/unserved-quorum-read.test.ts
@@ -10,12 +10,12 @@
 const INCARNATION = 1000;
 
 /** Whether the node has taken over the state in the epoch that it leads. */
-type Lead = 'serving' | 'taking over';
+type LeadershipState = 'serving' | 'taking over';
 
-/** What a quorum read for the rejection of an order proves, to a node that leads when its majority answers. */
-function proofAt(lead: Lead, newest: Version): readonly boolean[] {
+/** The confirmations that a leading node gets from a quorum read for a rejection, once a majority has replied. */
+function confirmationsAt(leadershipState: LeadershipState, newest: Version): readonly boolean[] {
   const node = new DutyNode(SOUND_DISK);
-  const proofs: boolean[] = [];
+  const confirmations: boolean[] = [];
   const reads = new QuorumReads({
     ...node.replica,
     incarnation: INCARNATION,
@@ -23,27 +23,27 @@
     table: node.duties.placement.table,
     updates: node.duties.updates,
     needsMachines: false,
-    onConfirmation: (_now: Moment, _id: number, isNewest: boolean) => proofs.push(isNewest),
+    onConfirmation: (_now: Moment, _id: number, isNewest: boolean) => confirmations.push(isNewest),
   });
   node.replica.leadership.begin(EPOCH);
-  if (lead === 'serving') node.replica.leadership.serve();
+  if (leadershipState === 'serving') node.replica.leadership.serve();
   reads.confirmRefusal();
   reads.tick(NOW);
   const message = { kind: 'quorumReadReply', nonce: INCARNATION + 1, ...newest, marks: 0 } as const;
   reads.onQuorumReadReply(NOW, nodeId('b'), message);
-  return proofs;
+  return confirmations;
 }
 
-test('a quorum read without a later leader proves to a serving leader that it knows the newest', () => {
-  expect(proofAt('serving', COMMITTED)).toEqual([true]);
+test('a quorum read without a later leader confirms to a serving leader that its configuration is the newest', () => {
+  expect(confirmationsAt('serving', COMMITTED)).toEqual([true]);
 });
 
-test('a quorum read that finds a later leader proves nothing', () => {
-  expect(proofAt('serving', { epoch: EPOCH + 2, count: 1 })).toEqual([false]);
+test('a quorum read that finds a later leader confirms nothing', () => {
+  expect(confirmationsAt('serving', { epoch: EPOCH + 2, count: 1 })).toEqual([false]);
 });
 
-test('a quorum read proves nothing to a leader that has not yet taken over the state', () => {
-  // What an earlier leader committed may be newer than what this node has loaded.
-  expect(proofAt('taking over', COMMITTED)).toEqual([false]);
-  expect(proofAt('taking over', { epoch: EPOCH - 2, count: 99 })).toEqual([false]);
+test('a quorum read confirms nothing to a leader that has not yet taken over the state', () => {
+  // An earlier leader may have committed a newer configuration than this node has loaded.
+  expect(confirmationsAt('taking over', COMMITTED)).toEqual([false]);
+  expect(confirmationsAt('taking over', { epoch: EPOCH - 2, count: 99 })).toEqual([false]);
 });
