--- a/src/control/relay-tree.test.ts
+++ b/src/control/relay-tree.test.ts
@@ -8,7 +8,7 @@
 
 const NOW = moment(0);
 
-class Tree {
+class TreeFixture {
   readonly effects = new EffectQueue();
   readonly sessions = new Sessions(500, 2000);
   readonly relay = new Relay();
@@ -16,7 +16,7 @@
     sessions: this.sessions,
     relay: this.relay,
     effects: this.effects,
-    controlNodeChildren: fedNodes,
+    controlNodeChildren: otherControlNodes,
   });
 
   join(id: string, lost = ''): void {
@@ -24,7 +24,7 @@
     this.tree.onJoin(NOW, id, { ...message, kind: 'join' });
   }
 
-  /** What was sent since it was asked last. */
+  /** The messages sent since the previous call. */
   sent(): readonly (readonly [string, Message])[] {
     const sent: (readonly [string, Message])[] = [];
     for (const effect of this.effects.drain())
@@ -33,39 +33,39 @@
   }
 }
 
-function fedNodes(): readonly string[] {
+function otherControlNodes(): readonly string[] {
   return ['peer'];
 }
 
 function assigned(to: string, parent: string): readonly [string, Message] {
   return [to, { kind: 'assignParent', parent }];
 }
-test('each agent is told its parent, and only those under this node are fed', () => {
-  const tree = new Tree();
-  tree.join('a');
-  expect(tree.sent()).toEqual([assigned('a', '')]);
-  // More than hang under one node: the others get parents among those before them.
+test('each agent is notified of its parent, and only those without one are children of this node', () => {
+  const fixture = new TreeFixture();
+  fixture.join('a');
+  expect(fixture.sent()).toEqual([assigned('a', '')]);
+  // More agents than a node may have children: the others get parents among the earlier agents.
   const others = ['b', 'c', 'd', 'e', 'f', 'g'].slice(0, FAN_OUT + 2);
-  for (const id of others) tree.join(id);
-  expect(tree.sent().length).toBeGreaterThanOrEqual(others.length);
+  for (const id of others) fixture.join(id);
+  expect(fixture.sent().length).toBeGreaterThanOrEqual(others.length);
   for (const id of ['a', ...others])
-    expect(tree.tree.isChild(id)).toBe(tree.tree.parentOf(id) === '');
-  expect(others.some((id) => tree.tree.parentOf(id) !== '')).toBe(true);
+    expect(fixture.tree.isChild(id)).toBe(fixture.tree.parentOf(id) === '');
+  expect(others.some((id) => fixture.tree.parentOf(id) !== '')).toBe(true);
 });
-test('an unchanged parent is told to whoever joins again alone', () => {
-  const tree = new Tree();
-  tree.join('a');
-  tree.sent();
-  tree.tree.reassignParents();
-  expect(tree.sent()).toEqual([]);
-  tree.join('a');
-  expect(tree.sent()).toEqual([assigned('a', '')]);
+test('an unchanged parent is sent only to an agent that joins again', () => {
+  const fixture = new TreeFixture();
+  fixture.join('a');
+  fixture.sent();
+  fixture.tree.reassignParents();
+  expect(fixture.sent()).toEqual([]);
+  fixture.join('a');
+  expect(fixture.sent()).toEqual([assigned('a', '')]);
 });
-test('an agent whose connection closed is fed no more, other control nodes are', () => {
-  const tree = new Tree();
-  tree.join('a');
-  tree.tree.onDisconnect('a');
-  tree.tree.reassignParents();
-  expect(tree.tree.isChild('a')).toBe(false);
-  expect(tree.tree.isChild('peer')).toBe(true);
+test('an agent whose connection closed is no longer a child, other control nodes still are', () => {
+  const fixture = new TreeFixture();
+  fixture.join('a');
+  fixture.tree.onDisconnect('a');
+  fixture.tree.reassignParents();
+  expect(fixture.tree.isChild('a')).toBe(false);
+  expect(fixture.tree.isChild('peer')).toBe(true);
 });
--- a/src/control/update-exchange.test.ts
+++ b/src/control/update-exchange.test.ts
@@ -9,7 +9,7 @@
   for (const [to] of sent) ids.push(to);
   return ids;
 }
-test('a newer list of machines is passed on at once to the other voters', () => {
+test('a newer list of machines is forwarded at once to the other voters', () => {
   const node = new DutyNode([]);
   const body = JSON.stringify(MACHINES);
   const update = { kind: 'update', topic: 'machines', epoch: 0, count: 3, body } as const;
@@ -21,7 +21,7 @@
   node.duties.updates.onUpdate(update);
   expect(node.sent()).toEqual([]);
 });
-test('a change that follows on nothing held here is asked for whole', () => {
+test('a delta whose base is unknown here is requested as a complete update', () => {
   const node = new DutyNode([]);
   const delta = { kind: 'delta', topic: 'fleet', epoch: 2, from: 4, count: 5, body: '{}' } as const;
   node.duties.updates.onDelta('b', delta);
@@ -29,7 +29,7 @@
     ['b', { kind: 'freshnessRequest', nonce: -1, have: [], members: [] }],
   ]);
 });
-test('members and voters are asked for the list of machines twice a second', () => {
+test('the list of machines is requested from members and voters twice a second', () => {
   const node = new DutyNode([]);
   node.duties.members.onMembersReported(NOW, 'b', [
     { id: 'm', zone: 'z', address: 'm:1', epoch: 0, count: 0 },
@@ -41,7 +41,7 @@
   node.duties.updates.requestMachineList(moment(NOW + 500));
   expect(recipients(node.sent())).toEqual(['m', 'b', 'c']);
 });
-test('whoever is fed elsewhere is answered once', () => {
+test('a node that is not a child gets the requested updates once', () => {
   const node = new DutyNode([]);
   node.replica.relay.offer('config', { epoch: 1, count: 1 }, '{}');
   node.replica.relay.onKnownVersions('m', []);
@@ -51,7 +51,7 @@
   node.duties.updates.flush();
   expect(node.sent()).toEqual([]);
 });
-test('messages of another family are left to it', () => {
+test('messages of other kinds are not handled', () => {
   const node = new DutyNode([]);
   const isTaken = node.duties.memberMessages.onMessage(NOW, 'b', {
     kind: 'renewed',
