--- a/src/control/replica-repair.test.ts
+++ b/src/control/replica-repair.test.ts
@@ -11,7 +11,7 @@
   epoch: 3,
   copies: [{ part: CONFIG_PARTITION, ...VERSION, body: '{}', sound: true }],
 };
-test('a repaired node counts once its copies and then its vote are on disk', () => {
+test('a repaired node counts once its partitions and then its vote record are on disk', () => {
   const node = new DutyNode([]);
   const { repair, stateMessages } = node.duties;
   const { replicaStatus } = node.replica;
@@ -26,14 +26,14 @@
   expect(replicaStatus.name).toBe('sound');
   expect(repair.isInProgress).toBe(false);
 });
-test('a repair that is under way is not begun again', () => {
+test('a repair in progress is not started again', () => {
   const node = new DutyNode([]);
   node.duties.repair.resolve(NOW, REPAIRED);
   node.drain();
   node.duties.repair.resolve(NOW, REPAIRED);
   expect(node.drain()).toEqual([]);
 });
-test('a founding node counts once its first vote is on disk', () => {
+test('a node that starts a new cluster counts once its first vote record is on disk', () => {
   const node = new DutyNode([]);
   const { repair } = node.duties;
   repair.resolve(NOW, { become: 'founded', epoch: 0 });
--- a/src/control/vote-storage.test.ts
+++ b/src/control/vote-storage.test.ts
@@ -10,8 +10,8 @@
 function file(body: string, isIntact: boolean): StoredPartition {
   return { partition: VOTE_RECORD, version: { epoch: 4, count: 7 }, body, isIntact };
 }
-test('only an empty folder is blank; a record that cannot be trusted is a lost one', () => {
-  const sound = JSON.stringify(RECORD);
+test('only an empty disk is blank; a missing, corrupt or malformed vote record is lost', () => {
+  const recordText = JSON.stringify(RECORD);
   const other = {
     partition: CONFIG_PARTITION,
     version: { epoch: 1, count: 1 },
@@ -21,15 +21,15 @@
   const lost = { status: 'lost', count: 7, record: undefined };
   expect(readVotes([])).toEqual({ status: 'blank', count: 0, record: undefined });
   expect(readVotes([other])).toEqual({ status: 'lost', count: 0, record: undefined });
-  expect(readVotes([other, file(sound, true)])).toEqual({
+  expect(readVotes([other, file(recordText, true)])).toEqual({
     status: 'sound',
     count: 7,
     record: RECORD,
   });
-  expect(readVotes([file(sound, false)])).toEqual(lost);
+  expect(readVotes([file(recordText, false)])).toEqual(lost);
   expect(readVotes([file('{}', true)])).toEqual(lost);
 });
-test('a record on disk keeps all before it', () => {
+test('a record on disk implies that all earlier ones are persisted', () => {
   const effects = new EffectQueue();
   const votes = new VoteStorage(effects, 7, 2);
   votes.persist(1, { ...RECORD, grantEpoch: 3 });
@@ -42,9 +42,9 @@
     version: { epoch: 4, count: 8 },
     body: JSON.stringify(RECORD),
   });
-  const kept: number[] = [];
-  votes.onPersisted({ epoch: 4, count: 9 }, (token) => kept.push(token));
-  expect(kept).toEqual([1, 2]);
+  const persistedTokens: number[] = [];
+  votes.onPersisted({ epoch: 4, count: 9 }, (token) => persistedTokens.push(token));
+  expect(persistedTokens).toEqual([1, 2]);
   expect(votes.persistedGrant).toBe(4);
   expect(votes.nextCount).toBe(11);
 });
