--- a/src/control/voter-changes.test.ts
+++ b/src/control/voter-changes.test.ts
@@ -1,16 +1,16 @@
 import { expect, test } from 'vitest';
 import { FaultCluster, foundedFaultCluster } from './testing/fault-cluster.js';
 
-/** From then on another loss may come. */
+/** After this time another failure may follow. */
 const CATCH_UP_MS = 4000;
-/** A planned stop may take so long, and no longer. */
-const HANDOVER_MS = 4000;
-const ELECTED_MS = 6000;
+/** The maximum duration of a planned stop. */
+const HANDOVER_LIMIT_MS = 4000;
+const ELECTION_LIMIT_MS = 6000;
 
 const THREE = ['a:1', 'b:1', 'c:1'];
 const FIVE = ['a:1', 'b:1', 'c:1', 'd:1', 'e:1'];
 
-function vote(cluster: FaultCluster, voters: string): boolean {
+function areVoters(cluster: FaultCluster, voters: string): boolean {
   return cluster.voters() === voters;
 }
 
@@ -18,135 +18,150 @@
   return cluster.node(id).state === 'down';
 }
 
-function checkReplacement(leaves: 'leader' | 'follower'): void {
+function checkReplacement(departingRole: 'leader' | 'follower'): void {
   const cluster = foundedFaultCluster(THREE);
   cluster.configure(0, 7);
-  const leaving = leaves === 'leader' ? cluster.leader() : cluster.follower();
-  const [one = '', two = ''] = THREE.filter((other) => isNot(leaving, other));
+  const departing = departingRole === 'leader' ? cluster.leader() : cluster.follower();
+  const [first = '', second = ''] = THREE.filter((other) => isOther(departing, other));
   cluster.start('n:1', THREE);
   cluster.run(1000);
-  cluster.retire(leaving);
-  const took = cluster.runUntil(() => isDown(cluster, leaving), 8000, 'it stops');
-  expect(took).toBeLessThanOrEqual(HANDOVER_MS);
-  // At once another is lost for good: the two that are left are a majority, and hold everything.
-  cluster.kill(one);
-  cluster.runUntil(() => cluster.hasLeader(), ELECTED_MS, 'a majority leads');
-  expect(cluster.voters().split(' ').sort()).toEqual([one, two, 'n:1'].sort());
+  cluster.retire(departing);
+  const tookMs = cluster.runUntil(
+    () => isDown(cluster, departing),
+    8000,
+    'the departing voter stops',
+  );
+  expect(tookMs).toBeLessThanOrEqual(HANDOVER_LIMIT_MS);
+  // Another voter is lost permanently right after that: the two that remain are a majority, and store the complete state.
+  cluster.kill(first);
+  cluster.runUntil(() => cluster.hasLeader(), ELECTION_LIMIT_MS, 'a leader serves');
+  expect(cluster.voters().split(' ').sort()).toEqual([first, second, 'n:1'].sort());
   expect(cluster.versionAt('n:1')).toBe(7);
   cluster.configure(7, 8);
 }
 
-function isNot(id: string, other: string): boolean {
+function isOther(id: string, other: string): boolean {
   return id !== other;
 }
 
-test('a follower that is replaced as planned hands its seat over before it stops', () =>
+test('a follower in a planned stop is replaced before it stops', () =>
   checkReplacement('follower'));
-test('a leader that is replaced as planned hands its seat over before it stops', () =>
-  checkReplacement('leader'));
-test('what a leaving voter holds is held by a majority of the others before it stops', () => {
+test('a leader in a planned stop is replaced before it stops', () => checkReplacement('leader'));
+test('the state of a departing voter is stored at a majority of the others before it stops', () => {
   const cluster = foundedFaultCluster(THREE);
   const leader = cluster.leader();
-  const [leaving = '', late = ''] = THREE.filter((other) => isNot(leader, other));
-  // The third one misses the newest configuration: only the leader and the one that leaves have it on disk.
-  cluster.stallDisk(late);
+  const [departing = '', lagging = ''] = THREE.filter((other) => isOther(leader, other));
+  // The third voter misses the newest configuration: only the leader and the departing voter have it on disk.
+  cluster.stallDisk(lagging);
   cluster.configure(0, 7);
   cluster.start('n:1', THREE);
   cluster.run(1000);
-  cluster.retire(leaving);
-  cluster.runUntil(() => isDown(cluster, leaving), 8000, 'it stops');
+  cluster.retire(departing);
+  cluster.runUntil(() => isDown(cluster, departing), 8000, 'the departing voter stops');
   cluster.kill(leader);
-  cluster.resumeDisk(late);
-  cluster.runUntil(() => cluster.hasLeader(), ELECTED_MS, 'a majority leads');
+  cluster.resumeDisk(lagging);
+  cluster.runUntil(() => cluster.hasLeader(), ELECTION_LIMIT_MS, 'a leader serves');
   expect(cluster.versionAt('n:1')).toBe(7);
 });
-test('a voter without a spare stops at once, and its seat stays', () => {
+test('a voter without a spare to replace it stops at once, and stays in the set of voters', () => {
   const cluster = foundedFaultCluster(THREE);
-  const leaving = cluster.follower();
-  cluster.retire(leaving);
-  const took = cluster.runUntil(() => isDown(cluster, leaving), 8000, 'it stops');
-  expect(took).toBeLessThanOrEqual(700);
+  const departing = cluster.follower();
+  cluster.retire(departing);
+  const tookMs = cluster.runUntil(
+    () => isDown(cluster, departing),
+    8000,
+    'the departing voter stops',
+  );
+  expect(tookMs).toBeLessThanOrEqual(700);
   expect(cluster.voters()).toBe(THREE.join(' '));
 });
-test('of five voters one after another may leave for good until two are left', () => {
+test('five voters may be lost permanently one after another until two remain', () => {
   const cluster = foundedFaultCluster(FIVE);
   cluster.configure(0, 7);
-  const left = [...FIVE];
+  const remaining = [...FIVE];
   let version = 7;
-  while (left.length > 2) {
-    // In turn a follower and whoever leads.
-    const gone = left.length % 2 === 1 ? cluster.follower() : cluster.leader();
-    cluster.kill(gone);
-    left.splice(left.indexOf(gone), 1);
+  while (remaining.length > 2) {
+    // Alternately a follower and the leader.
+    const lost = remaining.length % 2 === 1 ? cluster.follower() : cluster.leader();
+    cluster.kill(lost);
+    remaining.splice(remaining.indexOf(lost), 1);
     cluster.run(20_000);
     cluster.configure(version, version + 1);
     version += 1;
   }
-  expect(cluster.versionAt(left[0] ?? '')).toBe(version);
+  expect(cluster.versionAt(remaining[0] ?? '')).toBe(version);
 });
-test('two of five gone for good leave three voters, which bear one more loss', () => {
+test('after the permanent loss of two of five voters the remaining three tolerate one more', () => {
   const cluster = foundedFaultCluster(FIVE);
   cluster.kill(cluster.follower());
   cluster.run(20_000);
   cluster.kill(cluster.follower());
   cluster.run(20_000);
-  // Two of five are gone for good: three of three bear one more.
+  // The lost voters are removed: a set of three tolerates one more loss.
   expect(cluster.voters().split(' ')).toHaveLength(3);
   cluster.kill(cluster.follower());
-  cluster.runUntil(() => cluster.hasLeader(), ELECTED_MS, 'two of three lead');
+  cluster.runUntil(
+    () => cluster.hasLeader(),
+    ELECTION_LIMIT_MS,
+    'a leader of two of three voters serves',
+  );
 });
-test('voters that were left out return, and are taken in again within the time to catch up', () => {
+test('removed voters that return become voters again within the time to catch up', () => {
   const cluster = foundedFaultCluster(FIVE);
   cluster.configure(0, 7);
-  const one = cluster.follower();
-  cluster.kill(one);
-  const two = cluster.follower();
-  cluster.freeze(two);
+  const first = cluster.follower();
+  cluster.kill(first);
+  const second = cluster.follower();
+  cluster.freeze(second);
   cluster.run(15_000);
   expect(cluster.voters().split(' ')).toHaveLength(3);
   cluster.configure(7, 8);
-  cluster.thaw(two, 'tick');
-  cluster.start(one, THREE);
+  cluster.thaw(second, 'tick');
+  cluster.start(first, THREE);
   const all = FIVE.join(' ');
-  const took = cluster.runUntil(() => vote(cluster, all), CATCH_UP_MS, 'both vote again');
-  expect(took).toBeLessThanOrEqual(CATCH_UP_MS);
-  expect(cluster.versionAt(one)).toBe(8);
+  const tookMs = cluster.runUntil(
+    () => areVoters(cluster, all),
+    CATCH_UP_MS,
+    'both are voters again',
+  );
+  expect(tookMs).toBeLessThanOrEqual(CATCH_UP_MS);
+  expect(cluster.versionAt(first)).toBe(8);
 });
-test('three voters with one gone stay three, since two would bear no more', () => {
+test('three voters of which one is lost stay three, since two would tolerate no more losses', () => {
   const cluster = foundedFaultCluster(THREE);
   cluster.kill(cluster.follower());
   cluster.run(20_000);
   expect(cluster.voters()).toBe(THREE.join(' '));
 });
-/** One of the first start that was replaced while it stood still is a spare: it opens no seat of its own. */
-test('a voter that returns after it was replaced opens no seat of its own', () => {
+/** A node of the first start that was replaced while it was frozen is a spare: it is not added to the voters. */
+test('a voter that returns after it was replaced is not added to the voters', () => {
   const cluster = foundedFaultCluster(THREE);
-  const away = cluster.follower();
-  cluster.freeze(away);
+  const frozen = cluster.follower();
+  cluster.freeze(frozen);
   cluster.start('n:1', THREE);
   cluster.run(6000);
   expect(cluster.voters()).toContain('n:1');
-  cluster.thaw(away, 'tick');
+  cluster.thaw(frozen, 'tick');
   cluster.run(6000);
   expect(cluster.voters().split(' ')).toHaveLength(3);
 });
-/** A part that is not rewritten for long is carried over to the new voters as well. */
-test('a part that only the leader and a leaving voter hold is carried over', () => {
+/** A partition that has not been written for a long time must reach the new voters as well. */
+test('a partition stored only at the leader and a departing voter reaches the new voters', () => {
   const cluster = foundedFaultCluster(THREE);
   cluster.configure(0, 7);
   const leader = cluster.leader();
-  const [leaving = '', behind = ''] = THREE.filter((other) => isNot(leader, other));
+  const [departing = '', lagging = ''] = THREE.filter((other) => isOther(leader, other));
   cluster.start('n:1', THREE);
   cluster.run(1000);
-  // Only the leader and the one that leaves have it.
-  cluster.cutOff(behind);
+  // Only the leader and the departing voter store it.
+  cluster.cutOff(lagging);
   cluster.place('m1');
   cluster.run(200);
-  cluster.retire(leaving);
-  cluster.runUntil(() => isDown(cluster, leaving), 8000, 'it stops');
+  cluster.retire(departing);
+  cluster.runUntil(() => isDown(cluster, departing), 8000, 'the departing voter stops');
   cluster.kill(leader);
   cluster.run(100);
   cluster.heal();
-  cluster.runUntil(() => cluster.hasLeader(), 2 * ELECTED_MS, 'a majority leads');
+  cluster.runUntil(() => cluster.hasLeader(), 2 * ELECTION_LIMIT_MS, 'a leader serves');
   expect(cluster.placed()).toEqual(['m1']);
 });
--- a/src/control/voter-membership.test.ts
+++ b/src/control/voter-membership.test.ts
@@ -12,8 +12,8 @@
 const EPOCH = 2;
 const TICK_MS = 50;
 const THREE = ['a', 'b', 'c'];
-/** Spare `d` in the place of voter `b`. */
-const SWAPPED = ['a', 'd', 'c'];
+/** The voters after spare `d` replaced voter `b`. */
+const REPLACED = ['a', 'd', 'c'];
 const FOLLOWERS = ['b', 'c'].map(nodeId);
 const SERVICE_PARTITIONS = allPartitions().filter((partition) => partition !== CONFIG_PARTITION);
 
@@ -21,7 +21,7 @@
 class LeadingMembership {
   readonly replica: ControlReplica = new DutyNode(SOUND_DISK).replica;
   readonly membership: VoterMembership;
-  /** The voters that were written, in their order. */
+  /** The sets of voters that were written, in order. */
   readonly changes: Voters[] = [];
   rewrites = 0;
   #document: ConfigDoc = initialDoc(THREE);
@@ -53,7 +53,7 @@
     this.membership = new VoterMembership(host, this.#now);
   }
 
-  /** The voters of the newest configuration are these from now on. */
+  /** Sets the voters of the newest configuration. */
   setVoters(voters: Voters): void {
     this.#document = { ...this.#document, voters: voters.map((set) => [...set]) };
   }
@@ -63,31 +63,31 @@
     this.membership.tick(this.#now);
   }
 
-  /** A node that is no voter announces itself. */
+  /** A node that is not a voter announces itself. */
   announce(id: string, isSound: boolean): void {
     const message = { id, zone: `zone-${id}`, isFirst: false, isSound, epoch: 0, count: 0 };
     this.membership.onAnnounce(this.#now, id, { kind: 'announce', ...message });
   }
 
-  /** A node says that it is told to stop; returns whether the leader lets it. */
-  leave(id: string): boolean | undefined {
+  /** A node announces its planned stop; returns whether the leader replies that it may stop. */
+  announceDeparture(id: string): boolean | undefined {
     this.#sent = [];
     this.membership.onLeave(this.#now, id, { kind: 'leave', id });
     for (const message of this.#sent) if (message.kind === 'leaveReply') return message.mayStop;
     return undefined;
   }
 
-  /** Whether the leader itself, which is told to stop, has to stay. */
-  mustKeepSeat(): boolean {
+  /** Begins a planned stop of the leader itself; returns whether it has to stay a voter. */
+  mustStayVoter(): boolean {
     return this.membership.mustStayVoter(this.#now);
   }
 
-  /** Begins to write the configuration, without any answer of the followers. */
+  /** Begins to write a partition; the followers do not reply. */
   beginWriting(partition: PartitionName): void {
     this.replica.state.write(this.#now, partition, 'body', 0);
   }
 
-  /** The write of a part that is under way reaches the disks of all voters. */
+  /** Completes the write of a partition that is in flight on the disks of all voters. */
   commit(partition: PartitionName): void {
     const { state } = this.replica;
     const version = state.versionOf(partition);
@@ -117,9 +117,9 @@
   }
 }
 
-test('the new voters decide alone only once every part was rewritten by a majority of both sets', () => {
+test('the new voters decide alone only once every partition is rewritten at a majority of both sets', () => {
   const leader = new LeadingMembership();
-  leader.setVoters([THREE, SWAPPED]);
+  leader.setVoters([THREE, REPLACED]);
   leader.tick();
   expect(leader.rewrites).toBe(1);
   for (const partition of SERVICE_PARTITIONS) {
@@ -129,77 +129,77 @@
     leader.commit(partition);
   }
   leader.tick();
-  expect(leader.changes).toEqual([[SWAPPED]]);
+  expect(leader.changes).toEqual([[REPLACED]]);
   expect(leader.rewrites).toBe(1);
 });
 
-test('voters are changed while parts other than the configuration are being written', () => {
+test('voters are changed while partitions other than the configuration are being written', () => {
   const leader = new LeadingMembership();
   for (const partition of SERVICE_PARTITIONS) leader.beginWriting(partition);
   leader.announce('d', true);
-  expect(leader.leave('b')).toBe(false);
-  expect(leader.changes).toEqual([[THREE, SWAPPED]]);
+  expect(leader.announceDeparture('b')).toBe(false);
+  expect(leader.changes).toEqual([[THREE, REPLACED]]);
 });
 
 test('no voters are changed while the configuration is being written', () => {
   const leader = new LeadingMembership();
   leader.beginWriting(CONFIG_PARTITION);
   leader.announce('d', true);
-  expect(leader.leave('b')).toBe(false);
+  expect(leader.announceDeparture('b')).toBe(false);
   leader.tick();
   expect(leader.changes).toEqual([]);
   leader.commit(CONFIG_PARTITION);
   leader.tick();
-  expect(leader.changes).toEqual([[THREE, SWAPPED]]);
+  expect(leader.changes).toEqual([[THREE, REPLACED]]);
 });
 
-test('a voter may stop where nobody could take its seat', () => {
-  expect(new LeadingMembership().leave('b')).toBe(true);
+test('a voter may stop if no spare can replace it', () => {
+  expect(new LeadingMembership().announceDeparture('b')).toBe(true);
 });
 
-test('a voter may not stop while a spare that could take its seat is still being repaired', () => {
+test('a voter may not stop while a spare that can replace it is still being repaired', () => {
   const leader = new LeadingMembership();
   leader.announce('d', false);
-  expect(leader.leave('b')).toBe(false);
+  expect(leader.announceDeparture('b')).toBe(false);
   expect(leader.changes).toEqual([]);
 });
 
-test('a leader may not stop itself while a spare that could take its seat is still being repaired', () => {
+test('a leader may not stop itself while a spare that can replace it is still being repaired', () => {
   const leader = new LeadingMembership();
   leader.announce('d', false);
-  expect(leader.mustKeepSeat()).toBe(true);
+  expect(leader.mustStayVoter()).toBe(true);
   expect(leader.membership.isHandingOver).toBe(true);
 });
 
-test('a leader may stop itself where nobody could take its seat', () => {
-  expect(new LeadingMembership().mustKeepSeat()).toBe(false);
+test('a leader may stop itself if no spare can replace it', () => {
+  expect(new LeadingMembership().mustStayVoter()).toBe(false);
 });
 
-test('a voter may stop where the only spare leaves as well', () => {
+test('a voter may stop if the only spare is in a planned stop as well', () => {
   const leader = new LeadingMembership();
   leader.announce('d', false);
-  leader.leave('d');
-  expect(leader.leave('b')).toBe(true);
+  leader.announceDeparture('d');
+  expect(leader.announceDeparture('b')).toBe(true);
 });
 
-test('a voter may stop once its seat was taken over, and not while both sets decide together', () => {
+test('a voter may stop once it is replaced, but not during the joint configuration', () => {
   const leader = new LeadingMembership();
   leader.announce('d', true);
-  expect(leader.leave('b')).toBe(false);
-  expect(leader.changes).toEqual([[THREE, SWAPPED]]);
+  expect(leader.announceDeparture('b')).toBe(false);
+  expect(leader.changes).toEqual([[THREE, REPLACED]]);
   leader.tick();
   for (const partition of SERVICE_PARTITIONS) leader.commit(partition);
-  // The change to the new set alone is written now, and its configuration is not yet on a majority.
+  // The configuration with the new set alone is being written now, and not yet stored at a majority.
   leader.beginWriting(CONFIG_PARTITION);
-  expect(leader.leave('b')).toBe(false);
+  expect(leader.announceDeparture('b')).toBe(false);
   leader.commit(CONFIG_PARTITION);
   leader.tick();
-  expect(leader.changes).toEqual([[THREE, SWAPPED], [SWAPPED]]);
-  expect(leader.leave('b')).toBe(true);
+  expect(leader.changes).toEqual([[THREE, REPLACED], [REPLACED]]);
+  expect(leader.announceDeparture('b')).toBe(true);
 });
 
-test('a node that has not taken over the state answers nobody that leaves', () => {
+test('a node that has not taken over the state does not reply to a departing voter', () => {
   const leader = new LeadingMembership();
   leader.replica.leadership.begin(EPOCH + 2);
-  expect(leader.leave('b')).toBe(undefined);
+  expect(leader.announceDeparture('b')).toBe(undefined);
 });
