--- a/src/control/voter-set-writer.test.ts
+++ b/src/control/voter-set-writer.test.ts
@@ -7,11 +7,11 @@
 const EPOCH = 2;
 const [B, C, D] = [nodeId('b'), nodeId('c'), nodeId('d')];
 const THREE = ['a', 'b', 'c'];
-/** `d` in the place of `b`. */
+/** The voters after `d` replaced `b`. */
 const NEXT = ['a', 'd', 'c'];
 
-/** Node `a`, which owns all partitions, empty and stored at `b` and `c` as well. */
-class Owner {
+/** Node `a`, which leads the replicated state; all partitions are empty and stored at `b` and `c` as well. */
+class StateLeader {
   readonly node = new DutyNode(SOUND_DISK);
   #electedEpoch = EPOCH;
 
@@ -25,7 +25,7 @@
     this.node.drain();
   }
 
-  /** The write of a partition that is in flight reaches this node's disk and those of these voters. */
+  /** The write of a partition that is in flight reaches the disks of this node and of these voters. */
   store(partition: PartitionName, voters: readonly NodeId[]): void {
     const { state } = this.node.replica;
     const version = state.versionOf(partition);
@@ -41,8 +41,8 @@
     this.node.duties.voterSet.writeVoters(NOW, { do: 'voters', voters, voterCount });
   }
 
-  /** These voters take part in the epoch that the node's elector knows. */
-  takePart(quorum: string[]): void {
+  /** The node's elector learns of a new epoch in which these voters take part. */
+  joinEpoch(quorum: string[]): void {
     this.#electedEpoch += 2;
     const message = { epoch: this.#electedEpoch, reports: [], nonce: 1, quorum, sentAt: 0 };
     this.node.replica.elector.onMessage(NOW, B, { kind: 'victory', ...message });
@@ -61,63 +61,63 @@
   }
 }
 
-test('a joint configuration decides from when it is written, on its own commit too', () => {
-  const owner = new Owner();
-  owner.change([THREE, NEXT]);
-  expect(owner.voters).toEqual([THREE, NEXT]);
-  expect(owner.quorum).toBe('a,b,c | a,d,c');
+test('a joint configuration takes effect when it is written, for its own commit too', () => {
+  const leader = new StateLeader();
+  leader.change([THREE, NEXT]);
+  expect(leader.voters).toEqual([THREE, NEXT]);
+  expect(leader.quorum).toBe('a,b,c | a,d,c');
   // A majority of the old set alone commits nothing.
-  owner.store(CONFIG_PARTITION, [B]);
-  const { state } = owner.node.replica;
+  leader.store(CONFIG_PARTITION, [B]);
+  const { state } = leader.node.replica;
   state.tick(moment(NOW + 1000));
-  expect(owner.isWriting).toBe(true);
-  owner.store(CONFIG_PARTITION, [D]);
+  expect(leader.isWriting).toBe(true);
+  leader.store(CONFIG_PARTITION, [D]);
   state.tick(moment(NOW + 1000));
   state.tick(moment(NOW + 2000));
-  expect(owner.isWriting).toBe(false);
+  expect(leader.isWriting).toBe(false);
 });
 
-test('a single set does not decide before it is committed', () => {
-  const owner = new Owner();
-  owner.change([['a', 'b']]);
-  expect(owner.voters).toEqual([['a', 'b']]);
-  expect(owner.quorum).toBe('a,b,c');
+test('a single set does not take effect before it is committed', () => {
+  const leader = new StateLeader();
+  leader.change([['a', 'b']]);
+  expect(leader.voters).toEqual([['a', 'b']]);
+  expect(leader.quorum).toBe('a,b,c');
 });
 
-test('the wanted number of voters is stored where there is one, and stays where there is none', () => {
-  const owner = new Owner();
-  owner.change([THREE, NEXT]);
-  expect(owner.node.duties.document.newest().seats).toBe(undefined);
-  owner.change([THREE, NEXT], 5);
-  expect(owner.node.duties.document.newest().seats).toBe(5);
-  owner.change([NEXT]);
-  expect(owner.node.duties.document.newest().seats).toBe(5);
+test('the wanted number of voters is stored if there is one, and unchanged if there is none', () => {
+  const leader = new StateLeader();
+  leader.change([THREE, NEXT]);
+  expect(leader.node.duties.document.newest().seats).toBe(undefined);
+  leader.change([THREE, NEXT], 5);
+  expect(leader.node.duties.document.newest().seats).toBe(5);
+  leader.change([NEXT]);
+  expect(leader.node.duties.document.newest().seats).toBe(5);
 });
 
-test('all partitions but the configuration are rewritten', () => {
-  const owner = new Owner();
-  owner.node.duties.voterSet.rewritePartitions(NOW);
-  const { state } = owner.node.replica;
+test('all partitions except the configuration are rewritten', () => {
+  const leader = new StateLeader();
+  leader.node.duties.voterSet.rewritePartitions(NOW);
+  const { state } = leader.node.replica;
   const written = allPartitions().filter((partition) => state.isWriting(partition));
   expect(written).toEqual(allPartitions().filter((partition) => partition !== CONFIG_PARTITION));
 });
 
-test("an operator's replacement ends once the configuration is stored and every new voter takes part", () => {
-  const owner = new Owner();
-  const { voterSet } = owner.node.duties;
-  const { elector } = owner.node.replica;
+test("an operator's replacement completes once the configuration is stored and every new voter takes part", () => {
+  const leader = new StateLeader();
+  const { voterSet } = leader.node.duties;
+  const { elector } = leader.node.replica;
   voterSet.completeReplacement(NOW);
-  expect(owner.voters).toEqual([THREE]);
-  owner.change([THREE, NEXT]);
-  owner.takePart(['a', 'b', 'd', 'c']);
+  expect(leader.voters).toEqual([THREE]);
+  leader.change([THREE, NEXT]);
+  leader.joinEpoch(['a', 'b', 'd', 'c']);
   voterSet.completeReplacement(NOW);
-  expect(owner.voters).toEqual([THREE, NEXT]);
-  owner.store(CONFIG_PARTITION, [B, C, D]);
-  owner.takePart(['b', 'c']);
+  expect(leader.voters).toEqual([THREE, NEXT]);
+  leader.store(CONFIG_PARTITION, [B, C, D]);
+  leader.joinEpoch(['b', 'c']);
   expect(elector.quorumMembers.has(D)).toBe(false);
   voterSet.completeReplacement(NOW);
-  expect(owner.voters).toEqual([THREE, NEXT]);
-  owner.takePart(['b', 'c', 'd']);
+  expect(leader.voters).toEqual([THREE, NEXT]);
+  leader.joinEpoch(['b', 'c', 'd']);
   voterSet.completeReplacement(NOW);
-  expect(owner.voters).toEqual([NEXT]);
+  expect(leader.voters).toEqual([NEXT]);
 });
