--- a/src/control/voter-troubles.test.ts
+++ b/src/control/voter-troubles.test.ts
@@ -3,34 +3,34 @@
 import { documentOf } from './testing/plain-dialect.js';
 import { Seeded } from '../rehearsal/seeded.js';
 
-/** From so long after its return a node no longer counts as lost. */
+/** A node counts as lost until this time after its return. */
 const CATCH_UP_MS = 4000;
-/** Whatever is lost, as long as it may be, somebody serves again within so long. */
+/** Within the tolerated faults, a leader serves again within this time. */
 const LEADERLESS_MS = 8000;
-const SPAN_MS = 60_000;
-const SEEDS_TRIED = 15;
+const DURATION_MS = 60_000;
+const SEED_COUNT = 15;
 
-type TroubleKind =
+type FaultKind =
   | 'restarted'
   | 'wiped'
   | 'frozen'
-  | 'cut off'
+  | 'isolated'
   | 'cut one way'
   | 'disk stalled'
-  | 'replaced as planned'
+  | 'replaced in a planned stop'
   | 'replaced'
-  | 'gone for good';
+  | 'lost permanently';
 
-const KINDS: readonly TroubleKind[] = [
+const KINDS: readonly FaultKind[] = [
   'restarted',
   'wiped',
   'frozen',
-  'cut off',
+  'isolated',
   'cut one way',
   'disk stalled',
-  'replaced as planned',
+  'replaced in a planned stop',
   'replaced',
-  'gone for good',
+  'lost permanently',
 ];
 
 interface Step {
@@ -38,148 +38,148 @@
   readonly run: () => void;
 }
 
-/** Troubles of voters, drawn from a seed, of which no more than `tolerate` go on at once, with orders all the while. */
-class DrawnTroubles {
+/** Random faults of voters from a seed, at most `maxFaults` at a time, while an operator edits the configuration. */
+class RandomFaults {
   readonly #cluster: FaultCluster;
-  readonly #numbers: Seeded;
-  readonly #tolerate: number;
-  /** Machines that the deployment has now. */
+  readonly #random: Seeded;
+  readonly #maxFaults: number;
+  /** The machines of the deployment at present. */
   readonly #machines: string[];
   /** Until when each machine counts as lost. */
   readonly #lostUntil = new Map<string, number>();
   #steps: Step[] = [];
   #started = 0;
-  #goneForGood = 0;
-  #acked = 0;
-  #sent = 0;
+  #permanentlyLost = 0;
+  #lastAcknowledged = 0;
+  #lastSent = 0;
   #leaderSeenAt: number;
   readonly log: string[] = [];
   longestLeaderlessMs = 0;
 
-  constructor(ids: readonly string[], tolerate: number, seed: number) {
+  constructor(ids: readonly string[], maxFaults: number, seed: number) {
     this.#cluster = foundedFaultCluster(ids, { seed, mostDelayMs: 30, mostDiskMs: 30 });
-    this.#numbers = new Seeded(seed * 7919, 1);
+    this.#random = new Seeded(seed * 7919, 1);
     this.#machines = [...ids];
-    this.#tolerate = tolerate;
+    this.#maxFaults = maxFaults;
     this.#leaderSeenAt = this.#cluster.now;
   }
 
   run(): void {
-    const end = this.#cluster.now + SPAN_MS;
-    let drawAt = this.#cluster.now;
+    const end = this.#cluster.now + DURATION_MS;
+    let nextFaultAt = this.#cluster.now;
     while (this.#cluster.now < end) {
       this.#runFor(50);
-      if (this.#cluster.now >= drawAt) {
-        drawAt = this.#cluster.now + this.#numbers.between(200, 3000);
-        this.#draw();
+      if (this.#cluster.now >= nextFaultAt) {
+        nextFaultAt = this.#cluster.now + this.#random.between(200, 3000);
+        this.#injectRandomFault();
       }
-      if (this.#numbers.next() < 0.1) this.#order();
+      if (this.#random.next() < 0.1) this.#edit();
     }
     this.#runFor(25_000);
     const leader = this.#cluster.leader();
-    expect(leader, this.#told()).not.toBe('');
+    expect(leader, this.#logText()).not.toBe('');
     const version = this.#cluster.versionAt(leader) ?? -1;
-    expect(version, this.#told()).toBeGreaterThanOrEqual(this.#acked);
-    expect(version, this.#told()).toBeLessThanOrEqual(this.#sent);
-    expect(this.longestLeaderlessMs, this.#told()).toBeLessThanOrEqual(LEADERLESS_MS);
+    expect(version, this.#logText()).toBeGreaterThanOrEqual(this.#lastAcknowledged);
+    expect(version, this.#logText()).toBeLessThanOrEqual(this.#lastSent);
+    expect(this.longestLeaderlessMs, this.#logText()).toBeLessThanOrEqual(LEADERLESS_MS);
   }
 
-  #told(): string {
+  #logText(): string {
     return `\n${this.log.join('\n')}\n`;
   }
 
-  #runFor(millis: number): void {
-    for (const end = this.#cluster.now + millis; this.#cluster.now < end;) {
+  #runFor(durationMs: number): void {
+    for (const end = this.#cluster.now + durationMs; this.#cluster.now < end;) {
       this.#cluster.run(Math.min(50, end - this.#cluster.now));
       const due = this.#steps.filter((step) => step.at <= this.#cluster.now);
       this.#steps = this.#steps.filter((step) => step.at > this.#cluster.now);
       for (const step of due) step.run();
       if (this.#cluster.hasLeader()) this.#leaderSeenAt = this.#cluster.now;
-      const leaderless = this.#cluster.now - this.#leaderSeenAt;
-      this.longestLeaderlessMs = Math.max(this.longestLeaderlessMs, leaderless);
+      const leaderlessMs = this.#cluster.now - this.#leaderSeenAt;
+      this.longestLeaderlessMs = Math.max(this.longestLeaderlessMs, leaderlessMs);
     }
   }
 
-  #after(millis: number, run: () => void): void {
-    this.#steps.push({ at: this.#cluster.now + millis, run });
+  #schedule(delayMs: number, run: () => void): void {
+    this.#steps.push({ at: this.#cluster.now + delayMs, run });
   }
 
-  #lose(id: string, millis: number): void {
-    this.#lostUntil.set(id, this.#cluster.now + millis + CATCH_UP_MS);
+  #countAsLost(id: string, durationMs: number): void {
+    this.#lostUntil.set(id, this.#cluster.now + durationMs + CATCH_UP_MS);
   }
 
-  #draw(): void {
-    let lost = this.#goneForGood;
-    const calm: string[] = [];
+  #injectRandomFault(): void {
+    let lost = this.#permanentlyLost;
+    const healthy: string[] = [];
     for (const id of this.#machines) {
       if ((this.#lostUntil.get(id) ?? 0) > this.#cluster.now) lost += 1;
-      else calm.push(id);
+      else healthy.push(id);
     }
-    if (lost >= this.#tolerate) return;
+    if (lost >= this.#maxFaults) return;
     const leader = this.#cluster.leader();
-    // The leader is aimed at more often than its share.
-    const isAimed = this.#numbers.next() < 0.35 && calm.includes(leader);
-    const id = isAimed ? leader : calm[Math.floor(this.#numbers.next() * calm.length)];
-    const kind = KINDS[Math.floor(this.#numbers.next() * KINDS.length)];
+    // The leader is chosen more often than the other voters.
+    const isLeaderChosen = this.#random.next() < 0.35 && healthy.includes(leader);
+    const id = isLeaderChosen ? leader : healthy[Math.floor(this.#random.next() * healthy.length)];
+    const kind = KINDS[Math.floor(this.#random.next() * KINDS.length)];
     if (id === undefined || kind === undefined) return;
-    this.log.push(`${this.#cluster.now}: ${id}${id === leader ? ' (leads)' : ''} ${kind}`);
-    this.#bring(id, kind, this.#numbers.between(300, 7000));
+    this.log.push(`${this.#cluster.now}: ${id}${id === leader ? ' (leader)' : ''} ${kind}`);
+    this.#inject(id, kind, this.#random.between(300, 7000));
   }
 
-  #bring(id: string, kind: TroubleKind, millis: number): void {
+  #inject(id: string, kind: FaultKind, durationMs: number): void {
     const cluster = this.#cluster;
     switch (kind) {
       case 'restarted':
       case 'wiped':
-        this.#lose(id, millis);
+        this.#countAsLost(id, durationMs);
         cluster.kill(id);
         if (kind === 'wiped') cluster.wipe(id);
-        this.#after(millis, () => this.#start(id));
+        this.#schedule(durationMs, () => this.#start(id));
         break;
       case 'frozen':
-        this.#lose(id, millis);
+        this.#countAsLost(id, durationMs);
         cluster.freeze(id);
-        this.#after(millis, () => this.#thaw(id));
+        this.#schedule(durationMs, () => this.#thaw(id));
         break;
-      case 'cut off':
-        this.#lose(id, millis);
+      case 'isolated':
+        this.#countAsLost(id, durationMs);
         cluster.cutOff(id);
-        this.#after(millis, () => cluster.heal());
+        this.#schedule(durationMs, () => cluster.heal());
         break;
       case 'cut one way': {
-        this.#lose(id, millis);
+        this.#countAsLost(id, durationMs);
         const others = this.#machines.filter((other) => id !== other);
-        const other = others[Math.floor(this.#numbers.next() * others.length)] ?? '';
-        if (this.#numbers.next() < 0.5) cluster.cutOneWay(id, other);
+        const other = others[Math.floor(this.#random.next() * others.length)] ?? '';
+        if (this.#random.next() < 0.5) cluster.cutOneWay(id, other);
         else cluster.cutOneWay(other, id);
-        this.#after(millis, () => cluster.heal());
+        this.#schedule(durationMs, () => cluster.heal());
         break;
       }
       case 'disk stalled':
-        this.#lose(id, millis);
+        this.#countAsLost(id, durationMs);
         cluster.stallDisk(id);
-        this.#after(millis, () => cluster.resumeDisk(id));
+        this.#schedule(durationMs, () => cluster.resumeDisk(id));
         break;
-      case 'replaced as planned': {
-        // The new machine counts as lost until it had its time, the old one until it is gone.
+      case 'replaced in a planned stop': {
+        // The new machine counts as lost until it has caught up, the old one until it has stopped.
         const name = this.#startNew();
-        const leavesIn = this.#numbers.between(300, 4000);
-        this.#lostUntil.set(name, cluster.now + leavesIn + CATCH_UP_MS);
-        this.#lostUntil.set(id, cluster.now + leavesIn);
-        this.#after(leavesIn, () => this.#retire(id));
+        const departsInMs = this.#random.between(300, 4000);
+        this.#lostUntil.set(name, cluster.now + departsInMs + CATCH_UP_MS);
+        this.#lostUntil.set(id, cluster.now + departsInMs);
+        this.#schedule(departsInMs, () => this.#retire(id));
         break;
       }
       case 'replaced': {
         cluster.kill(id);
         this.#machines.splice(this.#machines.indexOf(id), 1);
         const name = this.#startNew();
-        this.#lose(name, 0);
+        this.#countAsLost(name, 0);
         break;
       }
-      case 'gone for good':
-        // Any quorum of five bears that, and one more besides; with three there is nothing to spare.
-        if (this.#tolerate < 2 || this.#goneForGood > 0) return;
-        this.#goneForGood += 1;
+      case 'lost permanently':
+        // Five voters tolerate this and one more fault; three tolerate no other fault beside it.
+        if (this.#maxFaults < 2 || this.#permanentlyLost > 0) return;
+        this.#permanentlyLost += 1;
         cluster.kill(id);
         this.#machines.splice(this.#machines.indexOf(id), 1);
         break;
@@ -191,7 +191,7 @@
   }
 
   #thaw(id: string): void {
-    this.#cluster.thaw(id, this.#numbers.next() < 0.5 ? 'input' : 'tick');
+    this.#cluster.thaw(id, this.#random.next() < 0.5 ? 'input' : 'tick');
   }
 
   #startNew(): string {
@@ -209,27 +209,27 @@
     if (state === 'up') this.#cluster.retire(id);
   }
 
-  /** Three of the machines there are, as an operator's list would name them. */
+  /** Up to three of the present machines, as in an operator's list of seeds. */
   #seeds(): readonly string[] {
     const seeds = [...this.#machines];
-    while (seeds.length > 3) seeds.splice(Math.floor(this.#numbers.next() * seeds.length), 1);
+    while (seeds.length > 3) seeds.splice(Math.floor(this.#random.next() * seeds.length), 1);
     return seeds;
   }
 
-  /** Reads the version in force and builds the next on it; what was acknowledged must be there. */
-  #order(): void {
+  /** Reads the configuration, checks that no acknowledged edit is missing, and edits it. */
+  #edit(): void {
     const leader = this.#cluster.leader();
     if (leader === '') return;
     const read = this.#cluster.asked(leader, 'read', {}, 600);
     if (read.status !== 200) return;
     const version = versionIn(read.body);
-    expect(version, this.#told()).toBeGreaterThanOrEqual(this.#acked);
-    expect(version, this.#told()).toBeLessThanOrEqual(this.#sent);
-    this.#sent += 1;
-    const text = documentOf(this.#sent);
-    const body = { id: `edit-${this.#sent}`, base: version, text };
+    expect(version, this.#logText()).toBeGreaterThanOrEqual(this.#lastAcknowledged);
+    expect(version, this.#logText()).toBeLessThanOrEqual(this.#lastSent);
+    this.#lastSent += 1;
+    const text = documentOf(this.#lastSent);
+    const body = { id: `edit-${this.#lastSent}`, base: version, text };
     const answer = this.#cluster.asked(leader, 'configure', body, 1000);
-    if (answer.status === 200) this.#acked = this.#sent;
+    if (answer.status === 200) this.#lastAcknowledged = this.#lastSent;
   }
 }
 
@@ -238,19 +238,20 @@
   return read.routing?.version ?? 0;
 }
 
-function checkDrawn(ids: readonly string[], tolerate: number): void {
-  for (let seed = 1; seed <= SEEDS_TRIED; seed += 1) {
-    const troubles = new DrawnTroubles(ids, tolerate, seed);
+function checkRandomFaults(ids: readonly string[], maxFaults: number): void {
+  for (let seed = 1; seed <= SEED_COUNT; seed += 1) {
+    const faults = new RandomFaults(ids, maxFaults, seed);
     try {
-      troubles.run();
+      faults.run();
     } catch (thrown) {
       throw new Error(
-        `seed ${seed}: ${thrown instanceof Error ? thrown.message : ''}\n${troubles.log.join('\n')}`,
+        `seed ${seed}: ${thrown instanceof Error ? thrown.message : ''}\n${faults.log.join('\n')}`,
       );
     }
   }
 }
 
-test('drawn troubles, one at a time, of three voters', () => checkDrawn(['a:1', 'b:1', 'c:1'], 1));
-test('drawn troubles, two at a time, of five voters', () =>
-  checkDrawn(['a:1', 'b:1', 'c:1', 'd:1', 'e:1'], 2));
+test('three voters tolerate random faults, one at a time', () =>
+  checkRandomFaults(['a:1', 'b:1', 'c:1'], 1));
+test('five voters tolerate random faults, up to two at a time', () =>
+  checkRandomFaults(['a:1', 'b:1', 'c:1', 'd:1', 'e:1'], 2));
