--- a/src/control/voters.test.ts
+++ b/src/control/voters.test.ts
@@ -9,39 +9,39 @@
 
 const STEP_MS = 10;
 
-function other(cluster: ControlCluster): string {
+function followerOf(cluster: ControlCluster): string {
   const leader = cluster.leader();
   return SEEDS.find((seed) => seed !== leader) ?? '';
 }
-function checkSwap(goes: 'leader' | 'follower'): void {
+function checkReplacement(lostRole: 'leader' | 'follower'): void {
   const cluster = founded();
-  expect(cluster.asked(other(cluster), 'configure', edit('e1', 0, document(7, 'x'))).status).toBe(
-    200,
-  );
-  const gone = goes === 'leader' ? cluster.leader() : other(cluster);
-  cluster.stop(gone);
+  expect(
+    cluster.asked(followerOf(cluster), 'configure', edit('e1', 0, document(7, 'x'))).status,
+  ).toBe(200);
+  const lost = lostRole === 'leader' ? cluster.leader() : followerOf(cluster);
+  cluster.stop(lost);
   cluster.run(1000);
-  // It comes empty, at another address, and is told seeds of which one is gone.
+  // The new node starts with an empty disk at another address, and one of its seeds is gone.
   cluster.start('d:1', false);
   cluster.run(9000);
-  const [one = '', two = ''] = SEEDS.filter((seed) => seed !== gone);
+  const [one = '', two = ''] = SEEDS.filter((seed) => seed !== lost);
   expect(cluster.voters()).toBe([one, two, 'd:1'].sort().join(' '));
-  // The new one bears the loss of another.
+  // With the new voter the loss of another one is tolerated.
   cluster.stop(cluster.leader() === one ? two : one);
   cluster.run(8000);
   expect(JSON.parse(cluster.asked('d:1', 'read', {}).body).routing.version).toBe(7);
-  // Whoever was swapped out and comes back is no voter, and does no harm.
-  cluster.start(gone, false);
+  // A replaced voter that returns is not a voter, and does not disturb the others.
+  cluster.start(lost, false);
   cluster.run(6000);
   expect(cluster.asked('d:1', 'configure', edit('e2', 7, document(9, 'y'))).status).toBe(200);
 }
 
-test('a configuration is taken once from its base, told again, changed and read back', () => {
+test('a configuration is accepted once from its base, acknowledged again, amended and read back', () => {
   const cluster = founded();
-  const follower = other(cluster);
+  const follower = followerOf(cluster);
   expect(cluster.asked(follower, 'read', {}).body).not.toContain('routing');
   expect(cluster.asked(follower, 'configure', edit('e1', 0, document(7, 'x'))).status).toBe(200);
-  // The same again, anywhere, is acknowledged again; another on the same version has lost.
+  // A retry is acknowledged at any node; another edit of the same version conflicts.
   expect(cluster.asked(cluster.leader(), 'configure', edit('e1', 0, document(7, 'x'))).status).toBe(
     200,
   );
@@ -62,7 +62,7 @@
   const read = JSON.parse(cluster.asked(follower, 'read', {}).body);
   expect(read.routing).toEqual({ version: 12, text: document(12, 'x', 'y') });
 });
-test('of two on the same version one wins', () => {
+test('of two edits of the same version one is accepted', () => {
   const cluster = founded();
   const first = cluster.ask(cluster.leader(), 'configure', edit('e1', 0, document(7, 'x')));
   const second = cluster.ask(cluster.leader(), 'configure', edit('e2', 0, document(8, 'y')));
@@ -70,63 +70,67 @@
   const { answers } = cluster.node(cluster.leader());
   expect([answers.get(first)?.status, answers.get(second)?.status]).toEqual([200, 409]);
 });
-test('the yes comes with a synced majority, and not before', () => {
+test('an edit is acknowledged once a majority has it on disk, and not before', () => {
   const cluster = founded();
   const leader = cluster.leader();
   for (const id of SEEDS) if (id !== leader) cluster.node(id).disk = 'stalled';
   const asked = cluster.ask(leader, 'configure', edit('e1', 0, document(7, 'x')));
   cluster.run(400);
   expect(cluster.node(leader).answers.get(asked)).toBeUndefined();
-  // One more synced copy makes the majority; nobody has to have acked or gone blind.
-  cluster.node(other(cluster)).disk = 'sound';
+  // One more copy on disk makes a majority; no member has to acknowledge it or become stale.
+  cluster.node(followerOf(cluster)).disk = 'sound';
   cluster.run(500);
   expect(cluster.node(leader).answers.get(asked)?.status).toBe(200);
 });
-test('a zone is emptied, given back and emptied again', () => {
+test('a zone is evacuated, released and evacuated again', () => {
   const cluster = founded();
   for (const [id, empty] of [
     ['z1', true],
     ['z2', false],
     ['z3', true],
   ] as const)
-    expect(cluster.asked(other(cluster), 'zone', { id, zone: 'north', empty }).status).toBe(200);
-  expect(JSON.parse(cluster.asked(other(cluster), 'read', {}).body).emptied).toEqual(['north']);
+    expect(cluster.asked(followerOf(cluster), 'zone', { id, zone: 'north', empty }).status).toBe(
+      200,
+    );
+  expect(JSON.parse(cluster.asked(followerOf(cluster), 'read', {}).body).emptied).toEqual([
+    'north',
+  ]);
 });
-test('all control nodes of the first start become voters, and two of five may be lost', () => {
+test('all control nodes of the first start become voters, and five tolerate the loss of two', () => {
   const cluster = new ControlCluster();
   for (const id of [...SEEDS, 'd:1', 'e:1']) cluster.start(id, true);
   cluster.run(12_000);
   expect(cluster.voters()).toBe('a:1 b:1 c:1 d:1 e:1');
-  expect(cluster.asked(other(cluster), 'configure', edit('e1', 0, document(7, 'x'))).status).toBe(
-    200,
-  );
+  expect(
+    cluster.asked(followerOf(cluster), 'configure', edit('e1', 0, document(7, 'x'))).status,
+  ).toBe(200);
   cluster.stop(cluster.leader());
-  cluster.stop(other(cluster));
+  cluster.stop(followerOf(cluster));
   cluster.run(8000);
   expect(JSON.parse(cluster.asked(cluster.leader(), 'read', {}).body).routing.version).toBe(7);
 });
-test('an empty node takes the place of a follower that is gone', () => checkSwap('follower'));
-test('an empty node takes the place of a leader that is gone', () => checkSwap('leader'));
-test('a swap that was left half done is finished by the next leader', () => {
+test('an empty node replaces a lost follower', () => checkReplacement('follower'));
+test('an empty node replaces a lost leader', () => checkReplacement('leader'));
+test('a replacement that was interrupted is completed by the next leader', () => {
   const cluster = founded();
-  const gone = other(cluster);
-  cluster.stop(gone);
+  const lost = followerOf(cluster);
+  cluster.stop(lost);
   cluster.start('d:1', false);
   const before = cluster.leader();
   for (let waits = 0; waits < 1000 && cluster.node(before).core.voters.length < 4; waits += 1)
     cluster.run(STEP_MS);
-  // Half-way: four stand in two sets. The leader is restarted, and whoever leads next goes on.
+  // The configuration is joint: four voters in two sets. The leader restarts, and the next leader continues.
   expect(cluster.node(before).core.voters).toHaveLength(4);
   cluster.start(before, false);
   cluster.run(10_000);
   expect(cluster.voters().split(' ')).toHaveLength(3);
   expect(cluster.voters()).toContain('d:1');
 });
-test('a node whose disk was lost is repaired from the others', () => {
+test('a node that lost its disk is repaired from the others', () => {
   const cluster = founded();
-  expect(cluster.asked(other(cluster), 'configure', edit('e1', 0, document(7, 'x'))).status).toBe(
-    200,
-  );
+  expect(
+    cluster.asked(followerOf(cluster), 'configure', edit('e1', 0, document(7, 'x'))).status,
+  ).toBe(200);
   const leader = cluster.leader();
   cluster.stop(leader);
   cluster.wipe(leader);
@@ -135,7 +139,7 @@
   expect(cluster.node(leader).core.replicaStatus.name).toBe('sound');
   expect(JSON.parse(cluster.asked(leader, 'read', {}).body).routing.version).toBe(7);
 });
-test('blank nodes found at the first start alone', () => {
+test('blank nodes start a cluster only at the first start', () => {
   const cluster = new ControlCluster();
   for (const id of SEEDS) cluster.start(id, false);
   cluster.run(6000);
