--- a/src/control/draining-runners-reader.ts
+++ b/src/control/draining-runners-reader.ts
@@ -19,6 +19,7 @@
   children(): Iterable<string>;
   /** Reads the platform's list of runners. */
   pollRunnerList(): void;
+  /** Sends a message to another node. */
   send(to: string, message: Message): void;
 }
 
--- a/src/control/voter-membership.ts
+++ b/src/control/voter-membership.ts
@@ -33,6 +33,7 @@
   document(): ConfigDoc;
   /** The zone of a control node; '' if unknown. */
   zoneOf(id: string): string;
+  /** Sends a message to another node. */
   send(to: string, message: Message): void;
   /** Rewrites all partitions except the configuration, so that they are stored at a majority of each set. */
   rewritePartitions(now: Moment): void;
