--- a/src/control/draining-runners-reader.test.ts
+++ b/src/control/draining-runners-reader.test.ts
@@ -76,7 +76,7 @@
 /** The maximum number of reads by all nodes in any second from then on. */
 function maxReadsPerSecond(cluster: FaultCluster, from: number): number {
   let max = 0;
-  const reads = cluster.listReadings.filter((reading) => isAtOrAfter(from, reading));
+  const reads = cluster.listReadings.filter((read) => isAtOrAfter(from, read));
   for (const { at } of reads) {
     let count = 0;
     for (const other of reads) if (other.at >= at && other.at < at + 1000) count += 1;
@@ -231,7 +231,7 @@
   cluster.run(10);
   const from = cluster.now;
   cluster.run(20_000);
-  const count = cluster.listReadings.filter((reading) => isAtOrAfter(from, reading)).length;
+  const count = cluster.listReadings.filter((read) => isAtOrAfter(from, read)).length;
   // Two nodes, each of which waits 1, 2, 4, 4 s and so on between its reads.
   expect(count).toBeLessThanOrEqual(14);
   expect(count).toBeGreaterThanOrEqual(8);
@@ -241,9 +241,9 @@
   const from = cluster.now;
   const leader = cluster.leader();
   cluster.run(20_000);
-  const readings = cluster.listReadings.filter((reading) => isAtOrAfter(from, reading));
-  expect(readings).toHaveLength(20);
-  for (const { id } of readings) expect(id).toBe(leader);
+  const reads = cluster.listReadings.filter((read) => isAtOrAfter(from, read));
+  expect(reads).toHaveLength(20);
+  for (const { id } of reads) expect(id).toBe(leader);
 });
 /** A notification sent while the link was down is sent again on request. */
 test('a proxy that was isolated learns of the draining runner once it is reachable again', () => {
@@ -288,9 +288,7 @@
   const servedAt = cluster.now;
   cluster.run(100);
   expect(
-    cluster.listReadings.some(
-      (reading) => reading.id === leader && Math.abs(reading.at - servedAt) <= 50,
-    ),
+    cluster.listReadings.some((read) => read.id === leader && Math.abs(read.at - servedAt) <= 50),
   ).toBe(true);
 });
 
@@ -298,7 +296,7 @@
 function expectOnlyLeaderReads(cluster: FaultCluster): void {
   const from = cluster.now + 1;
   cluster.run(10_000);
-  const reads = cluster.listReadings.filter((reading) => isAtOrAfter(from, reading));
+  const reads = cluster.listReadings.filter((read) => isAtOrAfter(from, read));
   expect(reads).toHaveLength(10);
   for (const { id } of reads) expect(id).toBe(cluster.leader());
 }
--- a/src/control/quorum-reads.ts
+++ b/src/control/quorum-reads.ts
@@ -41,7 +41,7 @@
 }
 
 /** The purpose of a quorum read that this node itself requests: a client's read, or the rejection of an edit. */
-type Purpose = { readonly do: 'read'; readonly origin: Origin } | { readonly do: 'refusal' };
+type Purpose = { readonly do: 'read'; readonly origin: Origin } | { readonly do: 'rejection' };
 
 interface ReadReply {
   readonly version: Version;
@@ -81,7 +81,7 @@
 
   /** Requests a quorum read for a rejection; it begins after this call. Returns its id. */
   confirmRefusal(): number {
-    return this.#request({ do: 'refusal' });
+    return this.#request({ do: 'rejection' });
   }
 
   /** Answers a client's read with the newest configuration, once a quorum read has shown it to be the newest. */
@@ -205,7 +205,7 @@
     // Only this node commits in its epoch: if no later epoch was seen, the newest version that it knows to be committed is the
     // newest of all.
     const isNewest = leadership.isServing && newest.epoch <= leadership.epoch;
-    if (purpose.do === 'refusal') this.#dependencies.onConfirmation(now, id, isNewest);
+    if (purpose.do === 'rejection') this.#dependencies.onConfirmation(now, id, isNewest);
     else this.#answerRead(purpose.origin, newest, isNewest);
   }
 
--- a/src/control/update-exchange.test.ts
+++ b/src/control/update-exchange.test.ts
@@ -53,12 +53,14 @@
 });
 test('messages of other kinds are not handled', () => {
   const node = new DutyNode([]);
-  const isTaken = node.duties.memberMessages.onMessage(NOW, 'b', {
+  const isHandled = node.duties.memberMessages.onMessage(NOW, 'b', {
     kind: 'renewed',
     epoch: 1,
     nonce: 1,
   });
-  expect(isTaken).toBe(false);
-  const state = node.duties.stateMessages;
-  expect(state.onMessage(NOW, nodeId('b'), { kind: 'renewed', epoch: 1, nonce: 1 })).toBe(false);
+  expect(isHandled).toBe(false);
+  const stateMessages = node.duties.stateMessages;
+  expect(stateMessages.onMessage(NOW, nodeId('b'), { kind: 'renewed', epoch: 1, nonce: 1 })).toBe(
+    false,
+  );
 });
--- a/src/control/voter-plan.test.ts
+++ b/src/control/voter-plan.test.ts
@@ -154,12 +154,14 @@
   });
 
   test('does not happen if a remaining voter may have failed as well', () => {
-    const gone = { d: DEPARTED_MS + 1, e: DEPARTED_MS + 1 };
+    const departed = { d: DEPARTED_MS + 1, e: DEPARTED_MS + 1 };
     const removed = joint(FIVE, THREE, 5);
-    expect(nextOf({ voters: [FIVE], idleMs: { ...gone, c: UNREACHABLE_MS } })).toEqual(removed);
-    expect(nextOf({ voters: [FIVE], idleMs: { ...gone, c: UNREACHABLE_MS + 1 } })).toEqual(NOTHING);
+    expect(nextOf({ voters: [FIVE], idleMs: { ...departed, c: UNREACHABLE_MS } })).toEqual(removed);
+    expect(nextOf({ voters: [FIVE], idleMs: { ...departed, c: UNREACHABLE_MS + 1 } })).toEqual(
+      NOTHING,
+    );
     // The leader itself never counts as idle.
-    expect(nextOf({ voters: [FIVE], idleMs: { ...gone, a: 100_000 } })).toEqual(removed);
+    expect(nextOf({ voters: [FIVE], idleMs: { ...departed, a: 100_000 } })).toEqual(removed);
   });
 
   test('does not happen if the remaining voters would tolerate no more failures', () => {
