--- a/src/control/command-handler.ts
+++ b/src/control/command-handler.ts
@@ -25,7 +25,7 @@
   readonly voters: FollowedVoters;
   readonly takeover: Takeover;
   readonly forwarding: CommandForwarding;
-  readonly orders: OperatorEdits;
+  readonly edits: OperatorEdits;
   readonly reads: QuorumReads;
   readonly document: ConfigStore;
   readonly table: TableManager;
@@ -85,11 +85,11 @@
   }
 
   #executeAsLeader(now: Moment, origin: Origin, verb: string, body: string): void {
-    const { reads, table, document, orders } = this.#dependencies;
+    const { reads, table, document, edits: edits } = this.#dependencies;
     if (verb === 'read') reads.read(origin);
     else if (verb === 'live') this.#answer(origin, table.live(now, document.newest()));
     else if (verb === 'fleet') this.#answer(origin, table.fleet(now, document.newest()));
-    else orders.submit(now, origin, verb, body);
+    else edits.submit(now, origin, verb, body);
   }
 
   /** An operator declares that no better replica is left than those this node can reach. */
--- a/src/control/control-components.ts
+++ b/src/control/control-components.ts
@@ -24,7 +24,7 @@
 import { Takeover } from './takeover.js';
 import { UpdateExchange } from './update-exchange.js';
 import { VoterMembership } from './voter-membership.js';
-import type { VotersChange } from './voter-plan.js';
+import type { VoterSetChange } from './voter-plan.js';
 import { VoterSetWriter } from './voter-set-writer.js';
 
 /** The operations of the core that its components call. */
@@ -47,7 +47,7 @@
   readonly document: ConfigStore;
   readonly placement: PlacementControl;
   readonly updates: UpdateExchange;
-  readonly orders: OperatorEdits;
+  readonly edits: OperatorEdits;
   readonly forwarding: CommandForwarding;
   readonly reads: QuorumReads;
   readonly voterSet: VoterSetWriter;
@@ -89,7 +89,7 @@
     });
     this.placement = this.#makePlacement(placer);
     this.updates = this.#makeUpdates();
-    this.orders = this.#makeEdits();
+    this.edits = this.#makeEdits();
     this.forwarding = this.#makeForwarding(now);
     this.reads = this.#makeReads();
     this.voterSet = new VoterSetWriter({ ...replica, ...this.#writers() });
@@ -163,7 +163,7 @@
       newest: () => document.newest(),
       committed: () => document.committed(),
       write: (now: Moment, doc: ConfigDoc, token: number) => document.write(now, doc, token),
-      requestConfirmation: () => this.reads.confirmRefusal(),
+      requestConfirmation: () => this.reads.confirmRejection(),
       answer: (origin: Origin, answer: CommandAnswer) => effects.answer(origin, answer),
       isInForce: (now: Moment, commit: Commit) => this.#isInForce(now, commit),
     };
@@ -199,7 +199,7 @@
       table: this.placement.table,
       updates: this.updates,
       needsMachines: !this.#isDeployed,
-      onConfirmation: (now, id, isNewest) => this.orders.onConfirmation(now, id, isNewest),
+      onConfirmation: (now, id, isNewest) => this.edits.onConfirmation(now, id, isNewest),
     });
   }
 
@@ -215,7 +215,7 @@
       zoneOf: (id: string) => zones.zoneOf(id),
       send: (to: string, message: Message) => effects.send(to, message),
       rewritePartitions: (now: Moment) => voterSet.rewritePartitions(now),
-      writeVoters: (now: Moment, change: VotersChange) => voterSet.writeVoters(now, change),
+      writeVoters: (now: Moment, change: VoterSetChange) => voterSet.writeVoters(now, change),
     };
     return new VoterMembership(host, now);
   }
@@ -242,12 +242,12 @@
   }
 
   #makeTakeover(): Takeover {
-    const { placement, orders, reads, updates, membership, tree } = this;
+    const { placement, edits: edits, reads, updates, membership, tree } = this;
     return new Takeover({
       ...this.#replica,
       ...this.#writers(),
       placement,
-      orders,
+      edits: edits,
       reads,
       updates,
       membership,
@@ -256,13 +256,13 @@
   }
 
   #makeCommands(): CommandHandler {
-    const { repair, takeover, forwarding, orders, reads, document, placement } = this;
+    const { repair, takeover, forwarding, edits: edits, reads, document, placement } = this;
     return new CommandHandler({
       ...this.#replica,
       repair,
       takeover,
       forwarding,
-      orders,
+      edits: edits,
       reads,
       document,
       table: placement.table,
--- a/src/control/control-core.ts
+++ b/src/control/control-core.ts
@@ -142,15 +142,21 @@
 
   /** Advances all timers; called every 50 ms. */
   tick(now: Moment): void {
-    const { stateMessages, memberMessages, takeover, forwarding, orders, placement } =
-      this.#components;
+    const {
+      stateMessages,
+      memberMessages,
+      takeover,
+      forwarding,
+      edits: edits,
+      placement,
+    } = this.#components;
     this.#replica.elector.tick(now);
     stateMessages.tick(now);
     this.#replica.state.tick(now);
     memberMessages.tick(now);
     takeover.tick(now);
     forwarding.tick(now);
-    orders.tick(now);
+    edits.tick(now);
     this.#completeReplacement(now);
     this.#components.membership?.tick(now);
     placement.tick(now, takeover.isRecovering);
@@ -352,11 +358,11 @@
     now: Moment,
     { version, tokens, members: reportedMembers }: CommittedEffect,
   ): void {
-    const { document, orders, members } = this.#components;
+    const { document, edits: edits, members } = this.#components;
     const { voters, elector, me } = this.#replica;
     document.onCommitted(version);
     voters.follow();
-    orders.onCommitted(now, version, tokens, [...reportedMembers, ...members.possible(now)]);
+    edits.onCommitted(now, version, tokens, [...reportedMembers, ...members.possible(now)]);
     // A leader that is no longer a voter steps down, except in a planned stop, where `retire` releases the lease.
     if (!this.#isRetiring && !voters.quorum.includes(me)) elector.stepDown();
   }
--- a/src/control/unserved-quorum-read.test.ts
+++ b/src/control/quorum-read-before-serving.test.ts
@@ -27,7 +27,7 @@
   });
   node.replica.leadership.begin(EPOCH);
   if (leadershipState === 'serving') node.replica.leadership.serve();
-  reads.confirmRefusal();
+  reads.confirmRejection();
   reads.tick(NOW);
   const message = { kind: 'quorumReadReply', nonce: INCARNATION + 1, ...newest, marks: 0 } as const;
   reads.onQuorumReadReply(NOW, nodeId('b'), message);
--- a/src/control/quorum-reads.ts
+++ b/src/control/quorum-reads.ts
@@ -80,7 +80,7 @@
   }
 
   /** Requests a quorum read for a rejection; it begins after this call. Returns its id. */
-  confirmRefusal(): number {
+  confirmRejection(): number {
     return this.#request({ do: 'rejection' });
   }
 
--- a/src/control/takeover.ts
+++ b/src/control/takeover.ts
@@ -27,7 +27,7 @@
   readonly document: ConfigStore;
   readonly voters: FollowedVoters;
   readonly placement: PlacementControl;
-  readonly orders: OperatorEdits;
+  readonly edits: OperatorEdits;
   readonly reads: QuorumReads;
   readonly updates: UpdateExchange;
   readonly membership: VoterMembership | undefined;
@@ -112,13 +112,13 @@
   }
 
   #stepDown(): void {
-    const { state, voters, placement, writer, orders, reads } = this.#dependencies;
+    const { state, voters, placement, writer, edits: edits, reads } = this.#dependencies;
     this.#recoverUntil = undefined;
     state.release();
     voters.clearConfigRead();
     placement.endLeading();
     writer.clear();
-    orders.abandon();
+    edits.abandon();
     reads.abandon();
   }
 
--- a/src/control/voter-membership.ts
+++ b/src/control/voter-membership.ts
@@ -11,7 +11,12 @@
 import { DepartingVoters } from './departing-voters.js';
 import { VoterHandover } from './voter-handover.js';
 import { PeerIdleClock } from './peer-idle-clock.js';
-import { VoterPlan, type AnnouncedNode, type VotersChange, type VoterView } from './voter-plan.js';
+import {
+  VoterPlan,
+  type AnnouncedNode,
+  type VoterSetChange,
+  type VoterView,
+} from './voter-plan.js';
 
 /** The parts of the control node that the membership uses. */
 export interface MembershipHost {
@@ -38,7 +43,7 @@
   /** Rewrites all partitions except the configuration, so that they are stored at a majority of each set. */
   rewritePartitions(now: Moment): void;
   /** Writes a new set of voters, or two sets that form a joint configuration. */
-  writeVoters(now: Moment, change: VotersChange): void;
+  writeVoters(now: Moment, change: VoterSetChange): void;
 }
 
 type AnnounceMessage = Extract<Message, { kind: 'announce' }>;
--- a/src/control/voter-plan.ts
+++ b/src/control/voter-plan.ts
@@ -29,19 +29,19 @@
 }
 
 /** The next set of voters, or two sets that form a joint configuration, is to be written. */
-export interface VotersChange {
+export interface VoterSetChange {
   readonly do: 'voters';
   readonly voters: readonly (readonly string[])[];
   readonly voterCount: number | undefined;
 }
 
 /** The next step of a change of voters. */
-export type VoterChange =
+export type VoterPlanStep =
   /** The voters stay as they are. */
   | { readonly do: 'nothing' }
   /** All partitions are to be rewritten at a majority of both sets. */
   | { readonly do: 'rewrite' }
-  | VotersChange;
+  | VoterSetChange;
 
 /** A voter idle for this long is replaced if there is a spare: a dead voter makes majorities harder to reach. */
 const UNREACHABLE_MS = 2000;
@@ -51,7 +51,7 @@
  * longer: the fault model allows the next failure after this time.
  */
 const DEPARTED_MS = 10_000;
-const NOTHING: VoterChange = { do: 'nothing' };
+const NOTHING: VoterPlanStep = { do: 'nothing' };
 
 /** How many of the `liveCount` live voters may fail while the rest is still a majority of `voterCount` voters. */
 function toleratedFailures(voterCount: number, liveCount: number): number {
@@ -72,7 +72,7 @@
   }
 
   /** The next step, from what the leader knows now. The caller calls again once the step is committed. */
-  next(view: VoterView): VoterChange {
+  next(view: VoterView): VoterPlanStep {
     const [current, following] = view.voters;
     if (!current) return NOTHING;
     if (following) return this.#continueChange(view, following);
@@ -83,7 +83,7 @@
   }
 
   /** Continues a change: all partitions are stored at a majority of both sets before the new set alone decides. */
-  #continueChange(view: VoterView, following: readonly string[]): VoterChange {
+  #continueChange(view: VoterView, following: readonly string[]): VoterPlanStep {
     const change = view.voters.join(' | ');
     if (this.#rewrittenChange === change) {
       return { do: 'voters', voters: [following], voterCount: view.voterCount };
--- a/src/control/voter-set-writer.ts
+++ b/src/control/voter-set-writer.ts
@@ -8,7 +8,7 @@
 import type { EffectQueue } from './effect-queue.js';
 import type { FollowedVoters } from './followed-voters.js';
 import type { PartitionWriter } from './partition-writer.js';
-import type { VotersChange } from './voter-plan.js';
+import type { VoterSetChange } from './voter-plan.js';
 
 /** The components that a change of the voters is written with. */
 export interface VoterSetDependencies {
@@ -29,7 +29,7 @@
   }
 
   /** Writes a new set of voters, or two sets that form a joint configuration. */
-  writeVoters(now: Moment, change: VotersChange): void {
+  writeVoters(now: Moment, change: VoterSetChange): void {
     const { document, effects, voters } = this.#dependencies;
     const doc = document.newest();
     effects.log({
--- a/src/simulation/mutants/exchanged-parts.ts
+++ b/src/simulation/mutants/exchanged-parts.ts
@@ -1,7 +1,7 @@
 import type { NodeId } from '../../common/ids.js';
 import { Quorum } from '../../common/quorum.js';
 import { CommandForwarding } from '../../control/command-forwarding.js';
-import { VoterPlan, type VoterChange } from '../../control/voter-plan.js';
+import { VoterPlan, type VoterPlanStep } from '../../control/voter-plan.js';
 
 /**
  * Wrong parts that a core makes for itself, so that they can't be handed to it: for the time of a run the method of the
@@ -13,7 +13,7 @@
 /** Goes from one set of voters to the next in one step. */
 export function withoutJointSet(): Restore {
   const { next } = VoterPlan.prototype;
-  function nextAtOnce(this: VoterPlan, ...inputs: Parameters<VoterPlan['next']>): VoterChange {
+  function nextAtOnce(this: VoterPlan, ...inputs: Parameters<VoterPlan['next']>): VoterPlanStep {
     const change = next.apply(this, inputs);
     if (change.do !== 'voters') return change;
     return { ...change, voters: change.voters.slice(-1) };
