--- a/src/placement/decaying-rate.ts
+++ b/src/placement/decaying-rate.ts
@@ -1,23 +1,26 @@
-/** A rate a second that decays; it tells what it can from the first moments on. */
+/** An exponentially decaying event rate. */
 export class DecayingRate {
   #value = 0;
   #at = 0;
 
-  /** Counts `count` events at `now`, ms; `spanMs` is how slowly they are forgotten, and the same in every call. */
-  add(now: number, count: number, spanMs: number): void {
-    this.#value = this.#value * Math.exp(-Math.max(0, now - this.#at) / spanMs) + count;
+  /** Counts `count` events at `now`, ms. `tauMs`: the decay's time constant, the same in every call. */
+  add(now: number, count: number, tauMs: number): void {
+    this.#value = this.#value * Math.exp(-Math.max(0, now - this.#at) / tauMs) + count;
     this.#at = Math.max(this.#at, now);
   }
 
-  /** `since`: when counting began; a short time counted is no slow rate. */
-  perSecond(now: number, spanMs: number, since: number): number {
+  /**
+   * Events per second. `since`: when counting began. The rate is scaled up for a short observation time, which would
+   * otherwise look like a low rate.
+   */
+  perSecond(now: number, tauMs: number, since: number): number {
     if (this.#value === 0) return 0;
-    const seen = 1 - Math.exp(-Math.max(1000, now - since) / spanMs);
-    return (this.#value * Math.exp(-Math.max(0, now - this.#at) / spanMs) * 1000) / (spanMs * seen);
+    const share = 1 - Math.exp(-Math.max(1000, now - since) / tauMs);
+    return (this.#value * Math.exp(-Math.max(0, now - this.#at) / tauMs) * 1000) / (tauMs * share);
   }
 
-  /** How much of what was counted still counts. */
-  weight(now: number, spanMs: number): number {
-    return this.#value * Math.exp(-Math.max(0, now - this.#at) / spanMs);
+  /** The decayed number of counted events. */
+  weight(now: number, tauMs: number): number {
+    return this.#value * Math.exp(-Math.max(0, now - this.#at) / tauMs);
   }
 }
--- a/src/placement/demand.test.ts
+++ b/src/placement/demand.test.ts
@@ -1,7 +1,7 @@
 import { expect, test } from 'vitest';
 import { moment } from '../common/ids.js';
 import { Demand } from './demand.js';
-test('rates decay, and names asked for once are forgotten', () => {
+test('rates decay, and units requested only once are removed', () => {
   const demand = new Demand(1000);
   for (let index = 0; index < 100_000; index += 1) demand.add(moment(index), `made-up-${index}`, 1);
   demand.add(moment(100_000), 'real', 5);
--- a/src/placement/demand.ts
+++ b/src/placement/demand.ts
@@ -1,42 +1,43 @@
 import type { Moment } from '../common/ids.js';
 
-/** More than any catalogue's models and adapters. */
-const MANY = 2000;
+/** More than the models and adapters of any catalogue: beyond it, stale units are removed. */
+const SWEEP_THRESHOLD_UNITS = 2000;
 
 interface Rate {
   value: number;
-  at: Moment;
+  updatedAt: Moment;
 }
 
-/** Recent demand per unit as a decaying rate a second. */
+/** Recent demand per unit (a model or adapter key) as a decaying rate per second. */
 export class Demand {
   readonly #rates = new Map<string, Rate>();
-  readonly #spanMs: number;
+  readonly #decayMs: number;
   #sweptAt = -Infinity;
 
-  constructor(spanMs: number) {
-    this.#spanMs = spanMs;
+  /** `decayMs`: the time constant of the decay. */
+  constructor(decayMs: number) {
+    this.#decayMs = decayMs;
   }
 
   /** Counts `count` requests for a unit. */
   add(now: Moment, unit: string, count: number): void {
-    const value = this.rate(now, unit) + (count * 1000) / this.#spanMs;
-    this.#rates.set(unit, { value, at: now });
-    // Callers name what they like: what was asked for once must not be kept for good.
-    if (this.#rates.size > MANY && now - this.#sweptAt > this.#spanMs) {
+    const value = this.rate(now, unit) + (count * 1000) / this.#decayMs;
+    this.#rates.set(unit, { value, updatedAt: now });
+    // Clients choose the names freely: units requested only once must not accumulate without bound.
+    if (this.#rates.size > SWEEP_THRESHOLD_UNITS && now - this.#sweptAt > this.#decayMs) {
       this.#sweptAt = now;
       for (const [other, rate] of this.#rates)
-        if (now - rate.at > this.#spanMs * 10) this.#rates.delete(other);
+        if (now - rate.updatedAt > this.#decayMs * 10) this.#rates.delete(other);
     }
   }
 
-  /** Requests a second for a unit, as of `now`. */
+  /** Requests per second for a unit at `now`. */
   rate(now: Moment, unit: string): number {
     const rate = this.#rates.get(unit);
-    return rate ? rate.value * Math.exp(-(now - rate.at) / this.#spanMs) : 0;
+    return rate ? rate.value * Math.exp(-(now - rate.updatedAt) / this.#decayMs) : 0;
   }
 
-  /** Every unit that is remembered. */
+  /** All units with a stored rate. */
   units(): readonly string[] {
     return [...this.#rates.keys()];
   }
--- a/src/placement/live.ts
+++ b/src/placement/live.ts
@@ -1,9 +1,9 @@
 import { array, boolean, number, string, type, type Infer } from 'superstruct';
 
-/** A seat as operators see it: where, in which zone, and whether it serves now. */
+/** A placement as operators see it: the runner, its zone, and whether the model is ready there. */
 const LiveSeatShape = type({ runner: string(), zone: string(), isReady: boolean() });
 
-/** One model of the table with its places, and who waits for what and for how long. */
+/** One model of the policy table with its placements, its demand, and what it waits for and since how long. */
 export const LiveModelShape = type({
   model: string(),
   rows: array(string()),
@@ -13,10 +13,10 @@
   wait: string(),
   waitMs: number(),
 });
-/** A model with its places, demand and waits, for operators. */
+/** A model with its placements, demand and waits, for operators. */
 export type LiveModel = Infer<typeof LiveModelShape>;
 
-/** The table with its places beside it, for operators. */
+/** The policy table with the current placements, for operators. */
 export const LiveShape = type({
   number: number(),
   emptied: array(string()),
@@ -24,5 +24,5 @@
   rows: array(type({ row: string(), weight: number(), take: number(), rate: number() })),
   models: array(LiveModelShape),
 });
-/** The table with its places beside it. */
+/** The policy table with the current placements. */
 export type Live = Infer<typeof LiveShape>;
--- a/src/placement/quota-shares.test.ts
+++ b/src/placement/quota-shares.test.ts
@@ -8,11 +8,11 @@
   for (const item of list) sum += item.share;
   return sum;
 }
-test('a take is shared out by demand and never beyond the whole', () => {
+test('a quota is divided by demand, and the shares never exceed the whole', () => {
   const shares = new QuotaShares();
   shares.add(moment(0), { flow: 'a', units: [], rows: [{ row: 'r', count: 50 }] });
   shares.add(moment(0), { flow: 'b', units: [], rows: [] });
-  // Ten a second at one proxy, none at the other, of a take of twenty: the rest is shared evenly.
+  // Of a quota of 20 per second, one proxy has a demand of 10 and the other none: the remainder is divided evenly.
   expect(
     shares.list(moment(0), [
       { key: 'r', take: 20 },
--- a/src/placement/sliding-window-limit.ts
+++ b/src/placement/sliding-window-limit.ts
@@ -1,32 +1,36 @@
-/** What began lately, against a ceiling on how much may begin in any span of a length. */
+/** Counts starts within a sliding window, for a limit on the starts in any window of that length. */
 export class SlidingWindowLimit {
-  readonly #spanMs: number;
+  readonly #windowMs: number;
   /** Oldest first. */
-  #begun: number[] = [];
+  #startTimes: number[] = [];
 
-  constructor(spanMs: number) {
-    this.#spanMs = spanMs;
+  constructor(windowMs: number) {
+    this.#windowMs = windowMs;
   }
 
-  /** A start is told by its latest possible moment, so that it is never forgotten too soon. */
+  /** Records a start, `at` its latest possible time, so that it does not leave the window too early. */
   add(at: number): void {
-    let index = this.#begun.length;
-    while (index > 0 && (this.#begun[index - 1] ?? 0) > at) index -= 1;
-    this.#begun.splice(index, 0, at);
+    let index = this.#startTimes.length;
+    while (index > 0 && (this.#startTimes[index - 1] ?? 0) > at) index -= 1;
+    this.#startTimes.splice(index, 0, at);
   }
 
-  /** How many began within the span that ends `now`. */
+  /** The number of starts within the window that ends at `now`. */
   used(now: number): number {
-    let gone = 0;
-    while (gone < this.#begun.length && (this.#begun[gone] ?? 0) <= now - this.#spanMs) gone += 1;
-    if (gone > 0) this.#begun.splice(0, gone);
-    return this.#begun.length;
+    let expired = 0;
+    while (
+      expired < this.#startTimes.length &&
+      (this.#startTimes[expired] ?? 0) <= now - this.#windowMs
+    )
+      expired += 1;
+    if (expired > 0) this.#startTimes.splice(0, expired);
+    return this.#startTimes.length;
   }
 
-  /** From when on fewer than `budget` count. */
+  /** The earliest time at which the window holds fewer than `budget` starts. */
   freeAt(now: number, budget: number): number {
     const used = this.used(now);
     if (used < budget) return now;
-    return (this.#begun[used - budget] ?? now) + this.#spanMs;
+    return (this.#startTimes[used - budget] ?? now) + this.#windowMs;
   }
 }
--- a/src/placement/spread-share.test.ts
+++ b/src/placement/spread-share.test.ts
@@ -12,12 +12,12 @@
   return spreadShareOf(service, { ...PLANNER_DEFAULTS, spreadShare: 0.8 });
 }
 
-test('quick loads leave the share as it is set', () => {
+test('fast loads leave the share at its setting', () => {
   expect(shareAt(600)).toBe(0.8);
   expect(shareAt(100)).toBe(0.8);
 });
 
-test('the share falls with the fourth root of the load time, as it is observed', () => {
+test('the share falls with the fourth root of the observed load time', () => {
   expect(shareAt(9600)).toBeCloseTo(0.4);
   expect(shareAt(2400, 4)).toBeCloseTo(0.4);
 });
