--- a/src/placement/capacity-table.ts
+++ b/src/placement/capacity-table.ts
@@ -1,17 +1,19 @@
 import { unitOf, type PlanInput, type RunnerView } from './placer-types.js';
 import type { Hold, Intent, ServiceDoc } from './shapes.js';
 
-/** Room and fetch slots, counting what is held, what is under way and what is merely intended. */
+/**
+ * Free memory and fetch slots of the runners, with loaded models, running fetches and pending intents counted as used.
+ */
 export class CapacityTable {
   readonly #views = new Map<string, RunnerView>();
   readonly #evacuatedZones: ReadonlySet<string>;
   readonly #intents: Intent[] = [];
-  readonly #limit: number;
+  readonly #maxConcurrentFetches: number;
 
   constructor(input: PlanInput, docs: readonly ServiceDoc[]) {
     for (const view of input.runners) this.#views.set(view.machine.id, view);
     this.#evacuatedZones = new Set(input.evacuatedZones);
-    this.#limit = input.catalog.limit;
+    this.#maxConcurrentFetches = input.catalog.limit;
     for (const doc of docs) this.#intents.push(...doc.intents);
   }
 
@@ -20,11 +22,12 @@
     return this.#views.get(runner);
   }
 
+  /** The runner's zone; empty for an unknown runner. */
   zoneOf(runner: string): string {
     return this.#views.get(runner)?.machine.zone ?? '';
   }
 
-  /** Whether it may go on serving what it serves: a runner out of reach for a moment keeps its seats. */
+  /** Whether the runner may keep its placements; one that cannot be reached for a short time keeps them. */
   mayStayPlaced(runner: string): boolean {
     const view = this.#views.get(runner);
     return (
@@ -35,6 +38,7 @@
     );
   }
 
+  /** Whether the runner may be assigned models: reachable, with a report, staying, and without a service of its own. */
   isUsable(runner: string): boolean {
     const view = this.#views.get(runner);
     return (
@@ -47,23 +51,26 @@
     );
   }
 
-  usable(): RunnerView[] {
+  /** All runners that may be assigned models. */
+  usableRunners(): RunnerView[] {
     const views: RunnerView[] = [];
     for (const [id, view] of this.#views) if (this.isUsable(id)) views.push(view);
     return views;
   }
 
+  /** A model or adapter (empty for the model itself) as the runner reports it. */
   hold(runner: string, model: string, adapter: string): Hold | undefined {
     for (const hold of this.#views.get(runner)?.report?.holds ?? [])
       if (hold.model === model && hold.adapter === adapter) return hold;
     return undefined;
   }
 
-  /** Whether a model serves at a runner that may be given work. */
+  /** Whether a model is ready at a usable runner. */
   isReady(runner: string, model: string): boolean {
     return this.isUsable(runner) && this.hold(runner, model, '')?.state === 'ready';
   }
 
+  /** The model's adapters that are ready at a runner. */
   readyAdapters(runner: string, model: string): string[] {
     const adapters: string[] = [];
     for (const hold of this.#views.get(runner)?.report?.holds ?? []) {
@@ -73,34 +80,40 @@
     return adapters;
   }
 
-  /** Counts an intent decided in this plan. */
+  /** Counts an intent created in this plan. */
   reserve(intent: Intent): void {
     this.#intents.push(intent);
   }
 
+  /** Whether the runner reports the model or adapter in any state, or a load of it is intended. */
   hasUnit(runner: string, model: string, adapter: string): boolean {
     return (
       this.hold(runner, model, adapter) !== undefined ||
-      this.#intents.some((intent) => fetches(runner, model, adapter, intent))
+      this.#intents.some((intent) => isLoadOf(runner, model, adapter, intent))
     );
   }
 
+  /** Whether the runner holds the model and is not unloading it, or a load of it is intended. */
   holdsOrFetches(runner: string, model: string): boolean {
     const hold = this.hold(runner, model, '');
     return (
       (hold !== undefined && hold.state !== 'unloading') ||
-      this.#intents.some((intent) => fetches(runner, model, '', intent))
+      this.#intents.some((intent) => isLoadOf(runner, model, '', intent))
     );
   }
 
-  isLeavingHold(runner: string, model: string): boolean {
+  /** Whether the runner unloads the model, or an unload is intended. */
+  isUnloading(runner: string, model: string): boolean {
     return (
       this.hold(runner, model, '')?.state === 'unloading' ||
-      this.#intents.some((intent) => unloads(runner, model, intent))
+      this.#intents.some((intent) => isUnloadOf(runner, model, intent))
     );
   }
 
-  /** Room that nothing holds, fetches or is meant to fetch; an unload frees it only when the report shows it gone. */
+  /**
+   * Memory not used by loaded models, fetches or intended loads; an unload counts only once the report shows its
+   * effect.
+   */
   free(runner: string): number {
     const report = this.#views.get(runner)?.report;
     if (!report) return 0;
@@ -117,15 +130,15 @@
     return free;
   }
 
-  /** Room that intended unloads will free at a runner. */
-  unloading(runner: string): number {
+  /** Memory that intended unloads will free at a runner. */
+  unloadingSize(runner: string): number {
     let size = 0;
     for (const intent of this.#intents)
       if (intent.runner === runner && intent.verb === 'unload') size += intent.size;
     return size;
   }
 
-  /** Room that a model takes at a runner, with its adapters. */
+  /** Memory that a model and its adapters take at a runner. */
   sizeOn(runner: string, model: string): number {
     let size = 0;
     for (const hold of this.#views.get(runner)?.report?.holds ?? [])
@@ -133,7 +146,8 @@
     return size;
   }
 
-  withMostCapacity(candidates: readonly RunnerView[], size: number): RunnerView | undefined {
+  /** The candidate with the most free memory, if it is at least `size`. */
+  runnerWithMostRoom(candidates: readonly RunnerView[], size: number): RunnerView | undefined {
     let best: RunnerView | undefined;
     for (const view of candidates) {
       if (this.free(view.machine.id) < size) continue;
@@ -142,13 +156,13 @@
     return best;
   }
 
-  /** The weight store's limit counts fetches under way and those meant, each once. */
-  hasSlot(): boolean {
-    return this.fetches < this.#limit;
+  /** Whether the weight store's concurrency limit allows another fetch. */
+  hasFetchSlot(): boolean {
+    return this.activeFetches < this.#maxConcurrentFetches;
   }
 
-  /** Fetches under way or intended. */
-  get fetches(): number {
+  /** The number of fetches running or intended, each counted once. */
+  get activeFetches(): number {
     const busy = new Set<string>();
     for (const intent of this.#intents)
       if (intent.verb === 'load')
@@ -161,7 +175,7 @@
   }
 }
 
-function fetches(runner: string, model: string, adapter: string, intent: Intent): boolean {
+function isLoadOf(runner: string, model: string, adapter: string, intent: Intent): boolean {
   return (
     intent.verb === 'load' &&
     intent.runner === runner &&
@@ -170,7 +184,7 @@
   );
 }
 
-function unloads(runner: string, model: string, intent: Intent): boolean {
+function isUnloadOf(runner: string, model: string, intent: Intent): boolean {
   return (
     intent.verb === 'unload' &&
     intent.runner === runner &&
--- a/src/placement/intent-log.ts
+++ b/src/placement/intent-log.ts
@@ -3,13 +3,13 @@
 import type { RunnerView } from './placer-types.js';
 import type { Hold, Intent, ServiceDoc } from './shapes.js';
 
-/** A decided intent, as known to this leader. */
+/** What this leader knows of an intent. */
 interface IntentState {
-  readonly firstSeen: Moment;
-  takenAt: Moment | undefined;
+  readonly firstSeenAt: Moment;
+  acceptedAt: Moment | undefined;
 }
 
-/** What an intent is to do at a runner. */
+/** The operation that an intent requests from a runner. */
 export interface IntentOrder {
   readonly verb: Intent['verb'];
   readonly model: string;
@@ -17,81 +17,83 @@
   readonly size: number;
 }
 
-/** Weight of the newest fetch in the mean. */
-const MEAN_WEIGHT = 0.2;
+/** Weight of the newest fetch in the moving average of fetch times. */
+const NEWEST_FETCH_WEIGHT = 0.2;
 
-/** The services' documents with their intents, and what became of these. */
+/** The models' documents with their open intents, and the progress of these. */
 export class IntentLog {
   readonly #docs = new Map<string, ServiceDoc>();
   readonly #intents = new Map<string, IntentState>();
-  readonly #refused = new Set<string>();
-  #label: string;
-  #count = 0;
-  #msPerSize = 0;
-  #changed = new Set<string>();
+  readonly #rejectedIntents = new Set<string>();
+  #idPrefix: string;
+  #intentCount = 0;
+  #fetchMsPerSizeUnit = 0;
+  #changedModels = new Set<string>();
 
-  /** `label` begins the ids of all intents decided here; no other leader has the same. */
+  /** `label`: the prefix of the ids of all intents created here, unique to this leader. */
   constructor(label: string) {
-    this.#label = label;
+    this.#idPrefix = label;
   }
 
-  /** Begins anew from what the parts hold, as a new leader does. */
+  /** Replaces the contents with the stored documents, as a new leader does. */
   restore(docs: readonly ServiceDoc[], label: string): void {
     this.#docs.clear();
     this.#intents.clear();
-    this.#refused.clear();
-    this.#label = label;
+    this.#rejectedIntents.clear();
+    this.#idPrefix = label;
     for (const doc of docs) this.#docs.set(doc.model, doc);
   }
 
+  /** The documents of all models. */
   docs(): readonly ServiceDoc[] {
     return [...this.#docs.values()];
   }
 
-  /** The document of a model; an empty one where there is none yet. */
+  /** The document of a model; an empty one if there is none yet. */
   doc(model: string): ServiceDoc {
     return this.#docs.get(model) ?? emptyDoc(model);
   }
 
+  /** Replaces a document and marks it as changed. */
   put(doc: ServiceDoc): void {
     this.#docs.set(doc.model, doc);
-    this.#changed.add(doc.model);
+    this.#changedModels.add(doc.model);
   }
 
-  /** Hands over the models whose documents changed since last asked. */
+  /** Returns the models whose documents changed since the previous call. */
   takeChanged(): readonly string[] {
-    const changed = [...this.#changed];
-    this.#changed = new Set();
+    const changed = [...this.#changedModels];
+    this.#changedModels = new Set();
     return changed;
   }
 
-  /** The runner took the order: a report asked for after this shows what became of it. */
+  /** The runner accepted the order: a report requested later shows its outcome. */
   onAccepted(now: Moment, intent: string): void {
     const state = this.#intents.get(intent);
-    if (state && state.takenAt === undefined) state.takenAt = now;
+    if (state && state.acceptedAt === undefined) state.acceptedAt = now;
   }
 
-  /** The runner said it will not do this, now or later. */
+  /** The runner rejected the order permanently. */
   onRejected(intent: string): void {
-    this.#refused.add(intent);
+    this.#rejectedIntents.add(intent);
   }
 
-  /** How long a fetch of this size takes, by those seen so far, ms; 0 before the first. */
+  /** The expected duration of a fetch of this size, ms, from the fetches seen so far; 0 before the first. */
   fetchMs(size: number): number {
-    return size * this.#msPerSize;
+    return size * this.#fetchMsPerSizeUnit;
   }
 
-  /** Drops the intents that reports show as done, or as never to be done. */
+  /** Removes the intents that are completed, rejected or no longer possible according to the reports. */
   reconcile(now: Moment, views: ReadonlyMap<string, RunnerView>): void {
     const present = new Set<string>();
     for (const doc of this.#docs.values()) {
       const open: Intent[] = [];
       for (const intent of doc.intents) {
-        const state = this.#intents.get(intent.id) ?? { firstSeen: now, takenAt: undefined };
+        const state = this.#intents.get(intent.id) ?? { firstSeenAt: now, acceptedAt: undefined };
         this.#intents.set(intent.id, state);
-        if (this.#isOver(intent, state, views.get(intent.runner))) {
-          this.#noteFetch(now, intent, state, views.get(intent.runner));
-          this.#refused.delete(intent.id);
+        if (this.#isFinished(intent, state, views.get(intent.runner))) {
+          this.#recordFetchDuration(now, intent, state, views.get(intent.runner));
+          this.#rejectedIntents.delete(intent.id);
           continue;
         }
         open.push(intent);
@@ -102,36 +104,44 @@
     for (const id of this.#intents.keys()) if (!present.has(id)) this.#intents.delete(id);
   }
 
-  /** How long fetches take, by size, so that whoever waits can be told when to come back. */
-  #noteFetch(now: Moment, intent: Intent, state: IntentState, view: RunnerView | undefined): void {
-    const isHeld = view?.report?.holds.some((hold) => isThat(intent, hold)) === true;
-    if (intent.verb !== 'load' || !isHeld || state.takenAt === undefined || intent.size <= 0)
+  /** Updates the mean fetch time per size, from which waiting clients get a retry time. */
+  #recordFetchDuration(
+    now: Moment,
+    intent: Intent,
+    state: IntentState,
+    view: RunnerView | undefined,
+  ): void {
+    const isHeld = view?.report?.holds.some((hold) => matchesIntent(intent, hold)) === true;
+    if (intent.verb !== 'load' || !isHeld || state.acceptedAt === undefined || intent.size <= 0)
       return;
-    const one = (now - state.takenAt) / intent.size;
-    this.#msPerSize =
-      this.#msPerSize === 0 ? one : this.#msPerSize * (1 - MEAN_WEIGHT) + one * MEAN_WEIGHT;
+    const msPerSizeUnit = (now - state.acceptedAt) / intent.size;
+    this.#fetchMsPerSizeUnit =
+      this.#fetchMsPerSizeUnit === 0
+        ? msPerSizeUnit
+        : this.#fetchMsPerSizeUnit * (1 - NEWEST_FETCH_WEIGHT) +
+          msPerSizeUnit * NEWEST_FETCH_WEIGHT;
   }
 
-  #isOver(intent: Intent, state: IntentState, view: RunnerView | undefined): boolean {
-    // A machine off the platform's list is gone with all it held.
+  #isFinished(intent: Intent, state: IntentState, view: RunnerView | undefined): boolean {
+    // A machine missing from the platform's list is gone with everything it held.
     if (!view) return true;
-    if (this.#refused.has(intent.id)) return true;
+    if (this.#rejectedIntents.has(intent.id)) return true;
     const report = view.report;
-    if (!report || view.requestedAt < state.firstSeen) return false;
+    if (!report || view.requestedAt < state.firstSeenAt) return false;
     if (report.boot !== intent.boot) return true;
-    const hold = report.holds.find((hold) => isThat(intent, hold));
+    const hold = report.holds.find((hold) => matchesIntent(intent, hold));
     if (intent.verb === 'load') {
       if (hold) return hold.state === 'ready';
-      // Taken, and neither held nor under way in a later report: it ended without a hold.
-      return state.takenAt !== undefined && view.requestedAt > state.takenAt;
+      // Accepted, and neither loaded nor loading in a later report: the load failed.
+      return state.acceptedAt !== undefined && view.requestedAt > state.acceptedAt;
     }
     return hold === undefined;
   }
 
-  /** Decides on a load or an unload, and counts it in the plan's ledger. */
-  intend(now: Moment, view: RunnerView, order: IntentOrder, ledger: CapacityTable): void {
-    this.#count += 1;
-    const id = `${this.#label}.${this.#count}`;
+  /** Creates an intent for a load or an unload, and reserves its capacity in the current plan. */
+  createIntent(now: Moment, view: RunnerView, order: IntentOrder, capacity: CapacityTable): void {
+    this.#intentCount += 1;
+    const id = `${this.#idPrefix}.${this.#intentCount}`;
     const intent: Intent = {
       id,
       runner: view.machine.id,
@@ -140,8 +150,8 @@
     };
     const doc = this.doc(order.model);
     this.put({ ...doc, intents: [...doc.intents, intent] });
-    this.#intents.set(id, { firstSeen: now, takenAt: undefined });
-    ledger.reserve(intent);
+    this.#intents.set(id, { firstSeenAt: now, acceptedAt: undefined });
+    capacity.reserve(intent);
   }
 }
 
@@ -149,7 +159,7 @@
   return { model, primary: '', understudy: '', wait: '', intents: [] };
 }
 
-/** Whether a hold is of what an intent names. */
-export function isThat(intent: Intent, hold: Hold): boolean {
+/** Whether `hold` is the model or adapter that the intent names. */
+export function matchesIntent(intent: Intent, hold: Hold): boolean {
   return hold.model === intent.model && hold.adapter === intent.adapter;
 }
--- a/src/placement/placement-assignment.ts
+++ b/src/placement/placement-assignment.ts
@@ -5,170 +5,180 @@
 import type { CapacityTable } from './capacity-table.js';
 import type { Hold, ServiceDoc } from './shapes.js';
 
-/** One plan under way. */
-export interface Planning {
+/** The state of one planning run. */
+export interface PlanContext {
   readonly now: Moment;
-  readonly ledger: CapacityTable;
-  readonly wishes: ReadonlyMap<string, DesiredModel>;
+  readonly capacity: CapacityTable;
+  readonly desiredModels: ReadonlyMap<string, DesiredModel>;
 }
 
-/** A runner where room may be made, what makes way there, and the worth that is lost by it. */
-interface Eviction {
+/** A runner where memory can be freed, the models to evict there, and the worth lost by that. */
+interface EvictionOption {
   readonly view: RunnerView;
   readonly holds: readonly Hold[];
   readonly cost: number;
 }
 
-/** A share of the idle rate from which a model counts as asked for at all. */
-const ASKED_SHARE = 0.1;
-/** What losing an understudy costs, of the worth of its model. */
-const UNDERSTUDY_WORTH = 0.1;
+/** The share of the idle rate above which a model counts as in demand. */
+const DEMAND_RATE_SHARE = 0.1;
+/** The cost of losing an understudy, as a share of its model's worth. */
+const UNDERSTUDY_LOSS_SHARE = 0.1;
 
-/** Gives models their seats: the runner that is primary, and the understudy in another zone. */
+/** Assigns runners to models: the primary, and the understudy (standby) in another zone. */
 export class PlacementAssignment {
   readonly #settings: PlacerSettings;
-  readonly #book: IntentLog;
-  readonly #times: ResidencyTimes;
+  readonly #intentLog: IntentLog;
+  readonly #residencyTimes: ResidencyTimes;
   readonly #waitingSince = new Map<string, Moment>();
 
-  constructor(settings: PlacerSettings, book: IntentLog, times: ResidencyTimes) {
+  constructor(settings: PlacerSettings, intentLog: IntentLog, residencyTimes: ResidencyTimes) {
     this.#settings = settings;
-    this.#book = book;
-    this.#times = times;
+    this.#intentLog = intentLog;
+    this.#residencyTimes = residencyTimes;
   }
 
-  /** Since when a model waits for a seat; nothing if it does not. */
+  /** Since when a model waits for a placement; undefined if it does not. */
   waitingSince(model: string): Moment | undefined {
     return this.#waitingSince.get(model);
   }
 
-  isAskedFor(wish: DesiredModel): boolean {
-    return wish.rate > this.#settings.idleRate * ASKED_SHARE;
+  /** Whether a model is requested at more than a negligible rate. */
+  isInDemand(desired: DesiredModel): boolean {
+    return desired.rate > this.#settings.idleRate * DEMAND_RATE_SHARE;
   }
 
-  /** Seats on runners that no longer serve are given up; an understudy that holds the model takes over at once. */
-  keepOrPromote({ model }: DesiredModel, ledger: CapacityTable): void {
-    const doc = this.#book.doc(model);
-    const primary = keptSeat(ledger, doc.primary, model);
-    const understudy = keptSeat(ledger, doc.understudy, model);
-    const isReady = primary !== '' && ledger.isReady(primary, model);
-    const isUnderstudyReady = understudy !== '' && ledger.isReady(understudy, model);
+  /** Removes placements on runners that no longer serve; an understudy with the model ready takes over at once. */
+  keepOrPromote({ model }: DesiredModel, capacity: CapacityTable): void {
+    const doc = this.#intentLog.doc(model);
+    const primary = retainedRunner(capacity, doc.primary, model);
+    const understudy = retainedRunner(capacity, doc.understudy, model);
+    const isReady = primary !== '' && capacity.isReady(primary, model);
+    const isUnderstudyReady = understudy !== '' && capacity.isReady(understudy, model);
     let next = { ...doc, primary, understudy };
     if (!isReady && isUnderstudyReady) next = { ...doc, primary: understudy, understudy: primary };
-    if (next.primary !== doc.primary || next.understudy !== doc.understudy) this.#book.put(next);
+    if (next.primary !== doc.primary || next.understudy !== doc.understudy)
+      this.#intentLog.put(next);
   }
 
-  /** Fills an empty seat: with a runner that holds the model, else by a fetch, else once others have made way. */
-  place(planning: Planning, wish: DesiredModel, role: PlacementRole): void {
-    const { now, ledger } = planning;
-    const { model } = wish;
-    const doc = this.#book.doc(model);
+  /**
+   * Fills an empty placement: with a runner that holds the model, else by a fetch, else by evicting other models first.
+   */
+  place(context: PlanContext, desired: DesiredModel, role: PlacementRole): void {
+    const { now, capacity } = context;
+    const { model } = desired;
+    const doc = this.#intentLog.doc(model);
     if (doc[role] !== '') {
       if (role === 'primary') this.#setWait(now, model, '');
       return;
     }
     if (role === 'understudy' && doc.primary === '') return;
-    const candidates = candidatesFor(ledger, doc, role);
+    const candidates = candidatesFor(capacity, doc, role);
     if (candidates.length === 0) {
       this.#setWait(now, model, `no ${role === 'primary' ? 'runner' : 'second zone'} in reach`);
       return;
     }
-    const holder = this.#findHolder(planning, wish, candidates, role);
+    const holder = this.#findHolder(context, desired, candidates, role);
     if (holder) {
-      this.#take(now, model, role, holder);
+      this.#assign(now, model, role, holder);
       return;
     }
-    if (!ledger.hasSlot()) {
+    if (!capacity.hasFetchSlot()) {
       this.#setWait(now, model, `${role} waits for a fetch`);
       return;
     }
-    const roomy = ledger.withMostCapacity(candidates, wish.size);
-    if (roomy) {
-      const order = { verb: 'load', model, adapter: '', size: wish.size } as const;
-      this.#book.intend(now, roomy, order, ledger);
-      this.#take(now, model, role, roomy);
+    const runnerWithRoom = capacity.runnerWithMostRoom(candidates, desired.size);
+    if (runnerWithRoom) {
+      const order = { verb: 'load', model, adapter: '', size: desired.size } as const;
+      this.#intentLog.createIntent(now, runnerWithRoom, order, capacity);
+      this.#assign(now, model, role, runnerWithRoom);
       return;
     }
     this.#setWait(now, model, `${role} waits for room`);
-    // A first copy goes before an idle second one. Beyond that only somebody's asking makes others go:
-    // weights alone would have idle models chase each other out.
-    if (role === 'primary' || this.isAskedFor(wish))
-      this.#makeWay(planning, wish, candidates, role);
+    // A primary may evict idle understudies. Otherwise only demand justifies an eviction: by weight alone, idle models
+    // would keep evicting each other.
+    if (role === 'primary' || this.isInDemand(desired))
+      this.#evictFor(context, desired, candidates, role);
   }
 
-  /** Models that no row wants any more lose their seats; their room is taken when somebody needs it. */
-  removeUnwanted(wishes: ReadonlyMap<string, DesiredModel>): void {
-    for (const doc of this.#book.docs()) {
-      if (!wishes.has(doc.model) && (doc.primary !== '' || doc.understudy !== ''))
-        this.#book.put({ ...doc, primary: '', understudy: '', wait: 'no row asks for it' });
+  /** Removes the placements of models that match no row any more; they are unloaded when the memory is needed. */
+  releaseUndesired(desiredModels: ReadonlyMap<string, DesiredModel>): void {
+    for (const doc of this.#intentLog.docs()) {
+      if (!desiredModels.has(doc.model) && (doc.primary !== '' || doc.understudy !== ''))
+        this.#intentLog.put({ ...doc, primary: '', understudy: '', wait: 'no row asks for it' });
     }
   }
 
-  /** A runner that already holds it costs nothing. */
+  /** A runner that already holds or fetches the model, so that no load is needed. */
   #findHolder(
-    { now, ledger }: Planning,
-    wish: DesiredModel,
+    { now, capacity }: PlanContext,
+    desired: DesiredModel,
     candidates: readonly RunnerView[],
     role: PlacementRole,
   ): RunnerView | undefined {
-    const isAskedFor = role === 'primary' && wish.rate >= this.#settings.idleRate;
+    const isInUse = role === 'primary' && desired.rate >= this.#settings.idleRate;
     for (const view of candidates) {
       const runner = view.machine.id;
-      if (!ledger.holdsOrFetches(runner, wish.model) || ledger.isLeavingHold(runner, wish.model))
+      if (
+        !capacity.holdsOrFetches(runner, desired.model) ||
+        capacity.isUnloading(runner, desired.model)
+      )
         continue;
-      if (isAskedFor || !this.#times.isMakingWay(now, runner, wish.model)) return view;
+      if (isInUse || !this.#residencyTimes.isEvicting(now, runner, desired.model)) return view;
     }
     return undefined;
   }
 
-  #take(now: Moment, model: string, role: PlacementRole, view: RunnerView): void {
-    this.#book.put({ ...this.#book.doc(model), [role]: view.machine.id });
+  #assign(now: Moment, model: string, role: PlacementRole, view: RunnerView): void {
+    this.#intentLog.put({ ...this.#intentLog.doc(model), [role]: view.machine.id });
     if (role === 'primary') this.#setWait(now, model, '');
   }
 
   #setWait(now: Moment, model: string, wait: string): void {
-    const doc = this.#book.doc(model);
-    if (doc.wait !== wait) this.#book.put({ ...doc, wait });
+    const doc = this.#intentLog.doc(model);
+    if (doc.wait !== wait) this.#intentLog.put({ ...doc, wait });
     if (wait === '') this.#waitingSince.delete(model);
     else if (!this.#waitingSince.has(model)) this.#waitingSince.set(model, now);
   }
 
-  /** Finds the runner where the least worth makes way; the seats go first, the unloads once every proxy has heard. */
-  #makeWay(
-    planning: Planning,
-    wish: DesiredModel,
+  /**
+   * Evicts models at the runner where the lost worth is lowest: first their placements are removed, then they are
+   * unloaded once every proxy has received the change.
+   */
+  #evictFor(
+    context: PlanContext,
+    desired: DesiredModel,
     candidates: readonly RunnerView[],
     role: PlacementRole,
   ): void {
-    const { ledger } = planning;
-    let best: Eviction | undefined;
+    const { capacity } = context;
+    let best: EvictionOption | undefined;
     for (const view of candidates) {
       const runner = view.machine.id;
-      // Room already being made here is for whoever needs it first.
-      const free = ledger.free(runner) + ledger.unloading(runner);
-      if (free >= wish.size) return;
-      const eviction = this.#evictionAt(planning, wish, view, role, wish.size - free);
+      // Memory that is already being freed here goes to the first model in need of it.
+      const free = capacity.free(runner) + capacity.unloadingSize(runner);
+      if (free >= desired.size) return;
+      const eviction = this.#planEviction(context, desired, view, role, desired.size - free);
       if (eviction && (!best || eviction.cost < best.cost)) best = eviction;
     }
     if (!best) return;
-    for (const hold of best.holds) this.#unseat(planning, best.view, hold);
+    for (const hold of best.holds) this.#evict(context, best.view, hold);
   }
 
-  /** The holds of least worth at a runner whose room is enough together; nothing where it is not. */
-  #evictionAt(
-    planning: Planning,
-    wish: DesiredModel,
+  /** The models of lowest worth at a runner that free enough memory together; undefined if they cannot. */
+  #planEviction(
+    context: PlanContext,
+    desired: DesiredModel,
     view: RunnerView,
     role: PlacementRole,
-    missing: number,
-  ): Eviction | undefined {
-    const { ledger } = planning;
+    missingRoom: number,
+  ): EvictionOption | undefined {
+    const { capacity } = context;
     const runner = view.machine.id;
     const removable: { readonly hold: Hold; readonly cost: number }[] = [];
     for (const hold of view.report?.holds ?? []) {
-      if (hold.adapter !== '' || hold.state !== 'ready' || ledger.isLeavingHold(runner, hold.model))
+      if (hold.adapter !== '' || hold.state !== 'ready' || capacity.isUnloading(runner, hold.model))
         continue;
-      const cost = this.#costOf(planning, view, hold, wish, role);
+      const cost = this.#evictionCost(context, view, hold, desired, role);
       if (cost !== undefined) removable.push({ hold, cost });
     }
     removable.sort(byCost);
@@ -176,75 +186,80 @@
     let cost = 0;
     let room = 0;
     for (const item of removable) {
-      if (room >= missing) break;
+      if (room >= missingRoom) break;
       holds.push(item.hold);
       cost += item.cost;
-      room += ledger.sizeOn(runner, item.hold.model);
+      room += capacity.sizeOn(runner, item.hold.model);
     }
-    return room >= missing ? { view, holds, cost } : undefined;
+    return room >= missingRoom ? { view, holds, cost } : undefined;
   }
 
-  /** What losing this hold would cost, or nothing if it must stay. */
-  #costOf(
-    { now, wishes }: Planning,
+  /** The worth lost by evicting this model, or undefined if it must stay. */
+  #evictionCost(
+    { now, desiredModels }: PlanContext,
     view: RunnerView,
     hold: Hold,
-    wish: DesiredModel,
+    desired: DesiredModel,
     role: PlacementRole,
   ): number | undefined {
     const runner = view.machine.id;
-    const doc = this.#book.doc(hold.model);
-    const other = wishes.get(hold.model);
+    const doc = this.#intentLog.doc(hold.model);
+    const heldModel = desiredModels.get(hold.model);
     const isUnderstudy = doc.understudy === runner;
-    if (!other || (doc.primary !== runner && !isUnderstudy)) return 0;
-    const readyAt = this.#times.readyAt(runner, hold.model);
+    if (!heldModel || (doc.primary !== runner && !isUnderstudy)) return 0;
+    const readyAt = this.#residencyTimes.readyAt(runner, hold.model);
     if (readyAt !== undefined && now - readyAt < this.#settings.minResidencyMs) return undefined;
-    const isIdle = other.rate < this.#settings.idleRate;
-    const isWorthIt = other.worth * this.#settings.worthRatio < wish.worth;
+    const isIdle = heldModel.rate < this.#settings.idleRate;
+    const isNewcomerWorthMore = heldModel.worth * this.#settings.worthRatio < desired.worth;
     if (isUnderstudy)
-      return isIdle || (isWorthIt && role === 'primary')
-        ? other.worth * UNDERSTUDY_WORTH
+      return isIdle || (isNewcomerWorthMore && role === 'primary')
+        ? heldModel.worth * UNDERSTUDY_LOSS_SHARE
         : undefined;
-    // A model in use never loses its primary; an idle one does, to one that is asked for and worth much more.
-    return isIdle && isWorthIt && this.isAskedFor(wish) ? other.worth : undefined;
+    // A model in use never loses its primary; an idle one does, to a model in demand that is worth much more.
+    return isIdle && isNewcomerWorthMore && this.isInDemand(desired) ? heldModel.worth : undefined;
   }
 
-  #unseat({ now, ledger }: Planning, view: RunnerView, hold: Hold): void {
-    const doc = this.#book.doc(hold.model);
+  #evict({ now, capacity }: PlanContext, view: RunnerView, hold: Hold): void {
+    const doc = this.#intentLog.doc(hold.model);
     const runner = view.machine.id;
-    this.#times.makesWay(now, runner, hold.model);
+    this.#residencyTimes.markEvicting(now, runner, hold.model);
     const primary = doc.primary === runner ? doc.understudy : doc.primary;
     const understudy = doc.understudy === runner || doc.primary === runner ? '' : doc.understudy;
     if (doc.primary !== primary || doc.understudy !== understudy) {
-      this.#book.put({ ...doc, primary, understudy });
-      this.#times.unplaced(now, runner, hold.model);
+      this.#intentLog.put({ ...doc, primary, understudy });
+      this.#residencyTimes.markUnplaced(now, runner, hold.model);
       return;
     }
-    if (!this.#isSettled(now, view, hold)) return;
+    if (!this.#isUnloadSafe(now, view, hold)) return;
     for (const { model, adapter, size, running } of view.report?.holds ?? []) {
       if (model === hold.model && running === 0)
-        this.#book.intend(now, view, { verb: 'unload', model, adapter, size }, ledger);
+        this.#intentLog.createIntent(now, view, { verb: 'unload', model, adapter, size }, capacity);
     }
   }
 
-  /** Whether every proxy has heard that it has no seat, and what still ran there has ended. */
-  #isSettled(now: Moment, view: RunnerView, hold: Hold): boolean {
-    const unplacedAt = this.#times.unplacedAt(view.machine.id, hold.model);
+  /** Whether every proxy has received the removal of the placement, and the requests still running there have ended. */
+  #isUnloadSafe(now: Moment, view: RunnerView, hold: Hold): boolean {
+    const unplacedAt = this.#residencyTimes.unplacedAt(view.machine.id, hold.model);
     if (unplacedAt === undefined || view.requestedAt < unplacedAt) return false;
     return now - unplacedAt >= this.#settings.unloadDelayMs && hold.running === 0;
   }
 }
 
-function candidatesFor(ledger: CapacityTable, doc: ServiceDoc, role: PlacementRole): RunnerView[] {
-  const barredZone = role === 'understudy' ? ledger.zoneOf(doc.primary) : '';
+function candidatesFor(
+  capacity: CapacityTable,
+  doc: ServiceDoc,
+  role: PlacementRole,
+): RunnerView[] {
+  const excludedZone = role === 'understudy' ? capacity.zoneOf(doc.primary) : '';
   const candidates: RunnerView[] = [];
-  for (const view of ledger.usable()) if (view.machine.zone !== barredZone) candidates.push(view);
+  for (const view of capacity.usableRunners())
+    if (view.machine.zone !== excludedZone) candidates.push(view);
   return candidates;
 }
 
-/** The seat as it stands, or none where its runner no longer serves. */
-function keptSeat(ledger: CapacityTable, runner: string, model: string): string {
-  return ledger.mayStayPlaced(runner) && ledger.holdsOrFetches(runner, model) ? runner : '';
+/** The placement's runner, or '' if it can no longer serve the model. */
+function retainedRunner(capacity: CapacityTable, runner: string, model: string): string {
+  return capacity.mayStayPlaced(runner) && capacity.holdsOrFetches(runner, model) ? runner : '';
 }
 
 function byCost(a: { readonly cost: number }, b: { readonly cost: number }): number {
--- a/src/placement/placer-types.ts
+++ b/src/placement/placer-types.ts
@@ -2,18 +2,18 @@
 import type { Table } from '../policy/table.js';
 import type { Catalog, Machine, RunnerReport } from './shapes.js';
 
-/** A runner as last seen: the platform's word on it and its own report, if it returns one. */
+/** A runner as last seen: its entry in the platform's list and its own report, if it returned one. */
 export interface RunnerView {
   readonly machine: Machine;
   readonly report: RunnerReport | undefined;
-  /** When we asked for that report, on our clock. */
+  /** When this report was requested, on the local clock. */
   readonly requestedAt: Moment;
   readonly isReachable: boolean;
-  /** Out of reach for so long that its seats are given up. */
+  /** Not reachable for so long that its placements are removed. */
   readonly isUnreachable: boolean;
 }
 
-/** What a plan is made from. */
+/** The input of a plan. */
 export interface PlanInput {
   readonly table: Table;
   readonly catalog: Catalog;
@@ -21,20 +21,20 @@
   readonly evacuatedZones: readonly string[];
 }
 
-/** What paces the placer; spans are in ms. */
+/** The placer's settings; durations are in ms. */
 export interface PlacerSettings {
   readonly demandWindowMs: number;
-  /** Requests a second below which a model counts as idle. */
+  /** Requests per second below which a model counts as idle. */
   readonly idleRate: number;
-  /** How many times more a newcomer must be worth than what makes way for it. */
+  /** By which factor a new model's worth must exceed that of the model evicted for it. */
   readonly worthRatio: number;
-  /** How long a model out of the places is still left in a runner, so that every proxy has heard. */
+  /** How long an unplaced model stays loaded, so that every proxy has received the change. */
   readonly unloadDelayMs: number;
-  /** How long a model stays once it has been fetched. */
+  /** How long a model stays after it was fetched. */
   readonly minResidencyMs: number;
 }
 
-/** The values that hold unless a deployment names others. */
+/** The default settings. */
 export const PLACER_DEFAULTS: PlacerSettings = {
   demandWindowMs: 20_000,
   idleRate: 0.05,
@@ -43,20 +43,20 @@
   minResidencyMs: 10_000,
 };
 
-/** A model that some row wants. */
+/** A model that matches a row of the policy table with a positive weight. */
 export interface DesiredModel {
   readonly model: string;
   readonly size: number;
   readonly weight: number;
-  /** Requests a second. */
+  /** Requests per second. */
   readonly rate: number;
   readonly worth: number;
 }
 
-/** Which of a model's two seats. */
+/** A model's placements: the serving runner and its standby in another zone. */
 export type PlacementRole = 'primary' | 'understudy';
 
-/** The key of a model, or of an adapter of it where named. */
+/** The key of a model, or of one of its adapters if `adapter` is not empty. */
 export function unitOf(model: string, adapter: string): string {
   return `${model}\n${adapter}`;
 }
--- a/src/placement/placer.test.ts
+++ b/src/placement/placer.test.ts
@@ -2,15 +2,15 @@
 import { compile } from '../policy/language.js';
 import { moment } from '../common/ids.js';
 import { Seeded } from '../rehearsal/seeded.js';
-import { isThat } from './intent-log.js';
+import { matchesIntent } from './intent-log.js';
 import { Placer } from './placer.js';
 import { PLACER_DEFAULTS, type PlanInput, type RunnerView } from './placer-types.js';
 import type { Catalog, Hold, Intent, Place, RunnerReport, Seat, ServiceDoc } from './shapes.js';
 
 type Report = RunnerReport;
 const table = compile('row check m-* weight 10\nrow check rare-* weight 1').table;
-/** Runners that obey at once, watching room and fetch slots themselves. */
-class Yard {
+/** Runners that execute orders at once, and record violations of their memory and of the store's fetch limit. */
+class PlacerFleet {
   readonly placer = new Placer(
     { ...PLACER_DEFAULTS, minResidencyMs: 1000, unloadDelayMs: 1000 },
     'p',
@@ -20,17 +20,17 @@
     { zone: string; room: number; boot: string; holds: Hold[]; leaving: boolean; isUp: boolean }
   >();
   readonly catalog: Catalog;
-  readonly seen = new Set<string>();
-  readonly broken: string[] = [];
-  emptied: string[] = [];
+  readonly executedIntents = new Set<string>();
+  readonly violations: string[] = [];
+  evacuatedZones: string[] = [];
   now = 1000;
-  obeys = true;
+  executesOrders = true;
 
   constructor(catalog: Catalog) {
     this.catalog = catalog;
   }
 
-  add(id: string, zone: string, room: number): void {
+  addRunner(id: string, zone: string, room: number): void {
     this.runners.set(id, { zone, room, boot: 'b1', holds: [], leaving: false, isUp: true });
   }
 
@@ -53,7 +53,7 @@
         isUnreachable: !runner.isUp,
       });
     }
-    return { table, catalog: this.catalog, runners, evacuatedZones: this.emptied };
+    return { table, catalog: this.catalog, runners, evacuatedZones: this.evacuatedZones };
   }
 
   step(millis = 500): void {
@@ -61,17 +61,17 @@
     this.placer.plan(moment(this.now), this.input());
     for (const runner of this.runners.values())
       for (const hold of runner.holds) if (hold.state === 'loading') hold.state = 'ready';
-    if (!this.obeys) return;
-    for (const doc of this.placer.docs()) for (const intent of doc.intents) this.#obey(intent);
+    if (!this.executesOrders) return;
+    for (const doc of this.placer.docs()) for (const intent of doc.intents) this.#execute(intent);
   }
 
-  #obey(intent: Intent): void {
+  #execute(intent: Intent): void {
     const runner = this.runners.get(intent.runner);
-    if (this.seen.has(intent.id) || !runner?.isUp) return;
-    this.seen.add(intent.id);
+    if (this.executedIntents.has(intent.id) || !runner?.isUp) return;
+    this.executedIntents.add(intent.id);
     this.placer.orderTaken(moment(this.now), intent.id);
     if (intent.verb === 'unload') {
-      runner.holds = runner.holds.filter((hold) => !isThat(intent, hold));
+      runner.holds = runner.holds.filter((hold) => !matchesIntent(intent, hold));
       return;
     }
     runner.holds.push({
@@ -83,18 +83,19 @@
     });
     let used = 0;
     for (const hold of runner.holds) used += hold.size;
-    if (used > runner.room) this.broken.push(`${intent.runner} holds ${used} of ${runner.room}`);
+    if (used > runner.room)
+      this.violations.push(`${intent.runner} holds ${used} of ${runner.room}`);
     let fetching = 0;
     for (const each of this.runners.values())
       for (const hold of each.holds) if (hold.state === 'loading') fetching += 1;
-    if (fetching > this.catalog.limit) this.broken.push(`${fetching} fetches at once`);
+    if (fetching > this.catalog.limit) this.violations.push(`${fetching} fetches at once`);
   }
 
-  ask(model: string, count: number): void {
+  request(model: string, count: number): void {
     this.placer.demand.add(moment(this.now), `${model}\n`, count);
   }
 
-  seats(model: string): string[] {
+  readyRunners(model: string): string[] {
     const place = this.placer.places(this.input()).places.find((place) => isModel(model, place));
     return (place?.seats ?? []).map(runnerOf);
   }
@@ -114,148 +115,152 @@
 function runnerOf(seat: Seat): string {
   return seat.runner;
 }
-function models(...names: string[]): Catalog {
-  return { limit: 2, models: names.map(sized), adapters: [] };
+function catalogOf(...names: string[]): Catalog {
+  return { limit: 2, models: names.map(catalogModel), adapters: [] };
 }
-function sized(name: string): { name: string; size: number } {
+function catalogModel(name: string): { name: string; size: number } {
   return { name, size: 10 };
 }
 function intentsOf(doc: ServiceDoc): readonly Intent[] {
   return doc.intents;
 }
-test('a busy model has a pair across zones, and its understudy takes over at once', () => {
-  const yard = new Yard(models('m-0', 'm-1'));
-  yard.add('r0', 'a', 20);
-  yard.add('r1', 'a', 20);
-  yard.add('r2', 'b', 20);
+test('a busy model has a primary and an understudy in two zones, and the understudy takes over at once', () => {
+  const fleet = new PlacerFleet(catalogOf('m-0', 'm-1'));
+  fleet.addRunner('r0', 'a', 20);
+  fleet.addRunner('r1', 'a', 20);
+  fleet.addRunner('r2', 'b', 20);
   for (let index = 0; index < 12; index += 1) {
-    yard.ask('m-0', 5);
-    yard.step();
+    fleet.request('m-0', 5);
+    fleet.step();
   }
-  const seats = yard.seats('m-0');
-  expect(seats).toHaveLength(2);
-  expect(new Set(seats.map((id) => yard.runners.get(id)?.zone ?? '')).size).toBe(2);
-  // The primary dies: the understudy takes over in the same plan, with nothing to fetch first.
-  const [primary = ''] = seats;
-  const runner = yard.runners.get(primary);
+  const readyRunners = fleet.readyRunners('m-0');
+  expect(readyRunners).toHaveLength(2);
+  expect(new Set(readyRunners.map((id) => fleet.runners.get(id)?.zone ?? '')).size).toBe(2);
+  // The primary fails: the understudy takes over in the same plan, without a fetch.
+  const [primary = ''] = readyRunners;
+  const runner = fleet.runners.get(primary);
   if (runner) runner.isUp = false;
-  yard.step();
-  expect(yard.seats('m-0')[0]).toBe(seats[1]);
+  fleet.step();
+  expect(fleet.readyRunners('m-0')[0]).toBe(readyRunners[1]);
 });
-test('what does not fit waits and says so, and has its turn later', () => {
-  const yard = new Yard(models('m-0', 'm-1', 'rare-0'));
-  yard.add('r0', 'a', 20);
+test('a model that does not fit waits with a reason, and is placed later', () => {
+  const fleet = new PlacerFleet(catalogOf('m-0', 'm-1', 'rare-0'));
+  fleet.addRunner('r0', 'a', 20);
   for (let index = 0; index < 8; index += 1) {
-    yard.ask('m-0', 5);
-    yard.ask('m-1', 5);
-    yard.step();
+    fleet.request('m-0', 5);
+    fleet.request('m-1', 5);
+    fleet.step();
   }
-  expect(yard.seats('rare-0')).toEqual([]);
-  expect(yard.waitOf('rare-0')).toMatch(/waits for room/);
-  expect(yard.waitOf('m-0')).toMatch(/second zone/);
-  // The busy ones go idle and the rare one is asked for: it gets its turn.
-  yard.now += 300_000;
+  expect(fleet.readyRunners('rare-0')).toEqual([]);
+  expect(fleet.waitOf('rare-0')).toMatch(/waits for room/);
+  expect(fleet.waitOf('m-0')).toMatch(/second zone/);
+  // The busy models become idle and the rare one is requested: it is placed now.
+  fleet.now += 300_000;
   for (let index = 0; index < 20; index += 1) {
-    yard.ask('rare-0', 10);
-    yard.step();
+    fleet.request('rare-0', 10);
+    fleet.step();
   }
-  expect(yard.seats('rare-0')).toEqual(['r0']);
-  expect(yard.broken).toEqual([]);
+  expect(fleet.readyRunners('rare-0')).toEqual(['r0']);
+  expect(fleet.violations).toEqual([]);
 });
-test('a leaving runner or emptied zone keeps no seat', () => {
-  const yard = new Yard(models('m-0'));
-  yard.add('r0', 'a', 20);
-  yard.add('r1', 'b', 20);
+test('a leaving runner or an evacuated zone keeps no placement', () => {
+  const fleet = new PlacerFleet(catalogOf('m-0'));
+  fleet.addRunner('r0', 'a', 20);
+  fleet.addRunner('r1', 'b', 20);
   for (let index = 0; index < 8; index += 1) {
-    yard.ask('m-0', 5);
-    yard.step();
+    fleet.request('m-0', 5);
+    fleet.step();
   }
-  const [primary = ''] = yard.seats('m-0');
-  const runner = yard.runners.get(primary);
+  const [primary = ''] = fleet.readyRunners('m-0');
+  const runner = fleet.runners.get(primary);
   if (runner) runner.leaving = true;
-  yard.step();
-  expect(yard.seats('m-0')).not.toContain(primary);
-  expect(yard.seats('m-0')).toHaveLength(1);
-  yard.emptied = ['a', 'b'];
-  yard.step();
-  expect(yard.seats('m-0')).toEqual([]);
+  fleet.step();
+  expect(fleet.readyRunners('m-0')).not.toContain(primary);
+  expect(fleet.readyRunners('m-0')).toHaveLength(1);
+  fleet.evacuatedZones = ['a', 'b'];
+  fleet.step();
+  expect(fleet.readyRunners('m-0')).toEqual([]);
 });
-test('room and slots stay taken by what is intended, across a change of leader', () => {
-  // Nobody obeys: what is intended must hold its room and its slot all the same, also for the next leader.
-  const yard = new Yard(models('m-0', 'm-1', 'm-2', 'm-3'));
-  yard.obeys = false;
-  yard.add('r0', 'a', 10);
-  yard.add('r1', 'b', 100);
-  for (let index = 0; index < 10; index += 1) yard.step();
-  const docs = yard.placer.docs();
+test('open intents keep their memory and fetch slots reserved across a change of leader', () => {
+  // No order is executed: the intents must reserve their memory and fetch slots all the same, also for the next leader.
+  const fleet = new PlacerFleet(catalogOf('m-0', 'm-1', 'm-2', 'm-3'));
+  fleet.executesOrders = false;
+  fleet.addRunner('r0', 'a', 10);
+  fleet.addRunner('r1', 'b', 100);
+  for (let index = 0; index < 10; index += 1) fleet.step();
+  const docs = fleet.placer.docs();
   expect(docs.flatMap(intentsOf)).toHaveLength(2);
   const next = new Placer(PLACER_DEFAULTS, 'q');
   next.restore(docs, 'q');
-  next.plan(moment(yard.now + 1000), yard.input());
+  next.plan(moment(fleet.now + 1000), fleet.input());
   expect(next.docs().flatMap(intentsOf)).toHaveLength(2);
 });
-test('under steady demand the places settle and nothing is fetched in turns', () => {
-  // More models than fit: under steady demand the places settle, and nothing is fetched only to go again.
-  const yard = new Yard(models('m-0', 'm-1', 'm-2', 'rare-0', 'rare-1', 'rare-2', 'rare-3'));
-  yard.add('r0', 'a', 30);
-  yard.add('r1', 'b', 30);
-  yard.add('r2', 'c', 30);
+test('under steady demand the placements settle, and no models are fetched in turns', () => {
+  // More models than fit: under steady demand the placements settle, and no model is fetched only to be evicted again.
+  const fleet = new PlacerFleet(
+    catalogOf('m-0', 'm-1', 'm-2', 'rare-0', 'rare-1', 'rare-2', 'rare-3'),
+  );
+  fleet.addRunner('r0', 'a', 30);
+  fleet.addRunner('r1', 'b', 30);
+  fleet.addRunner('r2', 'c', 30);
   for (let index = 0; index < 150; index += 1) {
-    yard.ask('m-0', 3);
-    yard.ask('m-1', 2);
-    yard.ask('m-2', 1);
-    yard.step();
+    fleet.request('m-0', 3);
+    fleet.request('m-1', 2);
+    fleet.request('m-2', 1);
+    fleet.step();
   }
-  const before = yard.seen.size;
+  const before = fleet.executedIntents.size;
   for (let index = 0; index < 150; index += 1) {
-    yard.ask('m-0', 3);
-    yard.ask('m-1', 2);
-    yard.ask('m-2', 1);
-    yard.step();
+    fleet.request('m-0', 3);
+    fleet.request('m-1', 2);
+    fleet.request('m-2', 1);
+    fleet.step();
   }
-  expect(yard.seen.size).toBe(before);
-  for (const model of ['m-0', 'm-1', 'm-2']) expect(yard.seats(model)).toHaveLength(2);
+  expect(fleet.executedIntents.size).toBe(before);
+  for (const model of ['m-0', 'm-1', 'm-2']) expect(fleet.readyRunners(model)).toHaveLength(2);
 });
-test('a zone filled again takes back what it holds', () => {
-  // A zone is emptied and filled again: what is still held there is taken back, not unloaded for idle models.
-  const yard = new Yard(models('m-0', 'rare-0', 'rare-1'));
-  yard.add('r0', 'a', 20);
-  yard.add('r1', 'b', 20);
+test('a zone back in service gets back the models that it still holds', () => {
+  // A zone is evacuated and put back into service: the models still loaded there are used, not unloaded for idle ones.
+  const fleet = new PlacerFleet(catalogOf('m-0', 'rare-0', 'rare-1'));
+  fleet.addRunner('r0', 'a', 20);
+  fleet.addRunner('r1', 'b', 20);
   for (let index = 0; index < 30; index += 1) {
-    yard.ask('m-0', 3);
-    yard.step();
+    fleet.request('m-0', 3);
+    fleet.step();
   }
-  expect(yard.seats('m-0')).toHaveLength(2);
-  yard.emptied = ['a'];
+  expect(fleet.readyRunners('m-0')).toHaveLength(2);
+  fleet.evacuatedZones = ['a'];
   for (let index = 0; index < 20; index += 1) {
-    yard.ask('m-0', 3);
-    yard.step();
+    fleet.request('m-0', 3);
+    fleet.step();
   }
-  yard.emptied = [];
+  fleet.evacuatedZones = [];
   for (let index = 0; index < 3; index += 1) {
-    yard.ask('m-0', 3);
-    yard.step();
+    fleet.request('m-0', 3);
+    fleet.step();
   }
-  expect(yard.seats('m-0')).toHaveLength(2);
+  expect(fleet.readyRunners('m-0')).toHaveLength(2);
 });
-test('room and fetch slots hold over seeds of restarts, leavings and late obeying', () => {
+test('memory and fetch limits hold under random restarts, leaving runners and late orders', () => {
   for (let seed = 1; seed <= 40; seed += 1) {
     const seeded = new Seeded(seed);
-    const yard = new Yard(models('m-0', 'm-1', 'm-2', 'm-3', 'm-4', 'm-5', 'rare-0', 'rare-1'));
+    const fleet = new PlacerFleet(
+      catalogOf('m-0', 'm-1', 'm-2', 'm-3', 'm-4', 'm-5', 'rare-0', 'rare-1'),
+    );
     for (let index = 0; index < 4; index += 1)
-      yard.add(`r${index}`, ['a', 'b', 'c'][index % 3] ?? 'a', 25 + 10 * (index % 2));
+      fleet.addRunner(`r${index}`, ['a', 'b', 'c'][index % 3] ?? 'a', 25 + 10 * (index % 2));
     for (let index = 0; index < 200; index += 1) {
-      yard.ask(seeded.pick(yard.catalog.models)?.name ?? '', seeded.below(8));
-      const runner = yard.runners.get(`r${seeded.below(4)}`);
+      fleet.request(seeded.pick(fleet.catalog.models)?.name ?? '', seeded.below(8));
+      const runner = fleet.runners.get(`r${seeded.below(4)}`);
       if (runner && seeded.isLikely(0.03)) {
         runner.boot += 'x';
         runner.holds = [];
       }
       if (runner && seeded.isLikely(0.05)) runner.isUp = !runner.isUp;
       if (runner && seeded.isLikely(0.03)) runner.leaving = !runner.leaving;
-      yard.obeys = seeded.isLikely(0.8);
-      yard.step(seeded.between(100, 2000));
+      fleet.executesOrders = seeded.isLikely(0.8);
+      fleet.step(seeded.between(100, 2000));
     }
-    expect(yard.broken).toEqual([]);
+    expect(fleet.violations).toEqual([]);
   }
 });
--- a/src/placement/placer.ts
+++ b/src/placement/placer.ts
@@ -13,125 +13,128 @@
   type DesiredModel,
 } from './placer-types.js';
 import { CapacityTable } from './capacity-table.js';
-import { PlacementAssignment, type Planning } from './placement-assignment.js';
+import { PlacementAssignment, type PlanContext } from './placement-assignment.js';
 import type { Catalog, Intent, Place, PlacedRunner, Seat, ServiceDoc } from './shapes.js';
 
-/** Keeps the worth of models apart that nobody asks for, requests a second. */
-const LEAST_RATE = 0.001;
-/** A rare model that waits for so long gains worth, or busy ones would keep it out for good; ms. */
+/** Added to every rate so that models without demand still differ in worth by their weight. */
+const MIN_WORTH_RATE_PER_SECOND = 0.001;
+/** After this time a waiting model gains worth, since busy models would otherwise keep a rare one out forever. */
 const LONG_WAIT_MS = 10_000;
-const LONG_WAIT_WORTH = 2;
-/** A share of the idle rate from which an adapter is fetched. */
-const ADAPTER_SHARE = 1 / 50;
-/** Beyond this age a runner's age is no news, ms. */
-const OLD_MS = 30_000;
+const LONG_WAIT_WORTH_FACTOR = 2;
+/** The share of the idle rate from which an adapter is fetched. */
+const ADAPTER_FETCH_RATE_SHARE = 1 / 50;
+/** A runner's age is published up to this value only, since a change beyond it makes no difference. */
+const MAX_REPORTED_AGE_MS = 30_000;
 const SECOND_MS = 1000;
 
 /**
- * Decides which runner is primary and which understudy for each model, what is fetched and what makes way.
- * It never orders: it writes intents into the services' documents, and they are ordered once they are kept.
+ * Decides for each model which runner is primary and which understudy, what is fetched and what is evicted. It sends no
+ * orders itself: it writes intents into the models' documents, and their orders are sent once these are stored.
  */
 export class Placer {
   readonly #settings: PlacerSettings;
+  /** Recent demand by `unitOf`. */
   readonly demand: Demand;
-  readonly #book: IntentLog;
-  readonly #times = new ResidencyTimes();
-  readonly #seats: PlacementAssignment;
+  readonly #intentLog: IntentLog;
+  readonly #residencyTimes = new ResidencyTimes();
+  readonly #assignment: PlacementAssignment;
 
   constructor(settings: PlacerSettings, label: string) {
     this.#settings = settings;
     this.demand = new Demand(settings.demandWindowMs);
-    this.#book = new IntentLog(label);
-    this.#seats = new PlacementAssignment(settings, this.#book, this.#times);
+    this.#intentLog = new IntentLog(label);
+    this.#assignment = new PlacementAssignment(settings, this.#intentLog, this.#residencyTimes);
   }
 
-  /** Begins anew from what the parts hold, as a new leader does. */
+  /** Replaces the state with the stored documents, as a new leader does; `label` is the prefix of its intents' ids. */
   restore(docs: readonly ServiceDoc[], label: string): void {
-    this.#book.restore(docs, label);
+    this.#intentLog.restore(docs, label);
   }
 
+  /** The documents of all models. */
   docs(): readonly ServiceDoc[] {
-    return this.#book.docs();
+    return this.#intentLog.docs();
   }
 
-  /** The runner took the order: a report asked for after this shows what became of it. */
+  /** The runner accepted the order: a report requested later shows its outcome. */
   orderTaken(now: Moment, intent: string): void {
-    this.#book.onAccepted(now, intent);
+    this.#intentLog.onAccepted(now, intent);
   }
 
-  /** The runner said it will not do this, now or later. */
+  /** The runner rejected the order permanently. */
   orderTurnedAway(intent: string): void {
-    this.#book.onRejected(intent);
+    this.#intentLog.onRejected(intent);
   }
 
   /**
-   * Whether a kept intent is still to be ordered: time has passed since it was decided, and its runner may be leaving
-   * or its zone emptied, its room may have shrunk, or the store may allow less by now. What was sent or shows counts.
+   * Whether the order of a stored intent may still be sent. Since the intent was created, its runner may have started
+   * to leave, its zone may have been evacuated, its memory may have shrunk, or the store's limit may have been lowered.
+   * Against the capacity count reported models, other unloads, and other loads that were sent.
    */
   mayStillOrder(intent: Intent, input: PlanInput, isSent: (intent: string) => boolean): boolean {
     if (intent.verb === 'unload') return true;
-    const sent: ServiceDoc[] = [];
-    for (const doc of this.#book.docs())
-      sent.push({
+    const docsWithSent: ServiceDoc[] = [];
+    for (const doc of this.#intentLog.docs())
+      docsWithSent.push({
         ...doc,
-        intents: doc.intents.filter(isOtherSent.bind(undefined, intent.id, isSent)),
+        intents: doc.intents.filter(isOtherUnloadOrSent.bind(undefined, intent.id, isSent)),
       });
-    const ledger = new CapacityTable(input, sent);
+    const capacity = new CapacityTable(input, docsWithSent);
     return (
-      ledger.isUsable(intent.runner) &&
-      ledger.free(intent.runner) >= intent.size &&
-      ledger.hasSlot()
+      capacity.isUsable(intent.runner) &&
+      capacity.free(intent.runner) >= intent.size &&
+      capacity.hasFetchSlot()
     );
   }
 
-  /** Plans once and returns the models whose documents changed. */
+  /** Runs one plan and returns the models whose documents changed. */
   plan(now: Moment, input: PlanInput): readonly string[] {
-    this.#book.reconcile(now, viewsById(input.runners));
-    this.#times.noteReady(now, input.runners);
-    const ordered = this.#wishes(now, input);
-    const wishes = new Map<string, DesiredModel>();
-    for (const wish of ordered) wishes.set(wish.model, wish);
-    const ledger = new CapacityTable(input, this.docs());
-    const planning: Planning = { now, ledger, wishes };
-    for (const wish of ordered) this.#seats.keepOrPromote(wish, ledger);
-    this.#seat(planning, ordered);
-    for (const wish of ordered) this.#fetchAdapters(planning, wish, input.catalog);
-    this.#seats.removeUnwanted(wishes);
-    this.#times.noteUnplaced(now, input.runners, (model) => this.#book.doc(model));
-    return this.#book.takeChanged();
+    this.#intentLog.reconcile(now, viewsById(input.runners));
+    this.#residencyTimes.noteReady(now, input.runners);
+    const desiredByWorth = this.#desiredModels(now, input);
+    const desiredModels = new Map<string, DesiredModel>();
+    for (const desired of desiredByWorth) desiredModels.set(desired.model, desired);
+    const capacity = new CapacityTable(input, this.docs());
+    const context: PlanContext = { now, capacity, desiredModels };
+    for (const desired of desiredByWorth) this.#assignment.keepOrPromote(desired, capacity);
+    this.#assignRunners(context, desiredByWorth);
+    for (const desired of desiredByWorth) this.#fetchAdapters(context, desired, input.catalog);
+    this.#assignment.releaseUndesired(desiredModels);
+    this.#residencyTimes.noteUnplaced(now, input.runners, (model) => this.#intentLog.doc(model));
+    return this.#intentLog.takeChanged();
   }
 
-  /** Each model that some row wants, as operators see it beside their table. */
+  /** Each model that matches a row of the table, with its placements, for operators. */
   live(now: Moment, input: PlanInput): LiveModel[] {
-    const ledger = new CapacityTable(input, this.docs());
+    const capacity = new CapacityTable(input, this.docs());
     const models: LiveModel[] = [];
-    for (const { model, rate } of this.#wishes(now, input)) {
-      const doc = this.#book.doc(model);
+    for (const { model, rate } of this.#desiredModels(now, input)) {
+      const doc = this.#intentLog.doc(model);
       const rows: string[] = [];
       for (const row of input.table.rows)
         if (!row.model.startsWith('@') && matchesModel(row.model, model)) rows.push(rowKey(row));
-      const since = this.#seats.waitingSince(model);
+      const since = this.#assignment.waitingSince(model);
       models.push({
         model,
         rows,
         rate,
         wait: doc.wait,
         waitMs: since === undefined ? 0 : now - since,
-        primary: liveReplica(ledger, doc.primary, model),
-        understudy: liveReplica(ledger, doc.understudy, model),
+        primary: liveReplica(capacity, doc.primary, model),
+        understudy: liveReplica(capacity, doc.understudy, model),
       });
     }
     return models;
   }
 
-  /** Where each model is served now, given what runners report ready. */
+  /** Where each model is served now, according to what runners report as ready. */
   places(input: PlanInput): { places: Place[]; runners: PlacedRunner[] } {
-    const ledger = new CapacityTable(input, this.docs());
+    const capacity = new CapacityTable(input, this.docs());
     const places: Place[] = [];
     let waiting = 0;
     for (const doc of this.docs()) {
       const { model, wait } = doc;
-      const seats = readyReplicas(ledger, doc);
+      const seats = readyReplicas(capacity, doc);
       if (seats.length > 0) {
         places.push({ model, seats, wait });
         continue;
@@ -142,65 +145,69 @@
     return { places, runners: input.runners.map(placedRunner) };
   }
 
-  /** When a model without a seat that serves is due, as far as fetches so far tell; 0 where they tell nothing. */
-  #readyMs(doc: ServiceDoc, input: PlanInput, ahead: number): number {
+  /** The estimated time until a model without a ready replica is ready, from past fetches, ms; 0 if there were none. */
+  #readyMs(doc: ServiceDoc, input: PlanInput, waitsAhead: number): number {
     const size = input.catalog.models.find((item) => item.name === doc.model)?.size ?? 0;
-    const own = this.#book.fetchMs(size);
+    const ownFetchMs = this.#intentLog.fetchMs(size);
     const isUnderWay = doc.intents.some((intent) => fetchesModel(doc.model, intent));
-    const dueMs = isUnderWay ? own : own * (1 + (ahead + 1) / Math.max(1, input.catalog.limit));
-    // Whole seconds: a small change is no news.
+    const dueMs = isUnderWay
+      ? ownFetchMs
+      : ownFetchMs * (1 + (waitsAhead + 1) / Math.max(1, input.catalog.limit));
+    // Whole seconds, so that small changes publish no update.
     return Math.ceil(dueMs / SECOND_MS) * SECOND_MS;
   }
 
   /**
-   * Whoever is asked for gets its pair before any idle model gets a copy: room that was made for a pair would else go to
-   * the very model that made way for it.
+   * Models in demand get both placements before any idle model gets one: memory freed for an understudy would otherwise
+   * go to the very model that was evicted for it.
    */
-  #seat(planning: Planning, wishes: readonly DesiredModel[]): void {
-    for (const isAsked of [true, false]) {
+  #assignRunners(context: PlanContext, desiredModels: readonly DesiredModel[]): void {
+    for (const isInDemand of [true, false]) {
       for (const role of ['primary', 'understudy'] as const) {
-        for (const wish of wishes)
-          if (this.#seats.isAskedFor(wish) === isAsked) this.#seats.place(planning, wish, role);
+        for (const desired of desiredModels)
+          if (this.#assignment.isInDemand(desired) === isInDemand)
+            this.#assignment.place(context, desired, role);
       }
     }
   }
 
-  #wishes(now: Moment, input: PlanInput): DesiredModel[] {
-    const wishes: DesiredModel[] = [];
+  #desiredModels(now: Moment, input: PlanInput): DesiredModel[] {
+    const desired: DesiredModel[] = [];
     for (const { name, size } of input.catalog.models) {
       const weight = indexOf(input.table).weight(name);
       if (weight === 0) continue;
       const rate = this.demand.rate(now, unitOf(name, ''));
-      const worth = weight * (rate + LEAST_RATE);
+      const worth = weight * (rate + MIN_WORTH_RATE_PER_SECOND);
       const isWaitingLong = this.#isWaitingLong(now, name);
-      wishes.push({
+      desired.push({
         model: name,
         size,
         weight,
         rate,
-        worth: isWaitingLong ? worth * LONG_WAIT_WORTH : worth,
+        worth: isWaitingLong ? worth * LONG_WAIT_WORTH_FACTOR : worth,
       });
     }
-    return wishes.sort(byWorth);
+    return desired.sort(byWorth);
   }
 
   #isWaitingLong(now: Moment, model: string): boolean {
-    const since = this.#seats.waitingSince(model);
+    const since = this.#assignment.waitingSince(model);
     return since !== undefined && now - since > LONG_WAIT_MS;
   }
 
-  /** Fetches the adapters that are asked for to where their model is ready. */
-  #fetchAdapters({ now, ledger }: Planning, { model }: DesiredModel, catalog: Catalog): void {
-    const doc = this.#book.doc(model);
-    const leastRate = this.#settings.idleRate * ADAPTER_SHARE;
+  /** Fetches the adapters in demand to the runners where their model is ready. */
+  #fetchAdapters({ now, capacity }: PlanContext, { model }: DesiredModel, catalog: Catalog): void {
+    const doc = this.#intentLog.doc(model);
+    const minRate = this.#settings.idleRate * ADAPTER_FETCH_RATE_SHARE;
     for (const { name: adapter, model: owner, size } of catalog.adapters) {
-      if (owner !== model || this.demand.rate(now, unitOf(model, adapter)) < leastRate) continue;
+      if (owner !== model || this.demand.rate(now, unitOf(model, adapter)) < minRate) continue;
       for (const runner of [doc.primary, doc.understudy]) {
-        const view = ledger.view(runner);
-        if (!view || !ledger.isReady(runner, model)) continue;
-        if (ledger.hasUnit(runner, model, adapter) || ledger.isLeavingHold(runner, model)) continue;
-        if (!ledger.hasSlot() || ledger.free(runner) < size) continue;
-        this.#book.intend(now, view, { verb: 'load', model, adapter, size }, ledger);
+        const view = capacity.view(runner);
+        if (!view || !capacity.isReady(runner, model)) continue;
+        if (capacity.hasUnit(runner, model, adapter) || capacity.isUnloading(runner, model))
+          continue;
+        if (!capacity.hasFetchSlot() || capacity.free(runner) < size) continue;
+        this.#intentLog.createIntent(now, view, { verb: 'load', model, adapter, size }, capacity);
       }
     }
   }
@@ -212,11 +219,14 @@
   return views;
 }
 
-function readyReplicas(ledger: CapacityTable, { model, primary, understudy }: ServiceDoc): Seat[] {
+function readyReplicas(
+  capacity: CapacityTable,
+  { model, primary, understudy }: ServiceDoc,
+): Seat[] {
   const seats: Seat[] = [];
   for (const runner of [primary, understudy]) {
-    if (runner === '' || !ledger.isReady(runner, model)) continue;
-    const adapters = ledger.readyAdapters(runner, model);
+    if (runner === '' || !capacity.isReady(runner, model)) continue;
+    const adapters = capacity.readyAdapters(runner, model);
     seats.push({ runner, primary: runner === primary, adapters });
   }
   return seats;
@@ -230,7 +240,7 @@
     zone,
     service,
     slots: report?.slots ?? 0,
-    upMs: idleScore(report?.upMs ?? 0),
+    upMs: reportedAgeMs(report?.upMs ?? 0),
   };
 }
 
@@ -238,12 +248,16 @@
   return b.worth - a.worth || (a.model < b.model ? -1 : 1);
 }
 
-/** Whole seconds while a runner is young, then one value. */
-function idleScore(upMs: number): number {
-  return Math.min(OLD_MS, Math.floor(upMs / SECOND_MS) * SECOND_MS);
+/** A runner's age in whole seconds, up to `MAX_REPORTED_AGE_MS`. */
+function reportedAgeMs(upMs: number): number {
+  return Math.min(MAX_REPORTED_AGE_MS, Math.floor(upMs / SECOND_MS) * SECOND_MS);
 }
 
-function isOtherSent(id: string, isSent: (intent: string) => boolean, intent: Intent): boolean {
+function isOtherUnloadOrSent(
+  id: string,
+  isSent: (intent: string) => boolean,
+  intent: Intent,
+): boolean {
   return intent.id !== id && (intent.verb === 'unload' || isSent(intent.id));
 }
 
@@ -251,7 +265,7 @@
   return intent.verb === 'load' && intent.model === model && intent.adapter === '';
 }
 
-function liveReplica(ledger: CapacityTable, runner: string, model: string): LiveModel['primary'] {
-  const isReady = runner !== '' && ledger.isReady(runner, model);
-  return { runner, zone: runner === '' ? '' : ledger.zoneOf(runner), isReady };
+function liveReplica(capacity: CapacityTable, runner: string, model: string): LiveModel['primary'] {
+  const isReady = runner !== '' && capacity.isReady(runner, model);
+  return { runner, zone: runner === '' ? '' : capacity.zoneOf(runner), isReady };
 }
--- a/src/placement/replica-trial.ts
+++ b/src/placement/replica-trial.ts
@@ -3,7 +3,7 @@
 import type { PlacerSettings, PlanInput, RunnerView } from './placer-types.js';
 import type { Hold, Intent, Place, ServiceDoc } from './shapes.js';
 
-/** What a trial of the placer came to. */
+/** The result of a trial run of the placer. */
 export interface TrialOutcome {
   readonly places: readonly Place[];
   readonly orders: readonly Intent[];
@@ -11,12 +11,12 @@
 
 const STEP_MS = 500;
 
-/** Tries out on virtual time what the placer itself would do to a fleet whose runners obey at once. */
+/** Runs the placer on virtual time against a copy of a fleet whose runners execute orders at once. */
 export class ReplicaTrial {
   readonly #placer: Placer;
   readonly #input: PlanInput;
   readonly #holds = new Map<string, Hold[]>();
-  readonly #done = new Set<string>();
+  readonly #executedIntents = new Set<string>();
   readonly #orders: Intent[] = [];
   readonly #demand: ReadonlyMap<string, number>;
   #now = 1000;
@@ -31,29 +31,30 @@
     this.#placer.restore(docs, 'trial');
     this.#input = input;
     this.#demand = demand;
-    // Unreachable runners keep what they were last seen with, but obey nothing.
+    // Unreachable runners keep the models of their last report; the placer gives them no orders.
     for (const view of input.runners)
       this.#holds.set(view.machine.id, (view.report?.holds ?? []).map(copyOf));
     for (const [unit, rate] of demand)
       this.#placer.demand.add(moment(this.#now), unit, (rate * settings.demandWindowMs) / 1000);
   }
 
-  /** Plays so many steps and says what went wrong. */
+  /** Simulates `steps` planning steps and returns the resulting places and the executed orders. */
   run(steps: number): TrialOutcome {
     for (let step = 0; step < steps; step += 1) {
       this.#now += STEP_MS;
       for (const [unit, rate] of this.#demand)
         this.#placer.demand.add(moment(this.#now), unit, (rate * STEP_MS) / 1000);
-      this.#placer.plan(moment(this.#now), this.#view());
+      this.#placer.plan(moment(this.#now), this.#planInput());
       for (const holds of this.#holds.values())
         for (const hold of holds) if (hold.state === 'loading') hold.state = 'ready';
-      for (const doc of this.#placer.docs()) for (const intent of doc.intents) this.#obey(intent);
+      for (const doc of this.#placer.docs())
+        for (const intent of doc.intents) this.#execute(intent);
     }
-    this.#placer.plan(moment(this.#now + STEP_MS), this.#view());
-    return { places: this.#placer.places(this.#view()).places, orders: this.#orders };
+    this.#placer.plan(moment(this.#now + STEP_MS), this.#planInput());
+    return { places: this.#placer.places(this.#planInput()).places, orders: this.#orders };
   }
 
-  #view(): PlanInput {
+  #planInput(): PlanInput {
     const runners: RunnerView[] = [];
     for (const view of this.#input.runners) {
       const holds = (this.#holds.get(view.machine.id) ?? []).map(copyOf);
@@ -66,13 +67,13 @@
     return { ...this.#input, runners };
   }
 
-  #obey(intent: Intent): void {
-    if (this.#done.has(intent.id)) return;
-    this.#done.add(intent.id);
+  #execute(intent: Intent): void {
+    if (this.#executedIntents.has(intent.id)) return;
+    this.#executedIntents.add(intent.id);
     this.#orders.push(intent);
     this.#placer.orderTaken(moment(this.#now), intent.id);
     const holds = this.#holds.get(intent.runner) ?? [];
-    const rest = holds.filter((hold) => isOther(intent, hold));
+    const rest = holds.filter((hold) => isOtherHold(intent, hold));
     if (intent.verb === 'load')
       rest.push({
         model: intent.model,
@@ -89,6 +90,6 @@
   return { ...hold };
 }
 
-function isOther(intent: Intent, hold: Hold): boolean {
+function isOtherHold(intent: Intent, hold: Hold): boolean {
   return hold.model !== intent.model || hold.adapter !== intent.adapter;
 }
--- a/src/placement/residency-times.ts
+++ b/src/placement/residency-times.ts
@@ -2,16 +2,16 @@
 import { holdKey, type RunnerView } from './placer-types.js';
 import type { ServiceDoc } from './shapes.js';
 
-/** How long a hold that makes way is not seated again, ms. */
-const MAKING_WAY_MS = 15_000;
+/** How long an evicted model is not assigned to the same runner again, ms. */
+const EVICTION_HOLD_OFF_MS = 15_000;
 
-/** Since when models are ready at runners, out of the places there, or making way for another. */
+/** Tracks per runner and model since when the model is ready, is unplaced, or is being evicted. */
 export class ResidencyTimes {
   readonly #unplacedAt = new Map<string, Moment>();
   readonly #readyAt = new Map<string, Moment>();
-  readonly #makingWayUntil = new Map<string, Moment>();
+  readonly #evictingUntil = new Map<string, Moment>();
 
-  /** Notes what reports show as ready for the first time. */
+  /** Records models that reports show as ready for the first time. */
   noteReady(now: Moment, views: readonly RunnerView[]): void {
     for (const view of views) {
       for (const hold of view.report?.holds ?? []) {
@@ -22,7 +22,7 @@
     }
   }
 
-  /** Notes what is held without a seat, and forgets what is held no more. */
+  /** Records loaded models without a placement at their runner, and drops the times of models no longer loaded. */
   noteUnplaced(
     now: Moment,
     views: readonly RunnerView[],
@@ -39,29 +39,32 @@
         else if (!this.#unplacedAt.has(key)) this.#unplacedAt.set(key, now);
       }
     }
-    for (const times of [this.#unplacedAt, this.#readyAt, this.#makingWayUntil])
+    for (const times of [this.#unplacedAt, this.#readyAt, this.#evictingUntil])
       for (const key of times.keys()) if (!seen.has(key)) times.delete(key);
   }
 
+  /** When the model was first reported ready at the runner. */
   readyAt(runner: string, model: string): Moment | undefined {
     return this.#readyAt.get(holdKey(runner, model));
   }
 
+  /** Since when the model is loaded at the runner without a placement there. */
   unplacedAt(runner: string, model: string): Moment | undefined {
     return this.#unplacedAt.get(holdKey(runner, model));
   }
 
-  /** Its seat was given up now. */
-  unplaced(now: Moment, runner: string, model: string): void {
+  /** Records that the placement at the runner was removed now. */
+  markUnplaced(now: Moment, runner: string, model: string): void {
     this.#unplacedAt.set(holdKey(runner, model), now);
   }
 
-  /** Else its own model would take the seat back before the room is free. */
-  makesWay(now: Moment, runner: string, model: string): void {
-    this.#makingWayUntil.set(holdKey(runner, model), later(now, MAKING_WAY_MS));
+  /** Marks an eviction. Without the mark, the evicted model would be assigned there again before its memory is free. */
+  markEvicting(now: Moment, runner: string, model: string): void {
+    this.#evictingUntil.set(holdKey(runner, model), later(now, EVICTION_HOLD_OFF_MS));
   }
 
-  isMakingWay(now: Moment, runner: string, model: string): boolean {
-    return (this.#makingWayUntil.get(holdKey(runner, model)) ?? moment(now)) > now;
+  /** Whether the model was marked for eviction from the runner recently. */
+  isEvicting(now: Moment, runner: string, model: string): boolean {
+    return (this.#evictingUntil.get(holdKey(runner, model)) ?? moment(now)) > now;
   }
 }
--- a/src/placement/shapes.ts
+++ b/src/placement/shapes.ts
@@ -10,7 +10,7 @@
   type Infer,
 } from 'superstruct';
 
-/** The platform's list of machines that run back ends; a revision orders whole lists. */
+/** A machine on the platform's list of machines that run back ends. */
 export const MachineShape = type({
   id: string(),
   address: string(),
@@ -18,14 +18,14 @@
   service: string(),
   leaving: boolean(),
 });
-/** Revisions begin at 1: 0 is what those hold who have heard of no list. */
+/** The platform's whole list. Revisions order the lists and begin at 1: 0 stands for no list received yet. */
 export const MachinesShape = type({ revision: min(number(), 1), machines: array(MachineShape) });
 /** One machine of the list. */
 export type Machine = Infer<typeof MachineShape>;
 /** One revision of the list. */
 export type Machines = Infer<typeof MachinesShape>;
 
-/** The weight store's catalogue: sizes, and how many fetches it allows at once over the whole fleet. */
+/** The weight store's catalogue: sizes, and the maximum number of concurrent fetches over the whole fleet. */
 export const CatalogShape = type({
   limit: number(),
   models: array(type({ name: string(), size: number() })),
@@ -34,7 +34,7 @@
 /** The weight store's catalogue. */
 export type Catalog = Infer<typeof CatalogShape>;
 
-/** What a runner reports of itself. An adapter's hold names it; a model's own has an empty one. */
+/** A model or adapter in a runner's report; `adapter` is empty for the model itself. */
 export const HoldShape = type({
   model: string(),
   adapter: string(),
@@ -42,7 +42,7 @@
   state: enums(['loading', 'ready', 'unloading']),
   running: number(),
 });
-/** A runner's report: since when it is up, its room, and what it holds. */
+/** A runner's report: its uptime, its memory (`room`), and the models and adapters it holds. */
 export const RunnerReportShape = type({
   id: string(),
   boot: string(),
@@ -56,7 +56,9 @@
 /** A runner's report. */
 export type RunnerReport = Infer<typeof RunnerReportShape>;
 
-/** An order decided and written down, until the runner's report clears it. */
+/**
+ * An order that was decided and written into a document, where it stays until the runner's report shows its outcome.
+ */
 export const IntentShape = type({
   id: string(),
   runner: string(),
@@ -65,38 +67,38 @@
   model: string(),
   adapter: string(),
   size: number(),
-  /** How many orders the runner must have taken before this one, where that is known; older documents have none. */
+  /** How many orders the runner must have accepted before this one, if known; absent in older documents. */
   count: optional(number()),
 });
-/** An order decided and written down. */
+/** An order that was decided and written into a document. */
 export type Intent = Infer<typeof IntentShape>;
 
-/** Who serves a model, who waits for it, and the orders under way for it. Stored. */
+/** A model's document: the runners that serve it, what it waits for, and its open orders. Stored. */
 export const ServiceDocShape = type({
   model: string(),
   primary: string(),
   understudy: string(),
   wait: string(),
   intents: array(IntentShape),
-  /** Runners beyond the pair that hold the model as well. */
+  /** Further runners that hold the model, beside primary and understudy. */
   seats: optional(array(string())),
 });
 /** A model's document. */
 export type ServiceDoc = Infer<typeof ServiceDocShape>;
 
-/** What a part of the replicated state holds: the documents of its models. Stored. */
+/** A partition of the replicated state: the documents of its models. Stored. */
 export const ServicePartitionShape = type({ services: array(ServiceDocShape) });
 
-/** A runner that serves a model now, with the adapters it holds ready. */
+/** A runner that serves a model now, with its ready adapters. */
 export const SeatShape = type({ runner: string(), primary: boolean(), adapters: array(string()) });
-/** `readyMs`: what is still to come when a wait begins, as far as it can be told; it is counted down by who hears it. */
+/** Where a model is served. `readyMs`: the estimated remaining wait at publication; receivers count it down. */
 export const PlaceShape = type({
   model: string(),
   seats: array(SeatShape),
   wait: string(),
   readyMs: optional(number()),
 });
-/** A runner as proxies are told of it; `upMs` is how long it is up. */
+/** A runner as published to proxies; `upMs` is its uptime. */
 export const PlacedRunnerShape = type({
   id: string(),
   address: string(),
@@ -105,27 +107,27 @@
   slots: number(),
   upMs: number(),
 });
-/** The part of a row's take that one proxy may gate, by recent demand. */
+/** The share of a row's quota (`take`) that one proxy may admit, from recent demand. */
 export const ShareShape = type({ flow: string(), row: string(), share: number() });
-/** All places, as told to proxies (topic `places`). */
+/** All places, as published to proxies (topic `places`). */
 export const PlacesShape = type({
   places: array(PlaceShape),
   runners: array(PlacedRunnerShape),
   flows: number(),
   shares: array(ShareShape),
 });
-/** A proxy's share of a row's take. */
+/** A proxy's share of a row's quota. */
 export type Share = Infer<typeof ShareShape>;
 /** A runner that serves a model. */
 export type Seat = Infer<typeof SeatShape>;
 /** Where a model is served. */
 export type Place = Infer<typeof PlaceShape>;
-/** A runner as proxies are told of it. */
+/** A runner as published to proxies. */
 export type PlacedRunner = Infer<typeof PlacedRunnerShape>;
 /** All places. */
 export type Places = Infer<typeof PlacesShape>;
 
-/** What one proxy saw asked for since its last word: requests by model and adapter, and by row. */
+/** One proxy's demand since its previous report: requests by model and adapter, and by row. */
 export const DemandShape = type({
   flow: string(),
   units: array(type({ model: string(), adapter: string(), count: number() })),
