--- a/src/placement/fleet.test.ts
+++ b/src/placement/fleet.test.ts
@@ -11,7 +11,7 @@
   type FleetRunner,
 } from './fleet.js';
 
-test('a change replaces, adds and drops runners, and leaves the others the very same', () => {
+test('a delta replaces, adds and removes runners, and keeps the other runner objects', () => {
   const fleet: Fleet = {
     flows: 1,
     waits: [],
@@ -23,11 +23,11 @@
     put: [runner('b', 'n'), runner('d', 'm')],
     drop: ['c'],
   });
-  expect(next.runners.map(textOf)).toEqual(['a m', 'b n', 'd m']);
+  expect(next.runners.map(describeRunner)).toEqual(['a m', 'b n', 'd m']);
   expect(next.runners[0]).toBe(fleet.runners[0]);
   expect(next.flows).toBe(2);
 });
-test('changes reach whoever has the version before, and the whole everybody else', () => {
+test('a relay sends a delta to children with the previous version, and the whole fleet to others', () => {
   const relay = new Relay();
   relay.offer(
     'fleet',
@@ -38,17 +38,17 @@
   expect(relay.offerDelta('fleet', { epoch: 2, count: 2 }, 1, deltaOf(1, [runner('a', 'n')]))).toBe(
     true,
   );
-  // A change of another epoch, or one with a gap before it, is not taken.
+  // A delta of another epoch, or one that does not follow the present version, is rejected.
   expect(relay.offerDelta('fleet', { epoch: 4, count: 3 }, 2, deltaOf(1, []))).toBe(false);
   expect(relay.offerDelta('fleet', { epoch: 2, count: 4 }, 3, deltaOf(1, []))).toBe(false);
   relay.addChild('new');
   const sends = relay.flush();
-  expect(sends.map(kindOf)).toEqual(['old delta', 'new update']);
+  expect(sends.map(describeSend)).toEqual(['old delta', 'new update']);
   const whole = sends[1]?.message;
   expect(whole?.kind === 'update' && whole.body).toContain('"n"');
   expect(relay.flush()).toEqual([]);
 });
-test('however changes are lost on the way, nobody ends with anything but the newest fleet', () => {
+test('all relays end with the newest fleet, whichever deltas are lost on the way', () => {
   for (let seed = 1; seed <= 20; seed += 1) {
     const numbers = new Seeded(seed);
     const random = () => numbers.next();
@@ -122,19 +122,19 @@
     coming: [],
   };
 }
-function textOf({ id, holds }: FleetRunner): string {
+function describeRunner({ id, holds }: FleetRunner): string {
   return `${id} ${holds[0]?.model}`;
 }
 
 function deltaOf(flows: number, put: readonly FleetRunner[]): string {
   return JSON.stringify({ flows, waits: [], put: [...put], drop: [] } satisfies FleetDelta);
 }
-function kindOf(send: {
+function describeSend(send: {
   readonly to: string;
   readonly message: { readonly kind: string };
 }): string {
   return `${send.to} ${send.message.kind}`;
 }
 function sorted(body: string): string[] {
-  return (parseAs(FleetShape, body)?.runners ?? []).map(textOf).sort();
+  return (parseAs(FleetShape, body)?.runners ?? []).map(describeRunner).sort();
 }
--- a/src/placement/fleet.ts
+++ b/src/placement/fleet.ts
@@ -2,17 +2,17 @@
 import { parseAs } from '../common/json.js';
 
 /**
- * For how long a number of proxies holds after a smaller one was counted, in milliseconds. An agent may need two timeouts of
- * its session until another control node knows it.
+ * How long a number of proxies stays in effect after a smaller one was counted, in milliseconds. An agent may need two
+ * session timeouts until another control node knows it.
  */
 export const PROXY_COUNT_RETENTION_MS = 10_000;
 
-/** A model that a runner holds and serves now, with the adapters it holds ready. */
+/** A model that is ready at a runner, with its ready adapters. */
 export const FleetHoldShape = type({ model: string(), adapters: array(string()) });
-/** A model (or an adapter of it, where named) that is on its way into a runner; ms from when it was told. */
+/** A model (or one of its adapters, if named) being loaded at a runner; `readyMs` counts from the message. */
 export const FleetComingShape = type({ model: string(), adapter: string(), readyMs: number() });
 
-/** A runner as the data plane has to know it. */
+/** A runner as published to the data plane. */
 export const FleetRunnerShape = type({
   id: string(),
   address: string(),
@@ -25,43 +25,46 @@
   coming: array(FleetComingShape),
 });
 
-/** What waits for a load that is not under way yet, and when it is due as far as can be told; 0 where it cannot be told. */
+/** A model or adapter that waits for a load not started yet, and the estimated ms until it is ready; 0 if unknown. */
 export const FleetWaitShape = type({ model: string(), adapter: string(), readyMs: number() });
 
-/** The fleet as the leader tells it to the data plane (topic `fleet`). */
+/** The fleet as the leader publishes it to the data plane (topic `fleet`). */
 export const FleetShape = type({
-  /** How many proxies share budgets that hold over the whole fleet. */
+  /** The number of proxies that share fleet-wide budgets. */
   flows: number(),
   runners: array(FleetRunnerShape),
   waits: array(FleetWaitShape),
 });
-/** What changed since the last word: runners that are new or differ, those that are gone, and the rest whole. */
+/** Changes since the previous version: new or changed runners, removed runners, and all other fields in full. */
 export const FleetDeltaShape = type({
   flows: number(),
   waits: array(FleetWaitShape),
   put: array(FleetRunnerShape),
   drop: array(string()),
 });
-/** A change of the fleet. */
+/** The changes from one version of the fleet to the next. */
 export type FleetDelta = Infer<typeof FleetDeltaShape>;
 
-/** The fleet after a change; runners that did not change stay the very same objects. */
+/** The fleet after a change; unchanged runners stay the same objects. */
 export function applyFleetDelta(fleet: Fleet, delta: FleetDelta): Fleet {
-  const put = new Map<string, FleetRunner>();
-  for (const runner of delta.put) put.set(runner.id, runner);
-  const drop = new Set(delta.drop);
+  const putById = new Map<string, FleetRunner>();
+  for (const runner of delta.put) putById.set(runner.id, runner);
+  const dropIds = new Set(delta.drop);
   const runners: FleetRunner[] = [];
   for (const runner of fleet.runners) {
-    if (drop.has(runner.id)) continue;
-    runners.push(put.get(runner.id) ?? runner);
-    put.delete(runner.id);
+    if (dropIds.has(runner.id)) continue;
+    runners.push(putById.get(runner.id) ?? runner);
+    putById.delete(runner.id);
   }
-  return { flows: delta.flows, waits: delta.waits, runners: [...runners, ...put.values()] };
+  return { flows: delta.flows, waits: delta.waits, runners: [...runners, ...putById.values()] };
 }
 
-/** The same on their texts, one change after the other; nothing where the fleet cannot be read, and without a change that cannot. */
+/**
+ * Applies changes in order to a fleet, all given as JSON. Returns undefined if the fleet cannot be parsed; changes that
+ * cannot be parsed are skipped.
+ */
 export function mergeFleetText(body: string, changes: readonly string[]): string | undefined {
-  // A large fleet takes long to read and to write out: that is done once, however many changes there are.
+  // Parsing and serializing a large fleet is slow: done once for all changes.
   let fleet = parseAs(FleetShape, body);
   if (!fleet) return undefined;
   for (const change of changes) {
@@ -71,17 +74,17 @@
   return JSON.stringify(fleet);
 }
 
-/** The number of proxies, as updates of the fleet and of the policy table's places tell it. */
+/** The number of proxies, as contained in updates of the fleet and of the policy table's places. */
 export const ProxyCountShape = type({ flows: number() });
 
-/** One runner, as told to the data plane. */
+/** One runner, as published to the data plane. */
 export type FleetRunner = Infer<typeof FleetRunnerShape>;
-/** Something that requests wait for, as told to the data plane. */
+/** A model or adapter that requests wait for, as published to the data plane. */
 export type FleetWait = Infer<typeof FleetWaitShape>;
-/** The fleet, as told to the data plane. */
+/** The fleet, as published to the data plane. */
 export type Fleet = Infer<typeof FleetShape>;
 
-/** What one proxy saw asked for since its last word, by model and adapter ('' for the model itself). */
+/** One proxy's demand since its previous report, by model and adapter ('' for the model itself). */
 export const FleetDemandShape = type({
   flow: string(),
   units: array(
@@ -89,13 +92,13 @@
       service: string(),
       model: string(),
       adapter: string(),
-      /** Requests that came since the last word. */
+      /** Requests that arrived since the previous report. */
       count: number(),
-      /** Requests that wait at this proxy now since no runner holds what they need. */
+      /** Requests that wait at this proxy now because no runner holds what they need. */
       waiting: number(),
-      /** Requests of it that run now through this proxy. */
+      /** Requests that run through this proxy now. */
       running: number(),
-      /** The most urgent rank among what waits; 0 is highest. */
+      /** The most urgent priority among the waiting requests; 0 is the highest. */
       priority: optional(number()),
     }),
   ),
@@ -103,7 +106,7 @@
 /** One proxy's demand. */
 export type FleetDemand = Infer<typeof FleetDemandShape>;
 
-/** A runner as the platform lists it; what it holds is as old as the list. */
+/** A runner as the platform lists it; the models it holds are as old as the list. */
 export interface ListedRunner {
   readonly id: string;
   readonly address: string;
@@ -111,13 +114,13 @@
   readonly service: string;
   readonly slots: number;
   readonly isLeaving: boolean;
-  /** How long it has left, where the platform tells. */
+  /** The time until it is removed, if the platform says. */
   readonly remainingMs: number | undefined;
   readonly coldMs: number;
   readonly holds: readonly { readonly model: string; readonly adapters: readonly string[] }[];
 }
 
-/** A runner's own report: what it holds, whether an order is under way, and how many orders it took in this life. */
+/** A runner's own report: its models, whether an order is running, and how many orders it accepted since its start. */
 export interface RunnerStatus {
   readonly holds: readonly { readonly model: string; readonly adapters: readonly string[] }[];
   readonly isBusy: boolean;
