--- a/src/placement/adapter-choice.ts
+++ b/src/placement/adapter-choice.ts
@@ -13,51 +13,51 @@
   type AdapterState,
   type ModelState,
   type ServiceState,
-  byLoss,
+  compareByLoss,
 } from './planner-records.js';
 
-/** How slowly it is forgotten that an adapter was asked for. */
-const RECENT_MS = 20_000;
-/** What a model may cost at most that makes way for an adapter. */
-const MOST_LOSS = 2;
+/** Time constant with which the value of a recent request for an adapter decays. */
+const RECENCY_TIME_CONSTANT_MS = 20_000;
+/** The highest loss at which a model is evicted for an adapter. */
+const MAX_MODEL_LOSS = 2;
 
-/** An adapter at a runner, and what it costs to take it away. */
+/** An adapter at a runner and the loss of evicting it. */
 interface AdapterLoss {
-  readonly held: LoadedModel;
+  readonly loadedModel: LoadedModel;
   readonly adapter: string;
   readonly loss: number;
 }
 
-/** Chooses which copies of a model get which of its adapters, and which adapters make way. */
+/** Chooses which replicas of a model load which of its adapters, and which adapters are evicted for them. */
 export class AdapterChoice {
   readonly #state: PlacementState;
   readonly #eviction: Eviction;
-  readonly #report: FleetReport;
+  readonly #fleetReport: FleetReport;
   readonly #orders: OrderQueue;
 
   constructor(state: PlacementState, eviction: Eviction, report: FleetReport, orders: OrderQueue) {
     this.#state = state;
     this.#eviction = eviction;
-    this.#report = report;
+    this.#fleetReport = report;
     this.#orders = orders;
   }
 
-  /** Loads adapters that requests wait for, and further copies of adapters that are asked for much. */
+  /** Loads adapters that requests wait for, and further replicas of adapters in high demand. */
   placeAdapters(now: Moment, service: ServiceState): void {
-    for (const model of service.waiting) {
+    for (const model of service.waitingModels) {
       for (const adapter of model.adapters.values()) {
-        if (adapter.waiting <= 0 || adapter.badUntil > now) continue;
+        if (adapter.waiting <= 0 || adapter.rejectedUntil > now) continue;
         if (
           this.#state.adapterReplicas(now, model, adapter.name) > 0 &&
-          !this.#suspectAdapter(now, model, adapter)
+          !this.#suspectAdapterReplicas(now, model, adapter)
         )
           continue;
         if (!this.#placeAdapter(now, service, model, adapter, true))
-          this.#report.wait(now, service, model, adapter.name);
+          this.#fleetReport.addWait(now, service, model, adapter.name);
       }
     }
-    if (service.scaledUpAt !== now) return;
-    const all = service.all.perSecond(
+    if (service.replicasComparedAt !== now) return;
+    const totalRequestsPerSecond = service.totalRate.perSecond(
       now,
       this.#state.settings.fastMs,
       service.firstDemandAt ?? now,
@@ -66,44 +66,60 @@
     for (const model of service.models.values()) {
       if (model.adapters.size === 0 || model.holders.size < 2) continue;
       for (const adapter of model.adapters.values()) {
-        const rate = adapter.slow.perSecond(
+        const adapterRequestsPerSecond = adapter.slowRate.perSecond(
           now,
           this.#state.settings.slowMs,
           service.firstDemandAt ?? now,
         );
-        if (rate < 1 || adapter.badUntil > now) continue;
-        const need = Math.max(
+        if (adapterRequestsPerSecond < 1 || adapter.rejectedUntil > now) continue;
+        const neededReplicas = Math.max(
           2,
-          all > 0 ? Math.round((rate / all) * service.runners.size * spreadShare) : 2,
+          totalRequestsPerSecond > 0
+            ? Math.round(
+                (adapterRequestsPerSecond / totalRequestsPerSecond) *
+                  service.runners.size *
+                  spreadShare,
+              )
+            : 2,
         );
-        const have = this.#state.adapterReplicas(now, model, adapter.name);
-        if (have > 0 && have < Math.min(need, this.#state.copies(now, model).ready))
+        const currentReplicas = this.#state.adapterReplicas(now, model, adapter.name);
+        if (
+          currentReplicas > 0 &&
+          currentReplicas < Math.min(neededReplicas, this.#state.replicaCounts(now, model).ready)
+        )
           this.#placeAdapter(now, service, model, adapter, false);
       }
     }
   }
 
-  /** An adapter that is ready somewhere, and yet waited for, does not serve there; nor does the model if that is all there is. */
-  #suspectAdapter(now: Moment, model: ModelState, adapter: AdapterState): boolean {
+  /**
+   * Marks the replicas of an adapter as suspected if they are ready and requests wait for the adapter all the same. If
+   * all replicas of the model hold the adapter, the model's replicas are suspected too. Returns whether a replica of
+   * the model without the adapter is left.
+   */
+  #suspectAdapterReplicas(now: Moment, model: ModelState, adapter: AdapterState): boolean {
     const { despiteMs } = this.#state.settings;
     if (
       now - adapter.waitingSince < despiteMs ||
       this.#state.adapterReplicas(now, model, adapter.name) > 2
     )
       return false;
-    let isElsewhere = false;
-    for (const held of model.holders.values()) {
-      const hold = held.adapters.get(adapter.name);
-      if (!hold) isElsewhere = true;
-      else if (hold.phase === 'coming' || adapter.waitingReportedAt - hold.since < despiteMs)
+    let hasOtherReplica = false;
+    for (const loadedModel of model.holders.values()) {
+      const loadedAdapter = loadedModel.adapters.get(adapter.name);
+      if (!loadedAdapter) hasOtherReplica = true;
+      else if (
+        loadedAdapter.phase === 'coming' ||
+        adapter.waitingReportedAt - loadedAdapter.since < despiteMs
+      )
         return false;
     }
-    for (const held of model.holders.values()) {
-      const hold = held.adapters.get(adapter.name);
-      if (hold) hold.suspectedUntil = now + despiteMs * 5;
-      if (hold && !isElsewhere) held.suspectedUntil = now + despiteMs * 5;
+    for (const loadedModel of model.holders.values()) {
+      const loadedAdapter = loadedModel.adapters.get(adapter.name);
+      if (loadedAdapter) loadedAdapter.suspectedUntil = now + despiteMs * 5;
+      if (loadedAdapter && !hasOtherReplica) loadedModel.suspectedUntil = now + despiteMs * 5;
     }
-    return isElsewhere;
+    return hasOtherReplica;
   }
 
   #placeAdapter(
@@ -115,109 +131,119 @@
   ): boolean {
     let best: { runner: RunnerState; victims: EvictionCandidate[] } | undefined;
     let bestScore = Infinity;
-    for (const [runner, held] of model.holders) {
+    for (const [runner, loadedModel] of model.holders) {
       if (
-        held.phase === 'unloading' ||
+        loadedModel.phase === 'unloading' ||
         !this.#state.isUsable(now, runner) ||
-        held.adapters.has(adapter.name) ||
+        loadedModel.adapters.has(adapter.name) ||
         runner.queue.length >= 8
       )
         continue;
       if (!isWaiting && runner.queue.length > 0) continue;
-      const way = this.#makeAdapterRoom(now, service, runner, model, isWaiting);
-      if (!way) continue;
+      const eviction = this.#planAdapterEviction(now, service, runner, model, isWaiting);
+      if (!eviction) continue;
       const head = runner.queue[0];
-      const delay = head ? Math.max(0, head.isAccepted ? head.due - now : head.expectedMs) : 0;
+      const delay = head ? Math.max(0, head.isAccepted ? head.dueAt - now : head.expectedMs) : 0;
       const score =
-        way.loss +
+        eviction.loss +
         delay / 200 +
         runner.queue.length * 0.1 +
-        this.#state.load(runner) * 0.5 +
-        (held.suspectedUntil > now ? 5 : 0) +
+        this.#state.slotUtilization(runner) * 0.5 +
+        (loadedModel.suspectedUntil > now ? 5 : 0) +
         (runner.coldUntil > now ? 1 : 0);
       if (score < bestScore) {
-        best = { runner, victims: [...way.victims] };
+        best = { runner, victims: [...eviction.victims] };
         bestScore = score;
       }
     }
     if (!best) return false;
     for (const victim of best.victims)
-      this.#orders.intend(now, best.runner, 'unload', victim.loaded.model, victim.adapter);
-    this.#orders.intend(now, best.runner, 'load', model, adapter.name);
+      this.#orders.createIntent(now, best.runner, 'unload', victim.loaded.model, victim.adapter);
+    this.#orders.createIntent(now, best.runner, 'load', model, adapter.name);
     return true;
   }
 
-  /** What has to make way at a runner for an adapter of a model; nothing where none may. */
-  #makeAdapterRoom(
+  /** What must be evicted at a runner for an adapter of a model; undefined if that is not allowed or not enough. */
+  #planAdapterEviction(
     now: Moment,
     service: ServiceState,
     runner: RunnerState,
     model: ModelState,
-    mayThrowOut: boolean,
+    mayEvict: boolean,
   ): EvictionPlan | undefined {
-    let free = service.engine.capacityMb - this.#state.used(runner);
-    let slots = service.engine.adapterSlots - this.#state.adapterCount(runner);
-    if (free >= model.adapterMb && slots > 0) return { victims: [], loss: 0 };
-    if (!mayThrowOut || service.engine.adapterSlots <= 0) return undefined;
+    let freeMb = service.engine.capacityMb - this.#state.usedMb(runner);
+    let freeSlots = service.engine.adapterSlots - this.#state.adapterCount(runner);
+    if (freeMb >= model.adapterMb && freeSlots > 0) return { victims: [], loss: 0 };
+    if (!mayEvict || service.engine.adapterSlots <= 0) return undefined;
     const victims: EvictionCandidate[] = [];
     let loss = 0;
-    for (const one of this.#adaptersByLoss(now, service, runner)) {
-      if (free >= model.adapterMb && slots > 0) break;
-      victims.push({ loaded: one.held, adapter: one.adapter });
-      free += one.held.model.adapterMb;
-      slots += 1;
-      loss += one.loss;
+    for (const candidate of this.#evictableAdapters(now, service, runner)) {
+      if (freeMb >= model.adapterMb && freeSlots > 0) break;
+      victims.push({ loaded: candidate.loadedModel, adapter: candidate.adapter });
+      freeMb += candidate.loadedModel.model.adapterMb;
+      freeSlots += 1;
+      loss += candidate.loss;
     }
-    if (free >= model.adapterMb && slots > 0) return { victims, loss };
-    // Where weights fill a runner to the brim, a model has to go.
-    if (slots <= 0 || runner.queue.length > 0) return undefined;
-    return this.#throwOutModel(now, service, runner, model);
+    if (freeMb >= model.adapterMb && freeSlots > 0) return { victims, loss };
+    // If model weights fill the runner, a model has to be evicted.
+    if (freeSlots <= 0 || runner.queue.length > 0) return undefined;
+    return this.#planModelEviction(now, service, runner, model);
   }
 
-  /** The adapters of a runner that may go now, those that cost least first. */
-  #adaptersByLoss(now: Moment, service: ServiceState, runner: RunnerState): AdapterLoss[] {
-    const all: AdapterLoss[] = [];
-    for (const held of runner.holds.values()) {
-      if (held.phase !== 'ready') continue;
-      for (const [adapter, hold] of held.adapters) {
-        const state = held.model.adapters.get(adapter);
-        if (!this.#mayGo(now, hold) || (state && state.waiting > 0)) continue;
-        all.push({ held, adapter, loss: this.#lossOf(now, service, held.model, adapter) });
+  /** The adapters of a runner that may be evicted now, lowest loss first. */
+  #evictableAdapters(now: Moment, service: ServiceState, runner: RunnerState): AdapterLoss[] {
+    const candidates: AdapterLoss[] = [];
+    for (const loadedModel of runner.holds.values()) {
+      if (loadedModel.phase !== 'ready') continue;
+      for (const [adapter, loadedAdapter] of loadedModel.adapters) {
+        const state = loadedModel.model.adapters.get(adapter);
+        if (!this.#mayEvictAdapter(now, loadedAdapter) || (state && state.waiting > 0)) continue;
+        candidates.push({
+          loadedModel,
+          adapter,
+          loss: this.#adapterLoss(now, service, loadedModel.model, adapter),
+        });
       }
     }
-    return all.sort(byLoss);
+    return candidates.sort(compareByLoss);
   }
 
-  #mayGo(now: Moment, hold: LoadedAdapter): boolean {
-    if (hold.phase !== 'ready') return false;
-    const stays = hold.since + this.#state.settings.adapterStayMs;
-    if (stays > now) this.#state.blockedUntil = Math.min(this.#state.blockedUntil, stays);
-    return stays <= now;
+  #mayEvictAdapter(now: Moment, loadedAdapter: LoadedAdapter): boolean {
+    if (loadedAdapter.phase !== 'ready') return false;
+    const residentUntil = loadedAdapter.since + this.#state.settings.adapterStayMs;
+    if (residentUntil > now)
+      this.#state.blockedUntil = Math.min(this.#state.blockedUntil, residentUntil);
+    return residentUntil <= now;
   }
 
-  #lossOf(now: Moment, service: ServiceState, model: ModelState, adapter: string): number {
+  #adapterLoss(now: Moment, service: ServiceState, model: ModelState, adapter: string): number {
     const { slowMs } = this.#state.settings;
     const state = model.adapters.get(adapter);
-    const rate = state?.slow.perSecond(now, slowMs, service.firstDemandAt ?? now) ?? 0;
-    const others = this.#state.adapterReplicas(now, model, adapter) - 1;
-    const recency = Math.exp(-(now - (state?.lastRequestedAt ?? -Infinity)) / RECENT_MS);
-    return (others > 0 ? rate * 0.2 : rate) + recency + 0.01;
+    const rate = state?.slowRate.perSecond(now, slowMs, service.firstDemandAt ?? now) ?? 0;
+    const otherReplicas = this.#state.adapterReplicas(now, model, adapter) - 1;
+    const recency = Math.exp(
+      -(now - (state?.lastRequestedAt ?? -Infinity)) / RECENCY_TIME_CONSTANT_MS,
+    );
+    return (otherReplicas > 0 ? rate * 0.2 : rate) + recency + 0.01;
   }
 
-  #throwOutModel(
+  #planModelEviction(
     now: Moment,
     service: ServiceState,
     runner: RunnerState,
     model: ModelState,
   ): EvictionPlan | undefined {
-    const free = service.engine.capacityMb - this.#state.used(runner);
-    let best: { held: LoadedModel; loss: number } | undefined;
-    for (const held of runner.holds.values()) {
-      if (held.model === model || !this.#eviction.mayGo(now, held, false)) continue;
-      const loss = this.#eviction.loss(now, held.model);
-      if (loss >= MOST_LOSS || (best && loss >= best.loss)) continue;
-      if (free + held.model.sizeMb >= model.adapterMb) best = { held, loss };
+    const freeMb = service.engine.capacityMb - this.#state.usedMb(runner);
+    let best: { loadedModel: LoadedModel; loss: number } | undefined;
+    for (const loadedModel of runner.holds.values()) {
+      if (loadedModel.model === model || !this.#eviction.mayEvict(now, loadedModel, false))
+        continue;
+      const loss = this.#eviction.loss(now, loadedModel.model);
+      if (loss >= MAX_MODEL_LOSS || (best && loss >= best.loss)) continue;
+      if (freeMb + loadedModel.model.sizeMb >= model.adapterMb) best = { loadedModel, loss };
     }
-    return best ? { victims: [{ loaded: best.held, adapter: '' }], loss: best.loss } : undefined;
+    return best
+      ? { victims: [{ loaded: best.loadedModel, adapter: '' }], loss: best.loss }
+      : undefined;
   }
 }
--- a/src/placement/eviction.ts
+++ b/src/placement/eviction.ts
@@ -6,10 +6,10 @@
   type EvictionCandidate,
   type EvictionPlan,
   type ModelState,
-  byLoss,
+  compareByLoss,
 } from './planner-records.js';
 
-/** What it costs to take a model away from a runner, and which models make way at least cost. */
+/** Computes the loss of evicting a model from a runner, and chooses the models to evict at the lowest loss. */
 export class Eviction {
   readonly #state: PlacementState;
 
@@ -17,86 +17,95 @@
     this.#state = state;
   }
 
-  /** What it costs to lose the last copy: requests that wait, and the next one that comes. */
-  lossOfLast(now: number, model: ModelState): number {
+  /** The loss of the last replica, in requests: those that wait during a reload, and the next one to arrive. */
+  lossOfLastReplica(now: number, model: ModelState): number {
     const rate = this.#state.slowRate(now, model);
     return rate * (model.loadMs / 1000 + 0.4) + 1 - Math.exp(-3 * rate);
   }
 
-  /** What it costs to take a copy away from a runner. */
+  /** The loss of evicting a replica, in requests; computed once per plan. */
   loss(now: number, model: ModelState): number {
-    if (model.lossIn !== this.#state.planNumber) {
-      model.lossIn = this.#state.planNumber;
-      model.loss = this.#lossNow(now, model);
+    if (model.lossPlanNumber !== this.#state.planNumber) {
+      model.lossPlanNumber = this.#state.planNumber;
+      model.loss = this.#computeLoss(now, model);
     }
     return model.loss;
   }
 
-  #lossNow(now: number, model: ModelState): number {
-    const copies = this.#state.copies(now, model);
-    // The longer nobody asked, the less it is worth, also where rates tell nothing.
+  #computeLoss(now: number, model: ModelState): number {
+    const replicas = this.#state.replicaCounts(now, model);
+    // The longer the last request is ago, the lower the loss, also where the rates are too low to tell models apart.
     const recency = 0.2 * Math.exp(-(now - model.lastRequestedAt) / 20_000);
-    if (copies.ready <= 1) return this.lossOfLast(now, model) + recency + 0.05;
-    const missing = Math.min(1, Math.max(0, model.need - (copies.ready - 1)));
-    // A copy that is needed has runs that must end before it goes, and has to be fetched again.
-    const needed = model.isBusy ? missing * this.#state.settings.neededLoss : 0;
+    if (replicas.ready <= 1) return this.lossOfLastReplica(now, model) + recency + 0.05;
+    const missing = Math.min(1, Math.max(0, model.neededReplicas - (replicas.ready - 1)));
+    // A needed replica has running requests to finish before it is unloaded, and has to be fetched again.
+    const busyLoss = model.isBusy ? missing * this.#state.settings.neededLoss : 0;
     return (
-      (this.#state.fastRate(now, model) / copies.ready) * 0.3 * missing +
-      needed +
+      (this.#state.fastRate(now, model) / replicas.ready) * 0.3 * missing +
+      busyLoss +
       0.01 +
       recency * 0.1
     );
   }
 
-  /** The models that make way at least cost, if any may. */
-  makeRoom(
+  /**
+   * The models to evict for `needMb` at the lowest loss below `maxLoss`; undefined if there are none. `isUrgent`: for a
+   * replica that much of the load waits for.
+   */
+  planEviction(
     now: Moment,
     runner: RunnerState,
     needMb: number,
-    most: number,
-    isPressed: boolean,
+    maxLoss: number,
+    isUrgent: boolean,
   ): EvictionPlan | undefined {
     if (needMb <= 0) return { victims: [], loss: 0 };
-    const all: { held: LoadedModel; mb: number; loss: number }[] = [];
-    for (const held of runner.holds.values()) {
-      if (!this.mayGo(now, held, isPressed)) continue;
+    const candidates: { loadedModel: LoadedModel; mb: number; loss: number }[] = [];
+    for (const loadedModel of runner.holds.values()) {
+      if (!this.mayEvict(now, loadedModel, isUrgent)) continue;
       const loss =
-        this.loss(now, held.model) +
-        0.3 * Math.min(1, Math.max(0, held.model.running) / held.model.holders.size);
-      if (loss < most)
-        all.push({ held, mb: held.model.sizeMb + held.adapters.size * held.model.adapterMb, loss });
+        this.loss(now, loadedModel.model) +
+        0.3 * Math.min(1, Math.max(0, loadedModel.model.running) / loadedModel.model.holders.size);
+      if (loss < maxLoss)
+        candidates.push({
+          loadedModel,
+          mb: loadedModel.model.sizeMb + loadedModel.adapters.size * loadedModel.model.adapterMb,
+          loss,
+        });
     }
-    let best: { held: LoadedModel; mb: number; loss: number } | undefined;
-    for (const one of all) if (one.mb >= needMb && (!best || one.loss < best.loss)) best = one;
-    if (best) return { victims: [{ loaded: best.held, adapter: '' }], loss: best.loss };
-    // No single one is enough.
-    all.sort(byLoss);
+    let best: { loadedModel: LoadedModel; mb: number; loss: number } | undefined;
+    for (const candidate of candidates)
+      if (candidate.mb >= needMb && (!best || candidate.loss < best.loss)) best = candidate;
+    if (best) return { victims: [{ loaded: best.loadedModel, adapter: '' }], loss: best.loss };
+    // No single model frees enough.
+    candidates.sort(compareByLoss);
     const victims: EvictionCandidate[] = [];
     let loss = 0;
     let mb = 0;
-    for (const one of all) {
-      victims.push({ loaded: one.held, adapter: '' });
-      loss += one.loss;
-      mb += one.mb;
-      if (mb >= needMb) return loss < most ? { victims, loss } : undefined;
+    for (const candidate of candidates) {
+      victims.push({ loaded: candidate.loadedModel, adapter: '' });
+      loss += candidate.loss;
+      mb += candidate.mb;
+      if (mb >= needMb) return loss < maxLoss ? { victims, loss } : undefined;
     }
     return undefined;
   }
 
-  /** Whether a model may be taken away now; if it has only just come, the plan is made again once it may. */
-  mayGo(now: Moment, held: LoadedModel, isPressed: boolean): boolean {
-    if (held.phase !== 'ready') return false;
-    // For a crowd even what has just come makes way, once those who waited for it were served.
-    const stays =
-      held.since +
-      (isPressed && held.model.waiting <= 0
+  /** Whether a model may be evicted now; if it was only just loaded, planning is repeated when it may be. */
+  mayEvict(now: Moment, loadedModel: LoadedModel, isUrgent: boolean): boolean {
+    if (loadedModel.phase !== 'ready') return false;
+    // An urgent replica may evict a model after a quarter of the time, if no requests wait for that model any more.
+    const residentUntil =
+      loadedModel.since +
+      (isUrgent && loadedModel.model.waiting <= 0
         ? this.#state.settings.minResidencyMs / 4
         : this.#state.settings.minResidencyMs);
-    if (stays > now) {
-      this.#state.blockedUntil = Math.min(this.#state.blockedUntil, stays);
+    if (residentUntil > now) {
+      this.#state.blockedUntil = Math.min(this.#state.blockedUntil, residentUntil);
       return false;
     }
-    for (const adapter of held.adapters.values()) if (adapter.phase === 'coming') return false;
+    for (const adapter of loadedModel.adapters.values())
+      if (adapter.phase === 'coming') return false;
     return true;
   }
 }
--- a/src/placement/fleet-report.ts
+++ b/src/placement/fleet-report.ts
@@ -5,70 +5,76 @@
   type RunnerState,
   type ModelState,
   type ServiceState,
-  byText,
-  noDoc,
+  compareStrings,
+  emptyDoc,
 } from './planner-records.js';
 
 /**
- * What the data plane is told of the fleet. It stays the same until something happens, so that time alone
- * makes no news.
+ * Builds the fleet description for the data plane. It changes only on events, so that the passage of time alone
+ * publishes no update.
  */
 export class FleetReport {
   readonly #state: PlacementState;
   #fleet: Fleet = { flows: 0, runners: [], waits: [] };
-  #waits = '';
-  #waiting: { model: ModelState; adapter: string; dueAt: number }[] = [];
+  #reportedWaitKeys = '';
+  #waits: { model: ModelState; adapter: string; dueAt: number }[] = [];
 
   constructor(state: PlacementState) {
     this.#state = state;
   }
 
-  /** Who waits is gathered anew in each plan. */
+  /** Starts a plan: waits are collected anew in each. */
   beginPlan(): void {
-    this.#waiting = [];
+    this.#waits = [];
   }
 
-  /** Requests wait for a model, or for an adapter of it where one is named, that is not on its way yet. */
-  wait(now: Moment, service: ServiceState, model: ModelState, adapter: string): void {
-    const ahead = this.#waiting.length;
+  /**
+   * Records that requests wait for a model, or for one of its adapters if named, whose load has not been ordered yet.
+   */
+  addWait(now: Moment, service: ServiceState, model: ModelState, adapter: string): void {
+    const waitsAhead = this.#waits.length;
     const perSecond = service.engine.loadsPerSecond;
-    const ms =
+    const delayMs =
       adapter !== '' && model.holders.size > 0
-        ? service.adapterMs * 4
+        ? service.adapterLoadMs * 4
         : perSecond > 0
-          ? model.loadMs + ((ahead + 1) * 1000) / perSecond
+          ? model.loadMs + ((waitsAhead + 1) * 1000) / perSecond
           : 0;
-    this.#waiting.push({ model, adapter, dueAt: ms > 0 ? now + ms : 0 });
-    // Operators are told of who waits long; what is loaded within a moment is no news.
+    this.#waits.push({ model, adapter, dueAt: delayMs > 0 ? now + delayMs : 0 });
+    // Operators see only long waits; a model that is loaded within a moment is not worth a document update.
     if (
       adapter !== '' ||
       model.unservedSince === undefined ||
       now - model.unservedSince < this.#state.settings.waitReportIntervalMs
     )
       return;
-    const doc = this.#state.docs.get(model.key) ?? noDoc(model.key);
+    const doc = this.#state.docs.get(model.key) ?? emptyDoc(model.key);
     if (doc.wait === '') this.#state.put({ ...doc, wait: 'waits for a load' });
   }
 
-  /** Who waits is news; when exactly it is due is told along with other news only. */
-  reportWaits(): void {
+  /** Publishes a change of the set of waits. A changed due time alone is published only along with other changes. */
+  updateWaits(): void {
     const keys: string[] = [];
-    for (const { model, adapter } of this.#waiting) keys.push(`${model.key}\n${adapter}`);
-    const text = keys.sort(byText).join('\n');
-    if (text === this.#waits) return;
-    this.#waits = text;
+    for (const { model, adapter } of this.#waits) keys.push(`${model.key}\n${adapter}`);
+    const waitKeys = keys.sort(compareStrings).join('\n');
+    if (waitKeys === this.#reportedWaitKeys) return;
+    this.#reportedWaitKeys = waitKeys;
     this.#state.isFleetStale = true;
   }
 
-  /** What the data plane is told; the same until something happens, so that time alone makes no news. */
+  /** The current fleet for the data plane; the same object until an event changes it. */
   fleet(now: Moment): Fleet {
     if (!this.#state.isFleetStale) return this.#fleet;
     this.#state.isFleetStale = false;
     const runners: FleetRunner[] = [];
     for (const runner of this.#state.runners.values()) runners.push(this.#fleetRunner(now, runner));
     const waits: FleetWait[] = [];
-    for (const { model, adapter, dueAt } of this.#waiting)
-      waits.push({ model: model.name, adapter, readyMs: dueAt === 0 ? 0 : leftMs(now, dueAt) });
+    for (const { model, adapter, dueAt } of this.#waits)
+      waits.push({
+        model: model.name,
+        adapter,
+        readyMs: dueAt === 0 ? 0 : roundedRemainingMs(now, dueAt),
+      });
     this.#fleet = { flows: this.#state.proxyCount, runners, waits };
     return this.#fleet;
   }
@@ -77,25 +83,27 @@
     const { id, address, zone, service, slots } = runner.listed;
     const holds: { model: string; adapters: string[] }[] = [];
     const coming: { model: string; adapter: string; readyMs: number }[] = [];
-    for (const held of runner.holds.values()) {
-      if (held.phase !== 'ready') continue;
+    for (const loadedModel of runner.holds.values()) {
+      if (loadedModel.phase !== 'ready') continue;
       const adapters: string[] = [];
-      for (const [name, adapter] of held.adapters)
+      for (const [name, adapter] of loadedModel.adapters)
         if (adapter.phase === 'ready') adapters.push(name);
-      holds.push({ model: held.model.name, adapters });
+      holds.push({ model: loadedModel.model.name, adapters });
     }
-    // An order out of reach tells nothing of when it is done.
-    let ahead = 0;
-    for (const op of runner.suspectUntil > now ? [] : runner.queue) {
-      if (op.intent.verb === 'unload') continue;
-      ahead = op.isAccepted ? Math.max(0, op.due - now) : ahead + op.expectedMs;
+    // The completion time of orders at an unreachable runner is unknown.
+    let expectedDoneMs = 0;
+    for (const order of runner.suspectUntil > now ? [] : runner.queue) {
+      if (order.intent.verb === 'unload') continue;
+      expectedDoneMs = order.isAccepted
+        ? Math.max(0, order.dueAt - now)
+        : expectedDoneMs + order.expectedMs;
       coming.push({
-        model: op.intent.model,
-        adapter: op.intent.adapter,
-        readyMs: Math.max(50, Math.round(ahead / 50) * 50),
+        model: order.intent.model,
+        adapter: order.intent.adapter,
+        readyMs: Math.max(50, Math.round(expectedDoneMs / 50) * 50),
       });
     }
-    for (const { intent } of runner.restored) {
+    for (const { intent } of runner.restoredIntents) {
       if (intent.verb === 'load' && intent.adapter === '' && !runner.holds.has(intent.model))
         coming.push({ model: intent.model, adapter: '', readyMs: 500 });
     }
@@ -106,13 +114,13 @@
       service,
       slots,
       isLeaving: runner.isLeaving,
-      coldMs: runner.coldUntil > now ? leftMs(now, runner.coldUntil) : 0,
+      coldMs: runner.coldUntil > now ? roundedRemainingMs(now, runner.coldUntil) : 0,
       holds,
       coming,
     };
   }
 }
 
-function leftMs(now: number, at: number): number {
+function roundedRemainingMs(now: number, at: number): number {
   return Math.max(50, Math.round((at - now) / 50) * 50);
 }
--- a/src/placement/order-queue.ts
+++ b/src/placement/order-queue.ts
@@ -3,308 +3,327 @@
 import type { Moment } from '../common/ids.js';
 import type { Intent } from './shapes.js';
 import type { OrderOutcome } from './planner-settings.js';
-import { type Order, type RunnerState, type ModelState, noDoc } from './planner-records.js';
+import { type Order, type RunnerState, type ModelState, emptyDoc } from './planner-records.js';
 
 /**
- * Orders to runners, from the decision to the outcome. Every order is an intent in a document first, and
- * is given once that is kept; each runner has one order under way at a time.
+ * The orders to runners, from the decision to the outcome. Every order is written as an intent into a document first,
+ * and sent once the document is stored by a majority; each runner executes one order at a time.
  */
 export class OrderQueue {
   readonly #state: PlacementState;
-  readonly #store: StoreRateLimit;
-  #label = '';
-  #number = 0;
+  readonly #storeRateLimit: StoreRateLimit;
+  #idPrefix = '';
+  #intentCount = 0;
 
   constructor(state: PlacementState, store: StoreRateLimit) {
     this.#state = state;
-    this.#store = store;
+    this.#storeRateLimit = store;
   }
 
-  /** A new term of leading: the ids of its intents begin with `label`. */
-  begin(label: string): void {
-    this.#label = label;
-    this.#number = 0;
+  /** Starts a term as leader; the ids of its intents begin with `label`. */
+  startTerm(label: string): void {
+    this.#idPrefix = label;
+    this.#intentCount = 0;
   }
 
-  /** These intents are stored by a majority: they may be given. */
-  kept(intentIds: Iterable<string>): void {
+  /** These intents are stored by a majority: their orders may be sent. */
+  markPersisted(intentIds: Iterable<string>): void {
     for (const id of intentIds) {
-      for (const op of this.#state.runnerOfOrder.get(id)?.queue ?? [])
-        if (op.intent.id === id) op.isPersisted = true;
+      for (const order of this.#state.runnerByIntent.get(id)?.queue ?? [])
+        if (order.intent.id === id) order.isPersisted = true;
     }
   }
 
-  /** Kept intents that are due; each is given once until its outcome is told. */
-  orders(now: Moment): readonly Intent[] {
+  /** Stored intents that are due, marked as sent; each is returned again only after its outcome was reported. */
+  takeDueOrders(now: Moment): readonly Intent[] {
     const intents: Intent[] = [];
-    for (const runner of this.#state.busy) {
-      const op = this.#dueOp(now, runner);
-      if (!op) continue;
-      op.isSent = true;
-      runner.given = op;
-      intents.push(this.#orderOf(runner, op));
+    for (const runner of this.#state.runnersWithOrders) {
+      const order = this.#dueOrder(now, runner);
+      if (!order) continue;
+      order.isSent = true;
+      runner.sentOrder = order;
+      intents.push(this.#withOrderCount(runner, order));
     }
     return intents;
   }
 
-  #dueOp(now: Moment, runner: RunnerState): Order | undefined {
-    const head = runner.queue[0];
-    if (runner.given || !head || head.due > now) return undefined;
-    if (!head.isAccepted) return this.#mayStart(now, runner, head) ? head : undefined;
-    // The next order is taken only once the one before it has ended: it need not be asked for by itself.
+  #dueOrder(now: Moment, runner: RunnerState): Order | undefined {
+    const first = runner.queue[0];
+    if (runner.sentOrder || !first || first.dueAt > now) return undefined;
+    if (!first.isAccepted) return this.#mayStart(now, runner, first) ? first : undefined;
+    // A runner accepts the next order only after the previous one ended: sending it needs no separate completion query.
     const next = runner.queue[1];
     return next && this.#mayStart(now, runner, next) ? next : runner.queue[0];
   }
 
-  #mayStart(now: Moment, runner: RunnerState, op: Order): boolean {
-    if (!op.isPersisted || !this.#state.isOpen(runner)) return false;
-    if (op.intent.verb === 'load' && !this.#fits(runner, op)) {
-      this.#abandon(now, runner);
+  #mayStart(now: Moment, runner: RunnerState, order: Order): boolean {
+    if (!order.isPersisted || !this.#state.isInService(runner)) return false;
+    if (order.intent.verb === 'load' && !this.#fits(runner, order)) {
+      this.#abandonOrders(now, runner);
       return false;
     }
-    if (!op.isStore) return true;
-    const freeAt = op.model.service.window.freeAt(now, this.#store.budget(op.model.service));
-    if (freeAt > now) op.due = freeAt;
+    if (!order.isStoreLoad) return true;
+    const freeAt = order.model.service.storeLoadWindow.freeAt(
+      now,
+      this.#storeRateLimit.windowBudget(order.model.service),
+    );
+    if (freeAt > now) order.dueAt = freeAt;
     return freeAt <= now;
   }
 
-  /** Whether a load fits into what the runner surely holds at most, once all before it in its line has ended. */
-  #fits(runner: RunnerState, op: Order): boolean {
-    const engine = runner.engine;
+  /** Whether a load fits beside everything the runner may hold once all earlier orders in its queue have ended. */
+  #fits(runner: RunnerState, order: Order): boolean {
+    const engine = runner.serviceState;
     if (!engine) return false;
-    let mb = op.intent.size;
-    let adapters = op.intent.adapter === '' ? 0 : 1;
-    for (const held of runner.holds.values()) {
-      if (held.phase !== 'coming' || this.#isBegun(runner, held.model, '')) mb += held.model.sizeMb;
-      for (const [name, adapter] of held.adapters) {
-        if (adapter.phase === 'coming' && !this.#isBegun(runner, held.model, name)) continue;
-        mb += held.model.adapterMb;
-        adapters += 1;
+    let usedMb = order.intent.size;
+    let usedAdapterSlots = order.intent.adapter === '' ? 0 : 1;
+    for (const loadedModel of runner.holds.values()) {
+      if (loadedModel.phase !== 'coming' || this.#isLoadAccepted(runner, loadedModel.model, ''))
+        usedMb += loadedModel.model.sizeMb;
+      for (const [name, adapter] of loadedModel.adapters) {
+        if (adapter.phase === 'coming' && !this.#isLoadAccepted(runner, loadedModel.model, name))
+          continue;
+        usedMb += loadedModel.model.adapterMb;
+        usedAdapterSlots += 1;
       }
     }
-    return mb <= engine.engine.capacityMb && adapters <= engine.engine.adapterSlots;
+    return usedMb <= engine.engine.capacityMb && usedAdapterSlots <= engine.engine.adapterSlots;
   }
 
-  #isBegun(runner: RunnerState, model: ModelState, adapter: string): boolean {
-    for (const op of runner.queue)
-      if (op.model === model && op.intent.adapter === adapter && op.intent.verb === 'load')
-        return op.isAccepted;
+  #isLoadAccepted(runner: RunnerState, model: ModelState, adapter: string): boolean {
+    for (const order of runner.queue)
+      if (order.model === model && order.intent.adapter === adapter && order.intent.verb === 'load')
+        return order.isAccepted;
     return false;
   }
 
-  /** With the count an order is done at most once and in its turn, however late it arrives. */
-  #orderOf(runner: RunnerState, op: Order): Intent {
-    return runner.count === undefined ? op.intent : { ...op.intent, count: runner.count };
+  /** Adds the runner's order count: the order executes at most once and in sequence, however late it arrives. */
+  #withOrderCount(runner: RunnerState, order: Order): Intent {
+    return runner.orderCount === undefined
+      ? order.intent
+      : { ...order.intent, count: runner.orderCount };
   }
 
-  /** What became of an order that was given; anything else is ignored. */
-  ordered(now: Moment, intentId: string, outcome: OrderOutcome): void {
-    const runner = this.#state.runnerOfOrder.get(intentId);
-    const op = runner?.given;
-    if (!runner || !op || op.intent.id !== intentId) return;
-    runner.given = undefined;
-    op.isSent = false;
+  /** The outcome of a sent order; outcomes of any other intent are ignored. */
+  onOrderOutcome(now: Moment, intentId: string, outcome: OrderOutcome): void {
+    const runner = this.#state.runnerByIntent.get(intentId);
+    const order = runner?.sentOrder;
+    if (!runner || !order || order.intent.id !== intentId) return;
+    runner.sentOrder = undefined;
+    order.isSent = false;
     runner.idleSince = now;
     if (outcome === 'unsure' || outcome === 'unsent') {
-      this.#failed(now, runner, op, outcome === 'unsure');
+      this.#onFailed(now, runner, order, outcome === 'unsure');
       return;
     }
     runner.failures = 0;
     runner.suspectUntil = -Infinity;
-    op.failures = 0;
+    order.failures = 0;
     if (outcome === 'refused') {
-      this.#refused(now, runner, op);
+      this.#onRefused(now, runner, order);
       return;
     }
     if (outcome === 'busy') {
-      this.#stillBusy(now, runner, op);
+      this.#onBusy(now, runner, order);
       return;
     }
-    // Whatever stood before it in line has ended, for one order is done at a time.
-    while (runner.queue[0] && runner.queue[0] !== op) this.#done(now, runner, runner.queue[0]);
+    // Orders before it in the queue have ended, since a runner executes one order at a time.
+    while (runner.queue[0] && runner.queue[0] !== order)
+      this.#completeOrder(now, runner, runner.queue[0]);
     if (outcome === 'held') {
-      // Whether a runner counts an order that it need not do is not told: a later report shows it.
-      runner.loadedModels += 1;
-      if (runner.count !== undefined && this.#state.countsLoadedModels) runner.count += 1;
-      this.#done(now, runner, op);
+      // The reply does not say whether the runner counts an order without effect: a later report shows it.
+      runner.noopOrderCount += 1;
+      if (runner.orderCount !== undefined && this.#state.countsNoopOrders) runner.orderCount += 1;
+      this.#completeOrder(now, runner, order);
       return;
     }
-    // The same order again while it is being done is no new one: it is neither begun anew nor counted.
-    if (op.isAccepted) {
-      this.#stillBusy(now, runner, op);
+    // Repeating an order while it runs neither restarts nor counts it.
+    if (order.isAccepted) {
+      this.#onBusy(now, runner, order);
       return;
     }
-    if (runner.count !== undefined) runner.count += 1;
-    if (runner.isUnloadingRuns) {
-      runner.isUnloadingRuns = false;
-      const { service } = op.model;
-      service.unloadMs = Math.min(2000, service.unloadMs * 0.7 + (now - runner.unloadedAt) * 0.3);
+    if (runner.orderCount !== undefined) runner.orderCount += 1;
+    if (runner.isUnloadDraining) {
+      runner.isUnloadDraining = false;
+      const { service } = order.model;
+      service.drainMs = Math.min(2000, service.drainMs * 0.7 + (now - runner.unloadedAt) * 0.3);
     }
     runner.unloadedAt = -Infinity;
-    this.#taken(now, runner, op);
+    this.#onAccepted(now, runner, order);
   }
 
-  #taken(now: Moment, runner: RunnerState, op: Order): void {
-    if (op.isStore) op.model.service.window.add(now);
-    op.isAccepted = true;
-    op.takenAt = now;
-    op.busyReplies = 0;
-    // Nothing else is taken before an unload has ended, so it need not be confirmed.
-    if (op.intent.verb === 'unload') {
-      this.#unloading(now, runner, op);
+  #onAccepted(now: Moment, runner: RunnerState, order: Order): void {
+    if (order.isStoreLoad) order.model.service.storeLoadWindow.add(now);
+    order.isAccepted = true;
+    order.acceptedAt = now;
+    order.busyReplies = 0;
+    // The runner accepts no other order before an unload has ended, so its end need not be confirmed.
+    if (order.intent.verb === 'unload') {
+      this.#onUnloadAccepted(now, runner, order);
       return;
     }
-    op.expectedMs = this.#store.expectedMs(op);
-    op.due = now + op.expectedMs;
+    order.expectedMs = this.#storeRateLimit.expectedMs(order);
+    order.dueAt = now + order.expectedMs;
     this.#state.isFleetStale = true;
   }
 
-  /** Its room is another's from now on, but no order is taken before the model's runs have ended. */
-  #unloading(now: Moment, runner: RunnerState, op: Order): void {
-    const { model } = op;
+  /**
+   * Its memory counts as free from now on, but the runner accepts no order until the model's running requests have
+   * ended.
+   */
+  #onUnloadAccepted(now: Moment, runner: RunnerState, order: Order): void {
+    const { model } = order;
     const running =
-      op.intent.adapter === ''
+      order.intent.adapter === ''
         ? model.running
-        : (model.adapters.get(op.intent.adapter)?.running ?? 0);
+        : (model.adapters.get(order.intent.adapter)?.running ?? 0);
     runner.unloadedAt = now;
-    runner.isUnloadingRuns = running > 0;
-    this.#done(now, runner, op);
+    runner.isUnloadDraining = running > 0;
+    this.#completeOrder(now, runner, order);
     const next = runner.queue[0];
-    if (next) next.due = now + (runner.isUnloadingRuns ? model.service.unloadMs : 5);
+    if (next) next.dueAt = now + (runner.isUnloadDraining ? model.service.drainMs : 5);
   }
 
-  /** Something is under way there, or the count differs: expected after an order of ours, else its report has to tell. */
-  #stillBusy(now: Moment, runner: RunnerState, op: Order): void {
-    const head = runner.queue[0] ?? op;
-    head.busyReplies += 1;
-    if (head.isAccepted) {
-      const isAdapter = head.intent.adapter !== '';
-      head.due =
+  /**
+   * The runner is executing an order, or its order count differs. Expected after an order sent from here; otherwise,
+   * the runner's report is needed.
+   */
+  #onBusy(now: Moment, runner: RunnerState, order: Order): void {
+    const first = runner.queue[0] ?? order;
+    first.busyReplies += 1;
+    if (first.isAccepted) {
+      const isAdapter = first.intent.adapter !== '';
+      first.dueAt =
         now +
         (isAdapter
-          ? Math.min(100, 10 + head.busyReplies * 5)
-          : Math.min(250, 50 + head.busyReplies * 10));
+          ? Math.min(100, 10 + first.busyReplies * 5)
+          : Math.min(250, 50 + first.busyReplies * 10));
       this.#state.isFleetStale = true;
-      if (now - head.takenAt > head.expectedMs * 4 + 2000) this.#abandon(now, runner);
+      if (now - first.acceptedAt > first.expectedMs * 4 + 2000) this.#abandonOrders(now, runner);
       return;
     }
-    // An unload waits for the model's runs, and they may take seconds.
-    head.due = now + Math.min(250, 30 + head.busyReplies * 15);
-    if (now - runner.unloadedAt > this.#state.settings.unloadMs) this.#abandon(now, runner);
+    // An unload waits for the model's running requests, which may take seconds.
+    first.dueAt = now + Math.min(250, 30 + first.busyReplies * 15);
+    if (now - runner.unloadedAt > this.#state.settings.unloadMs) this.#abandonOrders(now, runner);
   }
 
-  #failed(now: Moment, runner: RunnerState, op: Order, mayHaveRun: boolean): void {
-    op.failures += 1;
+  #onFailed(now: Moment, runner: RunnerState, order: Order, mayHaveArrived: boolean): void {
+    order.failures += 1;
     runner.failures += 1;
     runner.suspectUntil = now + Math.min(3000, 200 * runner.failures ** 2);
-    const head = runner.queue[0] ?? op;
-    head.due = now + Math.min(1000, 100 * 2 ** Math.min(4, op.failures - 1));
+    const first = runner.queue[0] ?? order;
+    first.dueAt = now + Math.min(1000, 100 * 2 ** Math.min(4, order.failures - 1));
     this.#state.isFleetStale = true;
-    this.#state.touchAll(runner);
-    if (mayHaveRun) runner.hasUnansweredOrder = true;
-    if (mayHaveRun && (!op.isAccepted || this.#state.countsLoadedModels)) {
-      // It may come to pass at any time: nothing is ordered there before a report tells, and what is ordered then
-      // carries the count of that report, so that the lost one is turned away should it arrive after it.
-      if (op.isStore && !op.isAccepted) op.model.service.window.add(now);
-      this.#abandon(now, runner);
-      // Nor is it told as held what may be on its way out.
-      if (op.intent.verb === 'unload')
-        this.#mark(now, runner, 'unload', op.model, op.intent.adapter);
+    this.#state.onRunnerAvailabilityChanged(runner);
+    if (mayHaveArrived) runner.hasUnansweredOrder = true;
+    if (mayHaveArrived && (!order.isAccepted || this.#state.countsNoopOrders)) {
+      // The order may still be executed at any time: nothing is ordered there before a report has come. Later orders
+      // carry that report's order count, so that the lost one is rejected if it arrives after them.
+      if (order.isStoreLoad && !order.isAccepted) order.model.service.storeLoadWindow.add(now);
+      this.#abandonOrders(now, runner);
+      // A model that may be unloading must not be published as loaded.
+      if (order.intent.verb === 'unload')
+        this.#markPhase(now, runner, 'unload', order.model, order.intent.adapter);
       return;
     }
-    // A question that was lost is asked again, but not for ever.
-    if (op.isAccepted && op.failures >= 3) this.#abandon(now, runner);
-    // Whoever waits for it is better served elsewhere.
-    else this.dropUnsent(runner);
+    // A lost completion query is repeated, up to a limit.
+    if (order.isAccepted && order.failures >= 3) this.#abandonOrders(now, runner);
+    // Waiting requests are better served by another runner.
+    else this.dropUnsentOrders(runner);
   }
 
-  #refused(now: Moment, runner: RunnerState, op: Order): void {
-    const adapter = op.model.adapters.get(op.intent.adapter);
-    // It may be no such thing at all, or not at that runner: its report tells, and nothing is tried again at once.
-    if (adapter) adapter.badUntil = now + 1000;
-    else if (op.intent.adapter === '') op.model.badUntil = now + 1000;
-    this.#abandon(now, runner);
+  #onRefused(now: Moment, runner: RunnerState, order: Order): void {
+    const adapter = order.model.adapters.get(order.intent.adapter);
+    // It may not exist at all, or not at this runner: the report shows which, and nothing is retried at once.
+    if (adapter) adapter.rejectedUntil = now + 1000;
+    else if (order.intent.adapter === '') order.model.rejectedUntil = now + 1000;
+    this.#abandonOrders(now, runner);
   }
 
-  /** Gives up what is in line there, and asks what the runner holds. */
-  #abandon(now: Moment, runner: RunnerState): void {
-    for (const op of [...runner.queue]) this.#undo(now, runner, op);
-    this.#state.suspect(now, runner);
+  /** Abandons all queued orders of a runner, and requests its report. */
+  #abandonOrders(now: Moment, runner: RunnerState): void {
+    for (const order of [...runner.queue]) this.#revertOrder(now, runner, order);
+    this.#state.requireReport(now, runner);
   }
 
-  /** Takes back what was decided and never sent. */
-  dropUnsent(runner: RunnerState): void {
+  /** Reverts the orders at the end of the queue that were never sent. */
+  dropUnsentOrders(runner: RunnerState): void {
     for (let index = runner.queue.length - 1; index >= 0; index -= 1) {
-      const op = runner.queue[index];
-      if (!op || op.isAccepted || op.isSent) break;
-      this.#undo(runner.idleSince, runner, op);
+      const order = runner.queue[index];
+      if (!order || order.isAccepted || order.isSent) break;
+      this.#revertOrder(runner.idleSince, runner, order);
     }
   }
 
-  #undo(now: number, runner: RunnerState, op: Order): void {
-    const held = runner.holds.get(op.model.name);
-    this.#state.removeOp(runner, op);
-    if (!held) return;
-    const { verb, adapter: name } = op.intent;
+  #revertOrder(now: number, runner: RunnerState, order: Order): void {
+    const loadedModel = runner.holds.get(order.model.name);
+    this.#state.removeOrder(runner, order);
+    if (!loadedModel) return;
+    const { verb, adapter: name } = order.intent;
     if (name !== '') {
-      const adapter = held.adapters.get(name);
-      if (verb === 'load' && adapter?.phase === 'coming') held.adapters.delete(name);
+      const adapter = loadedModel.adapters.get(name);
+      if (verb === 'load' && adapter?.phase === 'coming') loadedModel.adapters.delete(name);
       else if (adapter && verb === 'unload') {
         adapter.phase = 'ready';
         adapter.since = now;
       }
     } else if (verb === 'load') {
-      if (held.phase === 'coming') this.#state.unhold(runner, held);
+      if (loadedModel.phase === 'coming') this.#state.removeHold(runner, loadedModel);
     } else {
-      held.phase = 'ready';
-      held.since = now;
+      loadedModel.phase = 'ready';
+      loadedModel.since = now;
     }
-    this.#state.touch(runner, op.model);
+    this.#state.onHoldChanged(runner, order.model);
   }
 
-  /** The order is done: the runner holds the unit, or holds it no more. */
-  #done(now: Moment, runner: RunnerState, op: Order): void {
-    const { verb, adapter: name } = op.intent;
-    const held = runner.holds.get(op.model.name);
-    if (verb === 'load') this.#learn(now, op);
-    this.#state.removeOp(runner, op);
+  /** The order completed: the runner now holds the model or adapter, or no longer does. */
+  #completeOrder(now: Moment, runner: RunnerState, order: Order): void {
+    const { verb, adapter: name } = order.intent;
+    const loadedModel = runner.holds.get(order.model.name);
+    if (verb === 'load') this.#updateLoadTimes(now, order);
+    this.#state.removeOrder(runner, order);
     if (verb === 'unload') {
-      if (held && name === '') this.#state.unhold(runner, held);
-      else held?.adapters.delete(name);
-    } else if (held && name === '') {
-      held.phase = 'ready';
-      held.since = now;
-      runner.disk.add(op.model.name);
-      op.model.unservedSince = undefined;
-    } else held?.adapters.set(name, { phase: 'ready', since: now, suspectedUntil: -Infinity });
-    this.#state.touch(runner, op.model);
+      if (loadedModel && name === '') this.#state.removeHold(runner, loadedModel);
+      else loadedModel?.adapters.delete(name);
+    } else if (loadedModel && name === '') {
+      loadedModel.phase = 'ready';
+      loadedModel.since = now;
+      runner.modelsOnDisk.add(order.model.name);
+      order.model.unservedSince = undefined;
+    } else
+      loadedModel?.adapters.set(name, { phase: 'ready', since: now, suspectedUntil: -Infinity });
+    this.#state.onHoldChanged(runner, order.model);
   }
 
-  /** How long loads take, from what was taken to what is held. */
-  #learn(now: Moment, op: Order): void {
-    if (!op.isAccepted || op.expectedMs <= 0) return;
-    const service = op.model.service;
-    const took = now - op.takenAt;
-    const ratio = op.busyReplies === 0 ? firstAnswerRatio(op) : Math.min(3, took / op.expectedMs);
-    if (op.intent.adapter !== '')
-      service.adapterMs = Math.min(500, Math.max(5, service.adapterMs * (0.8 + 0.2 * ratio)));
-    else if (op.isStore)
+  /** Updates the load time estimates from the time between the acceptance and the completion of a load. */
+  #updateLoadTimes(now: Moment, order: Order): void {
+    if (!order.isAccepted || order.expectedMs <= 0) return;
+    const service = order.model.service;
+    const elapsedMs = now - order.acceptedAt;
+    const ratio =
+      order.busyReplies === 0 ? firstReplyRatio(order) : Math.min(3, elapsedMs / order.expectedMs);
+    if (order.intent.adapter !== '')
+      service.adapterLoadMs = Math.min(
+        500,
+        Math.max(5, service.adapterLoadMs * (0.8 + 0.2 * ratio)),
+      );
+    else if (order.isStoreLoad)
       service.storeFactor = Math.min(4, Math.max(0.2, service.storeFactor * (0.7 + 0.3 * ratio)));
     else service.diskFactor = Math.min(4, Math.max(0.1, service.diskFactor * (0.7 + 0.3 * ratio)));
   }
 
-  /** Decides on an order: writes its intent into the document, and counts on what it will bring. */
-  intend(
+  /** Creates an order: writes its intent into the document, and accounts for its expected effect. */
+  createIntent(
     now: Moment,
     runner: RunnerState,
     verb: Intent['verb'],
     model: ModelState,
     adapter: string,
   ): void {
-    this.#number += 1;
+    this.#intentCount += 1;
     const size = adapter === '' ? model.sizeMb : model.adapterMb;
     const intent: Intent = {
-      id: `${this.#label}.${this.#number}`,
+      id: `${this.#idPrefix}.${this.#intentCount}`,
       runner: runner.id,
       boot: '',
       verb,
@@ -312,58 +331,64 @@
       adapter,
       size,
     };
-    const isStore = verb === 'load' && adapter === '' && !runner.disk.has(model.name);
-    const op: Order = {
+    const isStoreLoad = verb === 'load' && adapter === '' && !runner.modelsOnDisk.has(model.name);
+    const order: Order = {
       intent,
-      key: model.key,
+      docKey: model.key,
       model,
-      isStore,
+      isStoreLoad,
       isPersisted: false,
       isSent: false,
       isAccepted: false,
-      due: now,
-      takenAt: 0,
+      dueAt: now,
+      acceptedAt: 0,
       expectedMs: 0,
       busyReplies: 0,
       failures: 0,
     };
-    if (isStore) model.service.storeOps += 1;
-    op.expectedMs = verb === 'load' ? this.#store.expectedMs(op) : 0;
-    runner.queue.push(op);
-    this.#state.busy.add(runner);
-    this.#state.runnerOfOrder.set(intent.id, runner);
-    const doc = this.#state.docs.get(model.key) ?? noDoc(model.key);
+    if (isStoreLoad) model.service.pendingStoreLoads += 1;
+    order.expectedMs = verb === 'load' ? this.#storeRateLimit.expectedMs(order) : 0;
+    runner.queue.push(order);
+    this.#state.runnersWithOrders.add(runner);
+    this.#state.runnerByIntent.set(intent.id, runner);
+    const doc = this.#state.docs.get(model.key) ?? emptyDoc(model.key);
     this.#state.put({ ...doc, intents: [...doc.intents, intent] });
-    this.#mark(now, runner, verb, model, adapter);
+    this.#markPhase(now, runner, verb, model, adapter);
   }
 
-  #mark(
+  #markPhase(
     now: Moment,
     runner: RunnerState,
     verb: Intent['verb'],
     model: ModelState,
     adapter: string,
   ): void {
-    let held = runner.holds.get(model.name);
+    let entry = runner.holds.get(model.name);
     if (verb === 'load' && adapter === '') {
-      held = { model, phase: 'coming', since: now, adapters: new Map(), suspectedUntil: -Infinity };
-      runner.holds.set(model.name, held);
-      model.holders.set(runner, held);
-    } else if (held && adapter === '') held.phase = 'unloading';
+      entry = {
+        model,
+        phase: 'coming',
+        since: now,
+        adapters: new Map(),
+        suspectedUntil: -Infinity,
+      };
+      runner.holds.set(model.name, entry);
+      model.holders.set(runner, entry);
+    } else if (entry && adapter === '') entry.phase = 'unloading';
     else
-      held?.adapters.set(adapter, {
+      entry?.adapters.set(adapter, {
         phase: verb === 'load' ? 'coming' : 'unloading',
         since: now,
         suspectedUntil: -Infinity,
       });
-    this.#state.touch(runner, model);
+    this.#state.onHoldChanged(runner, model);
   }
 }
 
 /**
- * By how much the guess goes down where a load was done at the first question: it may have been done long before. Loads
- * from the store take what the configuration says; how fast a runner's disk is has to be found out.
+ * The factor on the time estimate if a load was complete at the first query: it may have ended long before. Loads from
+ * the store take about the configured time, so the step is small; the speed of a runner's disk has to be found out.
  */
-function firstAnswerRatio(op: Order): number {
-  return op.isStore || op.intent.adapter !== '' ? 0.98 : 0.8;
+function firstReplyRatio(order: Order): number {
+  return order.isStoreLoad || order.intent.adapter !== '' ? 0.98 : 0.8;
 }
--- a/src/placement/placement-state.ts
+++ b/src/placement/placement-state.ts
@@ -13,118 +13,119 @@
 } from './planner-records.js';
 
 /**
- * What the planner knows at a moment: documents, services, runners and open orders, with the questions
- * that all its parts ask of them.
+ * The planner's state, shared by its parts: documents, services, runners and open orders, with the queries that several
+ * parts need.
  */
 export class PlacementState {
   readonly settings: PlannerSettings;
-  /** By the model's key. */
+  /** The models' documents by `ModelState.key`. */
   readonly docs = new Map<string, ServiceDoc>();
-  /** By name. */
+  /** Services by name. */
   readonly services = new Map<string, ServiceState>();
-  /** By id. */
+  /** Runners by id. */
   readonly runners = new Map<string, RunnerState>();
-  /** Runners whose own report is wanted. */
-  readonly suspected = new Set<RunnerState>();
-  /** Runners with orders on their way. */
-  readonly busy = new Set<RunnerState>();
-  /** The runner that each open order goes to, by intent id. */
-  readonly runnerOfOrder = new Map<string, RunnerState>();
-  /** Intents of an earlier leader, by runner, until that runner is known. */
-  readonly restored = new Map<string, OpenIntent[]>();
+  /** Runners whose own report is needed. */
+  readonly runnersNeedingReport = new Set<RunnerState>();
+  /** Runners with open orders. */
+  readonly runnersWithOrders = new Set<RunnerState>();
+  /** The runner of each open order, by intent id. */
+  readonly runnerByIntent = new Map<string, RunnerState>();
+  /** Intents of an earlier leader by runner id, until the models of that runner are known. */
+  readonly restoredIntents = new Map<string, OpenIntent[]>();
   /** Keys of documents to be stored. */
-  readonly changed = new Set<string>();
-  /** Models whose copies changed: their documents are looked at again. */
-  readonly touched = new Set<ModelState>();
-  /** When this leader began, ms. */
+  readonly changedDocKeys = new Set<string>();
+  /** Models whose replicas changed: their documents are to be updated. */
+  readonly modelsToRecord = new Set<ModelState>();
+  /** When this leader's term began, ms. */
   restoredAt = -Infinity;
-  /** Somebody ordered before us: what runners hold is not as the list says for sure. */
-  hasPast = false;
-  /** The operators' configuration as last taken in. */
+  /** An earlier leader sent orders: the runners' models may differ from the platform's list. */
+  hasEarlierDocs = false;
+  /** The operators' configuration as last applied. */
   routing: Routing | undefined;
   /** Zones that operators evacuated. */
   evacuatedZones: ReadonlySet<string> = new Set();
-  /** Proxies that share what holds over the whole fleet. */
+  /** The number of proxies that share fleet-wide budgets. */
   proxyCount = 0;
-  /** The platform's list has come at least once. */
-  hasListed = false;
-  /** What the data plane was told last no longer holds. */
+  /** The platform's list has arrived at least once. */
+  hasRunnerList = false;
+  /** The fleet last published to the data plane is out of date. */
   isFleetStale = true;
-  /** When what held a plan back is over, ms. */
+  /** The earliest time at which a condition that blocked a step of the last plan ends, ms. */
   blockedUntil = Infinity;
-  /** Runners count orders that they need not do as well. */
-  countsLoadedModels = false;
-  /** Documents of an earlier leader are still to be compared with what is there. */
+  /** Whether runners also count orders without effect. */
+  countsNoopOrders = false;
+  /** Documents of an earlier leader have not been compared with the actual replicas yet. */
   isRecordingAll = true;
-  /** Counts plans; what is counted once a plan is remembered by it. */
+  /** The number of the current plan; values computed once per plan are cached with it. */
   planNumber = 0;
 
   constructor(settings: PlannerSettings) {
     this.settings = settings;
   }
 
-  /** Forgets all and begins from the documents; loads that they intend may be under way. */
+  /** Resets the state to the stored documents, as a new leader does; the loads that they intend may be running. */
   restore(now: Moment, docs: readonly ServiceDoc[]): void {
     this.docs.clear();
     this.services.clear();
     this.runners.clear();
-    this.busy.clear();
-    this.suspected.clear();
-    this.runnerOfOrder.clear();
-    this.restored.clear();
-    this.changed.clear();
-    this.touched.clear();
+    this.runnersWithOrders.clear();
+    this.runnersNeedingReport.clear();
+    this.runnerByIntent.clear();
+    this.restoredIntents.clear();
+    this.changedDocKeys.clear();
+    this.modelsToRecord.clear();
     this.routing = undefined;
-    this.hasListed = false;
+    this.hasRunnerList = false;
     this.isRecordingAll = true;
     this.isFleetStale = true;
     this.restoredAt = now;
-    this.hasPast = docs.length > 0;
+    this.hasEarlierDocs = docs.length > 0;
     for (const doc of docs) {
       this.docs.set(doc.model, doc);
       for (const intent of doc.intents) {
-        const open = this.restored.get(intent.runner) ?? [];
-        open.push({ key: doc.model, intent });
-        this.restored.set(intent.runner, open);
+        const openIntents = this.restoredIntents.get(intent.runner) ?? [];
+        openIntents.push({ docKey: doc.model, intent });
+        this.restoredIntents.set(intent.runner, openIntents);
       }
     }
   }
 
-  /** A runner no longer holds a model. */
-  unhold(runner: RunnerState, held: LoadedModel): void {
-    runner.holds.delete(held.model.name);
-    held.model.holders.delete(runner);
-    this.touch(runner, held.model);
+  /** Removes a model from a runner. */
+  removeHold(runner: RunnerState, loadedModel: LoadedModel): void {
+    runner.holds.delete(loadedModel.model.name);
+    loadedModel.model.holders.delete(runner);
+    this.onHoldChanged(runner, loadedModel.model);
   }
 
-  /** What a runner holds of a model has changed. */
-  touch(runner: RunnerState, model: ModelState): void {
+  /** A model or an adapter of it changed at a runner: cached values are dropped, and the model is recorded anew. */
+  onHoldChanged(runner: RunnerState, model: ModelState): void {
     runner.usedMb = undefined;
-    model.lossIn = -1;
-    this.touched.add(model);
+    model.lossPlanNumber = -1;
+    this.modelsToRecord.add(model);
     this.isFleetStale = true;
   }
 
-  /** Whether a runner serves has changed, and so where all its models are served. */
-  touchAll(runner: RunnerState): void {
+  /** The runner's availability changed, and with it the placements of all its models. */
+  onRunnerAvailabilityChanged(runner: RunnerState): void {
     this.isFleetStale = true;
-    for (const held of runner.holds.values()) this.touched.add(held.model);
+    for (const loadedModel of runner.holds.values()) this.modelsToRecord.add(loadedModel.model);
   }
 
-  /** Copies on a runner that is to go are lost at once. */
-  noteLost(now: number, runner: RunnerState): void {
-    for (const held of runner.holds.values())
-      if (this.copies(now, held.model).all === 0) held.model.lastReplicaLostAt = now;
+  /** Records models whose last replica in service is lost because the runner is about to leave. */
+  noteLostReplicas(now: number, runner: RunnerState): void {
+    for (const loadedModel of runner.holds.values())
+      if (this.replicaCounts(now, loadedModel.model).all === 0)
+        loadedModel.model.lastReplicaLostAt = now;
   }
 
-  /** An earlier leader's intents for a runner are settled. */
-  dropRestored(id: string): void {
-    const open = this.restored.get(id) ?? [];
-    this.restored.delete(id);
+  /** Removes an earlier leader's intents for a runner, once they are settled. */
+  dropRestoredIntents(id: string): void {
+    const openIntents = this.restoredIntents.get(id) ?? [];
+    this.restoredIntents.delete(id);
     const runner = this.runners.get(id);
-    if (runner) runner.restored = [];
-    for (const { key, intent } of open) this.#dropIntent(key, intent.id);
-    if (open.length > 0) this.isFleetStale = true;
+    if (runner) runner.restoredIntents = [];
+    for (const { docKey: key, intent } of openIntents) this.#dropIntent(key, intent.id);
+    if (openIntents.length > 0) this.isFleetStale = true;
   }
 
   #dropIntent(key: string, id: string): void {
@@ -132,122 +133,134 @@
     if (doc) this.put({ ...doc, intents: doc.intents.filter((intent) => intent.id !== id) });
   }
 
-  /** Changes a document; it is to be stored. */
+  /** Replaces a document and marks it to be stored. */
   put(doc: ServiceDoc): void {
     this.docs.set(doc.model, doc);
-    this.changed.add(doc.model);
+    this.changedDocKeys.add(doc.model);
   }
 
-  /** What it holds is in doubt: no order goes there before its report has come. */
-  suspect(now: Moment, runner: RunnerState): void {
-    runner.isKnown = false;
-    this.suspected.add(runner);
-    runner.isAsked = false;
-    runner.counted = runner.count;
-    runner.count = undefined;
+  /** The runner's models are uncertain: it gets no orders until its report has arrived. */
+  requireReport(now: Moment, runner: RunnerState): void {
+    runner.areHoldsKnown = false;
+    this.runnersNeedingReport.add(runner);
+    runner.isReportRequested = false;
+    runner.lastOrderCount = runner.orderCount;
+    runner.orderCount = undefined;
     runner.idleSince = now;
-    runner.askAt = now + this.settings.reportLagMs;
+    runner.reportDueAt = now + this.settings.reportLagMs;
   }
 
-  /** An order is over, whatever became of it: its intent goes from the document. */
-  removeOp(runner: RunnerState, op: Order): void {
-    const index = runner.queue.indexOf(op);
+  /** Removes an order that ended, with whatever outcome, and its intent from the document. */
+  removeOrder(runner: RunnerState, order: Order): void {
+    const index = runner.queue.indexOf(order);
     if (index >= 0) runner.queue.splice(index, 1);
-    if (runner.given === op) runner.given = undefined;
-    if (op.isStore) op.model.service.storeOps -= 1;
-    this.runnerOfOrder.delete(op.intent.id);
-    if (runner.queue.length === 0) this.busy.delete(runner);
-    this.#dropIntent(op.key, op.intent.id);
+    if (runner.sentOrder === order) runner.sentOrder = undefined;
+    if (order.isStoreLoad) order.model.service.pendingStoreLoads -= 1;
+    this.runnerByIntent.delete(order.intent.id);
+    if (runner.queue.length === 0) this.runnersWithOrders.delete(runner);
+    this.#dropIntent(order.docKey, order.intent.id);
     this.isFleetStale = true;
   }
 
-  /** Serves on: neither leaving nor in a zone that is to be emptied. */
-  isOpen(runner: RunnerState): boolean {
+  /** Whether the runner stays in service: neither leaving nor in an evacuated zone. */
+  isInService(runner: RunnerState): boolean {
     return !runner.isLeaving && !this.evacuatedZones.has(runner.listed.zone);
   }
 
-  /** May be ordered to take something. */
+  /** Whether the runner may be ordered to load something. */
   isUsable(now: number, runner: RunnerState): boolean {
-    if (!runner.isKnown || !this.isOpen(runner)) return false;
+    if (!runner.areHoldsKnown || !this.isInService(runner)) return false;
     if (runner.suspectUntil > now)
       this.blockedUntil = Math.min(this.blockedUntil, runner.suspectUntil);
     return runner.suspectUntil <= now;
   }
 
-  /** Copies that count: ready ones, and all that serve or soon will. */
-  copies(now: number, model: ModelState): ReplicaCounts {
-    const copies: ReplicaCounts = { ready: 0, all: 0, zones: new Map() };
-    for (const [runner, held] of model.holders) {
-      if (held.phase === 'unloading' || held.suspectedUntil > now || !this.isOpen(runner)) continue;
-      // What comes to a runner out of reach comes late, or not at all.
-      if (held.phase === 'coming' && runner.suspectUntil > now) continue;
-      copies.all += 1;
-      if (held.phase === 'ready') copies.ready += 1;
+  /** Counts a model's replicas that serve or soon will, without suspected ones. */
+  replicaCounts(now: number, model: ModelState): ReplicaCounts {
+    const counts: ReplicaCounts = { ready: 0, all: 0, zones: new Map() };
+    for (const [runner, loadedModel] of model.holders) {
+      if (
+        loadedModel.phase === 'unloading' ||
+        loadedModel.suspectedUntil > now ||
+        !this.isInService(runner)
+      )
+        continue;
+      // A load at an unreachable runner ends late, or never.
+      if (loadedModel.phase === 'coming' && runner.suspectUntil > now) continue;
+      counts.all += 1;
+      if (loadedModel.phase === 'ready') counts.ready += 1;
       const { zone } = runner.listed;
-      copies.zones.set(zone, (copies.zones.get(zone) ?? 0) + 1);
+      counts.zones.set(zone, (counts.zones.get(zone) ?? 0) + 1);
     }
-    return copies;
+    return counts;
   }
 
-  /** Whether an earlier leader may just have ordered a copy of the model. */
-  restoredComing(now: Moment, model: ModelState): boolean {
-    if (this.restored.size === 0 || now - this.restoredAt > 1500) return false;
-    for (const open of this.restored.values()) {
-      for (const { key, intent } of open)
+  /** Whether an earlier leader may have ordered a load of the model shortly before this term. */
+  hasRestoredLoad(now: Moment, model: ModelState): boolean {
+    if (this.restoredIntents.size === 0 || now - this.restoredAt > 1500) return false;
+    for (const openIntents of this.restoredIntents.values()) {
+      for (const { docKey: key, intent } of openIntents)
         if (key === model.key && intent.verb === 'load' && intent.adapter === '') return true;
     }
     return false;
   }
 
-  /** Requests a second for a model, remembered for long. */
+  /** Requests per second for a model, averaged over `slowMs`. */
   slowRate(now: number, model: ModelState): number {
-    return model.slow.perSecond(now, this.settings.slowMs, model.service.firstDemandAt ?? now);
+    return model.slowRate.perSecond(now, this.settings.slowMs, model.service.firstDemandAt ?? now);
   }
 
-  /** Requests a second for a model in the last moments. */
+  /** Requests per second for a model, averaged over `fastMs`. */
   fastRate(now: number, model: ModelState): number {
-    return model.fast.perSecond(now, this.settings.fastMs, model.service.firstDemandAt ?? now);
+    return model.fastRate.perSecond(now, this.settings.fastMs, model.service.firstDemandAt ?? now);
   }
 
-  /** Room taken at a runner, MB, with what is on its way and without what is going. */
-  used(runner: RunnerState): number {
+  /** Memory used at a runner, MB, including loads in progress and without unloads in progress. */
+  usedMb(runner: RunnerState): number {
     if (runner.usedMb !== undefined) return runner.usedMb;
-    let mb = 0;
-    for (const held of runner.holds.values()) {
-      if (held.phase === 'unloading') continue;
-      mb += held.model.sizeMb;
-      for (const adapter of held.adapters.values())
-        if (adapter.phase !== 'unloading') mb += held.model.adapterMb;
+    let usedMb = 0;
+    for (const loadedModel of runner.holds.values()) {
+      if (loadedModel.phase === 'unloading') continue;
+      usedMb += loadedModel.model.sizeMb;
+      for (const adapter of loadedModel.adapters.values())
+        if (adapter.phase !== 'unloading') usedMb += loadedModel.model.adapterMb;
     }
-    runner.usedMb = mb;
-    return mb;
+    runner.usedMb = usedMb;
+    return usedMb;
   }
 
-  /** Adapter slots taken at a runner. */
+  /** The number of adapter slots used at a runner. */
   adapterCount(runner: RunnerState): number {
     let count = 0;
-    for (const held of runner.holds.values()) {
-      if (held.phase === 'unloading') continue;
-      for (const adapter of held.adapters.values()) if (adapter.phase !== 'unloading') count += 1;
+    for (const loadedModel of runner.holds.values()) {
+      if (loadedModel.phase === 'unloading') continue;
+      for (const adapter of loadedModel.adapters.values())
+        if (adapter.phase !== 'unloading') count += 1;
     }
     return count;
   }
 
-  /** The part of a runner's slots that runs now, as far as proxies tell by model. */
-  load(runner: RunnerState): number {
+  /** The share of a runner's slots in use, estimated from the running requests that proxies report by model. */
+  slotUtilization(runner: RunnerState): number {
     let running = 0;
-    for (const held of runner.holds.values())
-      if (held.phase === 'ready')
-        running += Math.max(0, held.model.running) / Math.max(1, held.model.holders.size);
+    for (const loadedModel of runner.holds.values())
+      if (loadedModel.phase === 'ready')
+        running +=
+          Math.max(0, loadedModel.model.running) / Math.max(1, loadedModel.model.holders.size);
     return running / Math.max(1, runner.listed.slots);
   }
 
-  /** Copies of an adapter that serve or soon will. */
+  /** The number of an adapter's replicas that serve or soon will. */
   adapterReplicas(now: number, model: ModelState, name: string): number {
     let count = 0;
-    for (const [runner, held] of model.holders) {
-      if (held.phase === 'unloading' || held.suspectedUntil > now || !this.isOpen(runner)) continue;
-      const adapter = held.adapters.get(name);
+    for (const [runner, loadedModel] of model.holders) {
+      if (
+        loadedModel.phase === 'unloading' ||
+        loadedModel.suspectedUntil > now ||
+        !this.isInService(runner)
+      )
+        continue;
+      const adapter = loadedModel.adapters.get(name);
       if (
         !adapter ||
         adapter.phase === 'unloading' ||
--- a/src/placement/planner-configuration.ts
+++ b/src/placement/planner-configuration.ts
@@ -5,15 +5,15 @@
 import type { RunnerInventory } from './runner-inventory.js';
 import type { Moment } from '../common/ids.js';
 import type { Engine, EngineModel, Routing } from '../route/routing.js';
-import { ModelState, ServiceState, byText, type RunnerState } from './planner-records.js';
+import { ModelState, ServiceState, compareStrings, type RunnerState } from './planner-records.js';
 
-/** Takes in the operators' configuration: services, their models, and evacuated zones. */
+/** Applies the operators' configuration to the state: services, their models, and evacuated zones. */
 export class PlannerConfiguration {
   readonly #state: PlacementState;
   readonly #demand: DemandTable;
   readonly #inventory: RunnerInventory;
-  readonly #store: StoreRateLimit;
-  #emptiedText = '';
+  readonly #storeRateLimit: StoreRateLimit;
+  #evacuatedZonesKey = '';
 
   constructor(
     state: PlacementState,
@@ -24,95 +24,100 @@
     this.#state = state;
     this.#demand = demand;
     this.#inventory = inventory;
-    this.#store = store;
+    this.#storeRateLimit = store;
   }
 
-  /** Takes in what changed since the last plan. */
-  take(now: Moment, input: PlannerInput): void {
-    if (input.routing !== this.#state.routing) this.#takeRouting(now, input.routing);
-    this.#takeEmptied(now, input.evacuatedZones);
+  /** Applies what changed since the last plan. */
+  apply(now: Moment, input: PlannerInput): void {
+    if (input.routing !== this.#state.routing) this.#applyRouting(now, input.routing);
+    this.#applyEvacuatedZones(now, input.evacuatedZones);
     if (input.proxies === this.#state.proxyCount) return;
     this.#state.proxyCount = input.proxies;
     this.#state.isFleetStale = true;
   }
 
-  #takeRouting(now: Moment, routing: Routing | undefined): void {
+  #applyRouting(now: Moment, routing: Routing | undefined): void {
     this.#state.routing = routing;
     const names = new Set<string>();
     for (const { name, engine } of routing?.services ?? []) {
       if (!engine) continue;
       names.add(name);
-      this.#takeEngine(this.#serviceOf(now, name, engine), engine);
+      this.#applyEngine(this.#findOrCreateService(now, name, engine), engine);
     }
     for (const name of [...this.#state.services.keys()])
       if (!names.has(name)) this.#state.services.delete(name);
-    // Runners that were listed before their service was known are looked at again.
+    // Runners whose service is new, or was removed, start over.
     for (const runner of [...this.#state.runners.values()])
-      if (runner.engine !== this.#state.services.get(runner.service)) this.#renew(now, runner);
+      if (runner.serviceState !== this.#state.services.get(runner.service))
+        this.#recreateRunner(now, runner);
     this.#state.isFleetStale = true;
   }
 
-  #serviceOf(now: Moment, name: string, engine: Engine): ServiceState {
-    const known = this.#state.services.get(name);
-    if (known) return known;
+  #findOrCreateService(now: Moment, name: string, engine: Engine): ServiceState {
+    const existing = this.#state.services.get(name);
+    if (existing) return existing;
     const { capWindowMs, adapterMs } = this.#state.settings;
     const service = new ServiceState(name, engine, capWindowMs, adapterMs);
     this.#state.services.set(name, service);
-    // An earlier leader may have used the ceiling just now.
-    const used = this.#state.hasPast ? Math.ceil(this.#store.budget(service) / 2) : 0;
-    for (let load = 0; load < used; load += 1) service.window.add(now);
+    // An earlier leader may have used part of the store's rate limit just before.
+    const startedLoads = this.#state.hasEarlierDocs
+      ? Math.ceil(this.#storeRateLimit.windowBudget(service) / 2)
+      : 0;
+    for (let load = 0; load < startedLoads; load += 1) service.storeLoadWindow.add(now);
     return service;
   }
 
-  #takeEngine(service: ServiceState, engine: Engine): void {
+  #applyEngine(service: ServiceState, engine: Engine): void {
     service.engine = engine;
-    for (const model of engine.models) this.#takeModel(service, model);
+    for (const model of engine.models) this.#applyModel(service, model);
     const listed = new Set(engine.models.map(nameOf));
     for (const model of service.models.values())
       if (!listed.has(model.name) && (model.isListed || model.holders.size === 0))
-        this.#retire(service, model);
+        this.#retireModel(service, model);
   }
 
-  /** Its service is new, or gone: what was known of the runner is not of use any more. */
-  #renew(now: Moment, runner: RunnerState): void {
-    for (const op of [...runner.queue]) this.#state.removeOp(runner, op);
-    for (const held of [...runner.holds.values()]) this.#state.unhold(runner, held);
-    runner.engine?.runners.delete(runner);
-    const anew = this.#inventory.newRunner(now, runner.listed);
-    this.#state.suspected.delete(runner);
-    anew.isKnown = runner.isKnown && runner.engine === undefined;
-    if (anew.engine && !anew.isKnown) this.#state.suspected.add(anew);
-    else this.#state.suspected.delete(anew);
-    anew.coldUntil = runner.coldUntil;
+  /** Replaces a runner's state after its service was added or removed, which makes the old state meaningless. */
+  #recreateRunner(now: Moment, runner: RunnerState): void {
+    for (const order of [...runner.queue]) this.#state.removeOrder(runner, order);
+    for (const loadedModel of [...runner.holds.values()])
+      this.#state.removeHold(runner, loadedModel);
+    runner.serviceState?.runners.delete(runner);
+    const replacement = this.#inventory.addRunner(now, runner.listed);
+    this.#state.runnersNeedingReport.delete(runner);
+    replacement.areHoldsKnown = runner.areHoldsKnown && runner.serviceState === undefined;
+    if (replacement.serviceState && !replacement.areHoldsKnown)
+      this.#state.runnersNeedingReport.add(replacement);
+    else this.#state.runnersNeedingReport.delete(replacement);
+    replacement.coldUntil = runner.coldUntil;
   }
 
-  /** What the configuration no longer names is asked for no more, and goes first where somebody still holds it. */
-  #retire(service: ServiceState, model: ModelState): void {
+  /** Retires a model that the configuration no longer lists: its demand is dropped, so that it is evicted first. */
+  #retireModel(service: ServiceState, model: ModelState): void {
     model.isListed = false;
-    service.waiting.delete(model);
+    service.waitingModels.delete(model);
     this.#demand.forgetModel(model);
     if (model.holders.size === 0) service.models.delete(model.name);
   }
 
-  #takeModel(service: ServiceState, model: EngineModel): void {
+  #applyModel(service: ServiceState, model: EngineModel): void {
     const state = service.models.get(model.name) ?? new ModelState(service, model.name);
     state.isListed = true;
     state.sizeMb = model.sizeMb;
     state.loadMs = model.loadMs;
     state.adapterMb = model.adapterSizeMb;
-    state.mostAdapters = model.adapters;
+    state.maxAdapters = model.adapters;
     service.models.set(model.name, state);
     for (const runner of state.holders.keys()) runner.usedMb = undefined;
   }
 
-  #takeEmptied(now: Moment, emptied: readonly string[]): void {
-    const text = [...emptied].sort(byText).join('\n');
-    if (text === this.#emptiedText) return;
-    this.#emptiedText = text;
-    this.#state.evacuatedZones = new Set(emptied);
+  #applyEvacuatedZones(now: Moment, zones: readonly string[]): void {
+    const key = [...zones].sort(compareStrings).join('\n');
+    if (key === this.#evacuatedZonesKey) return;
+    this.#evacuatedZonesKey = key;
+    this.#state.evacuatedZones = new Set(zones);
     for (const runner of this.#state.runners.values()) {
-      this.#state.noteLost(now, runner);
-      this.#state.touchAll(runner);
+      this.#state.noteLostReplicas(now, runner);
+      this.#state.onRunnerAvailabilityChanged(runner);
     }
   }
 }
--- a/src/placement/planner-records.ts
+++ b/src/placement/planner-records.ts
@@ -4,94 +4,104 @@
 import type { Intent, ServiceDoc } from './shapes.js';
 import { SlidingWindowLimit } from './sliding-window-limit.js';
 
-/** Where a model or adapter stands at a runner. */
+/** The state of a model or adapter at a runner; `coming`: its load is ordered or running. */
 export type LoadPhase = 'coming' | 'ready' | 'unloading';
 
-/** An adapter that a runner holds, gets or gives up. */
+/** An adapter that a runner holds, loads or unloads. `since`: when its phase began. */
 export interface LoadedAdapter {
   phase: LoadPhase;
   since: number;
   suspectedUntil: number;
 }
 
-/** A model that a runner holds, gets or gives up, with its adapters. */
+/** A model that a runner holds, loads or unloads, with its adapters. `since`: when its phase began. */
 export interface LoadedModel {
   readonly model: ModelState;
   phase: LoadPhase;
   since: number;
   readonly adapters: Map<string, LoadedAdapter>;
-  /** Until when proxies are believed that this copy does not serve. */
+  /** Until when this replica counts as not serving, since proxies have requests waiting despite it. */
   suspectedUntil: number;
 }
 
-/** An order on its way: decided, kept, given, taken. */
+/**
+ * An open order, from its creation through its storage and sending to its acceptance by the runner. Times are in ms.
+ */
 export interface Order {
   readonly intent: Intent;
-  readonly key: string;
+  readonly docKey: string;
   readonly model: ModelState;
-  /** A load that the weight store counts. */
-  readonly isStore: boolean;
+  /** A load from the weight store, which counts against its rate limit; other loads come from the runner's disk. */
+  readonly isStoreLoad: boolean;
   isPersisted: boolean;
+  /** Sent, and its outcome not reported yet. */
   isSent: boolean;
   isAccepted: boolean;
-  due: number;
-  takenAt: number;
+  /** When it is to be sent, or queried for completion. */
+  dueAt: number;
+  acceptedAt: number;
   expectedMs: number;
+  /** Consecutive replies that the runner is busy. */
   busyReplies: number;
   failures: number;
 }
 
-/** What is known of one runner and of the orders to it. */
+/** What is known of one runner and of the orders to it. Times are in ms. */
 export interface RunnerState {
   readonly id: string;
   readonly service: string;
-  readonly engine: ServiceState | undefined;
+  readonly serviceState: ServiceState | undefined;
   listed: ListedRunner;
   isLeaving: boolean;
   coldUntil: number;
   readonly holds: Map<string, LoadedModel>;
-  /** Models that surely lie on its own disk. */
-  readonly disk: Set<string>;
+  /** Models known to be on its own disk. */
+  readonly modelsOnDisk: Set<string>;
   readonly queue: Order[];
-  given: Order | undefined;
-  /** What it holds is known well enough to order by. */
-  isKnown: boolean;
-  askAt: number;
-  isAsked: boolean;
-  /** When the last order to it had surely ended. */
+  /** The order whose outcome is awaited. */
+  sentOrder: Order | undefined;
+  /** Its models are known well enough to send it orders. */
+  areHoldsKnown: boolean;
+  /** When its report may be requested, if it is needed. */
+  reportDueAt: number;
+  isReportRequested: boolean;
+  /** A time at which the last order to it had certainly ended. */
   idleSince: number;
+  /** When it accepted the last unload, while nothing was accepted after it. */
   unloadedAt: number;
-  /** What was unloaded last had runs that have to end first. */
-  isUnloadingRuns: boolean;
-  /** How many orders it took, as far as known, and how many since the last report it need not do. */
-  count: number | undefined;
-  loadedModels: number;
-  /** What we took its count for when it came into doubt. */
-  counted: number | undefined;
-  /** An order to it got no clear answer since its last report. */
+  /** The model unloaded last had running requests that must end first. */
+  isUnloadDraining: boolean;
+  /** How many orders it accepted, if known. */
+  orderCount: number | undefined;
+  /** Orders without effect since its last report: it held the model or adapter already, or did not hold it. */
+  noopOrderCount: number;
+  /** The assumed order count when its report became necessary. */
+  lastOrderCount: number | undefined;
+  /** An order since its last report got no clear answer. */
   hasUnansweredOrder: boolean;
+  /** Until when it gets no new orders after a failed one. */
   suspectUntil: number;
   failures: number;
   usedMb: number | undefined;
-  /** Intents of an earlier leader that may be under way there. */
-  restored: OpenIntent[];
+  /** Intents of an earlier leader that it may be executing. */
+  restoredIntents: OpenIntent[];
 }
 
-/** An intent of an earlier leader, with the key of the document that names it. */
+/** An intent of an earlier leader, with the key of the document that contains it. */
 export interface OpenIntent {
-  readonly key: string;
+  readonly docKey: string;
   readonly intent: Intent;
 }
 
 /** Demand for one adapter of a model. */
 export class AdapterState {
-  readonly slow = new DecayingRate();
+  readonly slowRate = new DecayingRate();
   waiting = 0;
   waitingSince = 0;
   waitingReportedAt = -Infinity;
   lastRequestedAt = -Infinity;
   running = 0;
-  badUntil = -Infinity;
+  rejectedUntil = -Infinity;
   priority = 9;
   readonly name: string;
   constructor(name: string) {
@@ -99,7 +109,7 @@
   }
 }
 
-/** One model of a service: its sizes, its demand and who holds it. */
+/** One model of a service: its sizes, its demand and the runners that hold it. Times are in ms. */
 export class ModelState {
   readonly key: string;
   readonly name: string;
@@ -107,32 +117,34 @@
   sizeMb: number;
   loadMs: number;
   adapterMb: number;
-  mostAdapters: number;
-  readonly fast = new DecayingRate();
-  readonly slow = new DecayingRate();
+  maxAdapters: number;
+  readonly fastRate = new DecayingRate();
+  readonly slowRate = new DecayingRate();
   lastRequestedAt = -Infinity;
   waiting = 0;
   waitingSince = 0;
-  /** The last word of a proxy that it waits. */
+  /** When a proxy last reported requests waiting for it. */
   waitingReportedAt = -Infinity;
   running = 0;
-  runningMean = 0;
+  meanRunning = 0;
   priority = 9;
-  /** Since when it is asked for and nobody is served. */
+  /** Since when requests for it wait without any replica; undefined if none do. */
   unservedSince: number | undefined = undefined;
-  /** The configuration names it. */
+  /** Whether the configuration lists it. */
   isListed = false;
-  badUntil = -Infinity;
+  rejectedUntil = -Infinity;
+  /** Whether its demand justifies two replicas in different zones. */
   isBusy = false;
-  need = 1;
-  neededAt = 0;
-  /** What losing a copy costs, as counted in a plan. */
+  /** Replicas that its load needs, as a fraction; grows at once and decays slowly. */
+  neededReplicas = 1;
+  needUpdatedAt = 0;
+  /** The loss of evicting a replica, as computed in the plan `lossPlanNumber`. */
   loss = 0;
-  lossIn = -1;
-  /** When its last copy went with a runner. */
+  lossPlanNumber = -1;
+  /** When its last replica was lost with a runner. */
   lastReplicaLostAt = -Infinity;
-  /** Since when a further copy presses and finds no place. */
-  pressedAt = -Infinity;
+  /** Since when an urgently needed further replica finds no runner. */
+  urgentGrowthSince = -Infinity;
 
   readonly holders = new Map<RunnerState, LoadedModel>();
   readonly adapters = new Map<string, AdapterState>();
@@ -140,105 +152,112 @@
   constructor(service: ServiceState, name: string) {
     this.service = service;
     this.name = name;
-    this.key = keyOf(service.name, name);
+    this.key = documentKey(service.name, name);
     this.sizeMb = 0;
     this.loadMs = 0;
     this.adapterMb = 0;
-    this.mostAdapters = 0;
+    this.maxAdapters = 0;
   }
 }
 
 /**
- * What a load from a runner's own disk takes against one from the store, before one was observed. A guess that is too low
- * is corrected by the first loads, at the cost of a few questions; one that is too high is hardly seen, since a load is
- * asked for only when it is expected to be done.
+ * The duration of a load from a runner's own disk relative to the configured load time, before one was observed. A
+ * value too low is corrected by the first loads, at the cost of a few completion queries; one too high is hardly
+ * noticed, since a load is queried only when it is expected to be complete.
  */
 const INITIAL_DISK_FACTOR = 0.2;
 
-/** One service of many models: its engine, its runners, and what its weight store is doing. */
+/** One service of many models: its engine, its runners, and the loads from its weight store. Times are in ms. */
 export class ServiceState {
   readonly name: string;
   engine: Engine;
   readonly models = new Map<string, ModelState>();
   readonly runners = new Set<RunnerState>();
-  readonly window: SlidingWindowLimit;
-  readonly all = new DecayingRate();
-  readonly waiting = new Set<ModelState>();
+  readonly storeLoadWindow: SlidingWindowLimit;
+  readonly totalRate = new DecayingRate();
+  readonly waitingModels = new Set<ModelState>();
   firstDemandAt: number | undefined = undefined;
-  storeOps = 0;
-  scaledUpAt = -Infinity;
-  /** Further copies that much of the work waits for, as last compared with demand and not yet on their way. */
-  pressing: ReplicaWant[] = [];
-  /** The part of its slots that runs at a runner in the mean. */
+  /** Open orders that load from the store. */
+  pendingStoreLoads = 0;
+  /** When replicas were last compared with demand. */
+  replicasComparedAt = -Infinity;
+  /** Further replicas needed urgently, from the last comparison with demand, and not ordered yet. */
+  urgentGrowth: DesiredReplica[] = [];
+  /** The mean slot utilization of its runners. */
   meanLoad = 0;
-  /** What loads take, against what the configuration says: from the store, from a runner's disk; and adapters, ms. */
+  /** The duration of loads from the store, relative to the configured load time. */
   storeFactor = 1;
+  /** The duration of loads from a runner's disk, relative to the configured load time. */
   diskFactor = INITIAL_DISK_FACTOR;
-  adapterMs: number;
-  /** How long the runs of a model that is unloaded go on. */
-  unloadMs = 100;
+  /** The duration of an adapter load. */
+  adapterLoadMs: number;
+  /** How long the running requests of a model being unloaded take to end. */
+  drainMs = 100;
 
   constructor(name: string, engine: Engine, capWindowMs: number, adapterMs: number) {
     this.name = name;
     this.engine = engine;
-    this.window = new SlidingWindowLimit(capWindowMs);
-    this.adapterMs = adapterMs;
+    this.storeLoadWindow = new SlidingWindowLimit(capWindowMs);
+    this.adapterLoadMs = adapterMs;
   }
 }
 
-/** Why a copy is wanted: requests wait for it; work needs one more; the last was lost; there is room to spare. */
-export type WantKind = 'waiting' | 'grow' | 'lost' | 'spare';
+/**
+ * Why a replica is desired: requests wait for it, the load needs another one, the last one was lost with a runner, or
+ * there is spare memory.
+ */
+export type DesiredReplicaKind = 'waiting' | 'grow' | 'lost' | 'spare';
 
-/** A copy of a model that would be of use. */
-export interface ReplicaWant {
+/** A replica of a model that would be useful. */
+export interface DesiredReplica {
   readonly model: ModelState;
-  readonly kind: WantKind;
-  /** Rank: lower goes first. */
-  readonly level: number;
-  /** Since when it is missing, ms; the older of one rank goes first. */
-  readonly since: number;
-  /** What it is worth, in the unit in which losses are counted. */
+  readonly kind: DesiredReplicaKind;
+  /** Lower ranks are placed first. */
+  readonly rank: number;
+  /** Since when it is missing, ms; within a rank, the oldest is placed first. */
+  readonly missingSince: number;
+  /** What it is worth, in requests, as losses are. */
   readonly gain: number;
 }
 
-/** What makes way: an adapter, or a whole model where none is named. */
+/** An adapter to evict, or a whole model if `adapter` is empty. */
 export interface EvictionCandidate {
   readonly loaded: LoadedModel;
   readonly adapter: string;
 }
 
-/** What makes way together, and what losing it costs. */
+/** What is evicted together, and the loss of that. */
 export interface EvictionPlan {
   readonly victims: readonly EvictionCandidate[];
   readonly loss: number;
 }
 
 /** The key of a model's document: unique over all services. */
-export function keyOf(service: string, model: string): string {
+export function documentKey(service: string, model: string): string {
   return `${service}/${model}`;
 }
 
-/** Orders texts by their code units. */
-export function byText(a: string, b: string): number {
+/** Compares strings by their code units. */
+export function compareStrings(a: string, b: string): number {
   return a < b ? -1 : a > b ? 1 : 0;
 }
 
-/** The document of a model that nobody holds and nobody waits for. */
-export function noDoc(key: string): ServiceDoc {
+/** The document of a model without replicas and without waiting requests. */
+export function emptyDoc(key: string): ServiceDoc {
   return { model: key, primary: '', understudy: '', wait: '', intents: [] };
 }
 
-/** Whether somebody who waits presses for the copy, or much of the work does. */
-export function isPressing(want: ReplicaWant): boolean {
-  return want.kind === 'grow' && want.level < 1;
+/** Whether a large part of the load needs the further replica. */
+export function isUrgentGrowth(desired: DesiredReplica): boolean {
+  return desired.kind === 'grow' && desired.rank < 1;
 }
 
-/** Orders by cost, the least first. */
-export function byLoss(a: { loss: number }, b: { loss: number }): number {
+/** Compares by loss, lowest first. */
+export function compareByLoss(a: { loss: number }, b: { loss: number }): number {
   return a.loss - b.loss;
 }
 
-/** Copies of a model that count: ready ones, all that serve or soon will, and those by zone. */
+/** The replicas of a model: ready ones, all that serve or soon will, and the latter by zone. */
 export interface ReplicaCounts {
   ready: number;
   all: number;
--- a/src/placement/planner-settings.ts
+++ b/src/placement/planner-settings.ts
@@ -1,54 +1,56 @@
 import type { Routing } from '../route/routing.js';
 
-/** What bounds and paces the planner's decisions. Spans are in milliseconds on the leader's monotonic clock. */
+/** The planner's settings. Durations are in milliseconds on the leader's monotonic clock. */
 export interface PlannerSettings {
-  /** How old the platform's list is, and how much older it may be at worst. */
+  /** How old the platform's list is, and by how much its age may exceed that. */
   readonly lagMs: number;
   readonly lagSlackMs: number;
-  /** The span over which loads from the store are counted, and what the ceiling may be exceeded by there. */
+  /**
+   * The window over which the store limits the rate of loads, and the factor by which the limit may be exceeded there.
+   */
   readonly capWindowMs: number;
   readonly capExcess: number;
   /** How old a runner's own report may be. */
   readonly reportLagMs: number;
-  /** How long a model stays once it is ready, and an adapter. */
+  /** How long a model stays once it is ready, and how long an adapter does. */
   readonly minResidencyMs: number;
   readonly adapterStayMs: number;
-  /** Spans of the two rates: the fast one lets copies grow, the slow one keeps them. */
+  /** Time constants of the two request rates: the fast one adds replicas, the slow one retains them. */
   readonly fastMs: number;
   readonly slowMs: number;
-  /** How often copies are compared with demand. */
+  /** The interval at which replicas are compared with demand. */
   readonly growMs: number;
-  /** How slowly a model's need is forgotten. */
+  /** Time constant with which the number of replicas that a model needs decays. */
   readonly shrinkMs: number;
   /**
-   * The part of all runners that goes to models by their share of work where loads are quick (`spreadShareOf`), and the
-   * part of a runner's slots to be taken.
+   * The share of all runners over which models are spread by their share of requests if loads are fast
+   * (`spreadShareOf`), and the target utilization of a runner's slots, as a fraction.
    */
   readonly spreadShare: number;
   readonly slotShare: number;
-  /** How many times more a further copy must be worth than what makes way for it. */
+  /** By which factor the worth of a further replica must exceed the loss of what is evicted for it. */
   readonly worthRatio: number;
-  /** How long somebody waits for one rank. */
+  /** The waiting time that improves a model's rank by one. */
   readonly rankMs: number;
-  /** The first guess of how long an adapter takes. */
+  /** The initial estimate of an adapter's load time. */
   readonly adapterMs: number;
-  /** Who waits longer than this stands in its document as waiting. */
+  /** After this waiting time a model's document shows it as waiting. */
   readonly waitReportIntervalMs: number;
-  /** How long an unload may wait for the model's runs. */
+  /** How long an unload may wait for the model's running requests. */
   readonly unloadMs: number;
-  /** How long a proxy's last word counts. */
+  /** How long a proxy's last report counts. */
   readonly demandTtlMs: number;
-  /** Waiting for so long at the proxies though a copy is ready means that the copy does not serve. */
+  /** If requests wait at the proxies for this long though a replica is ready, the replica does not serve. */
   readonly despiteMs: number;
-  /** The span within which what is asked for again should still find its adapter. */
+  /** The window within which a repeated request for an adapter should find it still loaded. */
   readonly adapterWindowMs: number;
-  /** What it costs to fetch a copy again that a busy model needs. */
+  /** The loss, in requests, of evicting a replica that a busy model needs. */
   readonly neededLoss: number;
-  /** How long runners are left to a copy that presses. */
+  /** How long runners are reserved for an urgently needed replica. */
   readonly pressMs: number;
 }
 
-/** The values that a deployment gets unless it names others. */
+/** The default settings. */
 export const PLANNER_DEFAULTS: PlannerSettings = {
   lagMs: 800,
   lagSlackMs: 1000,
@@ -75,19 +77,19 @@
   adapterWindowMs: 3000,
 };
 
-/** What a plan is made from, beside what runners hold and proxies ask for. */
+/** The input of a plan, beside the runners' models and the proxies' demand. */
 export interface PlannerInput {
-  /** The operators' routes and services, once there are any. */
+  /** The operators' routes and services; undefined before the first configuration. */
   readonly routing: Routing | undefined;
   /** Zones that operators evacuated. */
   readonly evacuatedZones: readonly string[];
-  /** Proxies that share what holds over the whole fleet. */
+  /** The number of proxies that share fleet-wide budgets. */
   readonly proxies: number;
 }
 
 /**
- * What became of an order. `taken`: the runner does it now; `held`: nothing was to be done; `busy`: another order
- * is under way or the count differs; `refused`: the runner will not do it; `unsure`: it may have arrived;
- * `unsent`: it surely did not.
+ * The outcome of an order. `taken`: the runner is executing it; `held`: it had no effect, since its result already
+ * holds; `busy`: another order is running, or the order count differs; `refused`: the runner rejected it; `unsure`: it
+ * may have arrived; `unsent`: it certainly did not arrive.
  */
 export type OrderOutcome = 'taken' | 'held' | 'busy' | 'refused' | 'unsure' | 'unsent';
--- a/src/placement/planner.test.ts
+++ b/src/placement/planner.test.ts
@@ -5,54 +5,68 @@
 import type { FleetDemand } from './fleet.js';
 import { Planner } from './planner.js';
 import { ServiceDocShape, type Intent } from './shapes.js';
-import { LAG, World } from './testing/fake-fleet.js';
+import { LIST_LAG_MS, FakeFleet } from './testing/fake-fleet.js';
 import { listedOf, routingOf } from './testing/fleet-documents.js';
-import { both, engineOf, rareWeights, smallSite, Traffic } from './testing/fleet-traffic.js';
+import { sendBoth, engineOf, rareWeights, smallFleet, Traffic } from './testing/fleet-traffic.js';
 
-const STORMS = Number(process.env['PLANNER_STORMS'] ?? 60);
+const FAULT_SEEDS = Number(process.env['PLANNER_STORMS'] ?? 60);
 
-describe('Planner', testPlanner);
+describe('Planner', plannerTests);
 
-function testPlanner(): void {
-  test('a calm start orders nothing', calmStart);
-  test('a model that is waited for is loaded at once into free room', loadsAtOnce);
-  test('what has several copies makes way first', evictsSurplus);
-  test('the more urgent is loaded first, then who waits longer', ordersByRank);
-  test('a busy model gets a pair in two zones and seats by its share', growsPairs);
-  test('copies follow when demand moves to other models', followsShift);
+function plannerTests(): void {
+  test('nothing is ordered without demand', ordersNothingWithoutDemand);
   test(
-    'nothing is ordered that is not kept, nothing twice, and loads are asked for at their end',
-    nothingUnkept,
+    'a model that requests wait for is loaded at once into free memory',
+    loadsWaitingModelAtOnce,
   );
-  test('after a lost unload nothing is ordered there before a fresh report', lostUnload);
-  test('the last copies of what is asked for most stay', () => {
-    const world = new World({ engine: engineOf(8), zones: ['a', 'b'], runnersPerZone: 1, seed: 5 });
-    world.hold('r1', 'm0', 'm1', 'm2');
-    world.hold('r2', 'm3', 'm4', 'm5');
-    world.run(1000);
-    // The busiest one's last copies stay while others come and go.
+  test('models with several replicas are evicted first', evictsSurplusReplica);
+  test('loads are ordered by priority, then by waiting time', loadsByPriorityAndWait);
+  test(
+    'a busy model gets replicas in two zones, in proportion to its share of requests',
+    addsReplicasAcrossZones,
+  );
+  test('replicas follow when demand shifts to other models', followsDemandShift);
+  test(
+    'only stored intents are ordered, each once, and loads are queried when they are expected to end',
+    ordersOnlyStoredIntents,
+  );
+  test(
+    'after a lost unload, a runner gets no orders before a new report',
+    waitsForReportAfterLostUnload,
+  );
+  test('the last replicas of the most requested model stay', () => {
+    const fleet = new FakeFleet({
+      engine: engineOf(8),
+      zones: ['a', 'b'],
+      runnersPerZone: 1,
+      seed: 5,
+    });
+    fleet.addHolds('r1', 'm0', 'm1', 'm2');
+    fleet.addHolds('r2', 'm3', 'm4', 'm5');
+    fleet.run(1000);
+    // The busiest model always has a replica while others are loaded and evicted.
     const busy = new Traffic({ m0: 1 }, 60);
     const rare = new Traffic(rareWeights(1, 8), 6, 1);
     let without = 0;
-    world.run(20_000, (one: World) => {
-      busy.each(one);
-      rare.each(one);
-      if (one.copies('m0').length === 0) without += 1;
+    fleet.run(20_000, (one: FakeFleet) => {
+      busy.sendDue(one);
+      rare.sendDue(one);
+      if (one.runnersHolding('m0').length === 0) without += 1;
     });
     expect(without).toBe(0);
-    expect(world.missed.size).toBe(0);
-    expect(world.breaks).toEqual([]);
+    expect(fleet.missedCounts.size).toBe(0);
+    expect(fleet.violations).toEqual([]);
   });
-  test('no runner has much more to do than its share', () => {
-    const world = smallSite(11, { slots: 32 });
+  test('no runner has much more load than its share', () => {
+    const fleet = smallFleet(11, { slots: 32 });
     const busy = new Traffic({ m0: 50, m1: 30, m2: 20 }, 120);
     const rare = new Traffic(rareWeights(5, 17), 5, 1);
-    const each = (world: World) => both(busy, rare, world);
-    world.run(10_000, each);
+    const each = (fleet: FakeFleet) => sendBoth(busy, rare, fleet);
+    fleet.run(10_000, each);
     const sums = new Map<string, number>();
-    world.run(5000, (one: World) => {
+    fleet.run(5000, (one: FakeFleet) => {
       each(one);
-      for (const call of one.calls)
+      for (const call of one.requests)
         if (call.runner) sums.set(call.runner.id, (sums.get(call.runner.id) ?? 0) + 1);
     });
     let all = 0;
@@ -61,72 +75,87 @@
       all += sum;
       most = Math.max(most, sum);
     }
-    expect(most).toBeLessThan((all / world.runners.size) * 2.5);
-    expect(world.breaks).toEqual([]);
+    expect(most).toBeLessThan((all / fleet.runners.size) * 2.5);
+    expect(fleet.violations).toEqual([]);
   });
-  test('copies follow a crowd though rare models are always being loaded', growsAmongRare);
-  test('a steady demand needs few orders', steadyIsCalm);
-  test('rare models that do not all fit are served in turn', rotatesFairly);
-  test('two rare models do not throw each other out while there is other room', noPingPong);
-  test('what a leaving runner alone holds is placed again at once', leaving);
-  test('an emptied zone counts as lost', emptiedZone);
-  test('a new runner is filled with what lacks copies', fillsNewRunner);
-  test('a runner in the dark is doubted as soon as proxies wait', darkRunner);
   test(
-    'adapters go to runners that hold their model, the least asked for makes way',
-    adaptersRotate,
+    'replicas follow a sudden high demand even while rare models are always being loaded',
+    addsReplicasDespiteRareLoads,
+  );
+  test('steady demand needs few orders', needsFewOrdersUnderSteadyDemand);
+  test('rare models that do not all fit are served in turn', servesRareModelsInTurn);
+  test(
+    'two rare models do not evict each other while there is other memory',
+    rareModelsDoNotEvictEachOther,
+  );
+  test(
+    'the models of a leaving runner are placed on other runners at once',
+    replacesModelsOfLeavingRunner,
+  );
+  test('replicas in an evacuated zone count as lost', replacesModelsOfEvacuatedZone);
+  test('a new runner is filled with models that lack replicas', fillsNewRunner);
+  test(
+    'an unreachable runner is suspected once requests wait at proxies',
+    suspectsUnreachableRunner,
+  );
+  test(
+    'adapters are loaded where their model is, and the least requested one is evicted',
+    evictsLeastRequestedAdapter,
   );
-  test('a busy adapter gets a second copy beside the pair', busyAdapters);
-  test('loads from the store keep under the ceiling in a rush', keepsCeiling);
-  test('the less urgent is not starved by the urgent', starvesNobody);
-  test('what was just loaded stays for a while', stays);
-  test('an understudy goes to another zone, also where its own has room', pairsAcrossZones);
-  test('a new leader takes over without ordering anew', () => {
-    const world = smallSite(8);
+  test('a busy adapter gets a second replica', replicatesBusyAdapter);
+  test('loads from the store stay below the rate limit under high demand', keepsStoreRateLimit);
+  test('low-priority requests are not starved by urgent ones', doesNotStarveLowPriority);
+  test('a model just loaded stays for a minimum time', keepsRecentlyLoadedModels);
+  test(
+    'an understudy is placed in another zone, even if its own has free memory',
+    placesUnderstudyInOtherZone,
+  );
+  test('a new leader takes over without repeating orders', () => {
+    const fleet = smallFleet(8);
     const busy = new Traffic({ m0: 73, m1: 27 }, 90);
     const rare = new Traffic(rareWeights(5, 17), 8, 1);
-    const each = (world: World) => both(busy, rare, world);
-    world.run(8000, each);
-    const before = orderedIntents(world);
-    const primary = world.stored.get('llm/m0')?.primary;
-    world.changeLeader();
-    world.run(5000, each);
-    // Its rates begin anew, so a copy may move.
-    expect(orderedIntents(world) - before).toBeLessThan(12);
-    expect(world.asked).toBe(world.runners.size);
-    expect(world.stored.get('llm/m0')?.primary).toBe(primary);
-    // In the midst of loads.
-    world.ask('m30');
-    world.ask('m31');
-    world.run(150, each);
-    world.changeLeader();
-    world.run(3000, each);
-    expect(world.served.get('m30')).toBe(1);
-    expect(world.served.get('m31')).toBe(1);
-    for (const doc of world.stored.values())
+    const each = (fleet: FakeFleet) => sendBoth(busy, rare, fleet);
+    fleet.run(8000, each);
+    const before = countOrderedIntents(fleet);
+    const primary = fleet.stored.get('llm/m0')?.primary;
+    fleet.changeLeader();
+    fleet.run(5000, each);
+    // Its rates start from zero, so a few replicas may move.
+    expect(countOrderedIntents(fleet) - before).toBeLessThan(12);
+    expect(fleet.reportRequestCount).toBe(fleet.runners.size);
+    expect(fleet.stored.get('llm/m0')?.primary).toBe(primary);
+    // Change the leader during loads.
+    fleet.request('m30');
+    fleet.request('m31');
+    fleet.run(150, each);
+    fleet.changeLeader();
+    fleet.run(3000, each);
+    expect(fleet.servedCounts.get('m30')).toBe(1);
+    expect(fleet.servedCounts.get('m31')).toBe(1);
+    for (const doc of fleet.stored.values())
       for (const intent of doc.intents) expect(intent.id.startsWith('l2')).toBe(true);
-    expect(world.breaks).toEqual([]);
+    expect(fleet.violations).toEqual([]);
   });
   test(
-    'nothing breaks under storms of lost orders, crashes, leaving and changes of leader',
+    'no limit is exceeded under random lost orders, crashes, leaving runners and changes of leader',
     () => {
-      for (let seed = 1; seed <= STORMS; seed += 1) {
+      for (let seed = 1; seed <= FAULT_SEEDS; seed += 1) {
         const roomMb = [140_000, 220_000, 300_000][seed % 3] ?? 0;
         const engine = engineOf(24, {
           capacityMb: roomMb,
           adapterSlots: 1 + (seed % 8),
           loadsPerSecond: [2, 6.8, 40][seed % 3] ?? 1,
         });
-        const world = new World({
+        const fleet = new FakeFleet({
           engine,
           zones: ['a', 'b', 'c'],
           runnersPerZone: 2,
           seed,
-          unsure: 60,
-          countsHeld: seed % 5 === 0,
-          isStrict: seed % 2 === 0,
+          lostOrdersPerThousand: 60,
+          countsNoopOrders: seed % 5 === 0,
+          repliesBusyToSameOrder: seed % 2 === 0,
         });
-        world.run(1000);
+        fleet.run(1000);
         let shift = 0;
         for (let round = 0; round < 8; round += 1) {
           const busy = new Traffic(
@@ -142,94 +171,95 @@
             60,
           );
           const rare = new Traffic(rareWeights(5, 24), 10, 1);
-          const each = (world: World) => both(busy, rare, world);
-          world.run(1500 + world.dice.below(1000), each);
-          trouble(world);
-          shift = world.dice.below(6);
+          const each = (fleet: FakeFleet) => sendBoth(busy, rare, fleet);
+          fleet.run(1500 + fleet.random.below(1000), each);
+          injectFault(fleet);
+          shift = fleet.random.below(6);
         }
-        for (const runner of world.runners.values()) runner.isDark = false;
-        expect(world.breaks, `seed ${seed}`).toEqual([]);
-        // Calm again: whatever is asked for is served.
-        world.emptied = [];
-        world.served.clear();
+        for (const runner of fleet.runners.values()) runner.isUnreachable = false;
+        expect(fleet.violations, `seed ${seed}`).toEqual([]);
+        // After the faults end, all requested models are served.
+        fleet.evacuatedZones = [];
+        fleet.servedCounts.clear();
         const after = new Traffic({ m0: 5, m1: 2 }, 40);
-        world.run(6000, (world) => after.each(world));
-        expect(world.served.get('m0') ?? 0, `seed ${seed}`).toBeGreaterThan(50);
-        expect(world.served.get('m1') ?? 0, `seed ${seed}`).toBeGreaterThan(15);
-        expect(world.breaks, `seed ${seed}`).toEqual([]);
+        fleet.run(6000, (fleet) => after.sendDue(fleet));
+        expect(fleet.servedCounts.get('m0') ?? 0, `seed ${seed}`).toBeGreaterThan(50);
+        expect(fleet.servedCounts.get('m1') ?? 0, `seed ${seed}`).toBeGreaterThan(15);
+        expect(fleet.violations, `seed ${seed}`).toEqual([]);
       }
     },
-    2000 * STORMS,
+    2000 * FAULT_SEEDS,
   );
-  test('time alone is no news for the data plane', () => {
-    const world = new World({ engine: engineOf(6), zones: ['a', 'b'], runnersPerZone: 1 });
-    world.hold('r1', 'm0', 'm1', 'm2');
-    world.hold('r2', 'm3', 'm4', 'm0');
-    world.run(1000);
-    world.ask('m5');
-    world.run(150);
-    const first = JSON.stringify(world.planner.fleet(world.at()));
+  test('the passage of time alone does not change the published fleet', () => {
+    const fleet = new FakeFleet({ engine: engineOf(6), zones: ['a', 'b'], runnersPerZone: 1 });
+    fleet.addHolds('r1', 'm0', 'm1', 'm2');
+    fleet.addHolds('r2', 'm3', 'm4', 'm0');
+    fleet.run(1000);
+    fleet.request('m5');
+    fleet.run(150);
+    const first = JSON.stringify(fleet.planner.fleet(fleet.at()));
     expect(first).toContain('"coming":[{"model":"m5","adapter":"","readyMs":');
-    world.run(300);
-    expect(JSON.stringify(world.planner.fleet(world.at()))).toBe(first);
-    // What makes way is told no more from the moment it is decided.
+    fleet.run(300);
+    expect(JSON.stringify(fleet.planner.fleet(fleet.at()))).toBe(first);
+    // A model is no longer published as loaded from the moment its eviction is decided.
     let holders = 0;
-    for (const runner of world.planner.fleet(world.at()).runners)
+    for (const runner of fleet.planner.fleet(fleet.at()).runners)
       for (const hold of runner.holds) if (hold.model === 'm0') holders += 1;
     expect(holders).toBe(1);
   });
-  test('before demand is known, the copies that are there tell what is asked for', () => {
-    const world = new World({ engine: engineOf(12), zones: ['a', 'b'], runnersPerZone: 2 });
-    world.hold('r1', 'm0', 'm1', 'm2');
-    world.hold('r2', 'm0', 'm1', 'm3');
-    world.hold('r3', 'm0', 'm4', 'm5');
-    world.hold('r4', 'm0', 'm6', 'm7');
-    world.run(1000);
-    // Rare models are asked for first; what many runners hold has not had its turn yet.
-    for (const rare of ['m8', 'm9', 'm10', 'm11']) world.ask(rare);
-    world.run(1500);
-    expect(world.copies('m0').length).toBeGreaterThanOrEqual(3);
-    // Of two copies one may be a spare, the other stays.
-    expect(world.copies('m1').length).toBeGreaterThanOrEqual(1);
-    expect(world.breaks).toEqual([]);
+  test('before demand was observed, the present replicas stand for it', () => {
+    const fleet = new FakeFleet({ engine: engineOf(12), zones: ['a', 'b'], runnersPerZone: 2 });
+    fleet.addHolds('r1', 'm0', 'm1', 'm2');
+    fleet.addHolds('r2', 'm0', 'm1', 'm3');
+    fleet.addHolds('r3', 'm0', 'm4', 'm5');
+    fleet.addHolds('r4', 'm0', 'm6', 'm7');
+    fleet.run(1000);
+    // Rare models are requested first; the model that many runners hold has not been requested yet.
+    for (const rare of ['m8', 'm9', 'm10', 'm11']) fleet.request(rare);
+    fleet.run(1500);
+    expect(fleet.runnersHolding('m0').length).toBeGreaterThanOrEqual(3);
+    // Of two replicas one may be a spare, the other stays.
+    expect(fleet.runnersHolding('m1').length).toBeGreaterThanOrEqual(1);
+    expect(fleet.violations).toEqual([]);
   });
-  test('called only when it says so, it still places everything', () => {
-    const world = new World({
+  test('the planner places everything when called only at `nextPlanAt`', () => {
+    const fleet = new FakeFleet({
       engine: engineOf(20),
       zones: ['a', 'b'],
       runnersPerZone: 2,
       seed: 9,
-      isLazy: true,
+      plansOnlyWhenDue: true,
     });
-    world.run(1000);
+    fleet.run(1000);
     const traffic = new Traffic(rareWeights(0, 12), 20);
-    world.run(10_000, (world) => traffic.each(world));
+    fleet.run(10_000, (fleet) => traffic.sendDue(fleet));
     for (let index = 0; index < 12; index += 1)
-      expect(world.served.get(`m${index}`) ?? 0).toBeGreaterThan(3);
-    const calm = world.plans;
-    world.run(4000);
-    expect(world.plans - calm).toBeLessThan(200);
+      expect(fleet.servedCounts.get(`m${index}`) ?? 0).toBeGreaterThan(3);
+    const calm = fleet.planCount;
+    fleet.run(4000);
+    expect(fleet.planCount - calm).toBeLessThan(200);
   });
-  test('what a new configuration names no longer makes way, and is not loaded', () => {
-    const world = new World({ engine: engineOf(6), zones: ['a', 'b'], runnersPerZone: 1 });
-    world.hold('r1', 'm0', 'm1', 'm2');
-    world.hold('r2', 'm3', 'm4', 'm5');
-    world.run(3000);
+  test('a model removed from the configuration is evicted and not loaded again', () => {
+    const fleet = new FakeFleet({ engine: engineOf(6), zones: ['a', 'b'], runnersPerZone: 1 });
+    fleet.addHolds('r1', 'm0', 'm1', 'm2');
+    fleet.addHolds('r2', 'm3', 'm4', 'm5');
+    fleet.run(3000);
     const engine = engineOf(8);
     const fewer: Engine = { ...engine, models: engine.models.filter(isNotFirst) };
-    world.routing = routingOf(fewer);
-    world.run(500);
-    world.ask('m0');
-    world.ask('m7');
-    world.run(2000);
-    expect(world.copies('m7').length).toBe(1);
-    expect(world.copies('m0').length).toBe(0);
-    for (const model of ['m1', 'm2', 'm3', 'm4', 'm5']) expect(world.copies(model).length).toBe(1);
-    world.run(3000);
-    expect(world.copies('m0').length).toBe(0);
+    fleet.routing = routingOf(fewer);
+    fleet.run(500);
+    fleet.request('m0');
+    fleet.request('m7');
+    fleet.run(2000);
+    expect(fleet.runnersHolding('m7').length).toBe(1);
+    expect(fleet.runnersHolding('m0').length).toBe(0);
+    for (const model of ['m1', 'm2', 'm3', 'm4', 'm5'])
+      expect(fleet.runnersHolding(model).length).toBe(1);
+    fleet.run(3000);
+    expect(fleet.runnersHolding('m0').length).toBe(0);
   });
-  test('a crowd waiting for places at many copies is no doubt about them', () => {
-    const planner = new Planner({ lagMs: LAG });
+  test('many requests that wait for slots at many replicas raise no suspicion of these', () => {
+    const planner = new Planner({ lagMs: LIST_LAG_MS });
     const routing = routingOf(engineOf(9));
     const input = { routing, evacuatedZones: [], proxies: 1 };
     planner.restore(moment(0), [], 'l1');
@@ -260,8 +290,8 @@
     }
     expect(intentIdsOf(planner)).toEqual([]);
   });
-  test('a runner that takes no order is passed over', () => {
-    const planner = new Planner({ lagMs: LAG });
+  test('a runner that orders do not reach is passed over', () => {
+    const planner = new Planner({ lagMs: LIST_LAG_MS });
     const routing = routingOf(engineOf(9));
     const input = { routing, evacuatedZones: [], proxies: 1 };
     planner.restore(moment(0), [], 'l1');
@@ -281,24 +311,24 @@
     expect(sent.slice(2)).not.toContain('r1');
     expect(planner.fleet(moment(1500)).waits).toEqual([]);
   });
-  test('whether runners count orders that they need not do is learnt', () => {
-    const world = new World({
+  test('the planner detects whether runners count orders without effect', () => {
+    const fleet = new FakeFleet({
       engine: engineOf(30),
       zones: ['a', 'b', 'c'],
       runnersPerZone: 2,
       seed: 4,
-      countsHeld: true,
+      countsNoopOrders: true,
     });
-    world.run(1000);
+    fleet.run(1000);
     const traffic = new Traffic(rareWeights(0, 30), 20);
-    world.run(8000, (world) => traffic.each(world));
-    const asked = world.asked;
-    world.run(8000, (world) => traffic.each(world));
+    fleet.run(8000, (fleet) => traffic.sendDue(fleet));
+    const asked = fleet.reportRequestCount;
+    fleet.run(8000, (fleet) => traffic.sendDue(fleet));
     expect(asked).toBeLessThan(20);
-    expect(world.asked - asked).toBe(0);
-    expect(world.breaks).toEqual([]);
+    expect(fleet.reportRequestCount - asked).toBe(0);
+    expect(fleet.violations).toEqual([]);
   });
-  test('documents without the newer fields are read', () => {
+  test('documents without newer fields can be read', () => {
     const [error, doc] = validate(
       {
         model: 'llm/m0',
@@ -316,7 +346,7 @@
     if (doc) planner.restore(moment(0), [doc], 'l1');
     expect(planner.docs().length).toBe(1);
   });
-  test('a plan of a large fleet is quick', () => {
+  test('a plan for a large fleet is fast', () => {
     const models: Engine['models'][number][] = [];
     for (let index = 0; index < 166; index += 1)
       models.push({
@@ -326,7 +356,7 @@
         adapters: 3,
         adapterSizeMb: 12,
       });
-    const world = new World({
+    const fleet = new FakeFleet({
       engine: {
         slots: 12,
         cacheTokens: 1,
@@ -346,360 +376,377 @@
       weights[`m${index}/a${index % 3}`] = 0.1 / (1 + index);
     }
     const traffic = new Traffic(weights, 190);
-    world.run(3000, (world) => traffic.each(world));
-    world.planMs = 0;
-    world.plans = 0;
-    world.run(5000, (world) => traffic.each(world));
-    expect(world.breaks).toEqual([]);
-    // A slow machine may take several times as long as a common one.
-    expect(world.planMs / world.plans).toBeLessThan(5);
+    fleet.run(3000, (fleet) => traffic.sendDue(fleet));
+    fleet.totalPlanMs = 0;
+    fleet.planCount = 0;
+    fleet.run(5000, (fleet) => traffic.sendDue(fleet));
+    expect(fleet.violations).toEqual([]);
+    // The bound leaves room for a slow machine, which may take several times as long as a common one.
+    expect(fleet.totalPlanMs / fleet.planCount).toBeLessThan(5);
   });
 }
 
-function calmStart(): void {
-  const world = new World({ engine: engineOf(6), zones: ['a', 'b'], runnersPerZone: 1 });
-  world.hold('r1', 'm0', 'm1', 'm2');
-  world.hold('r2', 'm3', 'm4', 'm5');
-  world.run(5000);
-  expect(world.orders).toEqual([]);
-  expect(world.asked).toBe(0);
-  expect(world.planner.fleet(world.at()).runners[0]?.holds.length).toBe(3);
+function ordersNothingWithoutDemand(): void {
+  const fleet = new FakeFleet({ engine: engineOf(6), zones: ['a', 'b'], runnersPerZone: 1 });
+  fleet.addHolds('r1', 'm0', 'm1', 'm2');
+  fleet.addHolds('r2', 'm3', 'm4', 'm5');
+  fleet.run(5000);
+  expect(fleet.orders).toEqual([]);
+  expect(fleet.reportRequestCount).toBe(0);
+  expect(fleet.planner.fleet(fleet.at()).runners[0]?.holds.length).toBe(3);
 }
 
-function loadsAtOnce(): void {
-  const world = new World({ engine: engineOf(6), zones: ['a', 'b'], runnersPerZone: 1 });
-  world.hold('r1', 'm0', 'm1', 'm2');
-  world.hold('r2', 'm3');
-  world.run(1000);
-  world.ask('m4');
-  world.run(1000);
-  expect(world.served.get('m4')).toBe(1);
-  expect(world.waitedMs.get('m4')?.[0]).toBeLessThan(800);
-  expect(world.copies('m4').length).toBe(1);
-  expect(world.orders.length).toBeLessThanOrEqual(4);
-  expect(world.breaks).toEqual([]);
+function loadsWaitingModelAtOnce(): void {
+  const fleet = new FakeFleet({ engine: engineOf(6), zones: ['a', 'b'], runnersPerZone: 1 });
+  fleet.addHolds('r1', 'm0', 'm1', 'm2');
+  fleet.addHolds('r2', 'm3');
+  fleet.run(1000);
+  fleet.request('m4');
+  fleet.run(1000);
+  expect(fleet.servedCounts.get('m4')).toBe(1);
+  expect(fleet.waitedMs.get('m4')?.[0]).toBeLessThan(800);
+  expect(fleet.runnersHolding('m4').length).toBe(1);
+  expect(fleet.orders.length).toBeLessThanOrEqual(4);
+  expect(fleet.violations).toEqual([]);
 }
 
-function evictsSurplus(): void {
-  const world = new World({ engine: engineOf(6), zones: ['a', 'b'], runnersPerZone: 1 });
-  world.hold('r1', 'm0', 'm1', 'm2');
-  world.hold('r2', 'm0', 'm3', 'm4');
-  world.run(1000);
-  world.ask('m5');
-  world.run(1500);
-  expect(world.served.get('m5')).toBe(1);
-  expect(world.copies('m0').length).toBe(1);
-  for (const model of ['m1', 'm2', 'm3', 'm4']) expect(world.copies(model).length).toBe(1);
-  expect(world.breaks).toEqual([]);
+function evictsSurplusReplica(): void {
+  const fleet = new FakeFleet({ engine: engineOf(6), zones: ['a', 'b'], runnersPerZone: 1 });
+  fleet.addHolds('r1', 'm0', 'm1', 'm2');
+  fleet.addHolds('r2', 'm0', 'm3', 'm4');
+  fleet.run(1000);
+  fleet.request('m5');
+  fleet.run(1500);
+  expect(fleet.servedCounts.get('m5')).toBe(1);
+  expect(fleet.runnersHolding('m0').length).toBe(1);
+  for (const model of ['m1', 'm2', 'm3', 'm4']) expect(fleet.runnersHolding(model).length).toBe(1);
+  expect(fleet.violations).toEqual([]);
 }
 
-function ordersByRank(): void {
+function loadsByPriorityAndWait(): void {
   // The store allows one load at a time.
-  const world = new World({
+  const fleet = new FakeFleet({
     engine: engineOf(9, { loadsPerSecond: 1.6 }),
     zones: ['a', 'b'],
     runnersPerZone: 3,
   });
-  world.run(1000);
-  world.ask('m1', '', 2);
-  world.run(30);
-  world.ask('m2', '', 2);
-  world.run(60);
-  world.ask('m3', '', 1);
-  world.ask('m4', '', 0);
-  world.run(4000);
+  fleet.run(1000);
+  fleet.request('m1', '', 2);
+  fleet.run(30);
+  fleet.request('m2', '', 2);
+  fleet.run(60);
+  fleet.request('m3', '', 1);
+  fleet.request('m4', '', 0);
+  fleet.run(4000);
   const loaded = new Set<string>();
-  for (const { intent, outcome } of world.orders) if (outcome === 'taken') loaded.add(intent.model);
+  for (const { intent, outcome } of fleet.orders) if (outcome === 'taken') loaded.add(intent.model);
   expect([...loaded]).toEqual(['m1', 'm4', 'm3', 'm2']);
 }
 
-function growsPairs(): void {
-  const world = new World({ engine: engineOf(20), zones: ['a', 'b', 'c'], runnersPerZone: 3 });
+function addsReplicasAcrossZones(): void {
+  const fleet = new FakeFleet({ engine: engineOf(20), zones: ['a', 'b', 'c'], runnersPerZone: 3 });
   let number = 1;
-  for (const runner of world.runners.keys()) {
-    world.hold(runner, `m${number}`, `m${number + 9}`);
+  for (const runner of fleet.runners.keys()) {
+    fleet.addHolds(runner, `m${number}`, `m${number + 9}`);
     number += 1;
   }
-  world.hold('r1', 'm0');
-  world.run(1000);
+  fleet.addHolds('r1', 'm0');
+  fleet.run(1000);
   const traffic = new Traffic({ m0: 73, m1: 27 }, 90);
-  world.run(5000, (world) => traffic.each(world));
-  expect(world.copies('m0').length).toBeGreaterThanOrEqual(5);
-  expect(world.copies('m1').length).toBeGreaterThanOrEqual(2);
-  expect(world.breaks).toEqual([]);
-  const doc = world.stored.get('llm/m0');
-  expect(world.runners.get(doc?.primary ?? '')?.zone).not.toBe(
-    world.runners.get(doc?.understudy ?? '')?.zone,
+  fleet.run(5000, (fleet) => traffic.sendDue(fleet));
+  expect(fleet.runnersHolding('m0').length).toBeGreaterThanOrEqual(5);
+  expect(fleet.runnersHolding('m1').length).toBeGreaterThanOrEqual(2);
+  expect(fleet.violations).toEqual([]);
+  const doc = fleet.stored.get('llm/m0');
+  expect(fleet.runners.get(doc?.primary ?? '')?.zone).not.toBe(
+    fleet.runners.get(doc?.understudy ?? '')?.zone,
   );
-  expect(doc?.seats?.length).toBe(world.copies('m0').length - 2);
-  const before = world.orders.length;
-  world.run(10_000, (world) => traffic.each(world));
-  expect(world.orders.length - before).toBeLessThan(10);
+  expect(doc?.seats?.length).toBe(fleet.runnersHolding('m0').length - 2);
+  const before = fleet.orders.length;
+  fleet.run(10_000, (fleet) => traffic.sendDue(fleet));
+  expect(fleet.orders.length - before).toBeLessThan(10);
 }
 
-function followsShift(): void {
-  const world = smallSite(3);
+function followsDemandShift(): void {
+  const fleet = smallFleet(3);
   const first = new Traffic({ m0: 73, m1: 27 }, 90);
   const second = new Traffic({ m2: 73, m3: 27 }, 90);
-  world.run(5000, (world) => first.each(world));
-  world.run(2500, (world) => second.each(world));
-  expect(world.copies('m2').length).toBeGreaterThanOrEqual(4);
-  expect(world.copies('m3').length).toBeGreaterThanOrEqual(2);
-  expect(world.missed.size).toBe(0);
-  expect(world.breaks).toEqual([]);
+  fleet.run(5000, (fleet) => first.sendDue(fleet));
+  fleet.run(2500, (fleet) => second.sendDue(fleet));
+  expect(fleet.runnersHolding('m2').length).toBeGreaterThanOrEqual(4);
+  expect(fleet.runnersHolding('m3').length).toBeGreaterThanOrEqual(2);
+  expect(fleet.missedCounts.size).toBe(0);
+  expect(fleet.violations).toEqual([]);
 }
 
-/** More rare models are asked for than fit, so that every runner is always loading one of them. */
-function growsAmongRare(): void {
-  let copies = 0;
+/** More rare models are requested than fit, so that every runner is always loading one of them. */
+function addsReplicasDespiteRareLoads(): void {
+  let totalReplicas = 0;
   const seeds = [1, 2, 3, 4, 5, 6];
   for (const seed of seeds) {
-    const world = smallSite(seed);
+    const fleet = smallFleet(seed);
     const rare = new Traffic(rareWeights(5, 39), 25, 1);
     const first = new Traffic({ m0: 73, m1: 27 }, 90);
     const second = new Traffic({ m2: 73, m3: 27 }, 90);
-    world.run(5000, (world) => both(first, rare, world));
-    world.run(2500, (world) => both(second, rare, world));
-    copies += world.copies('m2').length;
-    expect(world.copies('m3').length).toBeGreaterThanOrEqual(1);
-    expect(world.breaks).toEqual([]);
+    fleet.run(5000, (fleet) => sendBoth(first, rare, fleet));
+    fleet.run(2500, (fleet) => sendBoth(second, rare, fleet));
+    totalReplicas += fleet.runnersHolding('m2').length;
+    expect(fleet.runnersHolding('m3').length).toBeGreaterThanOrEqual(1);
+    expect(fleet.violations).toEqual([]);
   }
-  expect(copies / seeds.length).toBeGreaterThanOrEqual(2.5);
+  expect(totalReplicas / seeds.length).toBeGreaterThanOrEqual(2.5);
 }
 
-function steadyIsCalm(): void {
+function needsFewOrdersUnderSteadyDemand(): void {
   for (const seed of [1, 2, 3, 4]) {
-    const world = smallSite(seed);
+    const fleet = smallFleet(seed);
     const busy = new Traffic({ m0: 73, m1: 27 }, 90);
     const rare = new Traffic(rareWeights(5, 17), 8, 1);
-    const each = (world: World) => both(busy, rare, world);
-    world.run(6000, each);
-    const before = world.orders.length;
-    world.run(20_000, each);
-    expect(world.orders.length - before).toBeLessThan(25);
-    expect(world.breaks).toEqual([]);
+    const each = (fleet: FakeFleet) => sendBoth(busy, rare, fleet);
+    fleet.run(6000, each);
+    const before = fleet.orders.length;
+    fleet.run(20_000, each);
+    expect(fleet.orders.length - before).toBeLessThan(25);
+    expect(fleet.violations).toEqual([]);
   }
 }
 
-function rotatesFairly(): void {
+function servesRareModelsInTurn(): void {
   for (const seed of [1, 2, 3]) {
-    const world = new World({ engine: engineOf(12), zones: ['a', 'b'], runnersPerZone: 1, seed });
-    world.hold('r1', 'm0', 'm1', 'm2');
-    world.hold('r2', 'm3', 'm4', 'm5');
-    world.run(1000);
+    const fleet = new FakeFleet({
+      engine: engineOf(12),
+      zones: ['a', 'b'],
+      runnersPerZone: 1,
+      seed,
+    });
+    fleet.addHolds('r1', 'm0', 'm1', 'm2');
+    fleet.addHolds('r2', 'm3', 'm4', 'm5');
+    fleet.run(1000);
     const traffic = new Traffic(rareWeights(0, 12), 24, 1);
-    world.run(30_000, (world) => traffic.each(world));
+    fleet.run(30_000, (fleet) => traffic.sendDue(fleet));
     for (let index = 0; index < 12; index += 1) {
-      const served = world.served.get(`m${index}`) ?? 0;
-      const missed = world.missed.get(`m${index}`) ?? 0;
+      const served = fleet.servedCounts.get(`m${index}`) ?? 0;
+      const missed = fleet.missedCounts.get(`m${index}`) ?? 0;
       expect(served / (served + missed)).toBeGreaterThan(0.5);
     }
-    expect(world.breaks).toEqual([]);
+    expect(fleet.violations).toEqual([]);
   }
 }
 
-function noPingPong(): void {
-  const world = new World({ engine: engineOf(8), zones: ['a', 'b'], runnersPerZone: 1 });
-  world.hold('r1', 'm0', 'm1', 'm2');
-  world.hold('r2', 'm3', 'm4', 'm5');
-  world.run(1000);
+function rareModelsDoNotEvictEachOther(): void {
+  const fleet = new FakeFleet({ engine: engineOf(8), zones: ['a', 'b'], runnersPerZone: 1 });
+  fleet.addHolds('r1', 'm0', 'm1', 'm2');
+  fleet.addHolds('r2', 'm3', 'm4', 'm5');
+  fleet.run(1000);
   const traffic = new Traffic({ m6: 1, m7: 1 }, 4, 1);
-  world.run(20_000, (world) => traffic.each(world));
-  expect(world.copies('m6').length).toBeGreaterThan(0);
-  expect(world.copies('m7').length).toBeGreaterThan(0);
-  expect(world.orders.length).toBeLessThan(20);
+  fleet.run(20_000, (fleet) => traffic.sendDue(fleet));
+  expect(fleet.runnersHolding('m6').length).toBeGreaterThan(0);
+  expect(fleet.runnersHolding('m7').length).toBeGreaterThan(0);
+  expect(fleet.orders.length).toBeLessThan(20);
 }
 
-function leaving(): void {
-  const world = smallSite(5);
+function replacesModelsOfLeavingRunner(): void {
+  const fleet = smallFleet(5);
   const busy = new Traffic({ m0: 73, m1: 27 }, 90);
   const rare = new Traffic(rareWeights(5, 17), 8, 1);
-  const each = (world: World) => both(busy, rare, world);
-  world.run(8000, each);
-  const held = [...(world.runners.get('r1')?.holds.keys() ?? [])];
-  const runner = world.runners.get('r1');
+  const each = (fleet: FakeFleet) => sendBoth(busy, rare, fleet);
+  fleet.run(8000, each);
+  const held = [...(fleet.runners.get('r1')?.holds.keys() ?? [])];
+  const runner = fleet.runners.get('r1');
   if (runner) runner.isLeaving = true;
-  world.run(LAG + 2500, each);
+  fleet.run(LIST_LAG_MS + 2500, each);
   for (const model of held) {
     let others = 0;
-    for (const copy of world.copies(model)) if (copy.id !== 'r1') others += 1;
+    for (const holder of fleet.runnersHolding(model)) if (holder.id !== 'r1') others += 1;
     if (model === 'm0' || model === 'm1') expect(others).toBeGreaterThan(1);
   }
-  expect(world.stored.get('llm/m0')?.primary).not.toBe('r1');
-  const before = world.orders.filter((order) => isTo('r1', order)).length;
-  world.run(3000, each);
-  expect(world.orders.filter((order) => isTo('r1', order)).length).toBe(before);
-  const told = world.planner.fleet(world.at()).runners.find((runner) => runner.id === 'r1');
-  expect(told?.isLeaving).toBe(true);
-  expect(world.breaks).toEqual([]);
+  expect(fleet.stored.get('llm/m0')?.primary).not.toBe('r1');
+  const before = fleet.orders.filter((order) => isTo('r1', order)).length;
+  fleet.run(3000, each);
+  expect(fleet.orders.filter((order) => isTo('r1', order)).length).toBe(before);
+  const published = fleet.planner.fleet(fleet.at()).runners.find((runner) => runner.id === 'r1');
+  expect(published?.isLeaving).toBe(true);
+  expect(fleet.violations).toEqual([]);
 }
 
-function zoneOf(world: World, order: { intent: Intent }): string {
-  return `${order.intent.verb} ${world.runners.get(order.intent.runner)?.zone ?? ''}`;
+function zoneOf(fleet: FakeFleet, order: { intent: Intent }): string {
+  return `${order.intent.verb} ${fleet.runners.get(order.intent.runner)?.zone ?? ''}`;
 }
 function isTo(id: string, order: { intent: Intent }): boolean {
   return order.intent.runner === id;
 }
 
-function emptiedZone(): void {
-  const world = smallSite(6);
+function replacesModelsOfEvacuatedZone(): void {
+  const fleet = smallFleet(6);
   const busy = new Traffic({ m0: 73, m1: 27 }, 90);
-  world.run(6000, (world) => busy.each(world));
-  world.emptied = ['a'];
-  world.run(3000, (world) => busy.each(world));
+  fleet.run(6000, (fleet) => busy.sendDue(fleet));
+  fleet.evacuatedZones = ['a'];
+  fleet.run(3000, (fleet) => busy.sendDue(fleet));
   for (const model of ['m0', 'm1']) {
     let open = 0;
-    for (const copy of world.copies(model)) if (copy.zone !== 'a') open += 1;
+    for (const holder of fleet.runnersHolding(model)) if (holder.zone !== 'a') open += 1;
     expect(open).toBeGreaterThanOrEqual(2);
-    expect(world.runners.get(world.stored.get(`llm/${model}`)?.primary ?? '')?.zone).not.toBe('a');
+    expect(fleet.runners.get(fleet.stored.get(`llm/${model}`)?.primary ?? '')?.zone).not.toBe('a');
   }
-  const before = world.orders.length;
-  world.emptied = [];
-  world.run(3000, (world) => busy.each(world));
-  expect(world.orders.length - before).toBeLessThan(15);
-  expect(world.breaks).toEqual([]);
+  const before = fleet.orders.length;
+  fleet.evacuatedZones = [];
+  fleet.run(3000, (fleet) => busy.sendDue(fleet));
+  expect(fleet.orders.length - before).toBeLessThan(15);
+  expect(fleet.violations).toEqual([]);
 }
 
 function fillsNewRunner(): void {
-  const world = smallSite(7);
+  const fleet = smallFleet(7);
   const busy = new Traffic({ m0: 73, m1: 27 }, 90);
   const rare = new Traffic(rareWeights(5, 30), 8, 1);
-  const each = (world: World) => both(busy, rare, world);
-  world.run(8000, each);
-  world.runners.delete('r1');
-  const fresh = world.addRunner('a');
-  world.run(6000, each);
+  const each = (fleet: FakeFleet) => sendBoth(busy, rare, fleet);
+  fleet.run(8000, each);
+  fleet.runners.delete('r1');
+  const fresh = fleet.addRunner('a');
+  fleet.run(6000, each);
   expect(fresh.holds.size).toBeGreaterThanOrEqual(2);
-  expect(world.breaks).toEqual([]);
+  expect(fleet.violations).toEqual([]);
 }
 
-function darkRunner(): void {
-  const world = new World({ engine: engineOf(4), zones: ['a', 'b'], runnersPerZone: 2 });
-  world.hold('r1', 'm0', 'm1');
-  world.hold('r2', 'm2');
-  world.run(1000);
-  const runner = world.runners.get('r1');
-  if (runner) runner.isDark = true;
+function suspectsUnreachableRunner(): void {
+  const fleet = new FakeFleet({ engine: engineOf(4), zones: ['a', 'b'], runnersPerZone: 2 });
+  fleet.addHolds('r1', 'm0', 'm1');
+  fleet.addHolds('r2', 'm2');
+  fleet.run(1000);
+  const runner = fleet.runners.get('r1');
+  if (runner) runner.isUnreachable = true;
   const traffic = new Traffic({ m1: 1 }, 5);
-  world.run(3000, (world) => traffic.each(world));
-  expect(world.copies('m1').length).toBe(2);
-  expect(world.served.get('m1')).toBeGreaterThan(3);
+  fleet.run(3000, (fleet) => traffic.sendDue(fleet));
+  expect(fleet.runnersHolding('m1').length).toBe(2);
+  expect(fleet.servedCounts.get('m1')).toBeGreaterThan(3);
 }
 
-function adaptersRotate(): void {
-  const world = new World({ engine: engineOf(6), zones: ['a', 'b'], runnersPerZone: 1 });
-  world.hold('r1', 'm0', 'm1');
-  world.hold('r2', 'm2', 'm3');
-  world.run(1000);
+function evictsLeastRequestedAdapter(): void {
+  const fleet = new FakeFleet({ engine: engineOf(6), zones: ['a', 'b'], runnersPerZone: 1 });
+  fleet.addHolds('r1', 'm0', 'm1');
+  fleet.addHolds('r2', 'm2', 'm3');
+  fleet.run(1000);
   for (let index = 1; index <= 8; index += 1) {
-    world.ask('m0', `a${index}`);
-    world.run(500);
+    fleet.request('m0', `a${index}`);
+    fleet.run(500);
   }
-  expect(world.runners.get('r1')?.holds.get('m0')?.size).toBe(8);
-  world.run(1000);
-  world.ask('m0', 'a1');
-  world.run(500);
-  world.ask('m0', 'a9');
-  world.run(500);
-  const held = world.runners.get('r1')?.holds.get('m0');
+  expect(fleet.runners.get('r1')?.holds.get('m0')?.size).toBe(8);
+  fleet.run(1000);
+  fleet.request('m0', 'a1');
+  fleet.run(500);
+  fleet.request('m0', 'a9');
+  fleet.run(500);
+  const held = fleet.runners.get('r1')?.holds.get('m0');
   expect(held?.has('a9')).toBe(true);
   expect(held?.has('a2')).toBe(false);
   expect(held?.has('a1')).toBe(true);
-  expect(world.copies('m0').length).toBe(1);
-  for (const waited of world.waitedMs.values())
+  expect(fleet.runnersHolding('m0').length).toBe(1);
+  for (const waited of fleet.waitedMs.values())
     for (const ms of waited) expect(ms).toBeLessThan(200);
-  expect(world.breaks).toEqual([]);
-  // One of a model that nobody holds brings the model first.
-  const other = new World({ engine: engineOf(2), zones: ['a'], runnersPerZone: 1 });
+  expect(fleet.violations).toEqual([]);
+  // For an adapter of a model that no runner holds, the model is loaded first.
+  const other = new FakeFleet({ engine: engineOf(2), zones: ['a'], runnersPerZone: 1 });
   other.run(500);
-  other.ask('m0', 'a3');
+  other.request('m0', 'a3');
   other.run(1500);
-  expect(other.served.get('m0/a3')).toBe(1);
+  expect(other.servedCounts.get('m0/a3')).toBe(1);
 }
 
-function busyAdapters(): void {
-  const world = new World({ engine: engineOf(6), zones: ['a', 'b'], runnersPerZone: 2, seed: 2 });
-  world.hold('r1', 'm0');
-  world.run(1000);
+function replicatesBusyAdapter(): void {
+  const fleet = new FakeFleet({
+    engine: engineOf(6),
+    zones: ['a', 'b'],
+    runnersPerZone: 2,
+    seed: 2,
+  });
+  fleet.addHolds('r1', 'm0');
+  fleet.run(1000);
   const traffic = new Traffic({ m0: 4, 'm0/a1': 3, 'm0/a2': 0.1 }, 40);
-  world.run(8000, (world) => traffic.each(world));
-  let first = 0;
-  for (const copy of world.copies('m0')) if (copy.holds.get('m0')?.has('a1')) first += 1;
-  expect(first).toBeGreaterThanOrEqual(2);
-  const before = world.orders.length;
-  world.run(5000, (world) => traffic.each(world));
-  expect(world.orders.length - before).toBeLessThan(8);
-  expect(world.breaks).toEqual([]);
+  fleet.run(8000, (fleet) => traffic.sendDue(fleet));
+  let replicas = 0;
+  for (const holder of fleet.runnersHolding('m0'))
+    if (holder.holds.get('m0')?.has('a1')) replicas += 1;
+  expect(replicas).toBeGreaterThanOrEqual(2);
+  const before = fleet.orders.length;
+  fleet.run(5000, (fleet) => traffic.sendDue(fleet));
+  expect(fleet.orders.length - before).toBeLessThan(8);
+  expect(fleet.violations).toEqual([]);
 }
 
-function keepsCeiling(): void {
+function keepsStoreRateLimit(): void {
   for (const loadsPerSecond of [0.6, 1, 4]) {
     for (const seed of [1, 2, 3]) {
-      // One at a time would be more than the slower stores allow in any span.
-      const world = new World({
+      // Even one load at a time would exceed the rate limit of the slower stores.
+      const fleet = new FakeFleet({
         engine: engineOf(60, { loadsPerSecond }),
         zones: ['a', 'b', 'c'],
         runnersPerZone: 6,
         seed,
       });
-      world.run(1000);
+      fleet.run(1000);
       const traffic = new Traffic(rareWeights(0, 60), 40);
-      world.run(2200, (world) => traffic.each(world));
-      world.changeLeader();
-      world.run(2200, (world) => traffic.each(world));
-      world.changeLeader();
-      world.run(10_000, (world) => traffic.each(world));
-      expect(world.breaks).toEqual([]);
-      expect(world.begun.length).toBeGreaterThan(8 * loadsPerSecond);
+      fleet.run(2200, (fleet) => traffic.sendDue(fleet));
+      fleet.changeLeader();
+      fleet.run(2200, (fleet) => traffic.sendDue(fleet));
+      fleet.changeLeader();
+      fleet.run(10_000, (fleet) => traffic.sendDue(fleet));
+      expect(fleet.violations).toEqual([]);
+      expect(fleet.storeLoadStarts.length).toBeGreaterThan(8 * loadsPerSecond);
     }
   }
 }
 
-function starvesNobody(): void {
-  // Urgent models that do not all fit are asked for all the time, and one that is not urgent.
-  const world = new World({ engine: engineOf(10), zones: ['a'], runnersPerZone: 1, seed: 3 });
-  world.run(500);
+function doesNotStarveLowPriority(): void {
+  // Urgent models that do not all fit are requested all the time, beside one that is not urgent.
+  const fleet = new FakeFleet({ engine: engineOf(10), zones: ['a'], runnersPerZone: 1, seed: 3 });
+  fleet.run(500);
   const urgent = new Traffic(rareWeights(0, 9), 12);
   const other = new Traffic({ m9: 1 }, 1, 2);
-  world.run(30_000, (world) => both(urgent, other, world));
-  expect(world.served.get('m9') ?? 0).toBeGreaterThan(5);
-  expect(world.breaks).toEqual([]);
+  fleet.run(30_000, (fleet) => sendBoth(urgent, other, fleet));
+  expect(fleet.servedCounts.get('m9') ?? 0).toBeGreaterThan(5);
+  expect(fleet.violations).toEqual([]);
 }
 
-function stays(): void {
-  const world = new World({
+function keepsRecentlyLoadedModels(): void {
+  const fleet = new FakeFleet({
     engine: engineOf(4, { capacityMb: 80_000 }),
     zones: ['a'],
     runnersPerZone: 1,
     seed: 3,
   });
-  world.run(500);
+  fleet.run(500);
   const traffic = new Traffic({ m0: 1, m1: 1, m2: 1 }, 10);
-  world.run(20_000, (world) => traffic.each(world));
-  expect(world.begun.length).toBe(3);
-  const loads = new Set<string>();
-  for (const { intent, outcome } of world.orders)
-    if (intent.verb === 'load' && outcome === 'taken') loads.add(intent.id);
-  expect(loads.size).toBeLessThanOrEqual(9);
-  for (const model of ['m0', 'm1', 'm2']) expect(world.served.get(model) ?? 0).toBeGreaterThan(15);
+  fleet.run(20_000, (fleet) => traffic.sendDue(fleet));
+  expect(fleet.storeLoadStarts.length).toBe(3);
+  const acceptedLoads = new Set<string>();
+  for (const { intent, outcome } of fleet.orders)
+    if (intent.verb === 'load' && outcome === 'taken') acceptedLoads.add(intent.id);
+  expect(acceptedLoads.size).toBeLessThanOrEqual(9);
+  for (const model of ['m0', 'm1', 'm2'])
+    expect(fleet.servedCounts.get(model) ?? 0).toBeGreaterThan(15);
 }
 
-function pairsAcrossZones(): void {
-  const world = new World({ engine: engineOf(20), zones: ['a', 'b'], runnersPerZone: 2, seed: 3 });
-  world.hold('r1', 'm0');
-  world.hold('r3', 'm1', 'm2', 'm3');
-  world.hold('r4', 'm4', 'm5', 'm6');
-  world.run(1000);
+function placesUnderstudyInOtherZone(): void {
+  const fleet = new FakeFleet({
+    engine: engineOf(20),
+    zones: ['a', 'b'],
+    runnersPerZone: 2,
+    seed: 3,
+  });
+  fleet.addHolds('r1', 'm0');
+  fleet.addHolds('r3', 'm1', 'm2', 'm3');
+  fleet.addHolds('r4', 'm4', 'm5', 'm6');
+  fleet.run(1000);
   const traffic = new Traffic({ m0: 1 }, 8);
-  world.run(5000, (world) => traffic.each(world));
-  expect(world.orders.map((order) => zoneOf(world, order)).slice(0, 2)).toEqual([
+  fleet.run(5000, (fleet) => traffic.sendDue(fleet));
+  expect(fleet.orders.map((order) => zoneOf(fleet, order)).slice(0, 2)).toEqual([
     'unload b',
     'load b',
   ]);
 }
 
-function nothingUnkept(): void {
-  const planner = new Planner({ lagMs: LAG });
+function ordersOnlyStoredIntents(): void {
+  const planner = new Planner({ lagMs: LIST_LAG_MS });
   planner.restore(moment(0), [], 'l1');
   const routing = routingOf(engineOf(4));
   planner.plan(moment(0), { routing, evacuatedZones: [], proxies: 1 });
@@ -717,12 +764,12 @@
   expect(planner.fleet(moment(100)).runners[0]?.coming).toEqual([
     { model: 'm1', adapter: '', readyMs: 600 },
   ]);
-  expect(planner.fleet(moment(100)).waits.map(modelOfWait)).toEqual(['m3']);
+  expect(planner.fleet(moment(100)).waits.map(modelOf)).toEqual(['m3']);
   planner.kept(intentIdsOf(planner));
   const [order, ...others] = planner.orders(moment(101));
   expect(order?.model).toBe('m1');
   expect(others).toEqual([]);
-  // Given once, until its outcome is told.
+  // Returned once, until its outcome is reported.
   expect(planner.orders(moment(150))).toEqual([]);
   planner.ordered(moment(151), order?.id ?? '', 'taken');
   expect(planner.orders(moment(700))).toEqual([]);
@@ -731,7 +778,7 @@
   planner.ordered(moment(765), question?.id ?? '', 'busy');
   expect(planner.orders(moment(766))).toEqual([]);
   planner.ordered(moment(840), planner.orders(moment(839))[0]?.id ?? '', 'held');
-  expect(planner.fleet(moment(840)).runners[0]?.holds.map(modelOfWait)).toEqual(['m0', 'm2', 'm1']);
+  expect(planner.fleet(moment(840)).runners[0]?.holds.map(modelOf)).toEqual(['m0', 'm2', 'm1']);
   expect(planner.plan(moment(841), { routing, evacuatedZones: [], proxies: 1 })).toContain(
     'llm/m1',
   );
@@ -745,8 +792,8 @@
   });
 }
 
-function lostUnload(): void {
-  const planner = new Planner({ lagMs: LAG });
+function waitsForReportAfterLostUnload(): void {
+  const planner = new Planner({ lagMs: LIST_LAG_MS });
   planner.restore(moment(0), [], 'l1');
   const routing = routingOf(engineOf(4));
   const input = { routing, evacuatedZones: [], proxies: 1 };
@@ -766,16 +813,14 @@
   expect(unload?.verb).toBe('unload');
   planner.ordered(moment(5002), unload?.id ?? '', 'unsure');
   planner.plan(moment(5003), input);
-  // Nothing more is ordered there, and what may be gone is not told, before a report that was surely made later.
+  // Before a report that was certainly made later, nothing is ordered there, and the model is not published as loaded.
   expect(planner.orders(moment(5003))).toEqual([]);
-  expect(planner.fleet(moment(5003)).runners[0]?.holds.map(modelOfWait)).not.toContain(
-    unload?.model,
-  );
+  expect(planner.fleet(moment(5003)).runners[0]?.holds.map(modelOf)).not.toContain(unload?.model);
   expect(planner.asks(moment(5100))).toEqual([]);
   const at = planner.nextAt(moment(5003)) ?? moment(0);
   expect(planner.asks(at)).toEqual(['r1']);
   expect(planner.asks(at)).toEqual([]);
-  // One made too early tells nothing.
+  // A report requested too early is ignored.
   planner.status(moment(at + 10), 'r1', moment(5100), {
     holds: [],
     isBusy: false,
@@ -801,9 +846,9 @@
   expect([load?.verb, load?.model, load?.count]).toEqual(['load', 'm3', 1]);
 }
 
-/** Orders that were given, without the questions whether they are done. */
-function orderedIntents(world: World): number {
-  return new Set(world.orders.map(({ intent }) => intent.id)).size;
+/** The number of orders sent, without repetitions as completion queries. */
+function countOrderedIntents(fleet: FakeFleet): number {
+  return new Set(fleet.orders.map(({ intent }) => intent.id)).size;
 }
 
 function isNotFirst(model: { name: string }): boolean {
@@ -813,7 +858,7 @@
 function waitingUnit(model: string, waiting: number): FleetDemand['units'][number] {
   return { service: 'llm', model, adapter: '', count: waiting, waiting, running: 0, priority: 1 };
 }
-function modelOfWait(wait: { model: string }): string {
+function modelOf(wait: { model: string }): string {
   return wait.model;
 }
 function intentIdsOf(planner: Planner): string[] {
@@ -822,17 +867,17 @@
   return ids;
 }
 
-function trouble(world: World): void {
-  const all = [...world.runners.values()];
-  const one = all[world.dice.below(all.length)];
-  const kind = world.dice.below(6);
-  if (kind <= 1) world.changeLeader();
-  else if (kind === 2 && one) {
-    world.runners.delete(one.id);
-    world.addRunner(one.zone);
-  } else if (kind === 3 && one) {
-    one.isLeaving = true;
-    world.addRunner(one.zone);
-  } else if (kind === 4 && one) one.isDark = !one.isDark;
-  else world.emptied = world.emptied.length > 0 ? [] : ['b'];
+function injectFault(fleet: FakeFleet): void {
+  const runners = [...fleet.runners.values()];
+  const runner = runners[fleet.random.below(runners.length)];
+  const fault = fleet.random.below(6);
+  if (fault <= 1) fleet.changeLeader();
+  else if (fault === 2 && runner) {
+    fleet.runners.delete(runner.id);
+    fleet.addRunner(runner.zone);
+  } else if (fault === 3 && runner) {
+    runner.isLeaving = true;
+    fleet.addRunner(runner.zone);
+  } else if (fault === 4 && runner) runner.isUnreachable = !runner.isUnreachable;
+  else fleet.evacuatedZones = fleet.evacuatedZones.length > 0 ? [] : ['b'];
 }
--- a/src/placement/planner.ts
+++ b/src/placement/planner.ts
@@ -25,11 +25,12 @@
 
 /**
  * Decides for the elected leader which runner of a service of many models holds which model and adapter.
- * What a runner holds changes by our orders alone, so their outcomes are the truth; the platform's list and the
- * runner's own report are believed only where they were surely made after the last order had ended.
- * Every order is an intent in a document first, and is given once it is kept.
  *
- * A facade: it passes what it is told on to the part that keeps it, and plans by asking the parts in turn.
+ * A runner's models change only by this leader's orders, so their outcomes are authoritative; the platform's list and a
+ * runner's own report are used only if they were certainly made after the last order had ended. Every order is written
+ * as an intent into a document first, and sent once that is stored by a majority.
+ *
+ * A facade: it passes events on to the part in charge of them, and plans by calling the parts in turn.
  */
 export class Planner {
   readonly #state: PlacementState;
@@ -37,11 +38,11 @@
   readonly #inventory: RunnerInventory;
   readonly #configuration: PlannerConfiguration;
   readonly #orders: OrderQueue;
-  readonly #wants: ReplicaDemand;
-  readonly #copies: ReplicaChoice;
-  readonly #adapters: AdapterChoice;
-  readonly #seats: PlacementRecorder;
-  readonly #report: FleetReport;
+  readonly #replicaDemand: ReplicaDemand;
+  readonly #replicaChoice: ReplicaChoice;
+  readonly #adapterChoice: AdapterChoice;
+  readonly #recorder: PlacementRecorder;
+  readonly #fleetReport: FleetReport;
 
   constructor(settings: Partial<PlannerSettings> = {}) {
     const state = new PlacementState({ ...PLANNER_DEFAULTS, ...settings });
@@ -52,106 +53,116 @@
     this.#inventory = new RunnerInventory(state);
     this.#configuration = new PlannerConfiguration(state, this.#demand, this.#inventory, store);
     this.#orders = new OrderQueue(state, store);
-    this.#wants = new ReplicaDemand(state, eviction);
-    this.#report = new FleetReport(state);
-    this.#copies = new ReplicaChoice(state, eviction, this.#report, this.#orders, store);
-    this.#adapters = new AdapterChoice(state, eviction, this.#report, this.#orders);
-    this.#seats = new PlacementRecorder(state);
+    this.#replicaDemand = new ReplicaDemand(state, eviction);
+    this.#fleetReport = new FleetReport(state);
+    this.#replicaChoice = new ReplicaChoice(
+      state,
+      eviction,
+      this.#fleetReport,
+      this.#orders,
+      store,
+    );
+    this.#adapterChoice = new AdapterChoice(state, eviction, this.#fleetReport, this.#orders);
+    this.#recorder = new PlacementRecorder(state);
   }
 
   /**
-   * A new leader begins from the documents: what an earlier one intended may be under way.
-   * `label` begins the ids of its own intents, and is no other leader's.
+   * Starts a term as leader from the stored documents; an earlier leader's intents in them may be executing. `label` is
+   * the prefix of this term's intent ids, unique to this leader.
    */
   restore(now: Moment, docs: readonly ServiceDoc[], label: string): void {
     this.#state.restore(now, docs);
     this.#demand.clear();
-    this.#orders.begin(label);
+    this.#orders.startTerm(label);
   }
 
-  /** All documents, as they are to be stored. */
+  /** All documents in their present state. */
   docs(): readonly ServiceDoc[] {
     return [...this.#state.docs.values()];
   }
 
-  /** What one proxy saw since its last word; what waits and runs there is told whole each time. */
+  /** Applies a proxy's report: arrivals since its previous report, and its current waiting and running requests. */
   demand(now: Moment, report: FleetDemand): void {
-    this.#demand.demand(now, report);
+    this.#demand.onDemand(now, report);
   }
 
-  /** The platform's list: who is there is believed at once, what they hold only where no order could have changed it since. */
+  /**
+   * Applies the platform's list: the runners on it at once, their models only if no order can have changed them since
+   * the list was made.
+   */
   list(now: Moment, runners: readonly ListedRunner[]): void {
-    this.#inventory.list(now, runners);
+    this.#inventory.onRunnerList(now, runners);
   }
 
-  /** A runner's own report, asked for at `askedAt`; nothing where it could not be had. */
-  status(now: Moment, id: string, askedAt: Moment, status: RunnerStatus | undefined): void {
-    this.#inventory.status(now, id, askedAt, status);
+  /** Applies a runner's own report, requested at `requestedAt`; `status` is undefined if the request failed. */
+  status(now: Moment, id: string, requestedAt: Moment, status: RunnerStatus | undefined): void {
+    this.#inventory.onRunnerStatus(now, id, requestedAt, status);
   }
 
-  /** The runners whose own report is wanted now; each is named once until its report is told. */
+  /** The runners whose report must be requested now; each is returned again only after `onRunnerStatus`. */
   asks(now: Moment): readonly string[] {
-    return this.#inventory.asks(now);
+    return this.#inventory.takeDueReportRequests(now);
   }
 
-  /** These intents are stored by a majority, and may be ordered. */
+  /** These intents are stored by a majority: their orders may be sent. */
   kept(intentIds: Iterable<string>): void {
-    this.#orders.kept(intentIds);
+    this.#orders.markPersisted(intentIds);
   }
 
-  /** Kept intents that are due; each is given once until its outcome is told. */
+  /** Stored intents that are due, marked as sent; each is returned again only after its outcome was reported. */
   orders(now: Moment): readonly Intent[] {
-    return this.#orders.orders(now);
+    return this.#orders.takeDueOrders(now);
   }
 
-  /** What became of an order that was given. */
+  /** The outcome of a sent order. */
   ordered(now: Moment, intentId: string, outcome: OrderOutcome): void {
-    this.#orders.ordered(now, intentId, outcome);
+    this.#orders.onOrderOutcome(now, intentId, outcome);
   }
 
-  /** Plans once and returns the models whose documents changed. */
+  /** Runs one plan and returns the keys of the documents that changed. */
   plan(now: Moment, input: PlannerInput): readonly string[] {
     const state = this.#state;
-    this.#configuration.take(now, input);
+    this.#configuration.apply(now, input);
     this.#demand.expire(now);
     state.planNumber += 1;
     state.blockedUntil = Infinity;
-    this.#report.beginPlan();
-    if (state.isRecordingAll) this.#seats.recordAll();
-    for (const runner of state.busy) if (!state.isOpen(runner)) this.#orders.dropUnsent(runner);
+    this.#fleetReport.beginPlan();
+    if (state.isRecordingAll) this.#recorder.recordAll();
+    for (const runner of state.runnersWithOrders)
+      if (!state.isInService(runner)) this.#orders.dropUnsentOrders(runner);
     for (const service of state.services.values()) this.#planService(now, service);
-    for (const model of state.touched) this.#seats.record(model);
-    state.touched.clear();
-    this.#report.reportWaits();
-    const changed = [...state.changed];
-    state.changed.clear();
+    for (const model of state.modelsToRecord) this.#recorder.record(model);
+    state.modelsToRecord.clear();
+    this.#fleetReport.updateWaits();
+    const changed = [...state.changedDocKeys];
+    state.changedDocKeys.clear();
     return changed;
   }
 
   #planService(now: Moment, service: ServiceState): void {
-    this.#demand.dropServed(service);
-    this.#copies.placeAll(now, service, this.#wants.wantsOf(now, service));
-    this.#adapters.placeAdapters(now, service);
+    this.#demand.dropServedModels(service);
+    this.#replicaChoice.placeAll(now, service, this.#replicaDemand.desiredReplicas(now, service));
+    this.#adapterChoice.placeAdapters(now, service);
   }
 
-  /** What the data plane is told; the same until something happens, so that time alone makes no news. */
+  /** The current fleet for the data plane; the same object until an event changes it. */
   fleet(now: Moment): Fleet {
-    return this.#report.fleet(now);
+    return this.#fleetReport.fleet(now);
   }
 
-  /** When it is worth planning or ordering again without any news. */
+  /** When to plan or send orders again if no event occurs before; undefined if that is not needed. */
   nextAt(now: Moment): Moment | undefined {
     const state = this.#state;
-    if (state.changed.size > 0 || state.touched.size > 0) return now;
+    if (state.changedDocKeys.size > 0 || state.modelsToRecord.size > 0) return now;
     let next = state.blockedUntil;
-    for (const runner of state.busy) {
-      const head = runner.queue[0];
-      if (!head || runner.given) continue;
-      if (head.isPersisted) next = Math.min(next, head.due);
+    for (const runner of state.runnersWithOrders) {
+      const first = runner.queue[0];
+      if (!first || runner.sentOrder) continue;
+      if (first.isPersisted) next = Math.min(next, first.dueAt);
     }
-    for (const runner of state.suspected) {
-      if (!runner.isAsked && runner.queue.length === 0 && state.isOpen(runner))
-        next = Math.min(next, runner.askAt);
+    for (const runner of state.runnersNeedingReport) {
+      if (!runner.isReportRequested && runner.queue.length === 0 && state.isInService(runner))
+        next = Math.min(next, runner.reportDueAt);
     }
     if (next === Infinity) return undefined;
     return next <= now ? later(now, 1) : moment(next);
--- a/src/placement/replica-choice.ts
+++ b/src/placement/replica-choice.ts
@@ -6,36 +6,36 @@
 import type { Moment } from '../common/ids.js';
 import {
   type RunnerState,
-  type ReplicaWant,
+  type DesiredReplica,
   type EvictionPlan,
   type ModelState,
   type ServiceState,
-  isPressing,
+  isUrgentGrowth,
 } from './planner-records.js';
 
-/** A load from disk is not counted by the store, however soon it is done. */
+/** The minimum gain of a load from disk: however long it takes, it does not count against the store's rate limit. */
 const MIN_DISK_GAIN = 0.3;
-/** What each second less is worth, in requests (the unit of losses): about what a rare model is asked for in it. */
+/** The gain of each saved second, in requests (the unit of losses): about the rate of a rare model. */
 const DISK_GAIN_PER_SECOND = 0.6;
 
-/** The share of the open runners that is left to loads that many wait for. */
+/** The share of the runners in service that is reserved for loads that many requests wait for. */
 const RESERVED_RUNNER_SHARE = 0.25;
-/** So many waiting requests are a crowd: a model that is rare hardly has them within the time of one load. */
-const MIN_CROWD = 3;
+/** From this number of waiting requests a load is urgent: a rare model hardly gets as many within one load time. */
+const MIN_QUEUED = 3;
 
 interface RunnerChoice {
   readonly runner: RunnerState;
-  readonly way: EvictionPlan;
-  readonly isDisk: boolean;
+  readonly eviction: EvictionPlan;
+  readonly isDiskLoad: boolean;
 }
 
-/** Chooses the runner that takes a wanted copy of a model, and what makes way for it there. */
+/** Chooses the runner for a desired replica of a model, and what is evicted for it there. */
 export class ReplicaChoice {
   readonly #state: PlacementState;
   readonly #eviction: Eviction;
-  readonly #report: FleetReport;
+  readonly #fleetReport: FleetReport;
   readonly #orders: OrderQueue;
-  readonly #store: StoreRateLimit;
+  readonly #storeRateLimit: StoreRateLimit;
 
   constructor(
     state: PlacementState,
@@ -46,74 +46,81 @@
   ) {
     this.#state = state;
     this.#eviction = eviction;
-    this.#report = report;
+    this.#fleetReport = report;
     this.#orders = orders;
-    this.#store = store;
+    this.#storeRateLimit = store;
   }
 
-  /** Places what is wanted, in its order, and remembers what presses and found no place. */
-  placeAll(now: Moment, service: ServiceState, wants: readonly ReplicaWant[]): void {
-    // A copy that much of the work waits for finds no place while every runner is always loading something rare: what
-    // comes after it then takes only runners that are of no use to it.
-    const held: ModelState[] = [];
+  /** Places the desired replicas in their order, and records the urgent ones that found no runner. */
+  placeAll(now: Moment, service: ServiceState, desiredReplicas: readonly DesiredReplica[]): void {
+    // An urgent replica finds no runner while every runner is always loading some rare model: later replicas then use
+    // only the runners that cannot take the urgent one.
+    const reservedFor: ModelState[] = [];
     const { pressMs } = this.#state.settings;
-    for (const want of wants) {
-      const isPlaced = this.#place(now, service, want, held);
-      if (!isPressing(want)) continue;
+    for (const desired of desiredReplicas) {
+      const isPlaced = this.#place(now, service, desired, reservedFor);
+      if (!isUrgentGrowth(desired)) continue;
       if (isPlaced) {
-        service.pressing = service.pressing.filter((other) => other !== want);
-        want.model.pressedAt = -Infinity;
+        service.urgentGrowth = service.urgentGrowth.filter((other) => other !== desired);
+        desired.model.urgentGrowthSince = -Infinity;
         continue;
       }
-      // What finds no place for long is not worth what would have to go for it.
-      if (now - want.model.pressedAt > pressMs * 3) want.model.pressedAt = now;
-      if (now - want.model.pressedAt <= pressMs) held.push(want.model);
+      // A replica that finds no runner for this long is not worth what would have to be evicted for it.
+      if (now - desired.model.urgentGrowthSince > pressMs * 3)
+        desired.model.urgentGrowthSince = now;
+      if (now - desired.model.urgentGrowthSince <= pressMs) reservedFor.push(desired.model);
     }
   }
 
-  /** Whether what is wanted is on its way now; runners that could take one of `held` are left to it. */
+  /** Orders the load of a replica if possible; runners that could take one of `reservedFor` are left to it. */
   #place(
     now: Moment,
     service: ServiceState,
-    want: ReplicaWant,
-    held: readonly ModelState[],
+    desired: DesiredReplica,
+    reservedFor: readonly ModelState[],
   ): boolean {
-    const choice = this.#choose(now, service, want, held);
+    const choice = this.#choose(now, service, desired, reservedFor);
     if (!choice) {
-      if (want.kind === 'waiting') this.#report.wait(now, service, want.model, '');
+      if (desired.kind === 'waiting') this.#fleetReport.addWait(now, service, desired.model, '');
       return false;
     }
-    for (const victim of choice.way.victims)
-      this.#orders.intend(now, choice.runner, 'unload', victim.loaded.model, victim.adapter);
-    this.#orders.intend(now, choice.runner, 'load', want.model, '');
+    for (const victim of choice.eviction.victims)
+      this.#orders.createIntent(now, choice.runner, 'unload', victim.loaded.model, victim.adapter);
+    this.#orders.createIntent(now, choice.runner, 'load', desired.model, '');
     return true;
   }
 
   #choose(
     now: Moment,
     service: ServiceState,
-    want: ReplicaWant,
-    held: readonly ModelState[],
+    desired: DesiredReplica,
+    reservedFor: readonly ModelState[],
   ): RunnerChoice | undefined {
-    const { model } = want;
+    const { model } = desired;
     const isStoreFree =
-      this.#store.storeFree(now, service, model, want.kind, isPressing(want)) &&
-      (isUrgent(want) || this.#hasRunnersInReserve(service));
-    const { zones } = this.#state.copies(now, model);
-    const most = this.#mostLossFor(want);
+      this.#storeRateLimit.mayLoad(now, service, model, desired.kind, isUrgentGrowth(desired)) &&
+      (isUrgent(desired) || this.#hasRunnersInReserve(service));
+    const { zones } = this.#state.replicaCounts(now, model);
+    const maxLoss = this.#maxLossFor(desired);
     let best: RunnerChoice | undefined;
     let bestScore = Infinity;
     for (const runner of service.runners) {
-      if (!this.#mayTake(now, runner, model)) continue;
-      if (held.some((model) => !runner.holds.has(model.name))) continue;
-      const isDisk = runner.disk.has(model.name);
-      if (!isDisk && !isStoreFree) continue;
-      const free = service.engine.capacityMb - this.#state.used(runner);
-      const need = model.sizeMb - free;
-      const way = this.#eviction.makeRoom(now, runner, need, most, isPressing(want));
-      if (!way || (want.kind === 'spare' && way.victims.length > 0)) continue;
-      const choice = { runner, way, isDisk };
-      const score = this.#score(now, service, want, zones, choice);
+      if (!this.#canTake(now, runner, model)) continue;
+      if (reservedFor.some((model) => !runner.holds.has(model.name))) continue;
+      const isDiskLoad = runner.modelsOnDisk.has(model.name);
+      if (!isDiskLoad && !isStoreFree) continue;
+      const freeMb = service.engine.capacityMb - this.#state.usedMb(runner);
+      const neededMb = model.sizeMb - freeMb;
+      const eviction = this.#eviction.planEviction(
+        now,
+        runner,
+        neededMb,
+        maxLoss,
+        isUrgentGrowth(desired),
+      );
+      if (!eviction || (desired.kind === 'spare' && eviction.victims.length > 0)) continue;
+      const choice = { runner, eviction, isDiskLoad };
+      const score = this.#score(now, service, desired, zones, choice);
       if (score >= bestScore) continue;
       best = choice;
       bestScore = score;
@@ -122,60 +129,66 @@
   }
 
   /**
-   * Whether a load that few wait for leaves some runners free. A runner does one order at a time, and a load from the
-   * store may take seconds: while every runner is busy with one, a model that a crowd starts to ask for finds none.
+   * Whether a load that few requests wait for leaves some runners idle. A runner executes one order at a time, and a
+   * load from the store may take seconds: while every runner is busy with one, a model with sudden high demand finds
+   * none.
    */
   #hasRunnersInReserve(service: ServiceState): boolean {
-    let open = 0;
+    let inService = 0;
     let idle = 0;
     for (const runner of service.runners) {
-      if (!this.#state.isOpen(runner)) continue;
-      open += 1;
+      if (!this.#state.isInService(runner)) continue;
+      inService += 1;
       if (runner.queue.length === 0) idle += 1;
     }
-    return idle > Math.floor(open * RESERVED_RUNNER_SHARE);
+    return idle > Math.floor(inService * RESERVED_RUNNER_SHARE);
   }
 
-  #mayTake(now: Moment, runner: RunnerState, model: ModelState): boolean {
+  #canTake(now: Moment, runner: RunnerState, model: ModelState): boolean {
     const isFree = runner.queue.length === 0 && !runner.holds.has(model.name);
     return isFree && this.#state.isUsable(now, runner);
   }
 
-  /** What may be lost at most for a copy: all that it is worth where somebody waits for it, else less. */
-  #mostLossFor(want: ReplicaWant): number {
+  /** The highest loss to accept for a replica: its full gain if it is needed now, else a fraction of it. */
+  #maxLossFor(desired: DesiredReplica): number {
     const isNeeded =
-      want.kind === 'waiting' || isPressing(want) || (want.kind === 'lost' && want.model.isBusy);
-    return isNeeded ? want.gain : want.gain / this.#state.settings.worthRatio;
+      desired.kind === 'waiting' ||
+      isUrgentGrowth(desired) ||
+      (desired.kind === 'lost' && desired.model.isBusy);
+    return isNeeded ? desired.gain : desired.gain / this.#state.settings.worthRatio;
   }
 
-  /** The less, the better. */
+  /** The cost of a choice; the lowest wins. */
   #score(
     now: Moment,
     service: ServiceState,
-    want: ReplicaWant,
+    desired: DesiredReplica,
     zones: ReadonlyMap<string, number>,
-    { runner, way, isDisk }: RunnerChoice,
+    { runner, eviction, isDiskLoad }: RunnerChoice,
   ): number {
-    const isWaiting = want.kind === 'waiting';
-    // A further copy takes its share of a busy model's work: it goes where there is least.
-    const crowd = this.#state.load(runner) / Math.max(0.01, service.meanLoad);
+    const isWaiting = desired.kind === 'waiting';
+    // A further replica takes its share of a busy model's load: it goes to the runners with the lowest load.
+    const relativeLoad = this.#state.slotUtilization(runner) / Math.max(0.01, service.meanLoad);
     return (
-      way.loss +
-      Math.min(3, crowd) * (isWaiting ? 0.1 : 1) +
+      eviction.loss +
+      Math.min(3, relativeLoad) * (isWaiting ? 0.1 : 1) +
       (zones.get(runner.listed.zone) ?? 0) * (isWaiting ? 0 : 2) +
       (runner.coldUntil > now ? 1 : 0) -
-      (isDisk ? diskGain(service, want.model) : 0) +
-      way.victims.length * 0.05
+      (isDiskLoad ? diskGain(service, desired.model) : 0) +
+      eviction.victims.length * 0.05
     );
   }
 }
 
-/** Whether a copy is wanted by more than one or two, so that it may take a runner of the reserve. */
-function isUrgent(want: ReplicaWant): boolean {
-  return isPressing(want) || want.model.isBusy || want.model.waiting >= MIN_CROWD;
+/** Whether a replica serves more than one or two requests, so that it may use a reserved runner. */
+function isUrgent(desired: DesiredReplica): boolean {
+  return isUrgentGrowth(desired) || desired.model.isBusy || desired.model.waiting >= MIN_QUEUED;
 }
 
-/** What a load from a runner's own disk is worth against one from the store: sooner served, and its runner sooner free. */
+/**
+ * The gain of a load from a runner's own disk over one from the store: requests are served and the runner is free
+ * sooner.
+ */
 function diskGain(service: ServiceState, model: ModelState): number {
   const savedMs = model.loadMs * (service.storeFactor - service.diskFactor);
   return Math.max(MIN_DISK_GAIN, (savedMs / 1000) * DISK_GAIN_PER_SECOND);
--- a/src/placement/runner-inventory.ts
+++ b/src/placement/runner-inventory.ts
@@ -4,45 +4,48 @@
 import { type RunnerState, ModelState, type ServiceState } from './planner-records.js';
 
 /**
- * Which runners there are and what they hold, by the platform's list and their own reports. Either is
- * believed only where it was surely made after the last order to that runner had ended.
+ * Tracks the runners and the models they hold, from the platform's list and the runners' own reports. The models in
+ * either are used only if they were certainly collected after the last order to that runner had ended.
  */
 export class RunnerInventory {
   readonly #state: PlacementState;
-  /** How many runners in a row told otherwise. */
-  #otherCounting = 0;
+  /** Consecutive runners whose order count contradicts `countsNoopOrders`. */
+  #contradictingReports = 0;
 
   constructor(state: PlacementState) {
     this.#state = state;
   }
 
-  /** The platform's list: who is there is believed at once, what they hold only where no order could have changed it since. */
-  list(now: Moment, runners: readonly ListedRunner[]): void {
-    const madeAt = now - this.#state.settings.lagMs - this.#state.settings.lagSlackMs;
+  /**
+   * Applies the platform's list: the runners on it at once, their models only if no order can have changed them since
+   * the list was made.
+   */
+  onRunnerList(now: Moment, runners: readonly ListedRunner[]): void {
+    const safelyMadeAt = now - this.#state.settings.lagMs - this.#state.settings.lagSlackMs;
     const seen = new Set<string>();
     for (const listed of runners) {
       seen.add(listed.id);
       let runner = this.#state.runners.get(listed.id);
       if (!runner) {
-        runner = this.newRunner(now, listed);
+        runner = this.addRunner(now, listed);
         this.#state.isFleetStale = true;
       } else {
-        const old = runner.listed;
+        const previous = runner.listed;
         runner.listed = listed;
         if (
-          old.address !== listed.address ||
-          old.zone !== listed.zone ||
-          old.slots !== listed.slots
+          previous.address !== listed.address ||
+          previous.zone !== listed.zone ||
+          previous.slots !== listed.slots
         )
           this.#state.isFleetStale = true;
-        // The list tells no count, so what is in doubt stays so for orders until the runner itself reports.
-        if (runner.queue.length === 0 && runner.idleSince < madeAt)
-          this.#adopt(now, runner, listed.holds);
+        // The list has no order count, so an uncertain runner gets no orders until its own report has arrived.
+        if (runner.queue.length === 0 && runner.idleSince < safelyMadeAt)
+          this.#applyHolds(now, runner, listed.holds);
       }
       if (runner.isLeaving !== listed.isLeaving) {
         runner.isLeaving = listed.isLeaving;
-        this.#state.noteLost(now, runner);
-        this.#state.touchAll(runner);
+        this.#state.noteLostReplicas(now, runner);
+        this.#state.onRunnerAvailabilityChanged(runner);
       }
       const coldUntil = listed.coldMs > 0 ? now + listed.coldMs : 0;
       if (Math.abs(coldUntil - runner.coldUntil) > 300) {
@@ -51,186 +54,200 @@
       }
     }
     for (const runner of this.#state.runners.values())
-      if (!seen.has(runner.id)) this.#gone(now, runner);
-    // A runner of an earlier leader's intents that is off the list is gone with all it held.
-    for (const id of [...this.#state.restored.keys()])
-      if (!seen.has(id)) this.#state.dropRestored(id);
-    this.#state.hasListed = true;
+      if (!seen.has(runner.id)) this.#removeRunner(now, runner);
+    // A runner in an earlier leader's intents that is not on the list is gone with everything it held.
+    for (const id of [...this.#state.restoredIntents.keys()])
+      if (!seen.has(id)) this.#state.dropRestoredIntents(id);
+    this.#state.hasRunnerList = true;
   }
 
-  /** Begins to keep a runner that the list names, with what is known of it. */
-  newRunner(now: Moment, listed: ListedRunner): RunnerState {
+  /** Adds a runner from the list. */
+  addRunner(now: Moment, listed: ListedRunner): RunnerState {
     const engine = this.#state.services.get(listed.service);
     const runner: RunnerState = {
       id: listed.id,
       service: listed.service,
-      engine,
+      serviceState: engine,
       listed,
       isLeaving: listed.isLeaving,
       coldUntil: 0,
       holds: new Map(),
-      disk: new Set(),
+      modelsOnDisk: new Set(),
       queue: [],
-      given: undefined,
-      isKnown: false,
-      askAt: now,
-      isAsked: false,
+      sentOrder: undefined,
+      areHoldsKnown: false,
+      reportDueAt: now,
+      isReportRequested: false,
       idleSince: this.#state.restoredAt,
       unloadedAt: -Infinity,
-      isUnloadingRuns: false,
-      count: undefined,
-      loadedModels: 0,
-      counted: undefined,
+      isUnloadDraining: false,
+      orderCount: undefined,
+      noopOrderCount: 0,
+      lastOrderCount: undefined,
       hasUnansweredOrder: false,
       suspectUntil: -Infinity,
       failures: 0,
       usedMb: undefined,
-      restored: this.#state.restored.get(listed.id) ?? [],
+      restoredIntents: this.#state.restoredIntents.get(listed.id) ?? [],
     };
     this.#state.runners.set(runner.id, runner);
-    // Who comes after the first list was never ordered by anybody; nor was anyone where nothing was ever written down.
-    if ((this.#state.hasListed || !this.#state.hasPast) && runner.restored.length === 0) {
-      runner.isKnown = true;
-      runner.count = 0;
+    // A runner that appears after the first list has received no orders yet; nor has any runner if no document was
+    // stored.
+    if (
+      (this.#state.hasRunnerList || !this.#state.hasEarlierDocs) &&
+      runner.restoredIntents.length === 0
+    ) {
+      runner.areHoldsKnown = true;
+      runner.orderCount = 0;
     }
     if (!engine) return runner;
     engine.runners.add(runner);
-    if (!runner.isKnown) this.#state.suspected.add(runner);
-    this.#adopt(now, runner, listed.holds);
+    if (!runner.areHoldsKnown) this.#state.runnersNeedingReport.add(runner);
+    this.#applyHolds(now, runner, listed.holds);
     return runner;
   }
 
-  /** Takes somebody's word on what a runner holds; only called while nothing is on its way there. */
-  #adopt(now: Moment, runner: RunnerState, holds: ListedRunner['holds']): void {
-    const engine = runner.engine;
+  /** Replaces the models of a runner by those of a list or report; only called while it has no open orders. */
+  #applyHolds(now: Moment, runner: RunnerState, holds: ListedRunner['holds']): void {
+    const engine = runner.serviceState;
     if (!engine) return;
-    const told = new Set<string>();
+    const reportedModels = new Set<string>();
     for (const hold of holds) {
-      told.add(hold.model);
-      const model = engine.models.get(hold.model) ?? this.#strange(engine, hold.model);
-      let held = runner.holds.get(hold.model);
-      if (!held) {
-        held = {
+      reportedModels.add(hold.model);
+      const model = engine.models.get(hold.model) ?? this.#addUnknownModel(engine, hold.model);
+      let loadedModel = runner.holds.get(hold.model);
+      if (!loadedModel) {
+        loadedModel = {
           model,
           phase: 'ready',
           since: now - this.#state.settings.minResidencyMs,
           adapters: new Map(),
           suspectedUntil: -Infinity,
         };
-        runner.holds.set(hold.model, held);
-        model.holders.set(runner, held);
-        this.#state.touch(runner, model);
-      } else if (held.phase !== 'ready') {
-        held.phase = 'ready';
-        held.since = now;
-        this.#state.touch(runner, model);
+        runner.holds.set(hold.model, loadedModel);
+        model.holders.set(runner, loadedModel);
+        this.#state.onHoldChanged(runner, model);
+      } else if (loadedModel.phase !== 'ready') {
+        loadedModel.phase = 'ready';
+        loadedModel.since = now;
+        this.#state.onHoldChanged(runner, model);
       }
-      runner.disk.add(hold.model);
-      const names = new Set(hold.adapters);
+      runner.modelsOnDisk.add(hold.model);
+      const adapterNames = new Set(hold.adapters);
       for (const name of hold.adapters) {
-        if (held.adapters.get(name)?.phase === 'ready') continue;
-        held.adapters.set(name, {
+        if (loadedModel.adapters.get(name)?.phase === 'ready') continue;
+        loadedModel.adapters.set(name, {
           phase: 'ready',
           since: now - this.#state.settings.adapterStayMs,
           suspectedUntil: -Infinity,
         });
-        this.#state.touch(runner, model);
+        this.#state.onHoldChanged(runner, model);
       }
-      for (const name of [...held.adapters.keys()])
-        if (!names.has(name)) {
-          held.adapters.delete(name);
-          this.#state.touch(runner, model);
+      for (const name of [...loadedModel.adapters.keys()])
+        if (!adapterNames.has(name)) {
+          loadedModel.adapters.delete(name);
+          this.#state.onHoldChanged(runner, model);
         }
     }
-    for (const held of [...runner.holds.values()])
-      if (!told.has(held.model.name)) this.#state.unhold(runner, held);
+    for (const loadedModel of [...runner.holds.values()])
+      if (!reportedModels.has(loadedModel.model.name)) this.#state.removeHold(runner, loadedModel);
   }
 
-  /** A model that no configuration tells of may be as large as any. */
-  #strange(service: ServiceState, name: string): ModelState {
+  /** Adds a model that the configuration does not list; it may be as large as the largest one listed. */
+  #addUnknownModel(service: ServiceState, name: string): ModelState {
     const model = new ModelState(service, name);
     for (const other of service.engine.models) model.sizeMb = Math.max(model.sizeMb, other.sizeMb);
     service.models.set(name, model);
     return model;
   }
 
-  #gone(now: Moment, runner: RunnerState): void {
-    for (const held of runner.holds.values())
-      if (held.phase === 'ready' && held.model.holders.size === 1)
-        held.model.lastReplicaLostAt = now;
-    for (const op of [...runner.queue]) this.#state.removeOp(runner, op);
-    for (const held of [...runner.holds.values()]) this.#state.unhold(runner, held);
-    this.#state.busy.delete(runner);
-    this.#state.suspected.delete(runner);
-    runner.engine?.runners.delete(runner);
+  #removeRunner(now: Moment, runner: RunnerState): void {
+    for (const loadedModel of runner.holds.values())
+      if (loadedModel.phase === 'ready' && loadedModel.model.holders.size === 1)
+        loadedModel.model.lastReplicaLostAt = now;
+    for (const order of [...runner.queue]) this.#state.removeOrder(runner, order);
+    for (const loadedModel of [...runner.holds.values()])
+      this.#state.removeHold(runner, loadedModel);
+    this.#state.runnersWithOrders.delete(runner);
+    this.#state.runnersNeedingReport.delete(runner);
+    runner.serviceState?.runners.delete(runner);
     this.#state.runners.delete(runner.id);
-    this.#state.dropRestored(runner.id);
+    this.#state.dropRestoredIntents(runner.id);
     this.#state.isFleetStale = true;
   }
 
-  #known(now: Moment, runner: RunnerState): void {
-    runner.isKnown = true;
-    this.#state.suspected.delete(runner);
-    runner.isAsked = false;
+  #markKnown(now: Moment, runner: RunnerState): void {
+    runner.areHoldsKnown = true;
+    this.#state.runnersNeedingReport.delete(runner);
+    runner.isReportRequested = false;
     runner.suspectUntil = -Infinity;
     runner.failures = 0;
     runner.idleSince = now;
-    this.#state.dropRestored(runner.id);
+    this.#state.dropRestoredIntents(runner.id);
     this.#state.isFleetStale = true;
   }
 
-  /** A runner's own report: fresher than the list, but a few hundred ms old too. */
-  status(now: Moment, id: string, askedAt: Moment, status: RunnerStatus | undefined): void {
+  /** Applies a runner's own report: newer than the list, but up to `reportLagMs` old. */
+  onRunnerStatus(
+    now: Moment,
+    id: string,
+    requestedAt: Moment,
+    status: RunnerStatus | undefined,
+  ): void {
     const runner = this.#state.runners.get(id);
-    if (!runner?.isAsked) return;
-    runner.isAsked = false;
-    // Under way there is what an earlier leader ordered, or an order of ours whose answer was lost.
+    if (!runner?.isReportRequested) return;
+    runner.isReportRequested = false;
+    // It is executing an order of an earlier leader, or one from this leader whose answer was lost.
     if (!status || status.isBusy) {
-      runner.askAt = now + (status ? 250 : 500);
+      runner.reportDueAt = now + (status ? 250 : 500);
       return;
     }
-    runner.askAt = now + 250;
-    // The first report after a change of leader tells a count, and the order it is used for is turned away if any
-    // other came between; else a report counts that was made after the last order had ended.
-    const isFirst = runner.idleSince <= this.#state.restoredAt;
-    if (!isFirst && askedAt < runner.idleSince + this.#state.settings.reportLagMs) return;
+    runner.reportDueAt = now + 250;
+    // The first report after a change of leader is always used: with its order count, the runner rejects the next order
+    // if another one came in between. Later reports must have been made after the last order had ended.
+    const isFirstOfTerm = runner.idleSince <= this.#state.restoredAt;
+    if (!isFirstOfTerm && requestedAt < runner.idleSince + this.#state.settings.reportLagMs) return;
     if (runner.queue.length > 0) return;
-    this.#adopt(now, runner, status.holds);
-    this.#learnCounting(runner, status.orderCount);
-    runner.count = status.orderCount;
-    runner.loadedModels = 0;
+    this.#applyHolds(now, runner, status.holds);
+    this.#detectNoopCounting(runner, status.orderCount);
+    runner.orderCount = status.orderCount;
+    runner.noopOrderCount = 0;
     runner.hasUnansweredOrder = false;
-    this.#known(now, runner);
+    this.#markKnown(now, runner);
   }
 
-  /** Whether orders that need not be done are counted; only a runner all of whose orders were answered can tell. */
-  #learnCounting(runner: RunnerState, orderCount: number): void {
-    if (runner.counted === undefined || runner.loadedModels === 0 || runner.hasUnansweredOrder)
+  /** Detects whether runners count orders without effect; only a runner that answered all its orders shows it. */
+  #detectNoopCounting(runner: RunnerState, orderCount: number): void {
+    if (
+      runner.lastOrderCount === undefined ||
+      runner.noopOrderCount === 0 ||
+      runner.hasUnansweredOrder
+    )
       return;
-    const isOther =
+    const isContradiction =
       orderCount ===
-      runner.counted +
-        (this.#state.countsLoadedModels ? -runner.loadedModels : runner.loadedModels);
-    this.#otherCounting = isOther ? this.#otherCounting + 1 : 0;
-    // One runner may have been ordered by somebody else; several were not.
-    if (this.#otherCounting >= 3) {
-      this.#state.countsLoadedModels = !this.#state.countsLoadedModels;
-      this.#otherCounting = 0;
+      runner.lastOrderCount +
+        (this.#state.countsNoopOrders ? -runner.noopOrderCount : runner.noopOrderCount);
+    this.#contradictingReports = isContradiction ? this.#contradictingReports + 1 : 0;
+    // A single runner may have received orders from another leader; several in a row have not.
+    if (this.#contradictingReports >= 3) {
+      this.#state.countsNoopOrders = !this.#state.countsNoopOrders;
+      this.#contradictingReports = 0;
     }
   }
 
-  /** Each report costs: it is asked for where what a runner holds is in doubt, and nowhere else. */
-  asks(now: Moment): readonly string[] {
+  /** The runners whose report must be requested now. Reports are costly: only uncertain runners are asked. */
+  takeDueReportRequests(now: Moment): readonly string[] {
     const ids: string[] = [];
-    for (const runner of this.#state.suspected) {
+    for (const runner of this.#state.runnersNeedingReport) {
       if (
-        runner.isAsked ||
-        runner.askAt > now ||
+        runner.isReportRequested ||
+        runner.reportDueAt > now ||
         runner.queue.length > 0 ||
-        !this.#state.isOpen(runner)
+        !this.#state.isInService(runner)
       )
         continue;
-      runner.isAsked = true;
+      runner.isReportRequested = true;
       ids.push(runner.id);
     }
     return ids;
--- a/src/placement/store-rate-limit.ts
+++ b/src/placement/store-rate-limit.ts
@@ -2,12 +2,12 @@
 import type { Moment } from '../common/ids.js';
 import {
   type Order,
-  type WantKind,
+  type DesiredReplicaKind,
   type ModelState,
   type ServiceState,
 } from './planner-records.js';
 
-/** How many loads the weight store may begin and do at once, and how long they take. */
+/** Limits the starts and the concurrency of loads from the weight store, and estimates their duration. */
 export class StoreRateLimit {
   readonly #state: PlacementState;
 
@@ -15,54 +15,55 @@
     this.#state = state;
   }
 
-  /** How long a load is expected to take, ms. */
-  expectedMs(op: Order): number {
-    const service = op.model.service;
-    if (op.intent.adapter !== '') return service.adapterMs;
-    if (!op.isStore) return op.model.loadMs * service.diskFactor;
-    return op.model.loadMs * service.storeFactor * this.#slowdown(service, op.model);
+  /** The expected duration of a load, ms. */
+  expectedMs(order: Order): number {
+    const service = order.model.service;
+    if (order.intent.adapter !== '') return service.adapterLoadMs;
+    if (!order.isStoreLoad) return order.model.loadMs * service.diskFactor;
+    return order.model.loadMs * service.storeFactor * this.#slowdown(service, order.model);
   }
 
-  /** Loads beyond what the store does at full speed all take longer. */
+  /** More concurrent loads than the store serves at full speed slow all of them down. */
   #slowdown(service: ServiceState, model: ModelState): number {
-    return Math.max(1, service.storeOps / this.#storeLimit(service, model));
+    return Math.max(1, service.pendingStoreLoads / this.#maxFullSpeedLoads(service, model));
   }
 
-  #storeLimit(service: ServiceState, model: ModelState): number {
+  #maxFullSpeedLoads(service: ServiceState, model: ModelState): number {
     return Math.max(1, Math.round((service.engine.loadsPerSecond * model.loadMs) / 1000));
   }
 
-  /** Loads that may begin within the span over which the ceiling counts. */
-  budget(service: ServiceState): number {
+  /** The number of loads that may start within the window of the store's rate limit (`capWindowMs`). */
+  windowBudget(service: ServiceState): number {
     const { capWindowMs, capExcess } = this.#state.settings;
-    // Half of the excess stays unused: a load may begin a little before or after we think.
+    // Half of the allowed excess stays unused: a load may start slightly before or after the time recorded here.
     return Math.max(
       1,
       Math.floor((service.engine.loadsPerSecond * capWindowMs * (1 + (capExcess - 1) / 2)) / 1000),
     );
   }
 
-  /** Whether a load of this kind may be decided on now. */
-  storeFree(
+  /** Whether a load from the store for a replica of this kind may be scheduled now. */
+  mayLoad(
     now: Moment,
     service: ServiceState,
     model: ModelState,
-    kind: WantKind,
-    isPressed: boolean,
+    kind: DesiredReplicaKind,
+    isUrgent: boolean,
   ): boolean {
-    const budget = this.budget(service);
-    const used = service.window.used(now) + service.storeOps;
-    const limit = this.#storeLimit(service, model);
-    // What nobody waits for leaves room for what somebody will.
-    if (kind === 'spare') return used < budget * 0.6 && service.storeOps < Math.max(1, limit - 1);
+    const budget = this.windowBudget(service);
+    const used = service.storeLoadWindow.used(now) + service.pendingStoreLoads;
+    const maxLoads = this.#maxFullSpeedLoads(service, model);
+    // Spare replicas leave capacity for loads that requests will wait for.
+    if (kind === 'spare')
+      return used < budget * 0.6 && service.pendingStoreLoads < Math.max(1, maxLoads - 1);
     if (used >= budget) {
       this.#state.blockedUntil = Math.min(
         this.#state.blockedUntil,
-        service.window.freeAt(now, budget),
+        service.storeLoadWindow.freeAt(now, budget),
       );
       return false;
     }
-    // The store does two more at a somewhat slower pace.
-    return service.storeOps < limit + (isPressed ? 1 : 0);
+    // The store accepts loads beyond its full-speed limit at a somewhat lower speed.
+    return service.pendingStoreLoads < maxLoads + (isUrgent ? 1 : 0);
   }
 }
