--- a/src/placement/testing/fake-fleet.ts
+++ b/src/placement/testing/fake-fleet.ts
@@ -1,98 +1,101 @@
-/** A fleet with its clients and the planner as its leader, on virtual time. */
+/** A simulated fleet with its clients, led by a real planner, on virtual time. */
 import { moment, type Moment } from '../../common/ids.js';
 import type { Engine, Routing } from '../../route/routing.js';
 import type { FleetDemand, ListedRunner, RunnerStatus } from '../fleet.js';
 import { Planner, type OrderOutcome } from '../planner.js';
 import type { Intent, ServiceDoc } from '../shapes.js';
 import { listedOf, routingOf } from './fleet-documents.js';
-import { Dice, FakeRunner, loadMsOf, type RunnerHabits } from './fake-runner.js';
+import { XorShiftRandom, FakeRunner, loadMsOf, type RunnerBehavior } from './fake-runner.js';
 
 type DemandUnit = FleetDemand['units'][number] & { priority: number };
 
-interface Call {
+interface ClientRequest {
   model: string;
   adapter: string;
-  since: number;
+  sentAt: number;
   priority: number;
-  until: number;
+  /** The end of the client's patience while it waits, and of the response while it runs. */
+  endsAt: number;
   runner: FakeRunner | undefined;
 }
 
-/** The size and the habits of a fleet. */
-export interface WorldOptions extends RunnerHabits {
+/** The size and the behavior of a simulated fleet. */
+export interface FakeFleetOptions extends RunnerBehavior {
   readonly engine: Engine;
   readonly zones: readonly string[];
   readonly runnersPerZone: number;
   readonly seed?: number;
-  /** Out of a thousand orders, so many get no clear answer. */
-  readonly unsure?: number;
+  /** How many of a thousand orders get no clear answer. */
+  readonly lostOrdersPerThousand?: number;
   readonly slots?: number;
   readonly serveMs?: number;
-  /** Plans only on news or when the planner says so. */
-  readonly isLazy?: boolean;
-  /** How long loads from a runner's own disk take against those from the store. */
+  /** Plans only after events, or when the planner's `nextPlanAt` is due. */
+  readonly plansOnlyWhenDue?: boolean;
+  /** The duration of loads from a runner's own disk, relative to the configured load time. */
   readonly diskFactor?: number;
-  /** How long loads take against what the configuration says. */
+  /** The duration of all loads, relative to the configured load time. */
   readonly loadFactor?: number;
 }
 
-/** How old the list of runners is, ms. */
-export const LAG = 800;
+/** The age of the list of runners, ms. */
+export const LIST_LAG_MS = 800;
 /** The step of virtual time, ms. */
-export const STEP = 5;
+export const STEP_MS = 5;
 
-/** Runners, clients and a leader on virtual time, with the never-rules judged at every order. */
-export class World {
+/** Runners, clients and a leader on virtual time; every order is checked against limits that must never be exceeded. */
+export class FakeFleet {
   now = 1000;
   routing: Routing;
   readonly runners = new Map<string, FakeRunner>();
-  planner = new Planner({ lagMs: LAG });
-  readonly dice: Dice;
-  readonly breaks: string[] = [];
-  /** Store loads that began. */
-  readonly begun: number[] = [];
+  planner = new Planner({ lagMs: LIST_LAG_MS });
+  readonly random: XorShiftRandom;
+  readonly violations: string[] = [];
+  /** The start times of loads from the store. */
+  readonly storeLoadStarts: number[] = [];
   orders: { at: number; intent: Intent; outcome: OrderOutcome }[] = [];
-  emptied: string[] = [];
-  calls: Call[] = [];
-  served = new Map<string, number>();
-  missed = new Map<string, number>();
+  evacuatedZones: string[] = [];
+  requests: ClientRequest[] = [];
+  servedCounts = new Map<string, number>();
+  missedCounts = new Map<string, number>();
   waitedMs = new Map<string, number[]>();
   #lists: { at: number; list: ListedRunner[] }[] = [];
-  #listAt = 0;
-  #toldListAt = 0;
-  #tellAt = 0;
-  #pending: { at: number; intent: Intent; planner: Planner; fence: number; isLate: boolean }[] = [];
-  #answers: { at: number; id: string; outcome: OrderOutcome; planner: Planner }[] = [];
-  #reports: {
+  #nextListAt = 0;
+  #nextListDeliveryAt = 0;
+  #nextDemandReportAt = 0;
+  #inFlight: { at: number; intent: Intent; planner: Planner; fence: number; isLate: boolean }[] =
+    [];
+  #orderReplies: { at: number; id: string; outcome: OrderOutcome; planner: Planner }[] = [];
+  #statusReplies: {
     at: number;
     id: string;
     askedAt: number;
     status: RunnerStatus | undefined;
     planner: Planner;
   }[] = [];
-  #keeping: { at: number; ids: string[]; planner: Planner }[] = [];
-  asked = 0;
-  /** Orders that arrived long after they were given up. */
-  late: { at: number; intent: Intent; outcome: OrderOutcome }[] = [];
-  plans = 0;
-  planMs = 0;
-  #isNews = true;
-  /** Kept documents, as a new leader would find them. */
+  #pendingWrites: { at: number; ids: string[]; planner: Planner }[] = [];
+  reportRequestCount = 0;
+  /** Orders that arrived long after they were abandoned. */
+  lateOrders: { at: number; intent: Intent; outcome: OrderOutcome }[] = [];
+  planCount = 0;
+  totalPlanMs = 0;
+  #hasEvent = true;
+  /** The stored documents, as a new leader would read them. */
   stored = new Map<string, ServiceDoc>();
-  #counts = new Map<string, number>();
-  #leader = 0;
+  #arrivals = new Map<string, number>();
+  #term = 0;
   #runnerNumber = 0;
-  readonly options: WorldOptions;
+  readonly options: FakeFleetOptions;
 
-  constructor(options: WorldOptions) {
+  constructor(options: FakeFleetOptions) {
     this.options = options;
-    this.dice = new Dice(options.seed ?? 1);
+    this.random = new XorShiftRandom(options.seed ?? 1);
     this.routing = routingOf(options.engine);
     for (const zone of options.zones)
       for (let index = 0; index < options.runnersPerZone; index += 1) this.addRunner(zone);
     this.planner.restore(moment(this.now), [], 'l0');
   }
 
+  /** Adds a runner without models. */
   addRunner(zone: string): FakeRunner {
     this.#runnerNumber += 1;
     const runner = new FakeRunner(`r${this.#runnerNumber}`, zone, this.options.engine);
@@ -100,41 +103,45 @@
     return runner;
   }
 
-  hold(id: string, ...models: string[]): void {
+  /** Loads models into a runner at once. */
+  addHolds(id: string, ...models: string[]): void {
     for (const model of models) {
       this.runners.get(id)?.holds.set(model, new Set());
       this.runners.get(id)?.disk.add(model);
     }
   }
 
+  /** The present virtual time. */
   at(): Moment {
     return moment(this.now);
   }
 
-  ask(model: string, adapter = '', priority = 0, patienceMs = 5000): void {
+  /** Sends a client request that waits for at most `patienceMs`. */
+  request(model: string, adapter = '', priority = 0, patienceMs = 5000): void {
     const key = adapter === '' ? model : `${model}/${adapter}`;
-    this.#counts.set(key, (this.#counts.get(key) ?? 0) + 1);
-    this.calls.push({
+    this.#arrivals.set(key, (this.#arrivals.get(key) ?? 0) + 1);
+    this.requests.push({
       model,
       adapter,
-      since: this.now,
+      sentAt: this.now,
       priority,
-      until: this.now + patienceMs,
+      endsAt: this.now + patienceMs,
       runner: undefined,
     });
   }
 
-  /** The leader is lost at once; another begins from what was kept. */
+  /** Replaces the leader by a new one that starts from the stored documents. */
   changeLeader(): void {
-    this.#leader += 1;
-    this.planner = new Planner({ lagMs: LAG });
-    this.planner.restore(this.at(), [...this.stored.values()], `l${this.#leader}`);
+    this.#term += 1;
+    this.planner = new Planner({ lagMs: LIST_LAG_MS });
+    this.planner.restore(this.at(), [...this.stored.values()], `l${this.#term}`);
   }
 
-  run(ms: number, each: (world: World) => void = nothing): void {
+  /** Advances the virtual time, calling `each` at every step. */
+  run(ms: number, each: (fleet: FakeFleet) => void = noRequests): void {
     const end = this.now + ms;
     while (this.now < end) {
-      this.now += STEP;
+      this.now += STEP_MS;
       each(this);
       this.#step();
     }
@@ -143,34 +150,35 @@
   #step(): void {
     const { now } = this;
     for (const runner of this.runners.values()) runner.step(now);
-    this.#serve();
-    this.#list();
-    this.#tell();
-    for (const answer of this.#take(this.#answers))
+    this.#serveRequests();
+    this.#updateRunnerList();
+    this.#reportDemand();
+    for (const answer of this.#takeDue(this.#orderReplies))
       if (answer.planner === this.planner)
         this.planner.ordered(this.at(), answer.id, answer.outcome);
-    for (const report of this.#take(this.#reports))
+    for (const report of this.#takeDue(this.#statusReplies))
       if (report.planner === this.planner)
         this.planner.status(this.at(), report.id, moment(report.askedAt), report.status);
-    for (const { ids, planner } of this.#take(this.#keeping))
+    for (const { ids, planner } of this.#takeDue(this.#pendingWrites))
       if (planner === this.planner) this.planner.kept(ids);
-    for (const { intent, planner, fence, isLate } of this.#take(this.#pending))
-      this.#arrive(intent, planner, fence, isLate);
+    for (const { intent, planner, fence, isLate } of this.#takeDue(this.#inFlight))
+      this.#deliverOrder(intent, planner, fence, isLate);
     this.#plan();
   }
 
   #plan(): void {
     const next = this.planner.nextAt(this.at());
-    if (this.options.isLazy && !this.#isNews && (next === undefined || next > this.now)) return;
-    this.#isNews = false;
-    this.plans += 1;
+    if (this.options.plansOnlyWhenDue && !this.#hasEvent && (next === undefined || next > this.now))
+      return;
+    this.#hasEvent = false;
+    this.planCount += 1;
     const began = performance.now();
     const changed = this.planner.plan(this.at(), {
       routing: this.routing,
-      evacuatedZones: this.emptied,
+      evacuatedZones: this.evacuatedZones,
       proxies: 2,
     });
-    this.planMs += performance.now() - began;
+    this.totalPlanMs += performance.now() - began;
     if (changed.length > 0) {
       const names = new Set(changed);
       const ids: string[] = [];
@@ -179,85 +187,87 @@
         this.stored.set(doc.model, doc);
         for (const intent of doc.intents) ids.push(intent.id);
       }
-      this.#keeping.push({ at: this.now + STEP, ids, planner: this.planner });
+      this.#pendingWrites.push({ at: this.now + STEP_MS, ids, planner: this.planner });
     }
     for (const intent of this.planner.orders(this.at()))
-      this.#pending.push({
-        at: this.now + STEP,
+      this.#inFlight.push({
+        at: this.now + STEP_MS,
         intent,
         planner: this.planner,
-        fence: this.#leader,
+        fence: this.#term,
         isLate: false,
       });
     for (const id of this.planner.asks(this.at())) {
-      this.asked += 1;
+      this.reportRequestCount += 1;
       const runner = this.runners.get(id);
-      this.#reports.push({
-        at: this.now + 2 * STEP,
+      this.#statusReplies.push({
+        at: this.now + 2 * STEP_MS,
         id,
         askedAt: this.now,
-        status: runner && !runner.isDark ? runner.statusBefore(this.now, 200) : undefined,
+        status: runner && !runner.isUnreachable ? runner.statusBefore(this.now, 200) : undefined,
         planner: this.planner,
       });
     }
   }
 
-  #take<T extends { at: number }>(list: T[]): T[] {
+  #takeDue<T extends { at: number }>(list: T[]): T[] {
     const due: T[] = [];
     for (let index = 0; index < list.length;) {
-      const one = list[index];
-      if (one && one.at <= this.now) {
-        this.#isNews = true;
-        due.push(one);
+      const item = list[index];
+      if (item && item.at <= this.now) {
+        this.#hasEvent = true;
+        due.push(item);
         list.splice(index, 1);
       } else index += 1;
     }
     return due;
   }
 
-  /** Some orders get no clear answer: never sent, taken without an answer, or held up on the way and taken much later. */
-  #arrive(intent: Intent, planner: Planner, fence: number, isLate: boolean): void {
+  /** Delivers an order. Some get no clear answer: they are lost, not answered, or delivered much later. */
+  #deliverOrder(intent: Intent, planner: Planner, fence: number, isLate: boolean): void {
     const runner = this.runners.get(intent.runner);
-    const fate =
-      !isLate && this.dice.below(1000) < (this.options.unsure ?? 0) ? this.dice.below(3) : 3;
+    const failure =
+      !isLate && this.random.below(1000) < (this.options.lostOrdersPerThousand ?? 0)
+        ? this.random.below(3)
+        : 3;
     let outcome: OrderOutcome = 'unsent';
-    if (runner?.isDark || (runner && fate === 0)) outcome = 'unsure';
-    else if (runner && fate === 1) {
+    if (runner?.isUnreachable || (runner && failure === 0)) outcome = 'unsure';
+    else if (runner && failure === 1) {
       outcome = 'unsure';
-      this.#pending.push({
-        at: this.now + 100 + this.dice.below(4000),
+      this.#inFlight.push({
+        at: this.now + 100 + this.random.below(4000),
         intent,
         planner,
         fence,
         isLate: true,
       });
-    } else if (runner) outcome = this.#obey(runner, intent, fence);
+    } else if (runner) outcome = this.#execute(runner, intent, fence);
     if (isLate) {
-      this.late.push({ at: this.now, intent, outcome });
+      this.lateOrders.push({ at: this.now, intent, outcome });
       return;
     }
     this.orders.push({ at: this.now, intent, outcome });
-    this.#answers.push({
-      at: this.now + STEP,
+    this.#orderReplies.push({
+      at: this.now + STEP_MS,
       id: intent.id,
-      outcome: fate === 2 && runner ? 'unsure' : outcome,
+      outcome: failure === 2 && runner ? 'unsure' : outcome,
       planner,
     });
   }
 
-  #obey(runner: FakeRunner, intent: Intent, fence: number): OrderOutcome {
-    const refusal = runner.outcomeWithoutWork(intent, fence, this.options);
-    if (refusal) return refusal;
+  #execute(runner: FakeRunner, intent: Intent, fence: number): OrderOutcome {
+    const reply = runner.replyWithoutExecution(intent, fence, this.options);
+    if (reply) return reply;
     const { verb, model, adapter } = intent;
     runner.orderCount += 1;
     const isStore = verb === 'load' && adapter === '' && !runner.disk.has(model);
     let tookMs = this.#orderMs(runner, intent, isStore);
     if (isStore) {
       tookMs *= this.#storeSlowdown(model);
-      this.#judgeStoreLoads();
+      this.#checkStoreRate();
     }
-    runner.order = { verb, model, adapter, endsAt: this.now + tookMs, isStore };
-    this.#judgeRoom(runner, intent);
+    runner.order = { verb, model, adapter, endsAt: this.now + tookMs, isStoreLoad: isStore };
+    this.#checkRunnerCapacity(runner, intent);
     return 'taken';
   }
 
@@ -268,34 +278,34 @@
     return loadMsOf(engine, model) * (isStore ? 1.05 : diskFactor) * loadFactor;
   }
 
-  /** Loads beyond what the store does at full speed all take longer. */
+  /** More concurrent loads than the store serves at full speed slow all of them down. */
   #storeSlowdown(model: string): number {
     const { engine } = this.options;
     let loading = 1;
-    for (const other of this.runners.values()) if (other.order?.isStore) loading += 1;
+    for (const other of this.runners.values()) if (other.order?.isStoreLoad) loading += 1;
     const atFullSpeed = Math.round((engine.loadsPerSecond * loadMsOf(engine, model)) / 1000);
     return Math.max(1, loading / Math.max(1, atFullSpeed));
   }
 
-  #judgeStoreLoads(): void {
-    this.begun.push(this.now);
+  #checkStoreRate(): void {
+    this.storeLoadStarts.push(this.now);
     let inWindow = 0;
-    for (const at of this.begun) if (at > this.now - 5000) inWindow += 1;
+    for (const at of this.storeLoadStarts) if (at > this.now - 5000) inWindow += 1;
     if (inWindow > this.options.engine.loadsPerSecond * 5 * 1.1 + 3)
-      this.breaks.push(`${this.now}: ${inWindow} loads in a window`);
+      this.violations.push(`${this.now}: ${inWindow} loads from the store within 5 s`);
   }
 
-  #judgeRoom(runner: FakeRunner, { verb, model }: Intent): void {
+  #checkRunnerCapacity(runner: FakeRunner, { verb, model }: Intent): void {
     const { engine } = this.options;
     if (runner.usedMb() > engine.capacityMb)
-      this.breaks.push(`${this.now}: ${runner.id} beyond its room by ${verb} ${model}`);
+      this.violations.push(`${this.now}: ${runner.id} exceeds its memory by ${verb} ${model}`);
     if (runner.adapterCount() > engine.adapterSlots)
-      this.breaks.push(`${this.now}: ${runner.id} beyond its adapters`);
+      this.violations.push(`${this.now}: ${runner.id} exceeds its adapter slots`);
   }
 
-  #list(): void {
-    if (this.now < this.#listAt) return;
-    this.#listAt = this.now + 100;
+  #updateRunnerList(): void {
+    if (this.now < this.#nextListAt) return;
+    this.#nextListAt = this.now + 100;
     const list: ListedRunner[] = [];
     for (const runner of this.runners.values()) {
       const listed = listedOf(runner.id, runner.zone, runner.status().holds);
@@ -308,75 +318,77 @@
     }
     this.#lists.push({ at: this.now, list });
     if (this.#lists.length > 30) this.#lists.shift();
-    if (this.now < this.#toldListAt && this.#lists.length > 1) return;
-    this.#toldListAt = this.now + 1000;
+    if (this.now < this.#nextListDeliveryAt && this.#lists.length > 1) return;
+    this.#nextListDeliveryAt = this.now + 1000;
     let found = this.#lists[0]?.list ?? [];
-    for (const one of this.#lists) if (one.at <= this.now - LAG) found = one.list;
+    for (const entry of this.#lists) if (entry.at <= this.now - LIST_LAG_MS) found = entry.list;
     this.planner.list(this.at(), found);
   }
 
-  /** Two proxies would do the same; one tells for all. */
-  #tell(): void {
-    if (this.now < this.#tellAt) return;
-    this.#tellAt = this.now + 50;
+  /** Reports the demand of all requests as one proxy. */
+  #reportDemand(): void {
+    if (this.now < this.#nextDemandReportAt) return;
+    this.#nextDemandReportAt = this.now + 50;
     const units = new Map<string, DemandUnit>();
-    for (const [key, count] of this.#counts) unitIn(units, key).count += count;
-    for (const call of this.calls) {
-      const unit = unitIn(
+    for (const [key, count] of this.#arrivals) findOrCreateUnit(units, key).count += count;
+    for (const request of this.requests) {
+      const unit = findOrCreateUnit(
         units,
-        call.adapter === '' ? call.model : `${call.model}/${call.adapter}`,
+        request.adapter === '' ? request.model : `${request.model}/${request.adapter}`,
       );
-      if (call.runner) unit.running += 1;
+      if (request.runner) unit.running += 1;
       else {
         unit.waiting += 1;
-        unit.priority = Math.min(unit.priority, call.priority);
+        unit.priority = Math.min(unit.priority, request.priority);
       }
     }
-    this.#counts.clear();
+    this.#arrivals.clear();
     const report: FleetDemand = { flow: 'f1', units: [...units.values()] };
-    if (report.units.length > 0) this.#isNews = true;
+    if (report.units.length > 0) this.#hasEvent = true;
     this.planner.demand(this.at(), report);
   }
 
-  #serve(): void {
-    const rest: Call[] = [];
-    for (const call of this.calls) {
-      if (call.runner) {
-        if (call.until > this.now) rest.push(call);
+  #serveRequests(): void {
+    const rest: ClientRequest[] = [];
+    for (const request of this.requests) {
+      if (request.runner) {
+        if (request.endsAt > this.now) rest.push(request);
         continue;
       }
-      const key = call.adapter === '' ? call.model : `${call.model}/${call.adapter}`;
-      const able: FakeRunner[] = [];
+      const key = request.adapter === '' ? request.model : `${request.model}/${request.adapter}`;
+      const servingRunners: FakeRunner[] = [];
       for (const runner of this.runners.values())
-        if (runner.serves(call.model, call.adapter)) able.push(runner);
-      const runner = able[this.dice.below(Math.max(1, able.length))];
+        if (runner.serves(request.model, request.adapter)) servingRunners.push(runner);
+      const runner = servingRunners[this.random.below(Math.max(1, servingRunners.length))];
       if (runner) {
-        call.runner = runner;
-        call.until = this.now + (this.options.serveMs ?? 200);
-        runner.busyUntil.set(call.model, call.until);
-        this.served.set(key, (this.served.get(key) ?? 0) + 1);
+        request.runner = runner;
+        request.endsAt = this.now + (this.options.serveMs ?? 200);
+        runner.busyUntil.set(request.model, request.endsAt);
+        this.servedCounts.set(key, (this.servedCounts.get(key) ?? 0) + 1);
         const waits = this.waitedMs.get(key) ?? [];
-        waits.push(this.now - call.since);
+        waits.push(this.now - request.sentAt);
         this.waitedMs.set(key, waits);
-        rest.push(call);
-      } else if (call.until <= this.now) this.missed.set(key, (this.missed.get(key) ?? 0) + 1);
-      else rest.push(call);
+        rest.push(request);
+      } else if (request.endsAt <= this.now)
+        this.missedCounts.set(key, (this.missedCounts.get(key) ?? 0) + 1);
+      else rest.push(request);
     }
-    this.calls = rest;
+    this.requests = rest;
   }
 
-  copies(model: string): FakeRunner[] {
+  /** All runners that hold a model. */
+  runnersHolding(model: string): FakeRunner[] {
     const found: FakeRunner[] = [];
     for (const runner of this.runners.values()) if (runner.holds.has(model)) found.push(runner);
     return found;
   }
 }
 
-function nothing(): void {
-  /* nobody asks */
+function noRequests(): void {
+  /* no requests */
 }
 
-function unitIn(units: Map<string, DemandUnit>, key: string): DemandUnit {
+function findOrCreateUnit(units: Map<string, DemandUnit>, key: string): DemandUnit {
   const known = units.get(key);
   if (known) return known;
   const [model = '', adapter = ''] = key.split('/');
--- a/src/placement/testing/fake-runner.ts
+++ b/src/placement/testing/fake-runner.ts
@@ -1,24 +1,26 @@
-/** Runners for the planner's tests: they do orders, take time, and report what they held a while ago. */
+/**
+ * Fake runners for the planner's tests: they execute orders in virtual time, and report their state of some time ago.
+ */
 import type { Engine } from '../../route/routing.js';
 import type { RunnerStatus } from '../fleet.js';
 import type { OrderOutcome } from '../planner.js';
 import type { Intent } from '../shapes.js';
 
-/** An order that a runner does now. */
+/** The order that a runner is executing. */
 export interface FakeOrder {
   verb: 'load' | 'unload';
   model: string;
   adapter: string;
   endsAt: number;
-  isStore: boolean;
+  isStoreLoad: boolean;
 }
 
-/** In what runners differ. */
-export interface RunnerHabits {
-  /** Runners count orders that they need not do. */
-  readonly countsHeld?: boolean;
-  /** Runners say of the very order under way that they are busy, not that it is taken. */
-  readonly isStrict?: boolean;
+/** Variations in the behavior of runners. */
+export interface RunnerBehavior {
+  /** Runners also count orders without effect. */
+  readonly countsNoopOrders?: boolean;
+  /** Runners answer a repetition of the running order with `busy` instead of `taken`. */
+  readonly repliesBusyToSameOrder?: boolean;
 }
 
 /** A runner on virtual time. */
@@ -32,45 +34,46 @@
   orderCount = 0;
   fence = 0;
   isLeaving = false;
-  isDark = false;
-  /** Streams in work, by model: an unload waits for them. */
+  isUnreachable = false;
+  /** When the running requests of each model end, ms: an unload waits for them. */
   busyUntil = new Map<string, number>();
-  past: { at: number; status: RunnerStatus }[] = [];
+  statusHistory: { at: number; status: RunnerStatus }[] = [];
   constructor(id: string, zone: string, engine: Engine) {
     this.id = id;
     this.zone = zone;
     this.engine = engine;
   }
 
-  /** What it answers to an order that gives it nothing to do; undefined where it begins the order. */
-  outcomeWithoutWork(
+  /** The reply to an order that the runner does not start executing; undefined if it starts it. */
+  replyWithoutExecution(
     { verb, model, adapter, count }: Intent,
     fence: number,
-    habits: RunnerHabits,
+    behavior: RunnerBehavior,
   ): OrderOutcome | undefined {
     if (fence < this.fence) return 'refused';
     this.fence = fence;
     if (count !== undefined && count !== this.orderCount) return 'busy';
-    if (this.order) return this.#isUnderWay(verb, model, adapter, habits) ? 'taken' : 'busy';
+    if (this.order) return this.#isExecuting(verb, model, adapter, behavior) ? 'taken' : 'busy';
     const adapters = this.holds.get(model);
     if (adapter !== '' && !adapters) return verb === 'unload' ? 'held' : 'refused';
     const isHeld = adapter === '' ? adapters !== undefined : adapters?.has(adapter) === true;
     if (isHeld !== (verb === 'load')) return undefined;
-    if (habits.countsHeld) this.orderCount += 1;
+    if (behavior.countsNoopOrders) this.orderCount += 1;
     return 'held';
   }
 
-  #isUnderWay(
+  #isExecuting(
     verb: Intent['verb'],
     model: string,
     adapter: string,
-    { isStrict }: RunnerHabits,
+    { repliesBusyToSameOrder: repliesBusy }: RunnerBehavior,
   ): boolean {
     const { order } = this;
     const isSame = order?.verb === verb && order.model === model && order.adapter === adapter;
-    return isSame && !isStrict;
+    return isSame && !repliesBusy;
   }
 
+  /** Memory used by loaded models and adapters, and by a running load, MB. */
   usedMb(): number {
     let mb = 0;
     for (const [model, adapters] of this.holds)
@@ -83,19 +86,26 @@
     return mb;
   }
 
+  /** The number of adapters loaded or being loaded. */
   adapterCount(): number {
     let count = this.order?.verb === 'load' && this.order.adapter !== '' ? 1 : 0;
     for (const adapters of this.holds.values()) count += adapters.size;
     return count;
   }
 
+  /** Whether requests for a model, or for one of its adapters, can be served. */
   serves(model: string, adapter: string): boolean {
     const adapters = this.holds.get(model);
-    if (!adapters || this.isDark || (this.order?.verb === 'unload' && this.order.model === model))
+    if (
+      !adapters ||
+      this.isUnreachable ||
+      (this.order?.verb === 'unload' && this.order.model === model)
+    )
       return false;
     return adapter === '' || adapters.has(adapter);
   }
 
+  /** Completes an order that is due, and records the status. */
   step(now: number): void {
     const order = this.order;
     if (order && order.endsAt <= now) {
@@ -108,10 +118,11 @@
       } else if (order.adapter === '') this.holds.delete(order.model);
       else this.holds.get(order.model)?.delete(order.adapter);
     }
-    this.past.push({ at: now, status: this.status() });
-    if (this.past.length > 250) this.past.splice(0, 50);
+    this.statusHistory.push({ at: now, status: this.status() });
+    if (this.statusHistory.length > 250) this.statusHistory.splice(0, 50);
   }
 
+  /** The present status. */
   status(): RunnerStatus {
     const holds: { model: string; adapters: string[] }[] = [];
     for (const [model, adapters] of this.holds) holds.push({ model, adapters: [...adapters] });
@@ -124,9 +135,10 @@
     };
   }
 
+  /** The status of `ms` before `now`. */
   statusBefore(now: number, ms: number): RunnerStatus {
-    let found = this.past[0]?.status ?? this.status();
-    for (const { at, status } of this.past) if (at <= now - ms) found = status;
+    let found = this.statusHistory[0]?.status ?? this.status();
+    for (const { at, status } of this.statusHistory) if (at <= now - ms) found = status;
     return found;
   }
 }
@@ -144,12 +156,13 @@
   return modelOf(engine, name)?.adapterSizeMb ?? 0;
 }
 
-/** Random numbers by a seed. */
-export class Dice {
+/** Seeded random numbers (xorshift). */
+export class XorShiftRandom {
   #state: number;
   constructor(seed: number) {
     this.#state = (seed * 2654435761) >>> 0 || 1;
   }
+  /** A number from 0 up to, but not including, 1. */
   next(): number {
     this.#state ^= this.#state << 13;
     this.#state >>>= 0;
@@ -158,12 +171,13 @@
     this.#state >>>= 0;
     return this.#state / 4294967296;
   }
+  /** An integer from 0 up to, but not including, `count`. */
   below(count: number): number {
     return Math.floor(this.next() * count);
   }
 }
 
-/** How long the configuration says that a load of the model takes, ms; 0 where the engine has no such model. */
+/** The configured load time of a model, ms; 0 if the engine has no such model. */
 export function loadMsOf(engine: Engine, name: string): number {
   return modelOf(engine, name)?.loadMs ?? 0;
 }
--- a/src/placement/testing/fleet-documents.ts
+++ b/src/placement/testing/fleet-documents.ts
@@ -1,8 +1,8 @@
-/** A configuration and an entry of the runner list for the planner's tests. */
+/** Builds configurations and runner list entries for the planner's tests. */
 import type { Engine, Routing } from '../../route/routing.js';
 import type { ListedRunner } from '../fleet.js';
 
-/** A configuration of one service with that engine. */
+/** A configuration of one service with the given engine. */
 export function routingOf(engine: Engine): Routing {
   return {
     version: 1,
--- a/src/placement/testing/fleet-traffic.ts
+++ b/src/placement/testing/fleet-traffic.ts
@@ -1,8 +1,8 @@
-/** Engines, traffic and a small fleet for the planner's tests. */
+/** Engines, request traffic and a small fleet for the planner's tests. */
 import type { Engine } from '../../route/routing.js';
-import { STEP, World, type WorldOptions } from './fake-fleet.js';
+import { STEP_MS, FakeFleet, type FakeFleetOptions } from './fake-fleet.js';
 
-/** An engine with so many models, `m0` the only one with adapters. */
+/** An engine with the given number of models; only `m0` has adapters. */
 export function engineOf(models: number, change: Partial<Engine> = {}): Engine {
   const list: Engine['models'][number][] = [];
   for (let index = 0; index < models; index += 1)
@@ -24,7 +24,7 @@
   };
 }
 
-/** Asks for models by weights, so many a second. */
+/** Requests models at random by weights, at a mean rate per second. */
 export class Traffic {
   readonly #weights: [string, number][];
   readonly #perSecond: number;
@@ -34,37 +34,38 @@
     this.#perSecond = perSecond;
     this.#priority = priority;
   }
-  each(world: World): void {
-    if (world.dice.next() > (this.#perSecond * STEP) / 1000) return;
+  /** Sends at most one request in a step of virtual time. */
+  sendDue(fleet: FakeFleet): void {
+    if (fleet.random.next() > (this.#perSecond * STEP_MS) / 1000) return;
     let total = 0;
     for (const [, weight] of this.#weights) total += weight;
-    let left = world.dice.next() * total;
+    let left = fleet.random.next() * total;
     for (const [key, weight] of this.#weights) {
       left -= weight;
       if (left > 0) continue;
       const [model = '', adapter = ''] = key.split('/');
-      world.ask(model, adapter, this.#priority);
+      fleet.request(model, adapter, this.#priority);
       return;
     }
   }
 }
 
-/** Both ask. */
-export function both(one: Traffic, other: Traffic, world: World): void {
-  one.each(world);
-  other.each(world);
+/** Sends the due requests of both traffic sources. */
+export function sendBoth(one: Traffic, other: Traffic, fleet: FakeFleet): void {
+  one.sendDue(fleet);
+  other.sendDue(fleet);
 }
 
-/** Models that are asked for equally seldom. */
+/** Equal weights for the models `from` to `to - 1`. */
 export function rareWeights(from: number, to: number): Record<string, number> {
   const weights: Record<string, number> = {};
   for (let index = from; index < to; index += 1) weights[`m${index}`] = 1;
   return weights;
 }
 
-/** A small site: busy models on several runners, rare ones that do not all fit. */
-export function smallSite(seed: number, change: Partial<WorldOptions> = {}): World {
-  const world = new World({
+/** A fleet of nine runners: busy models on several of them, and more rare models than fit. */
+export function smallFleet(seed: number, change: Partial<FakeFleetOptions> = {}): FakeFleet {
+  const fleet = new FakeFleet({
     engine: engineOf(39),
     zones: ['a', 'b', 'c'],
     runnersPerZone: 3,
@@ -75,12 +76,12 @@
   });
   let rare = 5;
   let index = 0;
-  for (const runner of world.runners.keys()) {
-    world.hold(runner, index % 2 === 0 ? 'm0' : 'm1');
-    world.hold(runner, `m${rare}`, `m${rare + 1}`);
+  for (const runner of fleet.runners.keys()) {
+    fleet.addHolds(runner, index % 2 === 0 ? 'm0' : 'm1');
+    fleet.addHolds(runner, `m${rare}`, `m${rare + 1}`);
     rare += 2;
     index += 1;
   }
-  world.run(1000);
-  return world;
+  fleet.run(1000);
+  return fleet;
 }
