--- a/src/placement/live.ts
+++ b/src/placement/live.ts
@@ -1,15 +1,15 @@
 import { array, boolean, number, string, type, type Infer } from 'superstruct';
 
 /** A placement as operators see it: the runner, its zone, and whether the model is ready there. */
-const LiveSeatShape = type({ runner: string(), zone: string(), isReady: boolean() });
+const LivePlacementShape = type({ runner: string(), zone: string(), isReady: boolean() });
 
 /** One model of the policy table with its placements, its demand, and what it waits for and since how long. */
 export const LiveModelShape = type({
   model: string(),
   rows: array(string()),
   rate: number(),
-  primary: LiveSeatShape,
-  understudy: LiveSeatShape,
+  primary: LivePlacementShape,
+  understudy: LivePlacementShape,
   wait: string(),
   waitMs: number(),
 });
--- a/src/placement/placer.ts
+++ b/src/placement/placer.ts
@@ -33,7 +33,7 @@
  */
 export class Placer {
   readonly #settings: PlacerSettings;
-  /** Recent demand by `unitOf`. */
+  /** Recent demand by `unitKey`. */
   readonly demand: Demand;
   readonly #intentLog: IntentLog;
   readonly #residencyTimes = new ResidencyTimes();
