--- a/src/placement/planner.ts
+++ b/src/placement/planner.ts
@@ -94,9 +94,9 @@
     this.#inventory.onRunnerList(now, runners);
   }
 
-  /** Applies a runner's own report, requested at `requestedAt`; `status` is undefined if the request failed. */
-  status(now: Moment, id: string, requestedAt: Moment, status: RunnerStatus | undefined): void {
-    this.#inventory.onRunnerStatus(now, id, requestedAt, status);
+  /** Applies a runner's own report, requested at `requestedAt`; `report` is undefined if the request failed. */
+  status(now: Moment, id: string, requestedAt: Moment, report: RunnerStatus | undefined): void {
+    this.#inventory.onRunnerStatus(now, id, requestedAt, report);
   }
 
   /** The runners whose report must be requested now; each is returned again only after `onRunnerStatus`. */
--- a/src/placement/runner-inventory.ts
+++ b/src/placement/runner-inventory.ts
@@ -192,14 +192,14 @@
     now: Moment,
     id: string,
     requestedAt: Moment,
-    status: RunnerStatus | undefined,
+    report: RunnerStatus | undefined,
   ): void {
     const runner = this.#state.runners.get(id);
     if (!runner?.isReportRequested) return;
     runner.isReportRequested = false;
     // It is executing an order of an earlier leader, or one from this leader whose answer was lost.
-    if (!status || status.isBusy) {
-      runner.reportDueAt = now + (status ? 250 : 500);
+    if (!report || report.isBusy) {
+      runner.reportDueAt = now + (report ? 250 : 500);
       return;
     }
     runner.reportDueAt = now + 250;
@@ -208,9 +208,9 @@
     const isFirstOfTerm = runner.idleSince <= this.#state.restoredAt;
     if (!isFirstOfTerm && requestedAt < runner.idleSince + this.#state.settings.reportLagMs) return;
     if (runner.queue.length > 0) return;
-    this.#applyHolds(now, runner, status.holds);
-    this.#detectNoopCounting(runner, status.orderCount);
-    runner.orderCount = status.orderCount;
+    this.#applyHolds(now, runner, report.holds);
+    this.#detectNoopCounting(runner, report.orderCount);
+    runner.orderCount = report.orderCount;
     runner.noopOrderCount = 0;
     runner.hasUnansweredOrder = false;
     this.#markKnown(now, runner);
