--- a/src/placement/placement-state.ts
+++ b/src/placement/placement-state.ts
@@ -111,7 +111,7 @@
     for (const loadedModel of runner.holds.values()) this.modelsToRecord.add(loadedModel.model);
   }
 
-  /** Records models whose last replica in service is lost because the runner is about to leave. */
+  /** Records models without a replica in service now that the runner leaves, or that its zone is evacuated. */
   noteLostReplicas(now: number, runner: RunnerState): void {
     for (const loadedModel of runner.holds.values())
       if (this.replicaCounts(now, loadedModel.model).all === 0)
--- a/src/placement/replica-choice.ts
+++ b/src/placement/replica-choice.ts
@@ -13,7 +13,7 @@
   isUrgentGrowth,
 } from './planner-records.js';
 
-/** The minimum gain of a load from disk: however long it takes, it does not count against the store's rate limit. */
+/** The minimum gain of a load from disk: even if it is no faster, it does not count against the store's rate limit. */
 const MIN_DISK_GAIN = 0.3;
 /** The gain of each saved second, in requests (the unit of losses): about the rate of a rare model. */
 const DISK_GAIN_PER_SECOND = 0.6;
