--- a/src/check/table-check.ts
+++ b/src/check/table-check.ts
@@ -218,7 +218,7 @@
         report: report ?? undefined,
         requestedAt: moment(0),
         isReachable,
-        isUnreachable: !isReachable,
+        isPresumedLost: !isReachable,
       });
     const input: PlanInput = {
       table,
--- a/src/control/control-effect.ts
+++ b/src/control/control-effect.ts
@@ -44,10 +44,15 @@
 export interface FleetPlanner {
   restore(now: Moment, docs: readonly ServiceDoc[], label: string): void;
   docs(): readonly ServiceDoc[];
-  demand(now: Moment, report: FleetDemand): void;
-  list(now: Moment, runners: readonly ListedRunner[]): void;
-  status(now: Moment, runner: string, askedAt: Moment, status: RunnerStatus | undefined): void;
-  asks(now: Moment): readonly string[];
+  onDemand(now: Moment, report: FleetDemand): void;
+  onRunnerList(now: Moment, runners: readonly ListedRunner[]): void;
+  onRunnerStatus(
+    now: Moment,
+    runner: string,
+    askedAt: Moment,
+    report: RunnerStatus | undefined,
+  ): void;
+  takeDueReportRequests(now: Moment): readonly string[];
   plan(
     now: Moment,
     input: {
@@ -56,11 +61,11 @@
       readonly proxies: number;
     },
   ): readonly string[];
-  orders(now: Moment): readonly Intent[];
-  kept(intentIds: Iterable<string>): void;
-  ordered(now: Moment, intentId: string, outcome: OrderResult): void;
+  takeDueOrders(now: Moment): readonly Intent[];
+  markPersisted(intentIds: Iterable<string>): void;
+  onOrderOutcome(now: Moment, intentId: string, outcome: OrderResult): void;
   fleet(now: Moment): Fleet;
-  nextAt(now: Moment): Moment | undefined;
+  nextPlanAt(now: Moment): Moment | undefined;
 }
 
 /** What a deployment provides; without it the node uses the product's own policy table, platform and weight store. */
--- a/src/control/fleet-manager.ts
+++ b/src/control/fleet-manager.ts
@@ -68,7 +68,7 @@
    */
   beginLeading(now: Moment, docs: readonly ServiceDoc[], label: string): void {
     this.#deployed.planner.restore(now, docs, label);
-    this.#deployed.planner.kept(intentIds(docs));
+    this.#deployed.planner.markPersisted(intentIds(docs));
     this.#openOrders.clear();
     this.#hasRunnerList = false;
     this.#runnerListPolledAt = NEVER;
@@ -79,7 +79,7 @@
   onDemand(now: Moment, body: string, doc: ConfigDoc): void {
     const report = parseAs(FleetDemandShape, body);
     if (!report) return;
-    this.#deployed.planner.demand(now, report);
+    this.#deployed.planner.onDemand(now, report);
     // A request waits at a proxy: it shall not wait for the next tick as well.
     if (report.units.some(({ waiting }) => waiting > 0)) this.#plan(now, doc);
   }
@@ -89,7 +89,7 @@
     this.#addresses.clear();
     for (const runner of runners) this.#addresses.set(runner.id, runner.address);
     this.#hasRunnerList = true;
-    this.#deployed.planner.list(now, runners);
+    this.#deployed.planner.onRunnerList(now, runners);
     this.#plan(now, doc);
   }
 
@@ -100,13 +100,13 @@
     requestedAt: Moment,
     status: RunnerStatus | undefined,
   ): void {
-    this.#deployed.planner.status(now, runner, requestedAt, status);
+    this.#deployed.planner.onRunnerStatus(now, runner, requestedAt, status);
   }
 
   /** An order ended. */
   onOrderOutcome(now: Moment, intent: string, outcome: OrderResult, doc: ConfigDoc): void {
     this.#openOrders.delete(intent);
-    this.#deployed.planner.ordered(now, intent, outcome);
+    this.#deployed.planner.onOrderOutcome(now, intent, outcome);
     this.#plan(now, doc);
   }
 
@@ -114,7 +114,7 @@
   onCommitted(now: Moment, docs: readonly ServiceDoc[]): void {
     const ids = intentIds(docs);
     if (ids.length === 0) return;
-    this.#deployed.planner.kept(ids);
+    this.#deployed.planner.markPersisted(ids);
     this.#sendOrders(now);
   }
 
@@ -123,7 +123,7 @@
     this.#pollRunnerList(now);
     if (!this.#hasRunnerList) return;
     this.#pollRunners(now);
-    const next = this.#deployed.planner.nextAt(now);
+    const next = this.#deployed.planner.nextPlanAt(now);
     if (now >= later(this.#plannedAt, PLAN_INTERVAL_MS) || (next !== undefined && now >= next))
       this.#plan(now, doc);
   }
@@ -135,7 +135,7 @@
   }
 
   #pollRunners(now: Moment): void {
-    for (const runner of this.#deployed.planner.asks(now)) {
+    for (const runner of this.#deployed.planner.takeDueReportRequests(now)) {
       const address = this.#addresses.get(runner);
       if (address !== undefined) this.#host.addEffect({ do: 'askStatus', runner, address });
     }
@@ -180,13 +180,13 @@
 
   #sendOrders(now: Moment): void {
     if (!this.#host.mayOrder(now)) return;
-    for (const intent of this.#deployed.planner.orders(now)) this.#sendOrder(now, intent);
+    for (const intent of this.#deployed.planner.takeDueOrders(now)) this.#sendOrder(now, intent);
   }
 
   #sendOrder(now: Moment, intent: Intent): void {
     const address = this.#addresses.get(intent.runner);
     if (address === undefined) {
-      this.#deployed.planner.ordered(now, intent.id, 'unsent');
+      this.#deployed.planner.onOrderOutcome(now, intent.id, 'unsent');
       return;
     }
     this.#openOrders.add(intent.id);
--- a/src/control/intent-dispatcher.ts
+++ b/src/control/intent-dispatcher.ts
@@ -67,12 +67,12 @@
   /** An order ended. */
   onOrderOutcome(now: Moment, intent: string, outcome: OrderResult | 'turnedAway'): void {
     if (outcome === 'taken') {
-      this.#placer.orderTaken(now, intent);
+      this.#placer.onOrderAccepted(now, intent);
       this.#sent.set(intent, { sentAt: now, state: 'taken', wasUnsure: true });
       return;
     }
     if (outcome === 'turnedAway') {
-      this.#placer.orderTurnedAway(intent);
+      this.#placer.onOrderRejected(intent);
       return;
     }
     const sent = this.#sent.get(intent);
@@ -108,8 +108,8 @@
     if (!this.#isDue(now, intent, sent)) return;
     const view = input.runners.find(({ machine }) => machine.id === intent.runner);
     if (!view?.isReachable || view.report?.boot !== intent.boot) return;
-    if (!this.#placer.mayStillOrder(intent, input, this.#isSent)) {
-      if (!sent && this.#wasNeverAccepted(intent, view)) this.#placer.orderTurnedAway(intent.id);
+    if (!this.#placer.mayStillSend(intent, input, this.#isSent)) {
+      if (!sent && this.#wasNeverAccepted(intent, view)) this.#placer.onOrderRejected(intent.id);
       return;
     }
     if (intent.verb === 'load' && !isStoreLimitKnown) return;
--- a/src/control/polled-runners.ts
+++ b/src/control/polled-runners.ts
@@ -104,7 +104,7 @@
       const { report, reportRequestedAt, isReachable, lastSeenAt } = runner;
       const isUnreachable = !isReachable && now - lastSeenAt > RUNNER_UNREACHABLE_MS;
       const requestedAt = reportRequestedAt;
-      views.push({ machine, report, requestedAt, isReachable, isUnreachable });
+      views.push({ machine, report, requestedAt, isReachable, isPresumedLost: isUnreachable });
     }
     return views;
   }
--- a/src/control/table-manager.ts
+++ b/src/control/table-manager.ts
@@ -1,11 +1,11 @@
 import { rowKey, type Row } from '../policy/table.js';
 import { later, moment, type Moment, type PartitionName } from '../common/ids.js';
 import { parseAs } from '../common/json.js';
-import type { Live } from '../placement/live.js';
+import type { LiveTable } from '../placement/live.js';
 import { Placer } from '../placement/placer.js';
 import type { PlacerSettings, PlanInput } from '../placement/placer-types.js';
 import {
-  DemandShape,
+  DemandReportShape,
   type Catalog,
   type Machines,
   type RunnerReport,
@@ -102,7 +102,7 @@
 
   /** A proxy reported its demand, as JSON; what is malformed is ignored. */
   onDemand(now: Moment, body: string): void {
-    const report = parseAs(DemandShape, body);
+    const report = parseAs(DemandReportShape, body);
     if (report) this.#shares.add(now, report);
     for (const unit of report?.units ?? []) {
       this.#placer.demand.add(now, `${unit.model}\n${unit.adapter}`, unit.count);
@@ -166,14 +166,14 @@
   }
 
   /** The table with its placements beside it: who serves, who waits for what, and the demand. */
-  live(now: Moment, doc: ConfigDoc): Live {
+  live(now: Moment, doc: ConfigDoc): LiveTable {
     const input = this.#planInput(now, doc);
     const rows = [];
     for (const row of input.table.rows) {
       const { weight, take } = row;
       rows.push({ row: rowKey(row), weight, take, rate: this.#shares.rate(now, rowKey(row)) });
     }
-    const models = this.#placer.live(now, input);
+    const models = this.#placer.liveModels(now, input);
     const underWay = this.docs().flatMap((service) => service.intents).length;
     return { number: doc.number, emptied: input.evacuatedZones.slice(), underWay, rows, models };
   }
@@ -223,7 +223,7 @@
   #updateShares(now: Moment, { table }: PlanInput): void {
     if (now < later(this.#sharesPublishedAt, SHARES_INTERVAL_MS)) return;
     this.#sharesPublishedAt = now;
-    this.#publishedShares = this.#shares.list(now, table.rows.map(takeOf));
+    this.#publishedShares = this.#shares.allocate(now, table.rows.map(takeOf));
   }
 }
 
--- a/src/control/testing/fault-cluster.ts
+++ b/src/control/testing/fault-cluster.ts
@@ -18,7 +18,7 @@
   #changed: string[] = [];
   #listed: readonly ListedRunner[] = [];
 
-  override list(_now: Moment, runners: readonly ListedRunner[]): void {
+  override onRunnerList(_now: Moment, runners: readonly ListedRunner[]): void {
     this.#listed = runners;
   }
 
--- a/src/control/testing/idle-planner.ts
+++ b/src/control/testing/idle-planner.ts
@@ -13,35 +13,35 @@
   docs(): readonly ServiceDoc[] {
     return [];
   }
-  demand(): void {
+  onDemand(): void {
     /* not told */
   }
-  list(_now: Moment, _runners: readonly ListedRunner[]): void {
+  onRunnerList(_now: Moment, _runners: readonly ListedRunner[]): void {
     /* not told */
   }
-  status(): void {
+  onRunnerStatus(): void {
     /* not told */
   }
-  asks(): readonly string[] {
+  takeDueReportRequests(): readonly string[] {
     return [];
   }
   plan(_now: Moment, { proxies }: { readonly proxies: number }): readonly string[] {
     this.#proxyCount = proxies;
     return [];
   }
-  orders(): readonly Intent[] {
+  takeDueOrders(): readonly Intent[] {
     return [];
   }
-  kept(): void {
+  markPersisted(): void {
     /* nothing kept */
   }
-  ordered(): void {
+  onOrderOutcome(): void {
     /* nothing ordered */
   }
   fleet(): Fleet {
     return { flows: this.#proxyCount, runners: [], waits: [] };
   }
-  nextAt(): Moment | undefined {
+  nextPlanAt(): Moment | undefined {
     return undefined;
   }
 }
--- a/src/operator/table-command.test.ts
+++ b/src/operator/table-command.test.ts
@@ -1,9 +1,9 @@
 import { expect, test } from 'vitest';
-import type { Live } from '../placement/live.js';
+import type { LiveTable } from '../placement/live.js';
 import { liveText } from './table-command.js';
 test('the live table says who serves each row and who waits for what', () => {
   const nobody = { runner: '', zone: '', isReady: false };
-  const live: Live = {
+  const live: LiveTable = {
     number: 4,
     emptied: ['south'],
     underWay: 1,
--- a/src/operator/table-command.ts
+++ b/src/operator/table-command.ts
@@ -4,7 +4,7 @@
 import { array, number, string, type } from 'superstruct';
 import { printTable } from '../policy/language.js';
 import { TableShape } from '../policy/table.js';
-import { LiveShape, type Live, type LiveModel } from '../placement/live.js';
+import { LiveTableShape, type LiveTable, type LiveModel } from '../placement/live.js';
 import { OPERATOR_FLAGS, OperatorCommand } from './operator-command.js';
 
 const TableReplyShape = type({
@@ -62,10 +62,10 @@
     this.log(printTable(value.table).trimEnd());
   }
 
-  async #fetchLive(api: readonly string[], isJson: boolean): Promise<Live | undefined> {
+  async #fetchLive(api: readonly string[], isJson: boolean): Promise<LiveTable | undefined> {
     const returned = await this.operator(api).request('GET', '/live');
     const value: unknown = returned.value;
-    if (LiveShape.is(value)) return value;
+    if (LiveTableShape.is(value)) return value;
     this.printReply(returned, isJson);
     return undefined;
   }
@@ -108,7 +108,7 @@
 }
 
 /** Each row with the models that it serves; a model that several rows want stands under the first of them. */
-export function liveText(live: Live): string {
+export function liveText(live: LiveTable): string {
   const lines = [
     `table ${live.number}, emptied zones: ${live.emptied.join(' ') || 'none'}, orders under way: ${live.underWay}`,
   ];
@@ -135,7 +135,7 @@
 }
 
 /** Differs whenever the table, the evacuated zones or the placement changed. */
-function placesText(live: Live): string {
+function placesText(live: LiveTable): string {
   const parts: string[] = [String(live.number), live.emptied.join(' ')];
   for (const model of live.models)
     parts.push(
--- a/src/placement/capacity-table.ts
+++ b/src/placement/capacity-table.ts
@@ -1,4 +1,4 @@
-import { unitOf, type PlanInput, type RunnerView } from './placer-types.js';
+import { unitKey, type PlanInput, type RunnerView } from './placer-types.js';
 import type { Hold, Intent, ServiceDoc } from './shapes.js';
 
 /**
@@ -32,7 +32,7 @@
     const view = this.#views.get(runner);
     return (
       view !== undefined &&
-      !view.isUnreachable &&
+      !view.isPresumedLost &&
       !view.machine.leaving &&
       !this.#evacuatedZones.has(view.machine.zone)
     );
@@ -166,10 +166,10 @@
     const busy = new Set<string>();
     for (const intent of this.#intents)
       if (intent.verb === 'load')
-        busy.add(`${intent.runner}\n${unitOf(intent.model, intent.adapter)}`);
+        busy.add(`${intent.runner}\n${unitKey(intent.model, intent.adapter)}`);
     for (const [id, view] of this.#views) {
       for (const hold of view.report?.holds ?? [])
-        if (hold.state === 'loading') busy.add(`${id}\n${unitOf(hold.model, hold.adapter)}`);
+        if (hold.state === 'loading') busy.add(`${id}\n${unitKey(hold.model, hold.adapter)}`);
     }
     return busy.size;
   }
--- a/src/placement/live.ts
+++ b/src/placement/live.ts
@@ -17,7 +17,7 @@
 export type LiveModel = Infer<typeof LiveModelShape>;
 
 /** The policy table with the current placements, for operators. */
-export const LiveShape = type({
+export const LiveTableShape = type({
   number: number(),
   emptied: array(string()),
   underWay: number(),
@@ -25,4 +25,4 @@
   models: array(LiveModelShape),
 });
 /** The policy table with the current placements. */
-export type Live = Infer<typeof LiveShape>;
+export type LiveTable = Infer<typeof LiveTableShape>;
--- a/src/placement/placer-types.ts
+++ b/src/placement/placer-types.ts
@@ -10,7 +10,7 @@
   readonly requestedAt: Moment;
   readonly isReachable: boolean;
   /** Not reachable for so long that its placements are removed. */
-  readonly isUnreachable: boolean;
+  readonly isPresumedLost: boolean;
 }
 
 /** The input of a plan. */
@@ -57,7 +57,7 @@
 export type PlacementRole = 'primary' | 'understudy';
 
 /** The key of a model, or of one of its adapters if `adapter` is not empty. */
-export function unitOf(model: string, adapter: string): string {
+export function unitKey(model: string, adapter: string): string {
   return `${model}\n${adapter}`;
 }
 
--- a/src/placement/placer.test.ts
+++ b/src/placement/placer.test.ts
@@ -50,7 +50,7 @@
         report,
         requestedAt: moment(this.now),
         isReachable: runner.isUp,
-        isUnreachable: !runner.isUp,
+        isPresumedLost: !runner.isUp,
       });
     }
     return { table, catalog: this.catalog, runners, evacuatedZones: this.evacuatedZones };
@@ -69,7 +69,7 @@
     const runner = this.runners.get(intent.runner);
     if (this.executedIntents.has(intent.id) || !runner?.isUp) return;
     this.executedIntents.add(intent.id);
-    this.placer.orderTaken(moment(this.now), intent.id);
+    this.placer.onOrderAccepted(moment(this.now), intent.id);
     if (intent.verb === 'unload') {
       runner.holds = runner.holds.filter((hold) => !matchesIntent(intent, hold));
       return;
--- a/src/placement/placer.ts
+++ b/src/placement/placer.ts
@@ -6,7 +6,7 @@
 import { IntentLog } from './intent-log.js';
 import type { LiveModel } from './live.js';
 import {
-  unitOf,
+  unitKey,
   type PlacerSettings,
   type PlanInput,
   type RunnerView,
@@ -57,12 +57,12 @@
   }
 
   /** The runner accepted the order: a report requested later shows its outcome. */
-  orderTaken(now: Moment, intent: string): void {
+  onOrderAccepted(now: Moment, intent: string): void {
     this.#intentLog.onAccepted(now, intent);
   }
 
   /** The runner rejected the order permanently. */
-  orderTurnedAway(intent: string): void {
+  onOrderRejected(intent: string): void {
     this.#intentLog.onRejected(intent);
   }
 
@@ -71,7 +71,7 @@
    * to leave, its zone may have been evacuated, its memory may have shrunk, or the store's limit may have been lowered.
    * Against the capacity count reported models, other unloads, and other loads that were sent.
    */
-  mayStillOrder(intent: Intent, input: PlanInput, isSent: (intent: string) => boolean): boolean {
+  mayStillSend(intent: Intent, input: PlanInput, isSent: (intent: string) => boolean): boolean {
     if (intent.verb === 'unload') return true;
     const docsWithSent: ServiceDoc[] = [];
     for (const doc of this.#intentLog.docs())
@@ -105,7 +105,7 @@
   }
 
   /** Each model that matches a row of the table, with its placements, for operators. */
-  live(now: Moment, input: PlanInput): LiveModel[] {
+  liveModels(now: Moment, input: PlanInput): LiveModel[] {
     const capacity = new CapacityTable(input, this.docs());
     const models: LiveModel[] = [];
     for (const { model, rate } of this.#desiredModels(now, input)) {
@@ -176,7 +176,7 @@
     for (const { name, size } of input.catalog.models) {
       const weight = indexOf(input.table).weight(name);
       if (weight === 0) continue;
-      const rate = this.demand.rate(now, unitOf(name, ''));
+      const rate = this.demand.rate(now, unitKey(name, ''));
       const worth = weight * (rate + MIN_WORTH_RATE_PER_SECOND);
       const isWaitingLong = this.#isWaitingLong(now, name);
       desired.push({
@@ -200,7 +200,7 @@
     const doc = this.#intentLog.doc(model);
     const minRate = this.#settings.idleRate * ADAPTER_FETCH_RATE_SHARE;
     for (const { name: adapter, model: owner, size } of catalog.adapters) {
-      if (owner !== model || this.demand.rate(now, unitOf(model, adapter)) < minRate) continue;
+      if (owner !== model || this.demand.rate(now, unitKey(model, adapter)) < minRate) continue;
       for (const runner of [doc.primary, doc.understudy]) {
         const view = capacity.view(runner);
         if (!view || !capacity.isReady(runner, model)) continue;
--- a/src/placement/planner.test.ts
+++ b/src/placement/planner.test.ts
@@ -265,14 +265,14 @@
     planner.restore(moment(0), [], 'l1');
     planner.plan(moment(0), input);
     const hold = [{ model: 'm0', adapters: [] }];
-    planner.list(moment(0), [
+    planner.onRunnerList(moment(0), [
       listedOf('r1', 'a', hold),
       listedOf('r2', 'b', hold),
       listedOf('r3', 'c', hold),
       listedOf('r4', 'c', []),
     ]);
     for (let now = 100; now < 5000; now += 100) {
-      planner.demand(moment(now), {
+      planner.onDemand(moment(now), {
         flow: 'f1',
         units: [
           {
@@ -296,15 +296,19 @@
     const input = { routing, evacuatedZones: [], proxies: 1 };
     planner.restore(moment(0), [], 'l1');
     planner.plan(moment(0), input);
-    planner.list(moment(0), [listedOf('r1', 'a', []), listedOf('r2', 'b', [])]);
+    planner.onRunnerList(moment(0), [listedOf('r1', 'a', []), listedOf('r2', 'b', [])]);
     const sent: string[] = [];
     for (let now = 100; now < 1500; now += 5) {
-      planner.demand(moment(now), { flow: 'f1', units: [{ ...waitingUnit('m0', 1), count: 0 }] });
+      planner.onDemand(moment(now), { flow: 'f1', units: [{ ...waitingUnit('m0', 1), count: 0 }] });
       planner.plan(moment(now), input);
-      planner.kept(intentIdsOf(planner));
-      for (const order of planner.orders(moment(now))) {
+      planner.markPersisted(intentIdsOf(planner));
+      for (const order of planner.takeDueOrders(moment(now))) {
         sent.push(order.runner);
-        planner.ordered(moment(now + 1), order.id, order.runner === 'r1' ? 'unsent' : 'taken');
+        planner.onOrderOutcome(
+          moment(now + 1),
+          order.id,
+          order.runner === 'r1' ? 'unsent' : 'taken',
+        );
       }
     }
     expect(sent.slice(0, 2)).toEqual(['r1', 'r2']);
@@ -750,34 +754,37 @@
   planner.restore(moment(0), [], 'l1');
   const routing = routingOf(engineOf(4));
   planner.plan(moment(0), { routing, evacuatedZones: [], proxies: 1 });
-  planner.list(moment(0), [
+  planner.onRunnerList(moment(0), [
     listedOf('r1', 'a', [
       { model: 'm0', adapters: [] },
       { model: 'm2', adapters: [] },
     ]),
   ]);
   planner.plan(moment(0), { routing, evacuatedZones: [], proxies: 1 });
-  planner.demand(moment(100), { flow: 'f1', units: [waitingUnit('m1', 1), waitingUnit('m3', 1)] });
+  planner.onDemand(moment(100), {
+    flow: 'f1',
+    units: [waitingUnit('m1', 1), waitingUnit('m3', 1)],
+  });
   const changed = planner.plan(moment(100), { routing, evacuatedZones: [], proxies: 1 });
   expect(changed).toContain('llm/m1');
-  expect(planner.orders(moment(100))).toEqual([]);
+  expect(planner.takeDueOrders(moment(100))).toEqual([]);
   expect(planner.fleet(moment(100)).runners[0]?.coming).toEqual([
     { model: 'm1', adapter: '', readyMs: 600 },
   ]);
   expect(planner.fleet(moment(100)).waits.map(modelOf)).toEqual(['m3']);
-  planner.kept(intentIdsOf(planner));
-  const [order, ...others] = planner.orders(moment(101));
+  planner.markPersisted(intentIdsOf(planner));
+  const [order, ...others] = planner.takeDueOrders(moment(101));
   expect(order?.model).toBe('m1');
   expect(others).toEqual([]);
   // Returned once, until its outcome is reported.
-  expect(planner.orders(moment(150))).toEqual([]);
-  planner.ordered(moment(151), order?.id ?? '', 'taken');
-  expect(planner.orders(moment(700))).toEqual([]);
-  const [question] = planner.orders(moment(760));
+  expect(planner.takeDueOrders(moment(150))).toEqual([]);
+  planner.onOrderOutcome(moment(151), order?.id ?? '', 'taken');
+  expect(planner.takeDueOrders(moment(700))).toEqual([]);
+  const [question] = planner.takeDueOrders(moment(760));
   expect(question?.id).toBe(order?.id);
-  planner.ordered(moment(765), question?.id ?? '', 'busy');
-  expect(planner.orders(moment(766))).toEqual([]);
-  planner.ordered(moment(840), planner.orders(moment(839))[0]?.id ?? '', 'held');
+  planner.onOrderOutcome(moment(765), question?.id ?? '', 'busy');
+  expect(planner.takeDueOrders(moment(766))).toEqual([]);
+  planner.onOrderOutcome(moment(840), planner.takeDueOrders(moment(839))[0]?.id ?? '', 'held');
   expect(planner.fleet(moment(840)).runners[0]?.holds.map(modelOf)).toEqual(['m0', 'm2', 'm1']);
   expect(planner.plan(moment(841), { routing, evacuatedZones: [], proxies: 1 })).toContain(
     'llm/m1',
@@ -798,7 +805,7 @@
   const routing = routingOf(engineOf(4));
   const input = { routing, evacuatedZones: [], proxies: 1 };
   planner.plan(moment(0), input);
-  planner.list(moment(0), [
+  planner.onRunnerList(moment(0), [
     listedOf('r1', 'a', [
       { model: 'm0', adapters: [] },
       { model: 'm1', adapters: [] },
@@ -806,22 +813,22 @@
     ]),
   ]);
   planner.plan(moment(0), input);
-  planner.demand(moment(5000), { flow: 'f1', units: [waitingUnit('m3', 1)] });
+  planner.onDemand(moment(5000), { flow: 'f1', units: [waitingUnit('m3', 1)] });
   planner.plan(moment(5000), input);
-  planner.kept(intentIdsOf(planner));
-  const [unload] = planner.orders(moment(5001));
+  planner.markPersisted(intentIdsOf(planner));
+  const [unload] = planner.takeDueOrders(moment(5001));
   expect(unload?.verb).toBe('unload');
-  planner.ordered(moment(5002), unload?.id ?? '', 'unsure');
+  planner.onOrderOutcome(moment(5002), unload?.id ?? '', 'unsure');
   planner.plan(moment(5003), input);
   // Before a report that was certainly made later, nothing is ordered there, and the model is not published as loaded.
-  expect(planner.orders(moment(5003))).toEqual([]);
+  expect(planner.takeDueOrders(moment(5003))).toEqual([]);
   expect(planner.fleet(moment(5003)).runners[0]?.holds.map(modelOf)).not.toContain(unload?.model);
-  expect(planner.asks(moment(5100))).toEqual([]);
-  const at = planner.nextAt(moment(5003)) ?? moment(0);
-  expect(planner.asks(at)).toEqual(['r1']);
-  expect(planner.asks(at)).toEqual([]);
+  expect(planner.takeDueReportRequests(moment(5100))).toEqual([]);
+  const at = planner.nextPlanAt(moment(5003)) ?? moment(0);
+  expect(planner.takeDueReportRequests(at)).toEqual(['r1']);
+  expect(planner.takeDueReportRequests(at)).toEqual([]);
   // A report requested too early is ignored.
-  planner.status(moment(at + 10), 'r1', moment(5100), {
+  planner.onRunnerStatus(moment(at + 10), 'r1', moment(5100), {
     holds: [],
     isBusy: false,
     orderCount: 0,
@@ -829,8 +836,8 @@
     active: 0,
   });
   expect(planner.fleet(moment(at + 10)).runners[0]?.holds.length).toBe(2);
-  expect(planner.asks(moment(at + 300))).toEqual(['r1']);
-  planner.status(moment(at + 320), 'r1', moment(at + 300), {
+  expect(planner.takeDueReportRequests(moment(at + 300))).toEqual(['r1']);
+  planner.onRunnerStatus(moment(at + 320), 'r1', moment(at + 300), {
     holds: [
       { model: 'm1', adapters: [] },
       { model: 'm2', adapters: [] },
@@ -841,8 +848,8 @@
     active: 0,
   });
   planner.plan(moment(at + 320), input);
-  planner.kept(intentIdsOf(planner));
-  const [load] = planner.orders(moment(at + 321));
+  planner.markPersisted(intentIdsOf(planner));
+  const [load] = planner.takeDueOrders(moment(at + 321));
   expect([load?.verb, load?.model, load?.count]).toEqual(['load', 'm3', 1]);
 }
 
--- a/src/placement/planner.ts
+++ b/src/placement/planner.ts
@@ -82,7 +82,7 @@
   }
 
   /** Applies a proxy's report: arrivals since its previous report, and its current waiting and running requests. */
-  demand(now: Moment, report: FleetDemand): void {
+  onDemand(now: Moment, report: FleetDemand): void {
     this.#demand.onDemand(now, report);
   }
 
@@ -90,32 +90,37 @@
    * Applies the platform's list: the runners on it at once, their models only if no order can have changed them since
    * the list was made.
    */
-  list(now: Moment, runners: readonly ListedRunner[]): void {
+  onRunnerList(now: Moment, runners: readonly ListedRunner[]): void {
     this.#inventory.onRunnerList(now, runners);
   }
 
   /** Applies a runner's own report, requested at `requestedAt`; `report` is undefined if the request failed. */
-  status(now: Moment, id: string, requestedAt: Moment, report: RunnerStatus | undefined): void {
+  onRunnerStatus(
+    now: Moment,
+    id: string,
+    requestedAt: Moment,
+    report: RunnerStatus | undefined,
+  ): void {
     this.#inventory.onRunnerStatus(now, id, requestedAt, report);
   }
 
   /** The runners whose report must be requested now; each is returned again only after `onRunnerStatus`. */
-  asks(now: Moment): readonly string[] {
+  takeDueReportRequests(now: Moment): readonly string[] {
     return this.#inventory.takeDueReportRequests(now);
   }
 
   /** These intents are stored by a majority: their orders may be sent. */
-  kept(intentIds: Iterable<string>): void {
+  markPersisted(intentIds: Iterable<string>): void {
     this.#orders.markPersisted(intentIds);
   }
 
   /** Stored intents that are due, marked as sent; each is returned again only after its outcome was reported. */
-  orders(now: Moment): readonly Intent[] {
+  takeDueOrders(now: Moment): readonly Intent[] {
     return this.#orders.takeDueOrders(now);
   }
 
   /** The outcome of a sent order. */
-  ordered(now: Moment, intentId: string, outcome: OrderOutcome): void {
+  onOrderOutcome(now: Moment, intentId: string, outcome: OrderOutcome): void {
     this.#orders.onOrderOutcome(now, intentId, outcome);
   }
 
@@ -151,7 +156,7 @@
   }
 
   /** When to plan or send orders again if no event occurs before; undefined if that is not needed. */
-  nextAt(now: Moment): Moment | undefined {
+  nextPlanAt(now: Moment): Moment | undefined {
     const state = this.#state;
     if (state.changedDocKeys.size > 0 || state.modelsToRecord.size > 0) return now;
     let next = state.blockedUntil;
--- a/src/placement/quota-shares.ts
+++ b/src/placement/quota-shares.ts
@@ -30,7 +30,7 @@
   }
 
   /** Each proxy's share of each row's quota, 0 to 1; rows without reported demand or without a quota are left out. */
-  list(now: Moment, rows: readonly { readonly key: string; readonly take: number }[]): Share[] {
+  allocate(now: Moment, rows: readonly { readonly key: string; readonly take: number }[]): Share[] {
     for (const [flow, at] of this.#reportedAt)
       if (now - at > PROXY_TTL_MS) this.#reportedAt.delete(flow);
     const count = this.#reportedAt.size;
--- a/src/placement/replica-trial.ts
+++ b/src/placement/replica-trial.ts
@@ -71,7 +71,7 @@
     if (this.#executedIntents.has(intent.id)) return;
     this.#executedIntents.add(intent.id);
     this.#orders.push(intent);
-    this.#placer.orderTaken(moment(this.#now), intent.id);
+    this.#placer.onOrderAccepted(moment(this.#now), intent.id);
     const holds = this.#holds.get(intent.runner) ?? [];
     const rest = holds.filter((hold) => isOtherHold(intent, hold));
     if (intent.verb === 'load')
--- a/src/placement/shapes.ts
+++ b/src/placement/shapes.ts
@@ -128,10 +128,10 @@
 export type Places = Infer<typeof PlacesShape>;
 
 /** One proxy's demand since its previous report: requests by model and adapter, and by row. */
-export const DemandShape = type({
+export const DemandReportShape = type({
   flow: string(),
   units: array(type({ model: string(), adapter: string(), count: number() })),
   rows: array(type({ row: string(), count: number() })),
 });
 /** One proxy's demand. */
-export type DemandReport = Infer<typeof DemandShape>;
+export type DemandReport = Infer<typeof DemandReportShape>;
--- a/src/placement/testing/fake-fleet.ts
+++ b/src/placement/testing/fake-fleet.ts
@@ -155,19 +155,19 @@
     this.#reportDemand();
     for (const answer of this.#takeDue(this.#orderReplies))
       if (answer.planner === this.planner)
-        this.planner.ordered(this.at(), answer.id, answer.outcome);
+        this.planner.onOrderOutcome(this.at(), answer.id, answer.outcome);
     for (const report of this.#takeDue(this.#statusReplies))
       if (report.planner === this.planner)
-        this.planner.status(this.at(), report.id, moment(report.askedAt), report.status);
+        this.planner.onRunnerStatus(this.at(), report.id, moment(report.askedAt), report.status);
     for (const { ids, planner } of this.#takeDue(this.#pendingWrites))
-      if (planner === this.planner) this.planner.kept(ids);
+      if (planner === this.planner) this.planner.markPersisted(ids);
     for (const { intent, planner, fence, isLate } of this.#takeDue(this.#inFlight))
       this.#deliverOrder(intent, planner, fence, isLate);
     this.#plan();
   }
 
   #plan(): void {
-    const next = this.planner.nextAt(this.at());
+    const next = this.planner.nextPlanAt(this.at());
     if (this.options.plansOnlyWhenDue && !this.#hasEvent && (next === undefined || next > this.now))
       return;
     this.#hasEvent = false;
@@ -189,7 +189,7 @@
       }
       this.#pendingWrites.push({ at: this.now + STEP_MS, ids, planner: this.planner });
     }
-    for (const intent of this.planner.orders(this.at()))
+    for (const intent of this.planner.takeDueOrders(this.at()))
       this.#inFlight.push({
         at: this.now + STEP_MS,
         intent,
@@ -197,7 +197,7 @@
         fence: this.#term,
         isLate: false,
       });
-    for (const id of this.planner.asks(this.at())) {
+    for (const id of this.planner.takeDueReportRequests(this.at())) {
       this.reportRequestCount += 1;
       const runner = this.runners.get(id);
       this.#statusReplies.push({
@@ -322,7 +322,7 @@
     this.#nextListDeliveryAt = this.now + 1000;
     let found = this.#lists[0]?.list ?? [];
     for (const entry of this.#lists) if (entry.at <= this.now - LIST_LAG_MS) found = entry.list;
-    this.planner.list(this.at(), found);
+    this.planner.onRunnerList(this.at(), found);
   }
 
   /** Reports the demand of all requests as one proxy. */
@@ -345,7 +345,7 @@
     this.#arrivals.clear();
     const report: FleetDemand = { flow: 'f1', units: [...units.values()] };
     if (report.units.length > 0) this.#hasEvent = true;
-    this.planner.demand(this.at(), report);
+    this.planner.onDemand(this.at(), report);
   }
 
   #serveRequests(): void {
--- a/src/simulation/order-stub.ts
+++ b/src/simulation/order-stub.ts
@@ -41,11 +41,11 @@
     return [{ model: 'm-0', primary: '', understudy: '', wait, intents: [] }];
   }
 
-  demand(): void {
+  onDemand(): void {
     /* Demand has no part in who may order. */
   }
 
-  list(_now: Moment, runners: readonly ListedRunner[]): void {
+  onRunnerList(_now: Moment, runners: readonly ListedRunner[]): void {
     const known = this.#runners;
     this.#runners = runners.map(
       ({ id }) =>
@@ -53,11 +53,11 @@
     );
   }
 
-  status(): void {
+  onRunnerStatus(): void {
     /* Never asked for. */
   }
 
-  asks(): readonly string[] {
+  takeDueReportRequests(): readonly string[] {
     return [];
   }
 
@@ -68,7 +68,7 @@
     return ['m-0'];
   }
 
-  orders(now: Moment): readonly Intent[] {
+  takeDueOrders(now: Moment): readonly Intent[] {
     const intents: Intent[] = [];
     for (const runner of this.#runners) {
       if (runner.openIntent !== '' || now < later(runner.orderedAt, ORDER_AGAIN_MS)) continue;
@@ -82,11 +82,11 @@
     return intents;
   }
 
-  kept(): void {
+  markPersisted(): void {
     /* Orders here do not wait for being written down. */
   }
 
-  ordered(_now: Moment, intentId: string, _outcome: OrderResult): void {
+  onOrderOutcome(_now: Moment, intentId: string, _outcome: OrderResult): void {
     for (const runner of this.#runners) {
       if (runner.openIntent === intentId) runner.openIntent = '';
     }
@@ -96,7 +96,7 @@
     return QUIET_FLEET;
   }
 
-  nextAt(): Moment | undefined {
+  nextPlanAt(): Moment | undefined {
     return undefined;
   }
 }
--- a/src/simulation/same-runs/planner-run.ts
+++ b/src/simulation/same-runs/planner-run.ts
@@ -126,7 +126,7 @@
     this.#planner.restore(this.#at, [...this.#stored.values()], `l${this.#leaders}`);
     const ids: string[] = [];
     for (const { intents } of this.#stored.values()) for (const { id } of intents) ids.push(id);
-    this.#planner.kept(ids);
+    this.#planner.markPersisted(ids);
     this.#fleetText = '';
   }
 
@@ -172,14 +172,14 @@
     // The platform's list is old; the newest that is old enough counts.
     let told = this.#lists[0];
     for (const one of this.#lists) if (one.at <= this.#now - LIST_LAG_MS) told = one;
-    if (told) this.#planner.list(this.#at, told.list);
+    if (told) this.#planner.onRunnerList(this.#at, told.list);
   }
 
   #tellDemand(): void {
     if (this.#now < this.#demandAt) return;
     this.#demandAt = this.#now + DEMAND_MS;
     const flow = `f${1 + this.#random.below(this.#flows)}`;
-    this.#planner.demand(this.#at, this.#demand.report(flow, this.#runners.values()));
+    this.#planner.onDemand(this.#at, this.#demand.report(flow, this.#runners.values()));
   }
 
   // ---- what is on its way
@@ -196,13 +196,13 @@
   #hear(pending: Exclude<Pending, { readonly to: 'runner' }>): void {
     switch (pending.to) {
       case 'documents':
-        this.#planner.kept(pending.ids);
+        this.#planner.markPersisted(pending.ids);
         break;
       case 'order':
-        this.#planner.ordered(this.#at, pending.id, pending.outcome);
+        this.#planner.onOrderOutcome(this.#at, pending.id, pending.outcome);
         break;
       case 'report':
-        this.#planner.status(this.#at, pending.runner, pending.askedAt, pending.status);
+        this.#planner.onRunnerStatus(this.#at, pending.runner, pending.askedAt, pending.status);
         break;
     }
   }
@@ -235,10 +235,10 @@
     const input = { routing: this.#routing, evacuatedZones: this.#evacuated, proxies: this.#flows };
     const changed = planner.plan(this.#at, input);
     if (changed.length > 0) this.#store(changed);
-    for (const intent of planner.orders(this.#at)) this.#send(intent);
-    for (const id of planner.asks(this.#at)) this.#ask(id);
+    for (const intent of planner.takeDueOrders(this.#at)) this.#send(intent);
+    for (const id of planner.takeDueReportRequests(this.#at)) this.#ask(id);
     this.#recordFleet();
-    const next = planner.nextAt(this.#at);
+    const next = planner.nextPlanAt(this.#at);
     if (next !== undefined) this.#record('next', [next]);
   }
 
--- a/src/simulation/same-runs/relay-run.ts
+++ b/src/simulation/same-runs/relay-run.ts
@@ -49,8 +49,8 @@
   #changedAt: Moment | undefined;
   #changes = 0;
 
-  override list(now: Moment, runners: readonly ListedRunner[]): void {
-    super.list(
+  override onRunnerList(now: Moment, runners: readonly ListedRunner[]): void {
+    super.onRunnerList(
       now,
       runners.filter(({ id }) => !id.startsWith(GUEST)),
     );
