--- a/src/dissemination/exchange.test.ts
+++ b/src/dissemination/exchange.test.ts
@@ -8,11 +8,11 @@
 import { Exchange, type Incoming } from './exchange.js';
 
 function ignore(): void {
-  /* the close is what is tested */
+  /* the tests observe the close */
 }
 
 const errors: HaretrackError[] = [];
-function make(id: string, listen: string): Exchange {
+function makeExchange(id: string, listen: string): Exchange {
   return new Exchange({ id, role: 'test', zone: 'z', listen, reach: {} }, (error) =>
     errors.push(error),
   );
@@ -23,15 +23,15 @@
 function isBadFrame(error: HaretrackError): boolean {
   return error.code === 'bad-frame';
 }
-test('messages arrive complete and in order both ways, and a closed connection is notified', async () => {
-  const server = make('server', '127.0.0.1:0');
+test('messages arrive complete and in order in both directions, and a closed connection is reported', async () => {
+  const server = makeExchange('server', '127.0.0.1:0');
   const port = await server.open();
-  const client = make('client', '');
+  const client = makeExchange('client', '');
   const id = `127.0.0.1:${port}`;
   client.dial(id);
-  const got = firstValueFrom(server.incoming$.pipe(take(3), toArray()));
-  const heard = firstValueFrom(client.incoming$);
-  // The listener knows a dialler by its hello; the large body must arrive complete and in order.
+  const receivedByServer = firstValueFrom(server.incoming$.pipe(take(3), toArray()));
+  const received = firstValueFrom(client.incoming$);
+  // The listener learns the id of the dialing node from its hello; the large body spans many chunks.
   const large = 'x'.repeat(3_000_000);
   function sendAll(): void {
     client.send(id, { kind: 'update', topic: 'a', epoch: 1, count: 1, body: large });
@@ -43,18 +43,18 @@
     if (!isUp) await new Promise(setImmediate);
   }
   sendAll();
-  const messages = await got;
+  const messages = await receivedByServer;
   expect(messages.map(kindOf)).toEqual(['update', 'demand', 'assignParent']);
   expect(messages[0]?.message.kind === 'update' && messages[0].message.body.length).toBe(3_000_000);
   server.send('client', { kind: 'assignParent', parent: 'p' });
-  expect((await heard).message).toEqual({ kind: 'assignParent', parent: 'p' });
-  const gone = firstValueFrom(server.disconnected$);
+  expect((await received).message).toEqual({ kind: 'assignParent', parent: 'p' });
+  const disconnected = firstValueFrom(server.disconnected$);
   client.close();
-  expect(await gone).toBe('client');
+  expect(await disconnected).toBe('client');
   server.close();
 });
-test('a malformed frame closes its own connection alone', async () => {
-  const server = make('server', '127.0.0.1:0');
+test('a malformed frame closes its connection and is reported', async () => {
+  const server = makeExchange('server', '127.0.0.1:0');
   const port = await server.open();
   const socket = connect({ host: '127.0.0.1', port });
   socket.on('error', ignore);
@@ -74,8 +74,8 @@
   });
 }
 
-test('an idle connection is closed after the timeout and may be dialled anew', async () => {
-  // A server that accepts, introduces itself and then sends nothing more, as behind a network partition.
+test('an idle connection is closed after the timeout and can be dialed again', async () => {
+  // A server that accepts, sends its hello and then nothing more, as behind a network partition.
   const sockets: Socket[] = [];
   const server: Server = createServer((socket: Socket) => {
     sockets.push(socket);
@@ -87,30 +87,30 @@
       role: 'test',
       zone: 'z',
     });
-    const head = Buffer.alloc(4);
-    head.writeUInt32BE(hello.length);
-    socket.write(Buffer.concat([head, hello]));
+    const header = Buffer.alloc(4);
+    header.writeUInt32BE(hello.length);
+    socket.write(Buffer.concat([header, hello]));
   });
   const port = await bindServer(server, '127.0.0.1:0');
-  const client = make('client', '');
+  const client = makeExchange('client', '');
   const id = `127.0.0.1:${port}`;
-  const began = monotonicNow();
-  const gone = firstValueFrom(client.disconnected$);
+  const startedAt = monotonicNow();
+  const disconnected = firstValueFrom(client.disconnected$);
   client.dial(id);
-  await gone;
-  expect(monotonicNow() - began).toBeGreaterThan(1400);
-  expect(monotonicNow() - began).toBeLessThan(3000);
-  // It may be dialled anew at once.
+  await disconnected;
+  expect(monotonicNow() - startedAt).toBeGreaterThan(1400);
+  expect(monotonicNow() - startedAt).toBeLessThan(3000);
+  // It can be dialed again immediately.
   client.dial(id);
   await wait(300);
   expect(sockets).toHaveLength(2);
   client.close();
   server.close();
 });
-test('a connection without messages stays open by its heartbeats', async () => {
-  const server = make('server', '127.0.0.1:0');
+test('heartbeats keep a connection without messages open', async () => {
+  const server = makeExchange('server', '127.0.0.1:0');
   const port = await server.open();
-  const client = make('client', '');
+  const client = makeExchange('client', '');
   const closed: string[] = [];
   client.disconnected$.subscribe((id) => closed.push(id));
   client.dial(`127.0.0.1:${port}`);
@@ -120,14 +120,14 @@
   client.close();
   server.close();
 });
-test('messages sent while a node is dialled are delivered once it is connected', async () => {
-  const server = make('server', '127.0.0.1:0');
+test('messages sent while a node is dialed are delivered once it is connected', async () => {
+  const server = makeExchange('server', '127.0.0.1:0');
   const port = await server.open();
-  const client = make('client', '');
-  const heard = firstValueFrom(server.incoming$);
-  // Nothing is connected yet: the first message of a session does not wait for its next tick.
+  const client = makeExchange('client', '');
+  const received = firstValueFrom(server.incoming$);
+  // There is no connection yet: the first message of a session does not wait for its next tick.
   client.send(`127.0.0.1:${port}`, { kind: 'demand', body: 'first' });
-  expect((await heard).message).toEqual({ kind: 'demand', body: 'first' });
+  expect((await received).message).toEqual({ kind: 'demand', body: 'first' });
   client.close();
   server.close();
 });
--- a/src/dissemination/sessions.test.ts
+++ b/src/dissemination/sessions.test.ts
@@ -2,7 +2,7 @@
 import { moment } from '../common/ids.js';
 import { FAN_OUT, Sessions } from './sessions.js';
 
-function fill(count: number): Sessions {
+function sessionsOf(count: number): Sessions {
   const sessions = new Sessions(1000, 5000);
   for (let index = 0; index < count; index += 1)
     sessions.onJoin(moment(0), `n${String(index).padStart(3, '0')}`, 'z', '', {
@@ -11,8 +11,8 @@
     });
   return sessions;
 }
-test('the relay tree of 200 nodes is shallow, with bounded fan-out', () => {
-  const tree = fill(200).relayParents();
+test('the relay tree of 200 members is shallow and has a bounded fan-out', () => {
+  const tree = sessionsOf(200).relayParents();
   const children = new Map<string, number>();
   for (const [id, parent] of tree) {
     children.set(parent, (children.get(parent) ?? 0) + 1);
@@ -22,8 +22,8 @@
   }
   for (const count of children.values()) expect(count).toBeLessThanOrEqual(FAN_OUT);
 });
-test('a node that is disconnected or unreachable is no parent', () => {
-  const sessions = fill(10);
+test('a member that is disconnected or unreachable is not a parent', () => {
+  const sessions = sessionsOf(10);
   sessions.onUnreachable(moment(0), 'n000');
   expect([...sessions.relayParents().values()]).not.toContain('n000');
   sessions.onDisconnect('n001');
