--- a/src/dissemination/draining-runner-ids.ts
+++ b/src/dissemination/draining-runner-ids.ts
@@ -1,16 +1,16 @@
 import type { Moment } from '../common/ids.js';
 import type { KnownVersion } from '../common/messages.js';
 
-/** The name under which the set is compared with that of another node; it is no topic of the relay. */
+/** Topic name of the set's summary in a request for updates; the relay has no topic of this name. */
 const TOPIC = 'leaving';
-/** How long an id is retained after it was received last: by then every update of the fleet carries it as well. */
+/** How long an id is retained after it was last received. After this time every fleet update contains it as well. */
 const RETENTION_MS = 60_000;
 
 /**
- * Ids of the runners that the platform lists as draining, spread without the leader.
+ * Ids of the runners that the platform lists as draining, distributed without involving the leader.
  *
- * An id stands for one incarnation of a runner, and a runner that drains never comes back. The set is therefore a grow-only
- * set (CRDT): the union of what any nodes know is right, and it needs neither leader nor version.
+ * An id identifies one incarnation of a runner, and draining is never undone. The ids therefore form a grow-only set (CRDT):
+ * the union of any nodes' sets is correct, without a leader or a version.
  */
 export class DrainingRunnerIds {
   readonly #lastSeenAt = new Map<string, Moment>();
@@ -20,7 +20,7 @@
     return [...this.#lastSeenAt.keys()];
   }
 
-  /** Adds ids and returns those that were unknown. Only these are forwarded, so that none travels in circles. */
+  /** Adds ids and returns those that were unknown. Only these are forwarded, so that no id circulates forever. */
   add(now: Moment, ids: readonly string[]): readonly string[] {
     const unknown: string[] = [];
     for (const id of ids) {
@@ -32,13 +32,13 @@
 
   /** Removes ids that were not received for `RETENTION_MS`. */
   tick(now: Moment): void {
-    for (const [id, at] of this.#lastSeenAt)
-      if (now - at > RETENTION_MS) this.#lastSeenAt.delete(id);
+    for (const [id, lastSeenAt] of this.#lastSeenAt)
+      if (now - lastSeenAt > RETENTION_MS) this.#lastSeenAt.delete(id);
   }
 
   /**
-   * A summary of the set (size as `epoch`, digest as `count`) that a node sends when it requests updates. It is left out
-   * for an empty set, which is the usual case.
+   * A summary of the set (size as `epoch`, digest as `count`), sent with a request for updates. It is omitted for an empty
+   * set, which is the usual case.
    */
   summary(): readonly KnownVersion[] {
     const { size } = this.#lastSeenAt;
@@ -46,7 +46,7 @@
     return [{ topic: TOPIC, epoch: size, count: digestOf(this.#lastSeenAt.keys()) }];
   }
 
-  /** The ids to send to a node that sent this summary: all if its set differs, none if it is the same. */
+  /** The ids to send to a node with this summary: all if the sets differ, none if they are equal. */
   missingFrom(have: readonly KnownVersion[]): readonly string[] {
     const [own] = this.summary();
     if (!own) return [];
--- a/src/dissemination/exchange.ts
+++ b/src/dissemination/exchange.ts
@@ -9,18 +9,21 @@
 
 export { KEEPALIVE_INTERVAL_MS } from './connection.js';
 
-/** A received message, with what the `hello` of its sender said. */
+/** A received message, with the sender's id, role and zone from its `hello`. */
 export interface Incoming {
   /** The sender's node id. */
   readonly from: string;
   /** The sender's role on the wire: `mind`, `link` or `flow` (control node, agent or proxy). */
   readonly role: string;
+  /** The sender's zone. */
   readonly zone: string;
+  /** The message itself. */
   readonly message: Message;
 }
 
-/** How processes reach each other. Messages may be dropped but never altered; those on one connection stay in order. */
+/** Transport of messages between processes. Messages may be dropped but are never altered; each connection preserves order. */
 export interface Transport {
+  /** Received messages. */
   readonly incoming$: Observable<Incoming>;
   /** Node ids whose last connection has closed. */
   readonly disconnected$: Observable<string>;
@@ -28,27 +31,29 @@
   send(to: string, message: Message): void;
 }
 
-/** Who this node is and how it reaches others. */
+/** The identity of this node and the addresses of its peers. */
 export interface ExchangeSettings {
-  /** Its node id: the address at which others dial it, or a name if it only dials. */
+  /** The id of this node: the address at which peers dial it, or a name if it only dials. */
   readonly id: string;
+  /** The role that this node reports in its `hello`. */
   readonly role: string;
+  /** The zone that this node reports in its `hello`. */
   readonly zone: string;
   /** The address to listen on; empty for a node that only dials. */
   readonly listen: string;
-  /** By node id, the address to dial where it differs from the id. */
+  /** Addresses to dial by node id, for nodes whose address differs from their id. */
   readonly reach: Readonly<Record<string, string>>;
 }
 
-/** Delay after a failed dial before the next, so that a node that is down is not dialled in a tight loop. */
+/** Delay between a failed dial and the next one, so that a node that is down is not dialed in a tight loop. */
 export const REDIAL_DELAY_MS = 100;
-/** A dial that takes longer has failed. */
+/** A dial that takes longer fails. */
 export const CONNECT_TIMEOUT_MS = 500;
 /** A connection on which nothing was received for this long is closed. */
 export const PEER_TIMEOUT_MS = 1500;
-/** How often idle connections are looked for. */
+/** Interval of the check for idle connections. */
 export const CHECK_INTERVAL_MS = 250;
-/** Messages queued for a node while it is dialled; beyond it the oldest is dropped. */
+/** Maximum number of messages queued for a node while it is dialed; beyond this the oldest is dropped. */
 export const MAX_QUEUED_MESSAGES = 32;
 
 /** The TCP transport between haretrack's own processes. */
@@ -59,7 +64,7 @@
   readonly #connectionsByNode = new Map<string, Connection[]>();
   readonly #connections = new Set<Connection>();
   readonly #dialing = new Set<string>();
-  /** Messages for a node that is being dialled; they are dropped if the dial fails. */
+  /** Messages for nodes that are being dialed; they are dropped if the dial fails. */
   readonly #queued = new Map<string, Message[]>();
   readonly #onError: (error: HaretrackError) => void;
   #server: Server | undefined;
@@ -67,29 +72,31 @@
   #checkedAt: Moment = monotonicNow();
   readonly #checkTimer: NodeJS.Timeout;
 
-  /** `onError` is called with each malformed frame; its connection is closed. */
+  /** `onError` is called for each malformed frame; the connection that sent it is closed. */
   constructor(settings: ExchangeSettings, onError: (error: HaretrackError) => void) {
     this.#settings = settings;
     this.#onError = onError;
     this.#checkTimer = setInterval(() => this.#checkConnections(), CHECK_INTERVAL_MS).unref();
   }
 
+  /** Received messages, except `hello`. */
   get incoming$(): Observable<Incoming> {
     return this.#incoming;
   }
 
+  /** Node ids whose last connection has closed. */
   get disconnected$(): Observable<string> {
     return this.#disconnected;
   }
 
-  /** Listens, if this node does, and returns the port (0 if it does not). Rejects with the system's error. */
+  /** Starts to listen and returns the port, or 0 for a node that only dials. Rejects with the system error. */
   async open(): Promise<number> {
     if (this.#settings.listen === '') return 0;
     this.#server = createServer((socket) => this.#onConnection(socket));
     return bindServer(this.#server, this.#settings.listen);
   }
 
-  /** Closes all connections and stops listening; nothing is dialled any more. */
+  /** Closes all connections and stops listening and dialing. */
   close(): void {
     this.#isClosed = true;
     clearInterval(this.#checkTimer);
@@ -102,7 +109,7 @@
     return this.#connectionsByNode.has(id);
   }
 
-  /** Sends on the newest connection to a node; if there is none, the node is dialled and the message queued. */
+  /** Sends on the newest connection to a node; without a connection, dials the node and queues the message. */
   send(to: string, message: Message): void {
     const connections = this.#connectionsByNode.get(to);
     const connection = connections?.[connections.length - 1];
@@ -114,10 +121,10 @@
     if (this.#dialing.has(to)) this.#enqueue(to, message);
   }
 
-  /** Opens a connection to a node that listens, unless one is open or on its way. */
+  /** Opens a connection to a node that listens, unless one is open or being opened. */
   dial(id: string): void {
     if (this.#isClosed || this.#dialing.has(id) || this.#connectionsByNode.has(id)) return;
-    // An id that is no address is a node that only dials.
+    // An id that is not an address belongs to a node that only dials.
     if (!id.includes(':')) return;
     this.#dialing.add(id);
     const { host, port } = parseAddress(this.#settings.reach[id] ?? id);
@@ -130,10 +137,10 @@
     socket.once('close', () => this.#onDialClosed(id));
   }
 
-  /** TCP alone would retransmit with growing delays after a network partition: an idle connection is closed and dialled anew. */
+  /** Closes idle connections, so that they are dialed again: after a network partition TCP would retransmit with growing delays. */
   #checkConnections(): void {
     const now = monotonicNow();
-    // After a stall of this process the sockets may hold unread bytes, which are read before a peer is given up.
+    // After a stall of this process the sockets may hold unread bytes; these are read before a peer is considered unreachable.
     const stallMs = now - this.#checkedAt - CHECK_INTERVAL_MS;
     this.#checkedAt = now;
     for (const connection of this.#connections) {
@@ -143,7 +150,7 @@
     }
   }
 
-  /** Without a queue the first messages of a session would wait for its next tick. */
+  /** Queues a message until the dial completes. Without the queue the first messages of a session would wait for its next tick. */
   #enqueue(to: string, message: Message): void {
     const queued = this.#queued.get(to) ?? [];
     queued.push(message);
@@ -181,7 +188,7 @@
     this.#connections.add(connection);
     connection.socket.on('data', (chunk) => this.#onData(connection, chunk));
     connection.socket.on('error', () => {
-      /* 'close' follows, and is handled */
+      /* the 'close' event that follows is handled */
     });
     connection.socket.on('close', () => this.#onClose(connection));
   }
@@ -215,7 +222,7 @@
       return;
     }
     const { nodeId: from, role, zone } = connection;
-    // A peer that did not introduce itself is ignored.
+    // Messages received before the peer's `hello` are ignored.
     if (from !== '') this.#incoming.next({ from, role, zone, message });
   }
 
--- a/src/dissemination/freshness-confirmation.ts
+++ b/src/dissemination/freshness-confirmation.ts
@@ -1,50 +1,50 @@
 import { later, type Moment } from '../common/ids.js';
 
-/** A request to confirm that the configuration known below is still the newest. */
+/** A request of a child, or of this node, to confirm that its configuration is still the newest. */
 export interface ChildRequest {
-  /** The node that sent it; empty for a request of this node's own. */
+  /** The node that sent the request; empty for a request of this node itself. */
   readonly child: string;
-  /** The child's own number for it, returned with the reply. */
+  /** The number that the child gave the request; the reply returns it. */
   readonly nonce: number;
-  /** Ids of all members that count as fresh once it is confirmed. */
+  /** Ids of all members that count as fresh once the request is confirmed. */
   readonly members: readonly string[];
 }
 
-/** The one request that is under way upward, for a batch of requests from below. */
+/** The request in flight to the parent, for a batch of child requests. */
 interface ConfirmationRequest {
   readonly nonce: number;
   readonly sentAt: Moment;
   readonly requests: readonly ChildRequest[];
 }
 
-/** A request that was not answered for this long is taken as dropped, on links of ordinary round trips. */
+/** A request without a reply for this long is considered dropped, on links with ordinary round trips. */
 const RETRY_DELAY_MS = 250;
 
 /**
- * Batches the freshness requests from below into one request upward at a time.
+ * Batches the freshness requests of the children into one request to the parent at a time.
  *
- * A child's request is only ever confirmed by a request that was sent after it came in, since the freshness bound counts
- * from when the child sent its own (docs/design.md).
+ * A child's request is confirmed only by a request that was sent after the child's was received, since the freshness bound
+ * starts when the child sends its request (docs/design.md).
  */
 export class FreshnessConfirmation {
   #queued: ChildRequest[] = [];
   #inFlight: ConfirmationRequest | undefined;
   #nonce: number;
 
-  /** Nonces start at the incarnation, so that a reply to an earlier incarnation of this process completes nothing. */
+  /** Nonces start at the incarnation, so that a reply to an earlier incarnation of this process has no effect. */
   constructor(incarnation: number) {
     this.#nonce = incarnation;
   }
 
-  /** Adds a request; it goes upward with the next `begin`. */
+  /** Queues a request for the next batch, which `begin` starts. */
   enqueue(request: ChildRequest): void {
     this.#queued.push(request);
   }
 
   /**
-   * Starts a request upward and returns its nonce; `undefined` if nothing is queued or the one in flight is not overdue.
-   * `extraRoundTripMs` is by how much a round trip exceeds that of ordinary links: a request that is replaced
-   * before its reply can come would never complete.
+   * Starts a request to the parent and returns its nonce; `undefined` if no request is queued or the one in flight is not
+   * overdue. `extraRoundTripMs` is by how much a round trip exceeds that of ordinary links: a request that is replaced
+   * before its reply can arrive would never complete.
    */
   begin(now: Moment, extraRoundTripMs: number = 0): number | undefined {
     if (this.#inFlight && !this.#isOverdue(this.#inFlight, now, extraRoundTripMs)) return undefined;
@@ -60,8 +60,8 @@
   }
 
   /**
-   * The nonce of the request in flight if it is time to send it again to those that have not replied. Its batch stays the
-   * same: a reply to the first sending proves nothing for requests that came in since.
+   * The nonce of the request in flight if it is due to be sent again to the nodes that have not replied. Its batch stays the
+   * same: a reply to the first transmission does not confirm requests that were received after it.
    */
   retry(now: Moment): number | undefined {
     if (!this.#inFlight || !this.#isOverdue(this.#inFlight, now, 0)) return undefined;
@@ -77,7 +77,7 @@
     return [...ids];
   }
 
-  /** Ends the request in flight if this is its nonce, and returns the requests from below that it confirms. */
+  /** Completes the request in flight if this is its nonce, and returns the child requests that it confirms. */
   complete(nonce: number): readonly ChildRequest[] {
     const request = this.#inFlight;
     if (!request || request.nonce !== nonce) return [];
@@ -85,7 +85,7 @@
     return request.requests;
   }
 
-  /** Abandons the request in flight, as after a change of parent, and returns all requests not yet confirmed. */
+  /** Aborts the request in flight, as after a change of parent, and returns all requests that are not confirmed. */
   abort(): readonly ChildRequest[] {
     const requests = newestRequests([...(this.#inFlight?.requests ?? []), ...this.#queued]);
     this.#inFlight = undefined;
@@ -98,7 +98,7 @@
   }
 }
 
-/** Only the newest request of each child needs a reply; each of this node's own does. */
+/** The newest request of each child, the only one that needs a reply, and all requests of this node itself. */
 function newestRequests(requests: readonly ChildRequest[]): ChildRequest[] {
   const bySender = new Map<string, ChildRequest>();
   for (const request of requests)
