--- a/src/state/anti-entropy.ts
+++ b/src/state/anti-entropy.ts
@@ -10,8 +10,8 @@
 const ANTI_ENTROPY_INTERVAL_MS = 2000;
 
 /**
- * Finds replicas that differ from the leader's, by digests over ranges of partitions. A range that differs is halved until
- * one partition is left, and the leader sends its committed version of that.
+ * Finds and repairs replicas that differ from the leader's, by comparing digests over ranges of partitions. A range that
+ * differs is halved until a single partition is left; the leader then sends its committed version of that partition.
  */
 export class AntiEntropy {
   readonly #me: NodeId;
@@ -23,21 +23,22 @@
 
   constructor(
     me: NodeId,
-    copies: LocalPartitions,
-    owner: QuorumCoordinator,
+    partitions: LocalPartitions,
+    coordinator: QuorumCoordinator,
     effects: StateEffects,
   ) {
     this.#me = me;
-    this.#partitions = copies;
-    this.#coordinator = owner;
+    this.#partitions = partitions;
+    this.#coordinator = coordinator;
     this.#effects = effects;
   }
 
-  /** How many partitions were sent to repair other replicas since the process began. */
+  /** Number of partitions sent to repair other replicas since the process started. */
   get repairs(): number {
     return this.#repairs;
   }
 
+  /** Compares all partitions with every other voter at each `ANTI_ENTROPY_INTERVAL_MS`, while this voter serves as leader. */
   tick(now: Moment): void {
     if (!this.#coordinator.isServing || now < later(this.#lastComparedAt, ANTI_ENTROPY_INTERVAL_MS))
       return;
@@ -46,11 +47,13 @@
       if (peer !== this.#me) this.#compare(peer, 0, this.#partitions.names.length);
   }
 
+  /** Answers whether the local partitions of the range have the same digest as the leader's. */
   onDigest(from: NodeId, { nonce, low, high, digest }: DigestMessage): void {
     const isSame = this.#partitions.digest(low, high) === digest;
     this.#effects.send(from, { kind: 'digestReply', nonce, low, high, same: isSame, sound: true });
   }
 
+  /** Narrows a range that differs, or repairs the partition if the range is a single one. */
   onDigestReply(from: NodeId, { same, low, high }: DigestReply): void {
     if (same || !this.#coordinator.isServing) return;
     if (high - low > 1) {
--- a/src/state/file-store.ts
+++ b/src/state/file-store.ts
@@ -23,14 +23,14 @@
 interface PendingWrite {
   readonly version: Version;
   readonly body: string;
-  readonly resolve: (() => void)[];
-  readonly reject: ((thrown: unknown) => void)[];
+  readonly resolvers: (() => void)[];
+  readonly rejecters: ((thrown: unknown) => void)[];
 }
 
-/** Versions of a partition that stay on disk: the newest, and the one before it for inspection after a fault. */
+/** Number of versions of a partition that are retained on disk: the newest, and the previous one for inspection after a fault. */
 const RETAINED_VERSIONS = 2;
 
-/** SHA-256 over name, version and body, in hexadecimal; part of every stored file. */
+/** SHA-256 over name, version and body in hexadecimal, stored in every file. */
 export function digestOf(partition: string, version: Version, body: string): string {
   return createHash('sha256')
     .update(`${partition}\n${version.epoch}\n${version.count}\n${body}`)
@@ -41,16 +41,19 @@
   return /^[a-z0-9-]+$/.test(name);
 }
 
-/** The file operations that a store needs; tests replace them to inject faults. */
+/** The file operations of a store; tests replace them to inject faults. */
 export interface Disk {
+  /** Writes a file and syncs its content. */
   writeSynced(path: string, text: string): Promise<void>;
+  /** Renames a file; durable only after `syncFolder`. */
   rename(from: string, to: string): Promise<void>;
+  /** Syncs the entries of a folder. */
   syncFolder(path: string): Promise<void>;
 }
 
-/** The file system of the machine. */
+/** The file system, through Node.js. */
 export class NodeDisk implements Disk {
-  /** Writes a file and syncs it. */
+  /** Writes a file and syncs its content. */
   async writeSynced(path: string, text: string): Promise<void> {
     const file = await open(path, 'w');
     try {
@@ -66,7 +69,7 @@
     await rename(from, to);
   }
 
-  /** Syncs a folder's entries. */
+  /** Syncs the entries of a folder. */
   async syncFolder(path: string): Promise<void> {
     const folder = await open(path, 'r');
     try {
@@ -77,22 +80,26 @@
   }
 }
 
-/** A folder for each partition, a file for each version. A version is written under another name, synced, renamed, and its folder synced. */
+/**
+ * Stores each partition in a folder and each version in a file. A version is written to a temporary file, synced and renamed;
+ * then the folder is synced.
+ */
 export class FileStore implements Store {
   readonly #root: string;
   readonly #disk: Disk;
   readonly #pending = new Map<PartitionName, PendingWrite>();
-  readonly #busy = new Set<PartitionName>();
-  /** Partitions whose folder is durable, with all folders above it that this process may have made. */
+  readonly #writing = new Set<PartitionName>();
+  /** Partitions whose folder is durable, with all parent folders that this process may have created. */
   readonly #syncedFolders = new Set<PartitionName>();
   readonly #report: (defect: HaretrackError) => void;
 
-  constructor(root: string, tell: (defect: HaretrackError) => void, disk: Disk = new NodeDisk()) {
+  constructor(root: string, report: (defect: HaretrackError) => void, disk: Disk = new NodeDisk()) {
     this.#root = root;
-    this.#report = tell;
+    this.#report = report;
     this.#disk = disk;
   }
 
+  /** Reads the newest valid version of every partition; an invalid file is reported as a `CorruptFileError`. */
   async readAll(): Promise<readonly StoredPartition[]> {
     await mkdir(this.#root, { recursive: true });
     const partitions: StoredPartition[] = [];
@@ -110,7 +117,7 @@
     const versions: Version[] = [];
     for (const name of names) {
       const match = /^(\d+)\.(\d+)\.json$/.exec(name);
-      // A version exists only once renamed; a write that stopped before that was never acknowledged.
+      // A version exists only once it is renamed; a write that was interrupted earlier was never acknowledged.
       if (match) versions.push({ epoch: Number(match[1]), count: Number(match[2]) });
     }
     versions.sort(compareVersions).reverse();
@@ -124,10 +131,10 @@
           raw.part !== partition ||
           raw.digest !== digestOf(partition, version, raw.body)
         )
-          throw new Error('its digest does not match');
+          throw new Error('invalid fields or digest');
         return { partition, version, body: raw.body, isIntact };
       } catch (thrown) {
-        // The newest version may have been acknowledged: an older one may be inspected, but must not replace it.
+        // The corrupt version may have been acknowledged: an older one can be inspected, but must not replace it.
         isIntact = false;
         this.#report(new CorruptFileError(`${partition}/${name}: ${reasonOf(thrown)}`));
       }
@@ -135,55 +142,58 @@
     return isIntact ? undefined : { partition, version: NO_VERSION, body: '', isIntact };
   }
 
+  /** Writes a version; a failure is reported as a `DiskWriteError` and rejects with the system error. */
   write(partition: PartitionName, version: Version, body: string): Promise<void> {
-    return new Promise((done, fail) => this.#enqueue(partition, version, body, done, fail));
+    return new Promise((resolve, reject) =>
+      this.#enqueue(partition, version, body, resolve, reject),
+    );
   }
 
   #enqueue(
     partition: PartitionName,
     version: Version,
     body: string,
-    done: () => void,
-    fail: (thrown: unknown) => void,
+    resolve: () => void,
+    reject: (thrown: unknown) => void,
   ): void {
-    const before = this.#pending.get(partition);
-    // On a slow disk only the newest version is written; those that wait for an older one are resolved by it.
-    if (before && compareVersions(before.version, version) > 0) {
-      before.resolve.push(done);
-      before.reject.push(fail);
+    const queued = this.#pending.get(partition);
+    // On a slow disk only the newest queued version is written; it also completes the writes of the older ones.
+    if (queued && compareVersions(queued.version, version) > 0) {
+      queued.resolvers.push(resolve);
+      queued.rejecters.push(reject);
     } else {
       this.#pending.set(partition, {
         version,
         body,
-        resolve: [...(before?.resolve ?? []), done],
-        reject: [...(before?.reject ?? []), fail],
+        resolvers: [...(queued?.resolvers ?? []), resolve],
+        rejecters: [...(queued?.rejecters ?? []), reject],
       });
     }
-    if (!this.#busy.has(partition)) void this.#writePending(partition);
+    if (!this.#writing.has(partition)) void this.#writePending(partition);
   }
 
   async #writePending(partition: PartitionName): Promise<void> {
-    this.#busy.add(partition);
+    this.#writing.add(partition);
     for (let next = this.#pending.get(partition); next; next = this.#pending.get(partition)) {
       this.#pending.delete(partition);
       try {
         await this.#writeFile(partition, next.version, next.body);
-        for (const done of next.resolve) done();
+        for (const resolve of next.resolvers) resolve();
       } catch (thrown) {
         this.#report(new DiskWriteError(`${partition}: ${reasonOf(thrown)}`));
-        for (const fail of next.reject) fail(thrown);
+        for (const reject of next.rejecters) reject(thrown);
       }
     }
-    this.#busy.delete(partition);
+    this.#writing.delete(partition);
   }
 
   async #writeFile(partition: PartitionName, version: Version, body: string): Promise<void> {
     const folder = join(this.#root, partition);
     await mkdir(folder, { recursive: true });
-    // Synced even if the folder is there: an earlier attempt may have made it and failed to sync the folders above.
+    // Synced even if the folder exists: an earlier attempt may have created it and failed to sync its parent folders.
     if (!this.#syncedFolders.has(partition)) {
-      for (const above of [this.#root, join(this.#root, '..'), join(this.#root, '..', '..')])
-        await this.#disk.syncFolder(above);
+      for (const parent of [this.#root, join(this.#root, '..'), join(this.#root, '..', '..')])
+        await this.#disk.syncFolder(parent);
       this.#syncedFolders.add(partition);
     }
     const name = `${version.epoch}.${version.count}.json`;
--- a/src/state/local-partitions.ts
+++ b/src/state/local-partitions.ts
@@ -7,15 +7,17 @@
 
 /** The newest version of a partition at this replica, on disk or being written. */
 export interface LocalPartition {
+  /** The newest version. */
   readonly version: Version;
+  /** The content of that version. */
   readonly body: string;
-  /** Whether the file's digest is right; a corrupt one is never counted or sent as data. */
+  /** False if the newest file was corrupt: the partition then counts for no majority and is not sent as valid data. */
   readonly isIntact: boolean;
 }
 
 const NO_PARTITION: LocalPartition = { version: NO_VERSION, body: '', isIntact: true };
 
-/** All partitions as this replica stores them. */
+/** The partitions of the local replica. */
 export class LocalPartitions {
   readonly #names: readonly PartitionName[];
   readonly #effects: StateEffects;
@@ -34,11 +36,12 @@
         this.#partitions.set(partition, { version, body, isIntact });
   }
 
+  /** The names of all partitions, in the order that digests use. */
   get names(): readonly PartitionName[] {
     return this.#names;
   }
 
-  /** Undefined for an unknown partition. */
+  /** The local state of a partition; undefined for an unknown partition. */
   of(partition: PartitionName): LocalPartition | undefined {
     return this.#partitions.get(partition);
   }
@@ -48,55 +51,58 @@
     this.#partitions.set(partition, { version, body, isIntact: true });
   }
 
-  /** Replaces the version and writes it to disk, unless the present one is newer. */
+  /** Replaces the version and writes it to disk, unless the current version is newer. */
   store(partition: PartitionName, version: Version, body: string): void {
-    const copy = this.of(partition);
-    if (!copy || compareVersions(version, copy.version) < 0) return;
+    const local = this.of(partition);
+    if (!local || compareVersions(version, local.version) < 0) return;
     this.put(partition, version, body);
     this.#effects.store(partition, version, body);
   }
 
+  /** The partitions whose newest file was corrupt and that are not repaired yet. */
   corruptPartitions(): readonly PartitionName[] {
     const corrupt: PartitionName[] = [];
-    for (const [partition, copy] of this.#partitions) if (!copy.isIntact) corrupt.push(partition);
+    for (const [partition, local] of this.#partitions) if (!local.isIntact) corrupt.push(partition);
     return corrupt;
   }
 
-  /** All partitions in the form of messages. */
+  /** All partitions in their message form. */
   toMessages(): StoredReplica[] {
-    const list: StoredReplica[] = [];
-    for (const [partition, copy] of this.#partitions)
-      list.push({ part: partition, ...copy.version, body: copy.body, sound: copy.isIntact });
-    return list;
+    const messages: StoredReplica[] = [];
+    for (const [partition, local] of this.#partitions)
+      messages.push({ part: partition, ...local.version, body: local.body, sound: local.isIntact });
+    return messages;
   }
 
-  /** Takes over newer versions read from peers; returns the partitions that must be on disk before this replica counts. */
+  /** Adopts newer versions read from peers; returns the partitions that must be persisted before this replica may vote. */
   adopt(copies: readonly StoredReplica[]): ReadonlySet<PartitionName> {
-    const storing = new Set<PartitionName>();
-    for (const item of copies) {
-      const partition = partitionName(item.part);
-      if (!this.#isWanted(partition, item)) continue;
-      const version = { epoch: item.epoch, count: item.count };
-      this.put(partition, version, item.body);
-      this.#effects.store(partition, version, item.body);
-      storing.add(partition);
+    const unpersisted = new Set<PartitionName>();
+    for (const copy of copies) {
+      const partition = partitionName(copy.part);
+      if (!this.#shouldAdopt(partition, copy)) continue;
+      const version = { epoch: copy.epoch, count: copy.count };
+      this.put(partition, version, copy.body);
+      this.#effects.store(partition, version, copy.body);
+      unpersisted.add(partition);
     }
-    return storing;
+    return unpersisted;
   }
 
-  /** SHA-256 over the versions of the partitions from `low` up to, not including, `high`: equal where replicas are. */
+  /** SHA-256 over the versions of the partitions from index `low` up to, but not including, `high`; equal for equal replicas. */
   digest(low: number, high: number): string {
     const hash = createHash('sha256');
     for (const partition of this.#names.slice(low, high)) {
-      const copy = this.of(partition);
-      hash.update(`${partition} ${copy?.version.epoch} ${copy?.version.count} ${copy?.isIntact}\n`);
+      const local = this.of(partition);
+      hash.update(
+        `${partition} ${local?.version.epoch} ${local?.version.count} ${local?.isIntact}\n`,
+      );
     }
     return hash.digest('hex');
   }
 
-  #isWanted(partition: PartitionName, item: StoredReplica): boolean {
-    const known = this.of(partition);
-    if (!known || !item.sound) return false;
-    return !known.isIntact || isNewer(item, known.version);
+  #shouldAdopt(partition: PartitionName, copy: StoredReplica): boolean {
+    const local = this.of(partition);
+    if (!local || !copy.sound) return false;
+    return !local.isIntact || isNewer(copy, local.version);
   }
 }
--- a/src/state/quorum-coordinator.test.ts
+++ b/src/state/quorum-coordinator.test.ts
@@ -280,9 +280,13 @@
 
   test('of a part that is not owned is an error', () => {
     const replica = new LoneReplica();
-    expect(() => replica.write(P0, 'x')).toThrow('p0 is not owned here');
+    expect(() => replica.write(P0, 'x')).toThrow(
+      'p0 is not writable: its rewrite in this epoch is not committed',
+    );
     replica.lead();
-    expect(() => replica.write(P0, 'x')).toThrow('p0 is not owned here');
+    expect(() => replica.write(P0, 'x')).toThrow(
+      'p0 is not writable: its rewrite in this epoch is not committed',
+    );
   });
 
   test('gathers the members that the voters know', () => {
--- a/src/state/quorum-coordinator.ts
+++ b/src/state/quorum-coordinator.ts
@@ -16,7 +16,7 @@
 type ReadReply = Extract<Message, { kind: 'readReply' }>;
 type WriteReply = Extract<Message, { kind: 'writeReply' }>;
 
-/** The voters that a configuration names; undefined where it names none. */
+/** Returns the voters that a configuration names, or undefined if it names none. */
 export type QuorumOf = (configBody: string) => Quorum | undefined;
 
 interface VersionedBody {
@@ -29,12 +29,12 @@
   readonly acknowledgedBy: Set<NodeId>;
   readonly members: MemberVersion[];
   sentAt: Moment;
-  /** When a majority had it on disk; the last voter is then waited for a little longer. */
+  /** When a majority had the write on disk; the commit then waits up to `LAST_REPLICA_WAIT_MS` for the remaining voters. */
   majorityAt: Moment | undefined;
 }
 
 interface CoordinatedPartition {
-  /** As last written here; undefined until the rewrite of the epoch is committed. */
+  /** The version last written by this leader; undefined until the rewrite in its epoch is committed. */
   written: VersionedBody | undefined;
   readonly readFrom: Set<NodeId>;
   newest: VersionedBody;
@@ -42,12 +42,15 @@
   queuedWrite: { body: string; tokens: number[] } | undefined;
 }
 
-/** Reads and writes that were not answered are sent again after so long. */
+/** Interval at which reads and writes without a reply are sent again. */
 const RESEND_INTERVAL_MS = 300;
-/** How long a write that a majority has waits for the remaining replicas before it is committed. */
+/** How long a write that a majority has persisted waits for the remaining replicas before it is committed. */
 const LAST_REPLICA_WAIT_MS = 60;
 
-/** The leader's side of the replicated state: partitions are read from a majority and rewritten in its epoch, then written by it alone. */
+/**
+ * The leader's side of the replicated state: it reads all partitions from a majority and rewrites them in its epoch; after that
+ * it alone writes them.
+ */
 export class QuorumCoordinator {
   readonly #me: NodeId;
   readonly #replica: LocalPartitions;
@@ -63,13 +66,13 @@
   constructor(
     me: NodeId,
     quorum: Quorum,
-    copies: LocalPartitions,
+    replica: LocalPartitions,
     effects: StateEffects,
     quorumOf: QuorumOf,
   ) {
     this.#me = me;
     this.#quorum = quorum;
-    this.#replica = copies;
+    this.#replica = replica;
     this.#effects = effects;
     this.#quorumOf = quorumOf;
   }
@@ -78,21 +81,21 @@
   get epoch(): number {
     return this.#epoch;
   }
-  /** Whether every partition was rewritten in this epoch. */
+  /** Whether every partition has been rewritten in this epoch. */
   get isServing(): boolean {
     return this.#isServing;
   }
-  /** The voters whose majorities count. */
+  /** The voters of which a majority is required. */
   get quorum(): Quorum {
     return this.#quorum;
   }
 
-  /** Counts majorities of these voters from now on. */
+  /** Replaces the voters of which a majority is required. */
   setQuorum(quorum: Quorum): void {
     this.#quorum = quorum;
   }
 
-  /** Begins to lead: reads every partition from a majority and rewrites the newest in this epoch; then it serves. */
+  /** Starts to lead: reads every partition from a majority and rewrites the newest version in this epoch before it serves. */
   lead(now: Moment, epoch: number): void {
     this.#epoch = epoch;
     this.#isServing = false;
@@ -102,30 +105,33 @@
     this.#sendReads(now);
   }
 
-  /** Stops leading: writes in flight are no longer committed here; the next leader finds out whether a majority has them. */
+  /** Steps down: writes in flight are no longer committed here; the next leader finds out whether a majority has them. */
   release(): void {
     this.#epoch = 0;
     this.#isServing = false;
     this.#partitions.clear();
   }
 
-  /** The body as last written here, committed or not. */
+  /** The body last written by this leader, committed or not; empty while it has not rewritten the partition. */
   body(partition: PartitionName): string {
     return this.#partitions.get(partition)?.written?.body ?? '';
   }
 
-  /** Whether a write of this partition is not committed yet. */
+  /** Whether a write of this partition is in flight. */
   isWriting(partition: PartitionName): boolean {
     return this.#partitions.get(partition)?.pendingWrite !== undefined;
   }
 
   /**
-   * Writes a partition. One write of a partition is in flight at a time, and those that come meanwhile are joined into the
-   * next one, of the newest body. Returns the count of its version; throws if the partition was not read as leader yet.
+   * Writes a partition. Only one write of a partition is in flight at a time; those requested meanwhile are combined into the
+   * next one, with the newest body. Returns the count of the version.
+   *
+   * @throws Error if this voter does not lead, or the rewrite of the partition in its epoch is not committed.
    */
   write(now: Moment, partition: PartitionName, body: string, token: number): number {
     const entry = this.#partitions.get(partition);
-    if (!entry?.written) throw new Error(`${partition} is not owned here`);
+    if (!entry?.written)
+      throw new Error(`${partition} is not writable: its rewrite in this epoch is not committed`);
     const count = (entry.pendingWrite?.version.count ?? entry.written.version.count) + 1;
     if (entry.pendingWrite)
       entry.queuedWrite = { body, tokens: [...(entry.queuedWrite?.tokens ?? []), token] };
@@ -137,27 +143,30 @@
     return count;
   }
 
+  /** Commits writes whose wait for the last replica is over, and repeats reads and writes without a reply. */
   tick(now: Moment): void {
     if (this.#epoch === 0) return;
     let isReading = false;
     for (const [partition, entry] of this.#partitions) {
       if (!entry.written && !entry.pendingWrite) isReading = true;
-      if (entry.pendingWrite) this.#resendIfDue(now, partition, entry, entry.pendingWrite);
+      if (entry.pendingWrite) this.#commitOrResend(now, partition, entry, entry.pendingWrite);
     }
     if (isReading && now >= later(this.#lastReadSentAt, RESEND_INTERVAL_MS)) this.#sendReads(now);
   }
 
+  /** Handles the partitions that a voter reports to this leader. */
   onReadReply(now: Moment, from: NodeId, message: ReadReply): void {
     if (message.epoch !== this.#epoch || this.#epoch === 0) return;
     if (message.nonce === this.#nonce) this.#onRead(now, from, message.copies);
   }
 
+  /** Handles the acknowledgement or rejection of a write by a voter. */
   onWriteReply(now: Moment, from: NodeId, message: WriteReply): void {
     if (message.good && message.epoch === this.#epoch)
       this.onAck(now, from, partitionName(message.part), message, message.members);
   }
 
-  /** A voter has this version of a partition on its disk. */
+  /** Records that a voter has persisted this version of a partition. `members` are the members that it knows. */
   onAck(
     now: Moment,
     from: NodeId,
@@ -173,27 +182,28 @@
     this.#commitIfReplicated(now, partition, entry);
   }
 
-  /** Sends a voter the committed version of a partition; returns whether it did. */
+  /** Sends the committed version of a partition to a voter; returns false if none is committed or a write is in flight. */
   repairReplica(to: NodeId, partition: PartitionName): boolean {
     const entry = this.#partitions.get(partition);
-    // A write in flight brings the newest version by itself.
+    // A write in flight delivers the newest version anyway.
     if (!entry?.written || entry.pendingWrite) return false;
     this.#sendWrite(to, partition, entry.written);
     return true;
   }
 
-  #resendIfDue(
+  #commitOrResend(
     now: Moment,
     partition: PartitionName,
     entry: CoordinatedPartition,
-    pending: PendingWrite,
+    pendingWrite: PendingWrite,
   ): void {
     this.#commitIfReplicated(now, partition, entry);
-    if (entry.pendingWrite !== pending || now < later(pending.sentAt, RESEND_INTERVAL_MS)) return;
-    pending.sentAt = now;
+    if (entry.pendingWrite !== pendingWrite || now < later(pendingWrite.sentAt, RESEND_INTERVAL_MS))
+      return;
+    pendingWrite.sentAt = now;
     for (const peer of this.#quorum.all)
-      if (!pending.acknowledgedBy.has(peer) && peer !== this.#me)
-        this.#sendWrite(peer, partition, pending);
+      if (!pendingWrite.acknowledgedBy.has(peer) && peer !== this.#me)
+        this.#sendWrite(peer, partition, pendingWrite);
   }
 
   #sendReads(now: Moment): void {
@@ -206,29 +216,29 @@
   }
 
   #onRead(now: Moment, from: NodeId, copies: readonly StoredReplica[]): void {
-    for (const item of copies) {
-      const entry = this.#partitions.get(partitionName(item.part));
-      if (!entry || isRead(entry) || !item.sound) continue;
+    for (const copy of copies) {
+      const entry = this.#partitions.get(partitionName(copy.part));
+      if (!entry || isRewriteStarted(entry) || !copy.sound) continue;
       entry.readFrom.add(from);
-      if (isNewer(item, entry.newest.version))
-        entry.newest = { version: { epoch: item.epoch, count: item.count }, body: item.body };
+      if (isNewer(copy, entry.newest.version))
+        entry.newest = { version: { epoch: copy.epoch, count: copy.count }, body: copy.body };
     }
     this.#rewriteOnceRead(now);
   }
 
   /**
-   * Rewrites all partitions once each was read from a majority of the voters that the newest configuration names. The voters
-   * known here before may have been replaced long ago: by a majority of those, newer writes would be overwritten.
+   * Rewrites all partitions once each has been read from a majority of the voters that the newest configuration names. The
+   * voters known here before may have been replaced long ago: with a majority of those, newer writes would be overwritten.
    */
   #rewriteOnceRead(now: Moment): void {
-    const owners = [...this.#partitions.values()];
-    if (owners.some(isRead) || !owners.every(this.#isReadFromMajority, this)) return;
+    const entries = [...this.#partitions.values()];
+    if (entries.some(isRewriteStarted) || !entries.every(this.#isReadFromMajority, this)) return;
     const config = this.#partitions.get(CONFIG_PARTITION)?.newest;
-    const named = config && this.#quorumOf(config.body);
-    if (config && named && named.text !== this.#quorum.text) {
-      this.#quorum = named;
+    const configQuorum = config && this.#quorumOf(config.body);
+    if (config && configQuorum && configQuorum.text !== this.#quorum.text) {
+      this.#quorum = configQuorum;
       this.#effects.add({ do: 'voters', version: config.version, body: config.body });
-      if (!owners.every(this.#isReadFromMajority, this)) return;
+      if (!entries.every(this.#isReadFromMajority, this)) return;
     }
     for (const [partition, entry] of this.#partitions) {
       const version = { epoch: this.#epoch, count: entry.newest.version.count + 1 };
@@ -277,12 +287,12 @@
     entry.written = { version, body: queuedWrite?.body ?? body };
     this.#effects.add({ do: 'committed', partition, version, body, tokens, members });
     if (queuedWrite) {
-      const following = { epoch: this.#epoch, count: version.count + 1 };
+      const nextVersion = { epoch: this.#epoch, count: version.count + 1 };
       this.#startWrite(
         now,
         partition,
         entry,
-        { version: following, body: queuedWrite.body },
+        { version: nextVersion, body: queuedWrite.body },
         queuedWrite.tokens,
       );
     }
@@ -292,9 +302,12 @@
   #isReplicated(now: Moment, pending: PendingWrite): boolean {
     if (!this.#quorum.isMajority(pending.acknowledgedBy)) return false;
     pending.majorityAt ??= now;
-    // The commit waits a little for the last replica, so that two are left if a disk is lost right after it.
-    const isAll = this.#quorum.all.every(pending.acknowledgedBy.has, pending.acknowledgedBy);
-    return isAll || now >= later(pending.majorityAt, LAST_REPLICA_WAIT_MS);
+    // The commit briefly waits for the last replica, so that two replicas remain if a disk is lost right after it.
+    const isAcknowledgedByAll = this.#quorum.all.every(
+      pending.acknowledgedBy.has,
+      pending.acknowledgedBy,
+    );
+    return isAcknowledgedByAll || now >= later(pending.majorityAt, LAST_REPLICA_WAIT_MS);
   }
 
   #serveOnceRewritten(): void {
@@ -318,7 +331,7 @@
   return entry.written !== undefined;
 }
 
-/** Whether a partition was read, and its rewrite is in flight or committed. */
-function isRead(entry: CoordinatedPartition): boolean {
+/** Whether the rewrite of a partition is in flight or committed; replies to reads are then ignored. */
+function isRewriteStarted(entry: CoordinatedPartition): boolean {
   return entry.written !== undefined || entry.pendingWrite !== undefined;
 }
--- a/src/state/replica-status.ts
+++ b/src/state/replica-status.ts
@@ -4,27 +4,27 @@
 import { isNewer, NO_VERSION, type Version } from '../common/version.js';
 import { CONFIG_PARTITION } from './partition-names.js';
 
-/** Whether this replica may vote and count in majorities. The words are those of the messages. */
+/** Whether this replica may vote and count in majorities. The values are also sent in messages. */
 export type ReplicaStatusName =
   /** The data folder is empty. */
   | 'blank'
-  /** The record of this replica's votes is unreadable. */
+  /** The vote record of this replica is unreadable. */
   | 'lost'
-  /** Healthy: it may vote and count. */
+  /** The replica is healthy: it may vote and count in majorities. */
   | 'sound';
 
-/** What a peer answered about its own replica. */
+/** What a peer reported about its own replica. */
 interface RepairReply {
-  readonly standing: string;
+  readonly status: string;
   readonly epoch: number;
   readonly copies: readonly StoredReplica[];
 }
 
-/** How a replica that did not count may begin to. */
+/** How a blank or lost replica may become healthy. */
 export type ReplicaStatusOutcome =
-  /** It forms a new cluster with blank peers, above the newest epoch that agents and proxies know: they accept no older one. */
+  /** It forms a new cluster with blank peers, above the newest epoch known to agents and proxies, which accept no older one. */
   | { readonly become: 'founded'; readonly epoch: number }
-  /** It takes over the newest of these replicas, and takes part again above this epoch. */
+  /** It adopts the newest versions of these partitions, and takes part again in epochs above this one. */
   | {
       readonly become: 'repaired';
       readonly epoch: number;
@@ -33,31 +33,31 @@
 
 type ReadReply = Extract<Message, { kind: 'readReply' }>;
 
-interface Send {
+interface OutgoingMessage {
   readonly to: NodeId;
   readonly message: Message;
 }
 
-/** Delay before an unanswered request is repeated; it doubles each time, up to MAX_REQUEST_DELAY_MS. */
+/** Delay before a request without a reply is repeated; it doubles with each repetition, up to `MAX_REQUEST_DELAY_MS`. */
 const MIN_REQUEST_DELAY_MS = 100;
 const MAX_REQUEST_DELAY_MS = 800;
-/** Delay before a peer that answered, but is not healthy itself, is asked again. */
+/** Delay before the next request to a peer that replied but is not healthy itself. */
 const BLANK_REQUEST_DELAY_MS = 200;
 
 /**
- * Decides when a replica that lost its disk, or never had data, may vote and count: by forming a new cluster with blank
- * peers, or by reading the replicas of every majority that it may have been part of. Until then it neither grants votes
- * nor acknowledges writes.
+ * Decides when a replica that lost its disk, or never had data, may vote and count in majorities: it forms a new cluster with
+ * blank peers, or reads the replicas of every majority that it may have been part of. Until then it neither grants votes nor
+ * acknowledges writes.
  */
 export class ReplicaStatus {
   readonly #me: NodeId;
   #name: ReplicaStatusName;
-  /** Nonces above this one were given out in this incarnation; replies to any of them count. */
-  readonly #firstNonce: number;
+  /** Nonces above this one were assigned in this incarnation; replies to any of them are accepted. */
+  readonly #initialNonce: number;
   #nonce: number;
   readonly #startedAt: Moment;
-  /** How long after its start a blank replica waits before it forms a new cluster, in milliseconds. */
-  readonly #foundMs: number;
+  /** How long after its start a blank replica waits before it forms a new cluster. */
+  readonly #formationDelayMs: number;
   readonly #replies = new Map<NodeId, RepairReply>();
   readonly #requests = new Map<
     NodeId,
@@ -66,61 +66,64 @@
   readonly #quorumOf: (configBody: string) => Quorum | undefined;
   #memberEpoch = 0;
   #isNewClusterForced = false;
-  readonly #mayFound: boolean;
+  readonly #isFormationAllowed: boolean;
 
   constructor(
     me: NodeId,
     name: ReplicaStatusName,
     now: Moment,
-    foundMs: number,
+    formationDelayMs: number,
     incarnation: number,
-    mayFound: boolean = true,
-    quorumOf: (configBody: string) => Quorum | undefined = namesNobody,
+    isFormationAllowed: boolean = true,
+    quorumOf: (configBody: string) => Quorum | undefined = noQuorum,
   ) {
     this.#me = me;
     this.#name = name;
     this.#startedAt = now;
-    this.#foundMs = foundMs;
-    this.#firstNonce = incarnation;
+    this.#formationDelayMs = formationDelayMs;
+    this.#initialNonce = incarnation;
     this.#nonce = incarnation;
-    this.#mayFound = mayFound;
+    this.#isFormationAllowed = isFormationAllowed;
     this.#quorumOf = quorumOf;
   }
 
-  /** The present status. */
+  /** The current status. */
   get name(): ReplicaStatusName {
     return this.#name;
   }
-  /** Whether an agent or proxy is known that has a configuration of an earlier cluster. */
+  /** Whether an agent or proxy with a configuration of an earlier cluster is known. */
   get hasMemberEpoch(): boolean {
     return this.#memberEpoch > 0;
   }
 
-  /** An agent or proxy has a configuration of this epoch: the cluster that wrote it must not be replaced unasked. */
+  /**
+   * Records that an agent or proxy has a configuration of this epoch: the cluster that wrote it must not be replaced without an
+   * operator's command.
+   */
   onMemberEpoch(epoch: number): void {
     this.#memberEpoch = Math.max(this.#memberEpoch, epoch);
   }
 
-  /** An operator declares that no better replica is left: forms a new cluster from what was read. */
+  /** Handles an operator's command that declares that no better replica is left: a new cluster is formed from what was read. */
   forceNewCluster(): void {
     this.#isNewClusterForced = true;
   }
 
-  /** The replica has become healthy: what was decided is on its disk. */
+  /** Marks the replica as healthy, once the outcome is on its disk. */
   resolve(): void {
     this.#name = 'sound';
     this.#replies.clear();
   }
 
-  /** The requests that are due now, to the voters known here and to those that the newest configuration read so far names. */
-  tick(now: Moment, quorum: Quorum): Send[] {
+  /** Returns the requests that are due, to the voters known here and those that the newest configuration read so far names. */
+  tick(now: Moment, quorum: Quorum): OutgoingMessage[] {
     if (this.#name === 'sound') return [];
     const peers = new Set([...quorum.all, ...(this.#votersOfNewestConfig()?.all ?? [])]);
     peers.delete(this.#me);
     const due = [...peers].filter((peer) => this.#isRequestDue(now, peer));
     if (due.length === 0) return [];
     this.#nonce += 1;
-    const sends: Send[] = [];
+    const sends: OutgoingMessage[] = [];
     for (const peer of due) {
       sends.push({
         to: peer,
@@ -136,17 +139,17 @@
   }
 
   #isRequestDue(now: Moment, peer: NodeId): boolean {
-    // One reply of a healthy peer is enough: no write has been acknowledged by us since we started.
-    if (this.#replies.get(peer)?.standing === 'sound') return false;
+    // One reply of a healthy peer is enough: this replica has acknowledged no write since it started.
+    if (this.#replies.get(peer)?.status === 'sound') return false;
     const request = this.#requests.get(peer);
     return request === undefined || now >= request.nextRequestAt;
   }
 
-  /** The reply to a replica that reads ours in order to be repaired. */
+  /** The reply to a replica that reads this one in order to be repaired. `epoch` and `copies` are those of this replica. */
   replyTo(nonce: number, epoch: number, copies: StoredReplica[], hasGranted: boolean): Message {
-    // A healthy replica that never granted a vote and stores nothing does not stop blank peers from forming the cluster.
+    // A healthy replica that never granted a vote and stores nothing does not prevent blank peers from forming the cluster.
     const isFresh = this.#name === 'sound' && !hasGranted && copies.every(isEmpty);
-    // A blank replica reports its members' epoch, so that a peer without members does not form a new cluster over it.
+    // A blank replica reports the epoch of its members, so that a peer without members does not replace their cluster.
     return {
       kind: 'readReply',
       epoch: this.#name === 'blank' ? this.#memberEpoch : epoch,
@@ -157,19 +160,19 @@
     };
   }
 
-  /** A peer answered a request of `tick`; returns how this replica may begin to count, once it may. */
+  /** Handles a peer's reply to a request of `tick`; returns how this replica may become healthy, or undefined while it may not. */
   onReadReply(
     now: Moment,
     from: NodeId,
     message: ReadReply,
     quorum: Quorum,
   ): ReplicaStatusOutcome | undefined {
-    if (this.#name === 'sound' || !this.#isReplyToUs(message)) return undefined;
+    if (this.#name === 'sound' || !this.#isRepairReply(message)) return undefined;
     if (message.standing === 'blank') this.onMemberEpoch(message.epoch);
-    // The first reply of a healthy peer is kept; later ones add nothing.
-    if (this.#replies.get(from)?.standing !== 'sound') {
+    // The first reply of a healthy peer is retained; later ones add no information.
+    if (this.#replies.get(from)?.status !== 'sound') {
       const { standing, epoch, copies } = message;
-      this.#replies.set(from, { standing, epoch, copies });
+      this.#replies.set(from, { status: standing, epoch, copies });
       this.#requests.set(from, {
         nextRequestAt: later(now, BLANK_REQUEST_DELAY_MS),
         delayMs: BLANK_REQUEST_DELAY_MS,
@@ -178,17 +181,17 @@
     return this.outcome(now, quorum);
   }
 
-  /** A reply to any request of this incarnation: round trips may take longer than the delay between requests. */
-  #isReplyToUs(message: ReadReply): boolean {
-    return !message.sound && message.nonce > this.#firstNonce && message.nonce <= this.#nonce;
+  /** Accepts a reply to any request of this incarnation: round trips may take longer than the delay between requests. */
+  #isRepairReply(message: ReadReply): boolean {
+    return !message.sound && message.nonce > this.#initialNonce && message.nonce <= this.#nonce;
   }
 
-  /** The voters that the newest configuration read so far names: the settings file may be older. */
+  /** The voters that the newest configuration read so far names; those of the settings file may be older. */
   #votersOfNewestConfig(): Quorum | undefined {
     let version: Version = NO_VERSION;
     let body = '';
-    for (const { standing, copies } of this.#replies.values()) {
-      const copy = standing === 'sound' ? copies.find(isConfig) : undefined;
+    for (const { status, copies } of this.#replies.values()) {
+      const copy = status === 'sound' ? copies.find(isConfig) : undefined;
       if (!copy?.sound || !isNewer(copy, version)) continue;
       version = { epoch: copy.epoch, count: copy.count };
       body = copy.body;
@@ -196,33 +199,33 @@
     return this.#quorumOf(body);
   }
 
-  #arePeersUnfounded(quorum: Quorum): boolean {
+  #areAllPeersBlankOrFresh(quorum: Quorum): boolean {
     for (const peer of quorum.all) {
       if (peer === this.#me) continue;
-      const standing = this.#replies.get(peer)?.standing;
-      if (standing !== 'blank' && standing !== 'fresh') return false;
+      const status = this.#replies.get(peer)?.status;
+      if (status !== 'blank' && status !== 'fresh') return false;
     }
     return true;
   }
 
-  /** How this replica may begin to count, by the replies so far; undefined while it may not. */
+  /** How this replica may become healthy, given the replies so far; undefined while it may not. */
   outcome(now: Moment, quorum: Quorum): ReplicaStatusOutcome | undefined {
     if (this.#name === 'sound') return undefined;
-    // A majority that we were part of was one of the voters that the newest configuration names.
+    // Any majority that this replica was part of consisted of voters that the newest configuration names.
     const voters = this.#votersOfNewestConfig() ?? quorum;
     const { readFrom, epoch, copies } = this.#healthyReplies(voters);
-    if (this.#mayFormCluster(now, quorum) && (!this.hasMemberEpoch || this.#isNewClusterForced))
+    if (this.#canFormCluster(now, quorum) && (!this.hasMemberEpoch || this.#isNewClusterForced))
       return { become: 'founded', epoch: this.#memberEpoch };
-    // What was committed with our acknowledgement is stored by at least one of the others that completed the majority.
+    // A write committed with the acknowledgement of this replica is stored by at least one other replica of that majority.
     if (epoch > 0 && voters.coversWithout(this.#me, readFrom))
       return { become: 'repaired', epoch, copies };
-    // By an operator's command the replicas that are left have to do; members may know a newer epoch than these.
+    // By an operator's command the remaining replicas suffice; members may know a newer epoch than these.
     if (this.#isNewClusterForced && epoch > 0)
       return { become: 'repaired', epoch: Math.max(epoch, this.#memberEpoch), copies };
     return undefined;
   }
 
-  /** What healthy voters other than this one have answered, and the newest of their epochs. */
+  /** The replies of healthy voters other than this one: who replied, the newest epoch and all partitions. */
   #healthyReplies(voters: Quorum): {
     readonly readFrom: ReadonlySet<NodeId>;
     readonly epoch: number;
@@ -234,7 +237,7 @@
     for (const peer of voters.all) {
       const reply = this.#replies.get(peer);
       if (peer === this.#me || !reply) continue;
-      if (reply.standing !== 'sound' && reply.standing !== 'fresh') continue;
+      if (reply.status !== 'sound' && reply.status !== 'fresh') continue;
       readFrom.add(peer);
       epoch = Math.max(epoch, reply.epoch);
       copies.push(...reply.copies);
@@ -242,13 +245,13 @@
     return { readFrom, epoch, copies };
   }
 
-  #mayFormCluster(now: Moment, quorum: Quorum): boolean {
+  #canFormCluster(now: Moment, quorum: Quorum): boolean {
     return (
-      this.#mayFound &&
+      this.#isFormationAllowed &&
       this.#name === 'blank' &&
       quorum.includes(this.#me) &&
-      this.#arePeersUnfounded(quorum) &&
-      now >= later(this.#startedAt, this.#foundMs)
+      this.#areAllPeersBlankOrFresh(quorum) &&
+      now >= later(this.#startedAt, this.#formationDelayMs)
     );
   }
 }
@@ -259,6 +262,6 @@
 function isConfig(copy: StoredReplica): boolean {
   return copy.part === CONFIG_PARTITION;
 }
-function namesNobody(): undefined {
+function noQuorum(): undefined {
   return undefined;
 }
--- a/src/state/replicated-state.ts
+++ b/src/state/replicated-state.ts
@@ -13,7 +13,7 @@
 type ReadMessage = Extract<Message, { kind: 'read' }>;
 type WriteMessage = Extract<Message, { kind: 'write' }>;
 
-/** A write that is answered once it is on disk. */
+/** The reply to a write, sent once the version is on disk. */
 interface PendingReply {
   readonly to: NodeId;
   readonly version: Version;
@@ -22,7 +22,7 @@
 
 /**
  * The replicated state at one voter: its local replica and, while it leads, the coordinator of reads and writes. Each
- * partition has versions, writes and files of its own; writes of different partitions are not ordered against each other.
+ * partition has versions, writes and files of its own; there is no order between writes of different partitions.
  */
 export class ReplicatedState {
   readonly #me: NodeId;
@@ -31,40 +31,42 @@
   readonly #coordinator: QuorumCoordinator;
   readonly #antiEntropy: AntiEntropy;
   readonly #pendingReplies = new Map<PartitionName, PendingReply>();
-  /** The last version of each partition that was persisted in this incarnation. */
+  /** The version of each partition that was last persisted in this incarnation. */
   readonly #persistedVersions = new Map<PartitionName, Version>();
 
   constructor(
     me: NodeId,
     quorum: Quorum,
     names: readonly PartitionName[],
-    onPersisted: readonly StoredPartition[],
+    storedPartitions: readonly StoredPartition[],
     quorumOf: QuorumOf = noQuorum,
   ) {
     this.#me = me;
-    this.#replica = new LocalPartitions(names, onPersisted, this.#effects);
+    this.#replica = new LocalPartitions(names, storedPartitions, this.#effects);
     this.#coordinator = new QuorumCoordinator(me, quorum, this.#replica, this.#effects, quorumOf);
     this.#antiEntropy = new AntiEntropy(me, this.#replica, this.#coordinator, this.#effects);
   }
 
-  /** Whether every partition was read from a majority and rewritten in the epoch that this voter leads. */
+  /** Whether this voter leads and every partition has been read from a majority and rewritten in its epoch. */
   get isServing(): boolean {
     return this.#coordinator.isServing;
   }
-  /** How many partitions of other replicas were repaired by anti-entropy. */
+  /** Number of partitions sent by anti-entropy to repair other replicas since the process started. */
   get repairs(): number {
     return this.#antiEntropy.repairs;
   }
 
+  /** Replaces the voters of which a majority is required. */
   setQuorum(quorum: Quorum): void {
     this.#coordinator.setQuorum(quorum);
   }
 
+  /** Removes and returns the effects that the host has to carry out, in order. */
   drain(): ReplicatedStateEffect[] {
     return this.#effects.drain();
   }
 
-  /** The version at the local replica; NO_VERSION for an unknown partition. */
+  /** The version at the local replica; `NO_VERSION` for an unknown partition. */
   versionOf(partition: PartitionName): Version {
     return this.#replica.of(partition)?.version ?? NO_VERSION;
   }
@@ -74,51 +76,55 @@
     return this.#replica.of(partition)?.body ?? '';
   }
 
+  /** The partitions whose newest file was corrupt and that are not repaired yet. */
   corruptPartitions(): readonly PartitionName[] {
     return this.#replica.corruptPartitions();
   }
 
+  /** All partitions of the local replica in their message form. */
   replicaMessages(): StoredReplica[] {
     return this.#replica.toMessages();
   }
 
-  /** Takes over newer versions read from peers; returns the partitions that must be on disk before this replica counts. */
+  /** Adopts newer versions read from peers; returns the partitions that must be persisted before this replica may vote. */
   adopt(copies: readonly StoredReplica[]): ReadonlySet<PartitionName> {
     return this.#replica.adopt(copies);
   }
 
   // ---- leader
 
-  /** Begins to lead: reads every partition from a majority and rewrites the newest in this epoch; then it serves. */
+  /** Starts to lead: reads every partition from a majority and rewrites the newest version in this epoch before it serves. */
   lead(now: Moment, epoch: number): void {
     this.#coordinator.lead(now, epoch);
   }
 
-  /** Stops leading; effects that only a leader may act on are dropped. */
+  /** Steps down and drops effects that are valid only while this voter leads. */
   release(): void {
     this.#coordinator.release();
     this.#effects.dropCoordinatorEffects();
   }
 
-  /** The body as last written here, committed or not. */
+  /** The body last written by this leader, committed or not; empty while it has not rewritten the partition. */
   body(partition: PartitionName): string {
     return this.#coordinator.body(partition);
   }
 
-  /** Whether a write of this partition is not committed yet. */
+  /** Whether a write of this partition is in flight. */
   isWriting(partition: PartitionName): boolean {
     return this.#coordinator.isWriting(partition);
   }
 
   /**
-   * Writes a partition; `committed` names the token. One write of a partition is in flight at a time, and those that come
-   * meanwhile are joined into the next one, of the newest body. Returns the count of its version; throws if this voter
-   * has not read the partition as leader.
+   * Writes a partition; the effect `committed` returns the token. Only one write of a partition is in flight at a time; those
+   * requested meanwhile are combined into the next one, with the newest body. Returns the count of the version.
+   *
+   * @throws Error if this voter does not lead, or the rewrite of the partition in its epoch is not committed.
    */
   write(now: Moment, partition: PartitionName, body: string, token: number): number {
     return this.#coordinator.write(now, partition, body, token);
   }
 
+  /** Repeats reads and writes without a reply, commits writes that are due, and compares replicas. */
   tick(now: Moment): void {
     this.#coordinator.tick(now);
     this.#antiEntropy.tick(now);
@@ -126,24 +132,27 @@
 
   // ---- replica
 
-  /** A message came. `granted` is the epoch whose grant is on this voter's disk and still valid; 0 if none. */
+  /**
+   * Handles a message of another voter. `grantedEpoch` is the epoch whose grant is on this voter's disk and still valid, or 0;
+   * `members` are the members known to this voter, sent with its acknowledgements.
+   */
   onMessage(
     now: Moment,
     from: NodeId,
     message: Message,
-    granted: number,
+    grantedEpoch: number,
     members: readonly MemberVersion[],
-    standing: string,
+    replicaStatus: string,
   ): void {
     switch (message.kind) {
       case 'write':
-        this.#onWrite(from, message, granted, members);
+        this.#onWrite(from, message, grantedEpoch, members);
         break;
       case 'writeReply':
         this.#coordinator.onWriteReply(now, from, message);
         break;
       case 'read':
-        this.#onRead(from, message, granted, standing);
+        this.#onRead(from, message, grantedEpoch, replicaStatus);
         break;
       case 'readReply':
         this.#coordinator.onReadReply(now, from, message);
@@ -159,43 +168,43 @@
     }
   }
 
-  /** A version has reached the disk. */
-  stored(partition: PartitionName, version: Version, granted: number, now?: Moment): void {
+  /** Handles the completion of a `store` effect: acknowledges the version while its epoch is still granted. */
+  stored(partition: PartitionName, version: Version, grantedEpoch: number, now?: Moment): void {
     this.#persistedVersions.set(partition, version);
-    // Acknowledged only while that epoch is still granted: a newer leader may have read us before this write was on disk.
-    if (version.epoch !== granted) return;
+    // Acknowledged only while its epoch is still granted: a newer leader may have read this replica before the write was on disk.
+    if (version.epoch !== grantedEpoch) return;
     if (this.#coordinator.epoch === version.epoch && now !== undefined) {
       this.#coordinator.onAck(now, this.#me, partition, version, []);
       return;
     }
-    const due = this.#pendingReplies.get(partition);
-    if (due && compareVersions(due.version, version) === 0)
-      this.#replyTo(due.to, partition, version, true, due.members);
+    const pendingReply = this.#pendingReplies.get(partition);
+    if (pendingReply && compareVersions(pendingReply.version, version) === 0)
+      this.#replyTo(pendingReply.to, partition, version, true, pendingReply.members);
   }
 
-  #onRead(from: NodeId, message: ReadMessage, granted: number, standing: string): void {
-    if (message.epoch !== granted || granted === 0) return;
+  #onRead(from: NodeId, message: ReadMessage, grantedEpoch: number, replicaStatus: string): void {
+    if (message.epoch !== grantedEpoch || grantedEpoch === 0) return;
     this.#effects.send(from, {
       kind: 'readReply',
-      epoch: granted,
+      epoch: grantedEpoch,
       nonce: message.nonce,
       sound: true,
       copies: this.replicaMessages(),
-      standing,
+      standing: replicaStatus,
     });
   }
 
   #onWrite(
     from: NodeId,
     message: WriteMessage,
-    granted: number,
+    grantedEpoch: number,
     members: readonly MemberVersion[],
   ): void {
     const partition = partitionName(message.part);
     const local = this.#replica.of(partition);
     const version = { epoch: message.epoch, count: message.count };
-    // A write of an older epoch is rejected; one of an epoch not granted yet is sent again after our grant.
-    if (!local || message.epoch !== granted || compareVersions(version, local.version) < 0) {
+    // Rejects writes of an older epoch or version, and of an epoch not granted yet: its leader sends these again after the grant.
+    if (!local || message.epoch !== grantedEpoch || compareVersions(version, local.version) < 0) {
       this.#replyTo(from, partition, version, false, []);
       return;
     }
@@ -203,27 +212,27 @@
     this.#replica.put(partition, version, message.body);
     this.#pendingReplies.set(partition, { to: from, version, members });
     if (isRepeated && this.#isPersisted(partition, version))
-      this.stored(partition, version, granted);
+      this.stored(partition, version, grantedEpoch);
     else this.#effects.store(partition, version, message.body);
   }
 
   #isPersisted(partition: PartitionName, version: Version): boolean {
-    const stored = this.#persistedVersions.get(partition);
-    return stored !== undefined && compareVersions(stored, version) === 0;
+    const persisted = this.#persistedVersions.get(partition);
+    return persisted !== undefined && compareVersions(persisted, version) === 0;
   }
 
   #replyTo(
     to: NodeId,
     partition: PartitionName,
     version: Version,
-    isGood: boolean,
+    isAccepted: boolean,
     members: readonly MemberVersion[],
   ): void {
     this.#effects.send(to, {
       kind: 'writeReply',
       part: partition,
       ...version,
-      good: isGood,
+      good: isAccepted,
       members: [...members],
     });
   }
