--- a/src/state/file-store-versions.test.ts
+++ b/src/state/file-store-versions.test.ts
@@ -9,20 +9,20 @@
 
 const PARTITION = partitionName('p1');
 
-async function dataFolder(): Promise<string> {
+async function makeTempFolder(): Promise<string> {
   return mkdtemp(join(tmpdir(), 'versions-'));
 }
 
 function ignore(_error: HaretrackError): void {
-  /* The test looks at what is read. */
+  /* the tests check what is read */
 }
 
-/** A disk whose first write waits until the test lets it go on. */
+/** A disk whose writes wait until the test resumes it. */
 class PausedDisk extends NodeDisk {
   readonly written: string[] = [];
-  #goOn: () => void = () => undefined;
+  #resume: () => void = () => undefined;
   readonly #pause = new Promise<void>((done) => {
-    this.#goOn = done;
+    this.#resume = done;
   });
 
   override async writeSynced(path: string, text: string): Promise<void> {
@@ -31,8 +31,8 @@
     await super.writeSynced(path, text);
   }
 
-  goOn(): void {
-    this.#goOn();
+  resume(): void {
+    this.#resume();
   }
 }
 
@@ -40,8 +40,8 @@
   return { epoch, count };
 }
 
-test('the two newest versions stay on disk, by number and not by text', async () => {
-  const root = await dataFolder();
+test('the two newest versions are retained, compared as numbers and not as text', async () => {
+  const root = await makeTempFolder();
   const store = new FileStore(root, ignore);
   for (const [epoch, count] of [
     [2, 9],
@@ -56,15 +56,15 @@
   expect([stored?.version, stored?.body]).toEqual([version(10, 2), '10.2']);
 });
 
-test('an older version that is written late goes, and not the newest one', async () => {
-  const root = await dataFolder();
+test('an older version that is written late is removed instead of the newest one', async () => {
+  const root = await makeTempFolder();
   const store = new FileStore(root, ignore);
   for (const count of [8, 9, 7]) await store.write(PARTITION, version(2, count), `${count}`);
   expect((await readdir(join(root, PARTITION))).sort()).toEqual(['2.8.json', '2.9.json']);
 });
 
-test('files that are no versions are neither read nor removed', async () => {
-  const root = await dataFolder();
+test('files that are not versions are neither read nor removed', async () => {
+  const root = await makeTempFolder();
   const store = new FileStore(root, ignore);
   await store.write(PARTITION, version(2, 1), 'x');
   const others = ['x99.1.json', '99.1.json.aside', '99.1.json~', 'note'];
@@ -76,21 +76,21 @@
   expect([stored?.version, stored?.isIntact]).toEqual([version(2, 4), true]);
 });
 
-test('of writes that wait for a slow disk only the newest is written, in whatever order they came', async () => {
-  const root = await dataFolder();
+test('only the newest of the queued writes is written to a slow disk, in any order of their requests', async () => {
+  const root = await makeTempFolder();
   const disk = new PausedDisk();
   const store = new FileStore(root, ignore, disk);
   const writes = [1, 4, 3].map((count) => store.write(PARTITION, version(2, count), `${count}`));
   await expect.poll(() => disk.written).toEqual(['2.1.json.aside']);
-  disk.goOn();
+  disk.resume();
   await Promise.all(writes);
   expect(disk.written).toEqual(['2.1.json.aside', '2.4.json.aside']);
   const [stored] = await new FileStore(root, ignore).readAll();
   expect(stored?.body).toBe('4');
 });
 
-test('a file of another partition is not taken for one of this', async () => {
-  const root = await dataFolder();
+test('a file of another partition is not accepted', async () => {
+  const root = await makeTempFolder();
   const other = partitionName('p2');
   const store = new FileStore(root, ignore);
   await store.write(other, version(2, 1), 'of another');
@@ -100,8 +100,8 @@
   ]);
 });
 
-test('a file under the name of another version is not taken for it', async () => {
-  const root = await dataFolder();
+test('a file under the name of another version is not accepted', async () => {
+  const root = await makeTempFolder();
   const store = new FileStore(root, ignore);
   await store.write(PARTITION, version(2, 1), 'x');
   await rename(join(root, PARTITION, '2.1.json'), join(root, PARTITION, '2.2.json'));
@@ -110,8 +110,8 @@
   ]);
 });
 
-test('a partition without any version is not there', async () => {
-  const root = await dataFolder();
+test('a partition without any version is not read', async () => {
+  const root = await makeTempFolder();
   const store = new FileStore(root, ignore);
   await store.write(PARTITION, version(2, 1), 'x');
   await rename(join(root, PARTITION, '2.1.json'), join(root, PARTITION, '2.1.json.aside'));
--- a/src/state/file-store.test.ts
+++ b/src/state/file-store.test.ts
@@ -9,14 +9,14 @@
 import { join } from 'node:path';
 
 const partition = partitionName('p1');
-const told: HaretrackError[] = [];
-function tell(defect: HaretrackError): void {
-  told.push(defect);
+const reported: HaretrackError[] = [];
+function report(defect: HaretrackError): void {
+  reported.push(defect);
 }
-async function folder(): Promise<string> {
-  return mkdtemp(join(tmpdir(), 'hold-'));
+async function makeTempFolder(): Promise<string> {
+  return mkdtemp(join(tmpdir(), 'file-store-'));
 }
-/** The contract that every store must pass: what was told as kept is read back by the next boot. */
+/** The tests of every store: versions whose write has resolved are read back after a restart. */
 function contract(name: string, make: () => Promise<{ store: Store; reopen: () => Store }>): void {
   async function checkNewest(): Promise<void> {
     const { store, reopen } = await make();
@@ -41,14 +41,14 @@
     expect((await reopen().readAll())[0]?.body).toBe('body 30');
   }
   describe(name, () => {
-    test('reads back the newest version of each part', checkNewest);
-    test('a burst on one part ends with the newest', checkBurst);
+    test('reads back the newest version of each partition', checkNewest);
+    test('reads back the newest version of a burst of writes', checkBurst);
   });
 }
 async function makeFiles(): Promise<{ store: Store; reopen: () => Store }> {
-  const root = await folder();
+  const root = await makeTempFolder();
   function reopen(): Store {
-    return new FileStore(root, tell);
+    return new FileStore(root, report);
   }
   return { store: reopen(), reopen };
 }
@@ -62,121 +62,125 @@
 }
 contract('files', makeFiles);
 contract('memory', makeMemory);
-class TearingDisk extends NodeDisk {
-  tear = '';
+/** A disk whose power is cut while it writes a file or before it syncs a folder. */
+class PowerCutDisk extends NodeDisk {
+  failingStep = '';
   override async writeSynced(path: string, text: string): Promise<void> {
-    if (this.tear === 'write') {
+    if (this.failingStep === 'write') {
       await writeFile(path, text.slice(0, 20));
-      throw new Error('cut while writing');
+      throw new Error('power cut while writing');
     }
     await super.writeSynced(path, text);
   }
   override async syncFolder(path: string): Promise<void> {
-    if (this.tear === 'folder') throw new Error('cut before the folder was synced');
+    if (this.failingStep === 'folder') throw new Error('power cut before the folder was synced');
     await super.syncFolder(path);
   }
 }
-function kindOf(defect: HaretrackError): string {
+function codeOf(defect: HaretrackError): string {
   return defect.code;
 }
+/** A disk on which writes of the partition p1 stall until the test resumes them. */
 class StallingDisk extends NodeDisk {
-  #free: () => void = doNothing;
-  #tellHeld: () => void = doNothing;
-  readonly held = new Promise<void>((done) => this.#onHeld(done));
-  #onHeld(done: () => void): void {
-    this.#tellHeld = done;
+  #resume: () => void = doNothing;
+  #reportStalled: () => void = doNothing;
+  readonly stalled = new Promise<void>((done) => this.#onStalled(done));
+  #onStalled(done: () => void): void {
+    this.#reportStalled = done;
   }
   override async writeSynced(path: string, text: string): Promise<void> {
-    if (path.includes('/p1/')) await new Promise<void>((done) => this.#hold(done));
+    if (path.includes('/p1/')) await new Promise<void>((done) => this.#stall(done));
     await super.writeSynced(path, text);
   }
-  #hold(done: () => void): void {
-    this.#free = done;
-    this.#tellHeld();
+  #stall(done: () => void): void {
+    this.#resume = done;
+    this.#reportStalled();
   }
-  free(): void {
-    this.#free();
+  resume(): void {
+    this.#resume();
   }
 }
 function doNothing(): void {
-  /* nothing is held yet */
+  /* no write has stalled yet */
 }
-/** Full for a while: nothing can be written aside, or no folder synced. */
+/** A disk on which temporarily no file can be written, or no folder synced. */
 class FullDisk extends NodeDisk {
-  failing = '';
+  failingStep = '';
   readonly synced: string[] = [];
   override async writeSynced(path: string, text: string): Promise<void> {
-    if (this.failing === 'write') throw new Error('ENOSPC: no space left on device');
+    if (this.failingStep === 'write') throw new Error('ENOSPC: no space left on device');
     await super.writeSynced(path, text);
   }
   override async syncFolder(path: string): Promise<void> {
-    if (this.failing === 'folder') throw new Error('EIO: it could not be synced');
+    if (this.failingStep === 'folder') throw new Error('EIO: it could not be synced');
     this.synced.push(path);
     await super.syncFolder(path);
   }
 }
-test('a full disk loses nothing, and what is kept once there is room lasts', async () => {
-  const data = join(await folder(), 'new', 'parts');
+test('a version that is written once a full disk has space again is durable', async () => {
+  const data = join(await makeTempFolder(), 'new', 'parts');
   const disk = new FullDisk();
-  const store = new FileStore(data, tell, disk);
+  const store = new FileStore(data, report, disk);
   await store.readAll();
-  disk.failing = 'folder';
-  await expect(store.write(partition, { epoch: 2, count: 1 }, 'lost')).rejects.toThrow(/EIO/);
-  disk.failing = 'write';
-  await expect(store.write(partition, { epoch: 2, count: 2 }, 'lost')).rejects.toThrow(/ENOSPC/);
-  disk.failing = '';
-  await store.write(partition, { epoch: 2, count: 3 }, 'kept');
-  // A file lasts only if every folder above it that we made has been synced, however often that failed before.
+  disk.failingStep = 'folder';
+  await expect(store.write(partition, { epoch: 2, count: 1 }, 'rejected')).rejects.toThrow(/EIO/);
+  disk.failingStep = 'write';
+  await expect(store.write(partition, { epoch: 2, count: 2 }, 'rejected')).rejects.toThrow(
+    /ENOSPC/,
+  );
+  disk.failingStep = '';
+  await store.write(partition, { epoch: 2, count: 3 }, 'persisted');
+  // A file is durable only if every created parent folder has been synced, also after syncs that failed.
   for (const path of [join(data, partition), data, join(data, '..'), join(data, '..', '..')])
     expect(disk.synced).toContain(path);
-  const [stored] = await new FileStore(data, tell).readAll();
-  expect(stored?.body).toBe('kept');
+  const [stored] = await new FileStore(data, report).readAll();
+  expect(stored?.body).toBe('persisted');
 });
-test('a folder that is none of ours is left alone', async () => {
-  const root = await folder();
+test('a folder that is not a partition is ignored', async () => {
+  const root = await makeTempFolder();
   await mkdir(join(root, 'lost+found'));
-  const store = new FileStore(root, tell);
+  const store = new FileStore(root, report);
   expect(await store.readAll()).toEqual([]);
 });
-test('a torn write or an unsynced folder is never told as kept', async () => {
-  const root = await folder();
-  const disk = new TearingDisk();
-  const store = new FileStore(root, tell, disk);
-  await store.write(partition, { epoch: 2, count: 1 }, 'kept');
-  for (const tear of ['write', 'folder']) {
-    disk.tear = tear;
+test('a torn write or an unsynced folder rejects the write', async () => {
+  const root = await makeTempFolder();
+  const disk = new PowerCutDisk();
+  const store = new FileStore(root, report, disk);
+  await store.write(partition, { epoch: 2, count: 1 }, 'persisted');
+  for (const step of ['write', 'folder']) {
+    disk.failingStep = step;
     await expect(
-      store.write(partition, { epoch: 2, count: tear === 'write' ? 2 : 3 }, 'torn'),
+      store.write(partition, { epoch: 2, count: step === 'write' ? 2 : 3 }, 'torn'),
     ).rejects.toThrow(/cut/);
   }
-  const [stored] = await new FileStore(root, tell).readAll();
-  // Neither was told as kept. A torn write aside is invisible; a rename whose folder sync failed may be seen, whole.
+  const [stored] = await new FileStore(root, report).readAll();
+  // Both writes were rejected. A torn temporary file is not read; a rename whose folder sync failed may be read, complete.
   expect(stored?.isIntact).toBe(true);
-  expect(['kept', 'torn']).toContain(stored?.body);
+  expect(['persisted', 'torn']).toContain(stored?.body);
 });
-test('a bad newest file is named and its part shown as unsound', async () => {
-  const root = await folder();
-  const store = new FileStore(root, tell);
+test('a corrupt newest file is reported and its partition marked as not intact', async () => {
+  const root = await makeTempFolder();
+  const store = new FileStore(root, report);
   await store.write(partition, { epoch: 2, count: 1 }, 'first');
   await store.write(partition, { epoch: 2, count: 2 }, 'second');
   const path = join(root, partition, '2.2.json');
   await writeFile(path, (await readFile(path, 'utf8')).replace('second', 'secomd'));
-  told.length = 0;
-  expect(await new FileStore(root, tell).readAll()).toEqual([
+  reported.length = 0;
+  expect(await new FileStore(root, report).readAll()).toEqual([
     { partition, version: { epoch: 2, count: 1 }, body: 'first', isIntact: false },
   ]);
-  expect(told.map(kindOf)).toEqual(['bad-file']);
+  expect(reported.map(codeOf)).toEqual(['bad-file']);
 });
-test('a part whose disk write stalls does not hold up another part', async () => {
+test('a stalled write of one partition does not delay another partition', async () => {
   const disk = new StallingDisk();
-  const store = new FileStore(await folder(), tell, disk);
-  let isKept = false;
+  const store = new FileStore(await makeTempFolder(), report, disk);
+  let isPersisted = false;
   const stalled = store.write(partition, { epoch: 2, count: 1 }, 'stalled').then(() => {
-    isKept = true;
+    isPersisted = true;
   });
-  await disk.held;
-  await store.write(partitionName('p2'), { epoch: 2, count: 1 }, 'goes on');
-  expect(isKept).toBe(false);
-  disk.free();
+  await disk.stalled;
+  await store.write(partitionName('p2'), { epoch: 2, count: 1 }, 'completes');
+  expect(isPersisted).toBe(false);
+  disk.resume();
   await stalled;
 });
