--- a/src/state/replica-founding.test.ts
+++ b/src/state/replica-founding.test.ts
@@ -8,39 +8,43 @@
   type ReplicaStatusName,
   type ReplicaStatusOutcome,
 } from './replica-status.js';
-import { copyOf, P0, votersNamedBy } from './testing/lone-replica.js';
+import { storedReplica, P0, parseVoters } from './testing/lone-replica.js';
 
 type ReadReply = Extract<Message, { kind: 'readReply' }>;
 
 const [A, B, C, D, E] = [nodeId('a'), nodeId('b'), nodeId('c'), nodeId('d'), nodeId('e')];
 const THREE = quorumOf('a', 'b', 'c');
-const FOUND_MS = 1000;
+const FORMATION_DELAY_MS = 1000;
 const INCARNATION = 5000;
-/** The number of the first request. */
+/** The nonce of the first request. */
 const NONCE = INCARNATION + 1;
-/** A moment at which founding is allowed. */
-const LATE = moment(FOUND_MS + 500);
+/** A time at which a new cluster may be formed. */
+const AFTER_FORMATION_DELAY = moment(FORMATION_DELAY_MS + 500);
 
 function quorumOf(...ids: readonly string[]): Quorum {
   return new Quorum(ids.map(nodeId));
 }
 
-interface Start {
+interface StartOptions {
   readonly name?: ReplicaStatusName;
-  readonly mayFound?: boolean;
+  readonly isFormationAllowed?: boolean;
   readonly quorum?: Quorum;
 }
 
-/** Node `a` after its first request. */
-function started({ name = 'blank', mayFound = true, quorum = THREE }: Start = {}): ReplicaStatus {
+/** The status of node `a` after its first request. */
+function startedStatus({
+  name = 'blank',
+  isFormationAllowed: isFormationAllowed = true,
+  quorum = THREE,
+}: StartOptions = {}): ReplicaStatus {
   const status = new ReplicaStatus(
     A,
     name,
     moment(0),
-    FOUND_MS,
+    FORMATION_DELAY_MS,
     INCARNATION,
-    mayFound,
-    votersNamedBy,
+    isFormationAllowed,
+    parseVoters,
   );
   status.tick(moment(0), quorum);
   return status;
@@ -55,7 +59,7 @@
   return { kind: 'readReply', epoch, nonce, sound: false, copies, standing };
 }
 
-/** What comes of these replies, in their order. */
+/** The outcome after these replies, in order. */
 function outcomeOf(
   status: ReplicaStatus,
   replies: readonly (readonly [string, ReadReply])[],
@@ -63,61 +67,65 @@
 ): ReplicaStatusOutcome | undefined {
   let outcome: ReplicaStatusOutcome | undefined;
   for (const [from, message] of replies)
-    outcome = status.onReadReply(LATE, nodeId(from), message, quorum);
+    outcome = status.onReadReply(AFTER_FORMATION_DELAY, nodeId(from), message, quorum);
   return outcome;
 }
 
-function askedAt(status: ReplicaStatus, millis: number, quorum = THREE): readonly string[] {
+function requestedPeersAt(
+  status: ReplicaStatus,
+  millis: number,
+  quorum = THREE,
+): readonly string[] {
   return status.tick(moment(millis), quorum).map(({ to }) => to);
 }
 
-/** The configuration as a voter tells it, with the voters that it names. */
-function configOf(epoch: number, count: number, ...voters: readonly string[]): StoredReplica {
-  return copyOf(CONFIG_PARTITION, { epoch, count }, `voters ${voters.join(' ')}`);
+/** The configuration partition in the form that a voter reports it, naming these voters. */
+function storedConfig(epoch: number, count: number, ...voters: readonly string[]): StoredReplica {
+  return storedReplica(CONFIG_PARTITION, { epoch, count }, `voters ${voters.join(' ')}`);
 }
 
-describe('founding', () => {
+describe('forming a new cluster', () => {
   const founded = { become: 'founded', epoch: 0 };
 
-  test('takes every other voter to be blank, or founded with nothing decided', () => {
+  test('requires every other voter to be blank, or healthy without grants and data', () => {
     for (const one of ['blank', 'fresh'])
       for (const other of ['blank', 'fresh'])
         expect(
-          outcomeOf(started(), [
+          outcomeOf(startedStatus(), [
             ['b', reply(one, 0)],
             ['c', reply(other, 0)],
           ]),
         ).toEqual(founded);
     for (const other of ['sound', 'lost', 'repairing', ''])
       expect(
-        outcomeOf(started(), [
+        outcomeOf(startedStatus(), [
           ['b', reply('blank')],
           ['c', reply(other)],
         ]),
       ).toBeUndefined();
-    expect(outcomeOf(started(), [['b', reply('blank')]])).toBeUndefined();
+    expect(outcomeOf(startedStatus(), [['b', reply('blank')]])).toBeUndefined();
   });
 
-  test('waits for the time of the settings from the start', () => {
-    const status = started();
-    const [early, due] = [moment(FOUND_MS - 1), moment(FOUND_MS)];
+  test('waits for the formation delay after the start', () => {
+    const status = startedStatus();
+    const [early, due] = [moment(FORMATION_DELAY_MS - 1), moment(FORMATION_DELAY_MS)];
     status.onReadReply(early, B, reply('blank'), THREE);
     expect(status.onReadReply(early, C, reply('blank'), THREE)).toBeUndefined();
     expect(status.outcome(due, THREE)).toEqual(founded);
   });
 
-  test('is left to nodes of the first start, with an empty folder, that vote', () => {
+  test('is allowed only to voters with an empty folder at the first start of the cluster', () => {
     const blanks = [
       ['b', reply('blank')],
       ['c', reply('blank')],
     ] as const;
-    expect(outcomeOf(started({ mayFound: false }), blanks)).toBeUndefined();
-    expect(outcomeOf(started({ name: 'lost' }), blanks)).toBeUndefined();
-    expect(outcomeOf(started(), blanks, quorumOf('b', 'c'))).toBeUndefined();
+    expect(outcomeOf(startedStatus({ isFormationAllowed: false }), blanks)).toBeUndefined();
+    expect(outcomeOf(startedStatus({ name: 'lost' }), blanks)).toBeUndefined();
+    expect(outcomeOf(startedStatus(), blanks, quorumOf('b', 'c'))).toBeUndefined();
   });
 
-  test('is not done over what members of a blank peer hold, but by an operator', () => {
-    const status = started();
+  test('requires an operator if members of a blank peer have a configuration', () => {
+    const status = startedStatus();
     const replies = [
       ['b', reply('blank', 6)],
       ['c', reply('blank', 4)],
@@ -125,96 +133,100 @@
     expect(outcomeOf(status, replies)).toBeUndefined();
     expect(status.hasMemberEpoch).toBe(true);
     status.forceNewCluster();
-    expect(status.outcome(LATE, THREE)).toEqual({ become: 'founded', epoch: 6 });
+    expect(status.outcome(AFTER_FORMATION_DELAY, THREE)).toEqual({ become: 'founded', epoch: 6 });
   });
 
-  test('is not held up by the epoch of a peer that is not blank', () => {
-    const status = started();
-    status.onReadReply(LATE, B, reply('fresh', 6), THREE);
+  test('is not prevented by the epoch of a peer that is not blank', () => {
+    const status = startedStatus();
+    status.onReadReply(AFTER_FORMATION_DELAY, B, reply('fresh', 6), THREE);
     expect(status.hasMemberEpoch).toBe(false);
   });
 
-  test('of an operator still needs every other voter to be blank or fresh', () => {
-    const status = started();
+  test('by an operator still requires every other voter to be blank or fresh', () => {
+    const status = startedStatus();
     status.forceNewCluster();
     expect(outcomeOf(status, [['b', reply('blank')]])).toBeUndefined();
   });
 });
 
 describe('repair', () => {
-  test('needs every other voter but those too few to have decided without them', () => {
+  test('requires that this node and the voters not read are no majority', () => {
     const five = quorumOf('a', 'b', 'c', 'd', 'e');
-    const status = started({ quorum: five });
+    const status = startedStatus({ quorum: five });
     for (const from of [B, C])
-      expect(status.onReadReply(LATE, from, reply('sound', 8), five)).toBeUndefined();
-    expect(status.onReadReply(LATE, D, reply('sound', 6), five)).toMatchObject({
+      expect(
+        status.onReadReply(AFTER_FORMATION_DELAY, from, reply('sound', 8), five),
+      ).toBeUndefined();
+    expect(status.onReadReply(AFTER_FORMATION_DELAY, D, reply('sound', 6), five)).toMatchObject({
       become: 'repaired',
       epoch: 8,
     });
   });
 
-  test('takes the newest epoch and all copies of those that count', () => {
-    const [one, other] = [copyOf(P0, { epoch: 4, count: 1 }, 'x'), copyOf(P0)];
-    const outcome = outcomeOf(started(), [
+  test('adopts the newest epoch and all partitions of healthy peers', () => {
+    const [one, other] = [storedReplica(P0, { epoch: 4, count: 1 }, 'x'), storedReplica(P0)];
+    const outcome = outcomeOf(startedStatus(), [
       ['b', reply('sound', 4, [one])],
       ['c', reply('fresh', 6, [other])],
     ]);
     expect(outcome).toEqual({ become: 'repaired', epoch: 6, copies: [one, other] });
   });
 
-  test('counts no peer that does not count itself', () => {
+  test('counts only healthy peers', () => {
     for (const standing of ['blank', 'lost', 'repairing'])
       expect(
-        outcomeOf(started({ mayFound: false }), [
+        outcomeOf(startedStatus({ isFormationAllowed: false }), [
           ['b', reply('sound', 8)],
           ['c', reply(standing, 8)],
         ]),
       ).toBeUndefined();
   });
 
-  test('of a node whose record is lost goes by the same', () => {
-    const outcome = outcomeOf(started({ name: 'lost' }), [
+  test('of a node whose vote record is lost follows the same rules', () => {
+    const outcome = outcomeOf(startedStatus({ name: 'lost' }), [
       ['b', reply('sound', 8)],
       ['c', reply('sound', 8)],
     ]);
     expect(outcome).toMatchObject({ become: 'repaired', epoch: 8 });
   });
 
-  test('reads the voters that the newest configuration names, and not those of the settings', () => {
-    const status = started({ mayFound: false });
-    const older = configOf(2, 9, 'a', 'b', 'c');
-    const newer = configOf(4, 1, 'a', 'd', 'e');
-    status.onReadReply(LATE, B, reply('sound', 8, [older]), THREE);
-    expect(status.onReadReply(LATE, C, reply('sound', 8, [newer]), THREE)).toBeUndefined();
-    expect(askedAt(status, LATE + 10_000)).toEqual(['d', 'e']);
+  test('reads the voters that the newest configuration names instead of those in the settings', () => {
+    const status = startedStatus({ isFormationAllowed: false });
+    const older = storedConfig(2, 9, 'a', 'b', 'c');
+    const newer = storedConfig(4, 1, 'a', 'd', 'e');
+    status.onReadReply(AFTER_FORMATION_DELAY, B, reply('sound', 8, [older]), THREE);
+    expect(
+      status.onReadReply(AFTER_FORMATION_DELAY, C, reply('sound', 8, [newer]), THREE),
+    ).toBeUndefined();
+    expect(requestedPeersAt(status, AFTER_FORMATION_DELAY + 10_000)).toEqual(['d', 'e']);
     const nonce = NONCE + 1;
     const of = (epoch: number) => reply('sound', epoch, [], nonce);
-    expect(status.onReadReply(LATE, D, of(10), THREE)).toBeUndefined();
-    expect(status.onReadReply(LATE, E, of(12), THREE)).toEqual({
+    expect(status.onReadReply(AFTER_FORMATION_DELAY, D, of(10), THREE)).toBeUndefined();
+    expect(status.onReadReply(AFTER_FORMATION_DELAY, E, of(12), THREE)).toEqual({
       become: 'repaired',
       epoch: 12,
       copies: [],
     });
   });
 
-  test('takes no voters from a bad copy, or from a peer that does not count', () => {
-    const bad = { ...configOf(4, 1, 'a', 'd', 'e'), sound: false };
-    const foreign = configOf(4, 1, 'a', 'd', 'e');
+  test('takes no voters from a corrupt configuration, or from a peer that is not healthy', () => {
+    const corrupt = { ...storedConfig(4, 1, 'a', 'd', 'e'), sound: false };
+    const unhealthyConfig = storedConfig(4, 1, 'a', 'd', 'e');
     expect(
-      outcomeOf(started({ mayFound: false }), [
-        ['b', reply('sound', 8, [bad])],
+      outcomeOf(startedStatus({ isFormationAllowed: false }), [
+        ['b', reply('sound', 8, [corrupt])],
         ['c', reply('sound', 8)],
       ]),
     ).toMatchObject({ become: 'repaired' });
-    const status = started({ mayFound: false });
-    status.onReadReply(LATE, B, reply('lost', 8, [foreign]), THREE);
-    expect(askedAt(status, LATE + 10_000)).toEqual(['b', 'c']);
+    const status = startedStatus({ isFormationAllowed: false });
+    status.onReadReply(AFTER_FORMATION_DELAY, B, reply('lost', 8, [unhealthyConfig]), THREE);
+    expect(requestedPeersAt(status, AFTER_FORMATION_DELAY + 10_000)).toEqual(['b', 'c']);
   });
 
-  test('by an operator goes by whoever is left, in the newest epoch that members hold', () => {
-    const status = started({ mayFound: false });
+  test('by an operator uses the remaining peers, in the newest epoch that members know', () => {
+    const status = startedStatus({ isFormationAllowed: false });
     status.forceNewCluster();
-    expect(status.outcome(LATE, THREE)).toBeUndefined();
+    expect(status.outcome(AFTER_FORMATION_DELAY, THREE)).toBeUndefined();
     status.onMemberEpoch(4);
     expect(outcomeOf(status, [['b', reply('sound', 2)]])).toEqual({
       become: 'repaired',
@@ -222,20 +234,20 @@
       copies: [],
     });
     status.onMemberEpoch(1);
-    expect(status.outcome(LATE, THREE)).toMatchObject({ epoch: 4 });
+    expect(status.outcome(AFTER_FORMATION_DELAY, THREE)).toMatchObject({ epoch: 4 });
   });
 
-  test('comes of no epoch at all where the others have decided nothing', () => {
+  test('does not take place if the peers have no epoch yet', () => {
     expect(
-      outcomeOf(started({ mayFound: false }), [
+      outcomeOf(startedStatus({ isFormationAllowed: false }), [
         ['b', reply('fresh', 0)],
         ['c', reply('fresh', 0)],
       ]),
     ).toBeUndefined();
   });
 
-  test('is over once the node counts', () => {
-    const status = started();
+  test('ends once the node is healthy', () => {
+    const status = startedStatus();
     status.resolve();
     expect(status.name).toBe('sound');
     expect(
@@ -244,37 +256,37 @@
         ['c', reply('sound', 8)],
       ]),
     ).toBeUndefined();
-    expect(status.outcome(LATE, THREE)).toBeUndefined();
-    expect(askedAt(status, 100_000)).toEqual([]);
+    expect(status.outcome(AFTER_FORMATION_DELAY, THREE)).toBeUndefined();
+    expect(requestedPeersAt(status, 100_000)).toEqual([]);
   });
 });
 
 describe('replies', () => {
   const other = ['c', reply('sound', 8)] as const;
 
-  test('count of every request of this incarnation, and of none before or to come', () => {
+  test('are accepted to every request of this incarnation, and to no earlier or future one', () => {
     const of = (nonce: number) =>
-      outcomeOf(started(), [other, ['b', reply('sound', 8, [], nonce)]]) !== undefined;
+      outcomeOf(startedStatus(), [other, ['b', reply('sound', 8, [], nonce)]]) !== undefined;
     expect([INCARNATION - 1, INCARNATION, NONCE, NONCE + 1].map(of)).toEqual([
       false,
       false,
       true,
       false,
     ]);
-    const status = started();
+    const status = startedStatus();
     status.tick(moment(100), THREE);
     expect(outcomeOf(status, [other, ['b', reply('sound', 8)]])).toBeDefined();
   });
 
-  test('to a leader that reads are none to a node that asks', () => {
+  test('to the read of a leader are not accepted by a node in repair', () => {
     expect(
-      outcomeOf(started(), [other, ['b', { ...reply('sound', 8), sound: true }]]),
+      outcomeOf(startedStatus(), [other, ['b', { ...reply('sound', 8), sound: true }]]),
     ).toBeUndefined();
   });
 
-  test('of a peer that counts stand as they were first, others are replaced', () => {
-    const copy = copyOf(P0, { epoch: 2, count: 1 }, 'first');
-    const outcome = outcomeOf(started(), [
+  test('of a healthy peer are retained from the first on, others are replaced', () => {
+    const copy = storedReplica(P0, { epoch: 2, count: 1 }, 'first');
+    const outcome = outcomeOf(startedStatus(), [
       ['b', reply('sound', 8, [copy])],
       ['b', reply('sound', 10, [])],
       ['c', reply('blank')],
@@ -285,15 +297,16 @@
 });
 
 describe('requests', () => {
-  test('are repeated after 100 ms, then twice as long each time, up to 800 ms', () => {
-    const status = started();
+  test('are repeated after 100 ms, then after a delay that doubles up to 800 ms', () => {
+    const status = startedStatus();
     const times: number[] = [];
-    for (let at = 1; at <= 4000; at += 1) if (askedAt(status, at).includes('b')) times.push(at);
+    for (let at = 1; at <= 4000; at += 1)
+      if (requestedPeersAt(status, at).includes('b')) times.push(at);
     expect(times).toEqual([100, 300, 700, 1500, 2300, 3100, 3900]);
   });
 
-  test('carry a number of their own each time', () => {
-    const status = started();
+  test('have a new nonce each time', () => {
+    const status = startedStatus();
     const message = { kind: 'read', epoch: 0, nonce: NONCE + 1, parts: [] };
     expect(status.tick(moment(100), THREE)).toEqual([
       { to: 'b', message },
@@ -303,36 +316,38 @@
     expect(status.tick(moment(300), THREE)[0]?.message).toMatchObject({ nonce: NONCE + 2 });
   });
 
-  test('go to a peer that holds nothing 200 ms after its answer, and to one that counts no more', () => {
-    const status = started({ mayFound: false });
+  test('are repeated to a blank peer 200 ms after its reply, and not to a healthy peer', () => {
+    const status = startedStatus({ isFormationAllowed: false });
     status.onReadReply(moment(0), B, reply('blank'), THREE);
     status.onReadReply(moment(0), C, reply('sound', 8), THREE);
-    expect(askedAt(status, 199)).toEqual([]);
-    expect(askedAt(status, 200)).toEqual(['b']);
-    expect(askedAt(status, 599)).toEqual([]);
-    expect(askedAt(status, 600)).toEqual(['b']);
+    expect(requestedPeersAt(status, 199)).toEqual([]);
+    expect(requestedPeersAt(status, 200)).toEqual(['b']);
+    expect(requestedPeersAt(status, 599)).toEqual([]);
+    expect(requestedPeersAt(status, 600)).toEqual(['b']);
   });
 });
 
-describe('the answer to a node that asks', () => {
-  const copies = [copyOf(P0, { epoch: 2, count: 1 }, 'x')];
-  const empty = [copyOf(P0)];
+describe('the reply to a node in repair', () => {
+  const copies = [storedReplica(P0, { epoch: 2, count: 1 }, 'x')];
+  const empty = [storedReplica(P0)];
 
-  test('of one that counts tells its epoch and copies', () => {
-    const status = started({ name: 'sound' });
+  test('of a healthy node contains its epoch and partitions', () => {
+    const status = startedStatus({ name: 'sound' });
     expect(status.replyTo(7, 4, copies, false)).toEqual(reply('sound', 4, copies, 7));
     expect(status.replyTo(7, 4, empty, true)).toEqual(reply('sound', 4, empty, 7));
   });
 
-  test('of one that founded and has decided nothing says so', () => {
-    const status = started({ name: 'sound' });
+  test('of a healthy node without grants and data reports it as fresh', () => {
+    const status = startedStatus({ name: 'sound' });
     expect(status.replyTo(7, 4, empty, false)).toEqual(reply('fresh', 4, empty, 7));
   });
 
-  test('of one that does not count tells no copies, and a blank one the epoch of its members', () => {
-    expect(started({ name: 'lost' }).replyTo(7, 4, copies, true)).toEqual(reply('lost', 4, [], 7));
-    expect(started().replyTo(7, 4, empty, false)).toEqual(reply('blank', 0, [], 7));
-    const blank = started();
+  test('of a node that is not healthy contains no partitions; a blank one reports the epoch of its members', () => {
+    expect(startedStatus({ name: 'lost' }).replyTo(7, 4, copies, true)).toEqual(
+      reply('lost', 4, [], 7),
+    );
+    expect(startedStatus().replyTo(7, 4, empty, false)).toEqual(reply('blank', 0, [], 7));
+    const blank = startedStatus();
     blank.onMemberEpoch(6);
     expect(blank.replyTo(7, 4, empty, false)).toEqual(reply('blank', 6, [], 7));
   });
--- a/src/state/testing/lone-replica.ts
+++ b/src/state/testing/lone-replica.ts
@@ -13,108 +13,118 @@
 import { ReplicatedState, type ReplicatedStateEffect } from '../replicated-state.js';
 import type { StoredPartition } from '../store.js';
 
-/** The voters; the replica is the first. */
+/** The ids of the voters; the replica under test is the first. */
 export const [A, B, C] = [nodeId('a'), nodeId('b'), nodeId('c')];
-/** Two partitions beside the configuration. */
+/** Two partitions in addition to the configuration. */
 export const [P0, P1] = [partitionName('p0'), partitionName('p1')];
-/** All partitions, in the order in which they are told. */
+/** All partitions, in the order in which they are sent. */
 export const PARTITIONS: readonly PartitionName[] = [CONFIG_PARTITION, P0, P1];
-/** The epoch that the replica has granted, and in which it leads. */
+/** The epoch that the replica has granted and in which it leads. */
 export const EPOCH = 4;
 
 type Committed = Extract<ReplicatedStateEffect, { do: 'committed' }>;
 
-/** A message and to whom it goes. */
-export type Sent = readonly [string, Message];
+/** A message with the id of its receiver. */
+export type SentMessage = readonly [string, Message];
 
-/** The configuration `voters a b d` names these; any other body names nobody. */
-export function votersNamedBy(configBody: string): Quorum | undefined {
-  const [word, ...ids] = configBody.split(' ');
-  return word === 'voters' ? new Quorum(ids.map(nodeId)) : undefined;
+/** Parses a configuration such as `voters a b d`; any other body names no voters. */
+export function parseVoters(configBody: string): Quorum | undefined {
+  const [keyword, ...ids] = configBody.split(' ');
+  return keyword === 'voters' ? new Quorum(ids.map(nodeId)) : undefined;
 }
 
 /**
- * The replicated state at `a`, one of three voters, whose peers are played by the test. Its disk keeps at once, unless it
- * is stalled; it has granted `EPOCH`.
+ * The replicated state at `a`, one of three voters, without peers: the test inspects the messages that it sends and passes in
+ * those of its peers. Versions are persisted immediately, unless the disk is stalled; `EPOCH` is granted.
  */
-export class LoneReplica {
+export class ReplicaHarness {
+  /** The state under test. */
   readonly state: ReplicatedState;
+  /** The effects `committed`, in order. */
   readonly committed: Committed[] = [];
+  /** The effects `store`, in order. */
   readonly stored: (readonly [PartitionName, Version, string])[] = [];
-  /** Which other effects came, in their order. */
-  readonly others: string[] = [];
-  granted = EPOCH;
+  /** Names of the other effects, in order. */
+  readonly otherEffects: string[] = [];
+  /** The epoch granted by this voter. */
+  grantedEpoch = EPOCH;
+  /** Whether writes to the disk are never completed. */
   isDiskStalled = false;
+  /** The current time. */
   now: Moment = moment(10_000);
-  #sent: Sent[] = [];
+  #messages: SentMessage[] = [];
 
   constructor(stored: readonly StoredPartition[] = []) {
-    this.state = new ReplicatedState(A, new Quorum([A, B, C]), PARTITIONS, stored, votersNamedBy);
+    this.state = new ReplicatedState(A, new Quorum([A, B, C]), PARTITIONS, stored, parseVoters);
   }
 
-  /** What was sent since the last look. */
-  sent(): readonly Sent[] {
-    this.drain();
-    const sent = this.#sent;
-    this.#sent = [];
-    return sent;
+  /** Carries out the effects and returns the messages sent since the last call. */
+  drainMessages(): readonly SentMessage[] {
+    this.carryOutEffects();
+    const messages = this.#messages;
+    this.#messages = [];
+    return messages;
   }
 
-  tickAfter(millis: number): readonly Sent[] {
+  /** Advances the time, in milliseconds, ticks the state and returns the messages that it sends. */
+  tickAfter(millis: number): readonly SentMessage[] {
     this.now = moment(this.now + millis);
     this.state.tick(this.now);
-    return this.sent();
+    return this.drainMessages();
   }
 
-  receive(from: NodeId, message: Message): readonly Sent[] {
-    this.state.onMessage(this.now, from, message, this.granted, [], 'sound');
-    return this.sent();
+  /** Passes a message to the state and returns the messages that it sends. */
+  receive(from: NodeId, message: Message): readonly SentMessage[] {
+    this.state.onMessage(this.now, from, message, this.grantedEpoch, [], 'sound');
+    return this.drainMessages();
   }
 
-  /** Begins to own the parts. */
-  lead(epoch = EPOCH): readonly Sent[] {
+  /** Starts to lead and returns the messages that the state sends. */
+  lead(epoch = EPOCH): readonly SentMessage[] {
     this.state.lead(this.now, epoch);
-    return this.sent();
+    return this.drainMessages();
   }
 
-  /** Owns all parts, empty, with a copy at everybody. */
-  serve(): void {
+  /** Leads until the state serves, with empty partitions at every voter. */
+  startServing(): void {
     this.lead();
-    this.receive(B, readReply(PARTITIONS.map((partition) => copyOf(partition))));
+    this.receive(B, readReply(PARTITIONS.map((partition) => storedReplica(partition))));
     for (const partition of PARTITIONS)
       for (const from of [B, C])
-        this.receive(from, acked(partition, this.state.versionOf(partition)));
-    if (!this.state.isServing) throw new Error('it does not serve');
+        this.receive(from, writeReply(partition, this.state.versionOf(partition)));
+    if (!this.state.isServing) throw new Error('the state does not serve');
     this.committed.length = 0;
-    this.others.length = 0;
+    this.otherEffects.length = 0;
     this.stored.length = 0;
-    this.sent();
+    this.drainMessages();
   }
 
+  /** Writes a partition as leader, carries out the effects and returns the count of the version. */
   write(partition: PartitionName, body: string, token = 0): number {
     const count = this.state.write(this.now, partition, body, token);
-    this.drain();
+    this.carryOutEffects();
     return count;
   }
 
-  drain(): void {
+  /** Carries out effects until none is left. */
+  carryOutEffects(): void {
     for (let effects = this.state.drain(); effects.length > 0; effects = this.state.drain())
       for (const effect of effects) this.#carryOut(effect);
   }
 
   #carryOut(effect: ReplicatedStateEffect): void {
-    if (effect.do === 'send') this.#sent.push([effect.to, effect.message]);
+    if (effect.do === 'send') this.#messages.push([effect.to, effect.message]);
     else if (effect.do === 'committed') this.committed.push(effect);
     else if (effect.do === 'store') {
       this.stored.push([effect.partition, effect.version, effect.body]);
       if (!this.isDiskStalled)
-        this.state.stored(effect.partition, effect.version, this.granted, this.now);
-    } else this.others.push(effect.do);
+        this.state.stored(effect.partition, effect.version, this.grantedEpoch, this.now);
+    } else this.otherEffects.push(effect.do);
   }
 }
 
-/** A copy of a part as a voter tells it; empty where nothing else is said. */
-export function copyOf(
+/** A partition in the form that a voter reports it; empty and valid by default. */
+export function storedReplica(
   partition: PartitionName,
   version: Version = NO_VERSION,
   body = '',
@@ -123,7 +133,7 @@
   return { part: partition, ...version, body, sound };
 }
 
-/** The answer of a voter to a leader that reads. */
+/** The reply of a voter to a read of the leader. */
 export function readReply(copies: readonly StoredReplica[], nonce = 1, epoch = EPOCH): Message {
   return {
     kind: 'readReply',
@@ -135,12 +145,12 @@
   };
 }
 
-/** The answer of a voter that has a version on its disk, or that rejects it. */
-export function acked(
+/** The reply of a voter that has persisted a version, or that rejects it. */
+export function writeReply(
   partition: PartitionName,
   version: Version,
-  isGood = true,
+  isAccepted = true,
   members: MemberVersion[] = [],
 ): Message {
-  return { kind: 'writeReply', part: partition, ...version, good: isGood, members };
+  return { kind: 'writeReply', part: partition, ...version, good: isAccepted, members };
 }
