--- a/src/state/file-store-versions.test.ts
+++ b/src/state/file-store-versions.test.ts
@@ -76,7 +76,7 @@
   expect([stored?.version, stored?.isIntact]).toEqual([version(2, 4), true]);
 });
 
-test('only the newest of the queued writes is written to a slow disk, in any order of their requests', async () => {
+test('only the newest of the queued writes is written to a slow disk, whatever their order', async () => {
   const root = await makeTempFolder();
   const disk = new PausedDisk();
   const store = new FileStore(root, ignore, disk);
--- a/src/state/quorum-coordinator.test.ts
+++ b/src/state/quorum-coordinator.test.ts
@@ -222,7 +222,7 @@
     expect(replica.committed.length).toBe(1);
   });
 
-  test('is not committed by one other voter while it is not on the own disk', () => {
+  test('is not committed with one other voter while the disk of the leader is stalled', () => {
     const replica = servingReplica();
     replica.isDiskStalled = true;
     replica.write(P0, 'x');
@@ -231,7 +231,7 @@
     expect(replica.committed).toEqual([]);
   });
 
-  test('counts no reply of another partition, version or epoch, and no rejection', () => {
+  test('counts no reply for another partition, version or epoch, and no rejection', () => {
     const replica = servingReplica();
     replica.write(P0, 'x');
     replica.receive(B, writeReply(P1, versionAt(2)));
@@ -373,7 +373,7 @@
     expect(digestRangesOf(replica.tickAfter(1))).toHaveLength(2);
   });
 
-  test('halves a range that differs, and sends the partition of a range of one', () => {
+  test('halves a range that differs, and sends the partition once the range is a single one', () => {
     const replica = servingReplica();
     expect(digestRangesOf(replica.receive(B, digestReply(0, 3)))).toEqual([
       ['b', 0, 1],
--- a/src/state/replica-founding.test.ts
+++ b/src/state/replica-founding.test.ts
@@ -114,7 +114,7 @@
     expect(status.outcome(due, THREE)).toEqual(founded);
   });
 
-  test('is allowed only to voters with an empty folder at the first start of the cluster', () => {
+  test('is allowed only for voters with an empty folder at the first start of the cluster', () => {
     const blanks = [
       ['b', reply('blank')],
       ['c', reply('blank')],
@@ -150,7 +150,7 @@
 });
 
 describe('repair', () => {
-  test('requires that this node and the voters not read are no majority', () => {
+  test('requires that this node and the unread voters are not a majority', () => {
     const five = quorumOf('a', 'b', 'c', 'd', 'e');
     const status = startedStatus({ quorum: five });
     for (const from of [B, C])
@@ -264,7 +264,7 @@
 describe('replies', () => {
   const other = ['c', reply('sound', 8)] as const;
 
-  test('are accepted to every request of this incarnation, and to no earlier or future one', () => {
+  test('are accepted for every request of this incarnation, and for no earlier or future one', () => {
     const of = (nonce: number) =>
       outcomeOf(startedStatus(), [other, ['b', reply('sound', 8, [], nonce)]]) !== undefined;
     expect([INCARNATION - 1, INCARNATION, NONCE, NONCE + 1].map(of)).toEqual([
@@ -284,7 +284,7 @@
     ).toBeUndefined();
   });
 
-  test('of a healthy peer are retained from the first on, others are replaced', () => {
+  test('of a healthy peer are ignored after the first one; others are replaced by later ones', () => {
     const copy = storedReplica(P0, { epoch: 2, count: 1 }, 'first');
     const outcome = outcomeOf(startedStatus(), [
       ['b', reply('sound', 8, [copy])],
--- a/src/state/testing/lone-replica.ts
+++ b/src/state/testing/lone-replica.ts
@@ -48,7 +48,7 @@
   readonly otherEffects: string[] = [];
   /** The epoch granted by this voter. */
   grantedEpoch = EPOCH;
-  /** Whether writes to the disk are never completed. */
+  /** Whether writes to the disk stay incomplete until the test completes them. */
   isDiskStalled = false;
   /** The current time. */
   now: Moment = moment(10_000);
