--- a/src/control/config-store.test.ts
+++ b/src/control/config-store.test.ts
@@ -34,7 +34,8 @@
   /** Lets what is being written reach the disk, and takes up what was committed by then. */
   step(): void {
     for (const effect of this.state.drain()) {
-      if (effect.do === 'store') this.state.stored(effect.partition, effect.version, EPOCH, NOW);
+      if (effect.do === 'store')
+        this.state.onPersisted(effect.partition, effect.version, EPOCH, NOW);
       else if (effect.do === 'committed') this.#commit(effect.partition, effect.version);
     }
   }
--- a/src/control/control-snapshot.ts
+++ b/src/control/control-snapshot.ts
@@ -54,7 +54,7 @@
     events: counters.eventsWith({
       electionsStarted: elector.electionsStarted,
       votesGranted: elector.votesGranted,
-      copiesMended: state.repairs,
+      copiesMended: state.repairCount,
       leaderlessReadings: sources.drainingRunners?.reads ?? 0,
     }),
     sessions: sessionNumbers(sources.sessions.connectedMembers(), committed),
--- a/src/control/control-status.ts
+++ b/src/control/control-status.ts
@@ -93,7 +93,7 @@
     scores: scoresOf(sources),
     parts: versionsOf(state),
     unsound: state.corruptPartitions(),
-    mended: state.repairs,
+    mended: state.repairCount,
     config: versionOfTopic(relay, 'config'),
     placesVersion: versionOfTopic(relay, 'places'),
     machines: placement.table.machines.revision,
--- a/src/control/replica-repair.ts
+++ b/src/control/replica-repair.ts
@@ -82,7 +82,7 @@
   onVotePersisted(version: Version): void {
     if (this.#healthyAtVoteCount === undefined || version.count < this.#healthyAtVoteCount) return;
     this.#healthyAtVoteCount = undefined;
-    this.#dependencies.replicaStatus.resolve();
+    this.#dependencies.replicaStatus.markHealthy();
     this.#dependencies.effects.log({ event: 'replica became healthy' });
   }
 
--- a/src/control/state-messages.ts
+++ b/src/control/state-messages.ts
@@ -66,7 +66,7 @@
 
   /** This version of a partition is on disk. */
   onPersisted(now: Moment, partition: PartitionName, version: Version): void {
-    this.#dependencies.state.stored(partition, version, this.#grantedEpoch(), now);
+    this.#dependencies.state.onPersisted(partition, version, this.#grantedEpoch(), now);
     this.#dependencies.repair.onPersisted(now, partition);
   }
 
@@ -80,7 +80,7 @@
     const hasGranted = elector.record.grantEpoch > 0;
     effects.send(
       from,
-      replicaStatus.replyTo(message.nonce, elector.epoch, state.replicaMessages(), hasGranted),
+      replicaStatus.replyTo(message.nonce, elector.epoch, state.storedReplicas(), hasGranted),
     );
   }
 
--- a/src/control/table-control-process.ts
+++ b/src/control/table-control-process.ts
@@ -130,7 +130,7 @@
     if (core) {
       this.#counters.set('epoch', core.elector.epoch);
       this.#counters.set('news.sent', core.relay.sentCount);
-      this.#counters.set('parts.mended', core.state.repairs);
+      this.#counters.set('parts.mended', core.state.repairCount);
       this.#counters.set('placement.writes', core.placementWrites);
     }
     return this.#counters.all();
--- a/src/control/takeover.ts
+++ b/src/control/takeover.ts
@@ -114,7 +114,7 @@
   #stepDown(): void {
     const { state, voters, placement, writer, edits: edits, reads } = this.#dependencies;
     this.#recoverUntil = undefined;
-    state.release();
+    state.stepDown();
     voters.clearConfigRead();
     placement.endLeading();
     writer.clear();
--- a/src/control/voter-membership.test.ts
+++ b/src/control/voter-membership.test.ts
@@ -91,7 +91,7 @@
   commit(partition: PartitionName): void {
     const { state } = this.replica;
     const version = state.versionOf(partition);
-    state.stored(partition, version, EPOCH, this.#now);
+    state.onPersisted(partition, version, EPOCH, this.#now);
     for (const from of FOLLOWERS) {
       const message = { part: partition, ...version, good: true, members: [] };
       state.onMessage(this.#now, from, { kind: 'writeReply', ...message }, EPOCH, [], 'sound');
@@ -103,7 +103,7 @@
   #readFollowers(): void {
     const { state } = this.replica;
     for (const from of FOLLOWERS) {
-      const copies = state.replicaMessages();
+      const copies = state.storedReplicas();
       const message = { epoch: EPOCH, nonce: 1, sound: true, copies, standing: 'sound' };
       state.onMessage(this.#now, from, { kind: 'readReply', ...message }, EPOCH, [], 'sound');
     }
--- a/src/control/voter-set-writer.test.ts
+++ b/src/control/voter-set-writer.test.ts
@@ -18,7 +18,7 @@
   constructor() {
     const { state } = this.node.replica;
     state.lead(NOW, EPOCH);
-    const copies = state.replicaMessages();
+    const copies = state.storedReplicas();
     const message = { epoch: EPOCH, nonce: 1, sound: true, copies, standing: 'sound' };
     state.onMessage(NOW, B, { kind: 'readReply', ...message }, EPOCH, [], 'sound');
     for (const partition of allPartitions()) this.store(partition, [B, C]);
@@ -29,7 +29,7 @@
   store(partition: PartitionName, voters: readonly NodeId[]): void {
     const { state } = this.node.replica;
     const version = state.versionOf(partition);
-    state.stored(partition, version, EPOCH, NOW);
+    state.onPersisted(partition, version, EPOCH, NOW);
     for (const from of voters) {
       const message = { part: partition, ...version, good: true, members: [] };
       state.onMessage(NOW, from, { kind: 'writeReply', ...message }, EPOCH, [], 'sound');
--- a/src/simulation/exhaustive/replica.ts
+++ b/src/simulation/exhaustive/replica.ts
@@ -154,7 +154,7 @@
 
   #receive(now: Moment, from: NodeId, message: Message): void {
     if (message.kind === 'read' && message.epoch === 0) {
-      const copies = this.#replicatedState.replicaMessages();
+      const copies = this.#replicatedState.storedReplicas();
       const hasGranted = this.#grantEpoch > 0;
       const reply = this.#replicaStatus.replyTo(message.nonce, this.#epoch, copies, hasGranted);
       this.#sends.push({ to: from, message: reply });
@@ -175,7 +175,7 @@
 
   #stored(now: Moment, write: DiskWrite): void {
     if (write.slot !== VOTE_RECORD) {
-      this.#replicatedState.stored(partitionName(write.slot), write, this.#granted(), now);
+      this.#replicatedState.onPersisted(partitionName(write.slot), write, this.#granted(), now);
       this.#repairWaits.delete(write.slot);
       this.#endRepair();
       return;
@@ -183,7 +183,7 @@
     this.#keptGrant = parseAs(VoteShape, write.body)?.grantEpoch ?? 0;
     if (this.#settlesAt === undefined || write.count < this.#settlesAt) return;
     this.#settlesAt = undefined;
-    this.#replicaStatus.resolve();
+    this.#replicaStatus.markHealthy();
   }
 
   #command(now: Moment, command: ReplicaCommand): void {
@@ -193,7 +193,7 @@
       this.#grantLeader = command.leader;
       this.#keepVote();
       this.#ledEpoch = 0;
-      this.#replicatedState.release();
+      this.#replicatedState.stepDown();
     } else if (command.do === 'lead') {
       this.#ledEpoch = this.#epoch;
       this.#replicatedState.lead(now, this.#epoch);
@@ -259,7 +259,7 @@
           const { partition, version, body } = effect;
           this.#writes.push({ slot: partition, ...version, body });
           if (this.#mistake === 'acknowledged-unsynced') {
-            this.#replicatedState.stored(partition, version, this.#granted(), now);
+            this.#replicatedState.onPersisted(partition, version, this.#granted(), now);
           }
         }
       }
--- a/src/state/anti-entropy.ts
+++ b/src/state/anti-entropy.ts
@@ -19,7 +19,7 @@
   readonly #coordinator: QuorumCoordinator;
   readonly #effects: StateEffects;
   #lastComparedAt: Moment = moment(0);
-  #repairs = 0;
+  #repairCount = 0;
 
   constructor(
     me: NodeId,
@@ -34,8 +34,8 @@
   }
 
   /** Number of partitions sent to repair other replicas since the process started. */
-  get repairs(): number {
-    return this.#repairs;
+  get repairCount(): number {
+    return this.#repairCount;
   }
 
   /** Compares all partitions with every other voter at each `ANTI_ENTROPY_INTERVAL_MS`, while this voter serves as leader. */
@@ -64,7 +64,7 @@
     }
     const partition = this.#partitions.names[low];
     if (partition !== undefined && this.#coordinator.repairReplica(from, partition))
-      this.#repairs += 1;
+      this.#repairCount += 1;
   }
 
   #compare(peer: NodeId, low: number, high: number): void {
--- a/src/state/local-partitions.test.ts
+++ b/src/state/local-partitions.test.ts
@@ -23,7 +23,7 @@
   const corrupt = { part: FIRST, epoch: 9, count: 1, body: 'bad', sound: false };
   const unknown = { part: UNKNOWN, epoch: 9, count: 1, body: 'bad', sound: true };
   expect([...partitions.adopt([same, newer, corrupt, unknown])]).toEqual([SECOND]);
-  expect(partitions.of(FIRST)?.body).toBe('old');
+  expect(partitions.get(FIRST)?.body).toBe('old');
   expect(effects.drain()).toEqual([
     { do: 'store', partition: SECOND, version: { epoch: 1, count: 1 }, body: 'new' },
   ]);
@@ -33,7 +33,7 @@
   expect(partitions.corruptPartitions()).toEqual([FIRST]);
   partitions.adopt([{ part: FIRST, ...VERSION, body: 'new', sound: true }]);
   expect(partitions.corruptPartitions()).toEqual([]);
-  expect(partitions.of(FIRST)?.body).toBe('new');
+  expect(partitions.get(FIRST)?.body).toBe('new');
 });
 test('an older version is not stored over a newer one', () => {
   const effects = new StateEffects();
@@ -42,7 +42,7 @@
   expect(effects.drain()).toEqual([]);
   partitions.store(FIRST, { epoch: 3, count: 1 }, 'newer');
   expect(effects.drain()).toHaveLength(1);
-  expect(partitions.of(FIRST)?.body).toBe('newer');
+  expect(partitions.get(FIRST)?.body).toBe('newer');
 });
 test('digests of a range differ if a version differs or a file is corrupt', () => {
   const [partitions, other] = [partitionsWith(true), partitionsWith(true)];
--- a/src/state/local-partitions.ts
+++ b/src/state/local-partitions.ts
@@ -42,7 +42,7 @@
   }
 
   /** The local state of a partition; undefined for an unknown partition. */
-  of(partition: PartitionName): LocalPartition | undefined {
+  get(partition: PartitionName): LocalPartition | undefined {
     return this.#partitions.get(partition);
   }
 
@@ -53,7 +53,7 @@
 
   /** Replaces the version and writes it to disk, unless the current version is newer. */
   store(partition: PartitionName, version: Version, body: string): void {
-    const local = this.of(partition);
+    const local = this.get(partition);
     if (!local || compareVersions(version, local.version) < 0) return;
     this.put(partition, version, body);
     this.#effects.store(partition, version, body);
@@ -67,7 +67,7 @@
   }
 
   /** All partitions in their message form. */
-  toMessages(): StoredReplica[] {
+  toStoredReplicas(): StoredReplica[] {
     const messages: StoredReplica[] = [];
     for (const [partition, local] of this.#partitions)
       messages.push({ part: partition, ...local.version, body: local.body, sound: local.isIntact });
@@ -92,7 +92,7 @@
   digest(low: number, high: number): string {
     const hash = createHash('sha256');
     for (const partition of this.#names.slice(low, high)) {
-      const local = this.of(partition);
+      const local = this.get(partition);
       hash.update(
         `${partition} ${local?.version.epoch} ${local?.version.count} ${local?.isIntact}\n`,
       );
@@ -101,7 +101,7 @@
   }
 
   #shouldAdopt(partition: PartitionName, copy: StoredReplica): boolean {
-    const local = this.of(partition);
+    const local = this.get(partition);
     if (!local || !copy.sound) return false;
     return !local.isIntact || isNewer(copy, local.version);
   }
--- a/src/state/quorum-coordinator.test.ts
+++ b/src/state/quorum-coordinator.test.ts
@@ -16,7 +16,7 @@
   PARTITIONS,
   readReply,
   type SentMessage,
-} from './testing/lone-replica.js';
+} from './testing/replica-harness.js';
 
 /** Interval at which reads and writes without a reply are sent again. */
 const RESEND_INTERVAL_MS = 300;
@@ -314,7 +314,7 @@
     replica.write(P1, 'y');
     for (const from of [B, C])
       replica.state.onMessage(replica.now, from, writeReply(P1, versionAt(2)), EPOCH, [], 'sound');
-    replica.state.release();
+    replica.state.stepDown();
     replica.carryOutEffects();
     replica.grantedEpoch = EPOCH + 2;
     for (const from of [B, C]) replica.receive(from, writeReply(P0, versionAt(2)));
@@ -327,7 +327,7 @@
 
   test('reads again when it leads again, and counts no earlier reply', () => {
     const replica = servingReplica();
-    replica.state.release();
+    replica.state.stepDown();
     replica.grantedEpoch = EPOCH + 2;
     expect(replica.lead(EPOCH + 2)).toEqual([
       ['b', { kind: 'read', epoch: EPOCH + 2, nonce: 2, parts: [] }],
@@ -383,11 +383,11 @@
       ['b', 1, 2],
       ['b', 2, 3],
     ]);
-    expect(replica.state.repairs).toBe(0);
+    expect(replica.state.repairCount).toBe(0);
     expect(writesOf(P0, replica.receive(B, digestReply(1, 2)))).toEqual(['b 4.1 ']);
-    expect(replica.state.repairs).toBe(1);
+    expect(replica.state.repairCount).toBe(1);
     expect(replica.receive(B, digestReply(1, 2, true))).toEqual([]);
-    expect(replica.state.repairs).toBe(1);
+    expect(replica.state.repairCount).toBe(1);
   });
 
   test('does not repair a partition with a write in flight', () => {
@@ -395,7 +395,7 @@
     replica.write(P0, 'x');
     replica.drainMessages();
     expect(replica.receive(B, digestReply(1, 2))).toEqual([]);
-    expect(replica.state.repairs).toBe(0);
+    expect(replica.state.repairCount).toBe(0);
   });
 
   test('runs only while the leader serves', () => {
@@ -425,9 +425,9 @@
     replica.isDiskStalled = true;
     expect(replica.receive(B, write)).toEqual([]);
     expect(replica.stored).toEqual([[P0, versionAt(2), 'x']]);
-    replica.state.stored(P0, versionAt(1), EPOCH, replica.now);
+    replica.state.onPersisted(P0, versionAt(1), EPOCH, replica.now);
     expect(replica.drainMessages()).toEqual([]);
-    replica.state.stored(P0, versionAt(2), EPOCH, replica.now);
+    replica.state.onPersisted(P0, versionAt(2), EPOCH, replica.now);
     expect(replica.drainMessages()).toEqual([['b', writeReply(P0, versionAt(2))]]);
     expect(replica.state.replicaBody(P0)).toBe('x');
   });
@@ -436,7 +436,7 @@
     const replica = new ReplicaHarness();
     replica.isDiskStalled = true;
     replica.receive(B, write);
-    replica.state.stored(P0, versionAt(2), EPOCH + 2, replica.now);
+    replica.state.onPersisted(P0, versionAt(2), EPOCH + 2, replica.now);
     expect(replica.drainMessages()).toEqual([]);
   });
 
@@ -510,11 +510,11 @@
     replica.isDiskStalled = true;
     replica.write(P0, 'x');
     replica.receive(B, writeReply(P0, versionAt(2)));
-    replica.state.stored(P0, versionAt(2), EPOCH + 2, replica.now);
+    replica.state.onPersisted(P0, versionAt(2), EPOCH + 2, replica.now);
     replica.state.tick(moment(replica.now + LAST_REPLICA_WAIT_MS));
     replica.carryOutEffects();
     expect(replica.committed).toEqual([]);
-    replica.state.stored(P0, versionAt(2), EPOCH, replica.now);
+    replica.state.onPersisted(P0, versionAt(2), EPOCH, replica.now);
     replica.tickAfter(LAST_REPLICA_WAIT_MS);
     expect(replica.committed).toHaveLength(1);
     expect(replica.drainMessages()).toEqual([]);
--- a/src/state/quorum-coordinator.ts
+++ b/src/state/quorum-coordinator.ts
@@ -106,7 +106,7 @@
   }
 
   /** Steps down: writes in flight are no longer committed here; the next leader finds out whether a majority has them. */
-  release(): void {
+  stepDown(): void {
     this.#epoch = 0;
     this.#isServing = false;
     this.#partitions.clear();
@@ -210,7 +210,7 @@
     this.#lastReadSentAt = now;
     const message = { kind: 'read', epoch: this.#epoch, nonce: this.#nonce } as const;
     for (const peer of this.#quorum.all) {
-      if (peer === this.#me) this.#onRead(now, this.#me, this.#replica.toMessages());
+      if (peer === this.#me) this.#onRead(now, this.#me, this.#replica.toStoredReplicas());
       else this.#effects.send(peer, { ...message, parts: [] });
     }
   }
--- a/src/state/replica-founding.test.ts
+++ b/src/state/replica-status-outcomes.test.ts
@@ -8,7 +8,7 @@
   type ReplicaStatusName,
   type ReplicaStatusOutcome,
 } from './replica-status.js';
-import { storedReplica, P0, parseVoters } from './testing/lone-replica.js';
+import { storedReplica, P0, parseVoters } from './testing/replica-harness.js';
 
 type ReadReply = Extract<Message, { kind: 'readReply' }>;
 
@@ -248,7 +248,7 @@
 
   test('ends once the node is healthy', () => {
     const status = startedStatus();
-    status.resolve();
+    status.markHealthy();
     expect(status.name).toBe('sound');
     expect(
       outcomeOf(status, [
--- a/src/state/replica-status.ts
+++ b/src/state/replica-status.ts
@@ -110,7 +110,7 @@
   }
 
   /** Marks the replica as healthy, once the outcome is on its disk. */
-  resolve(): void {
+  markHealthy(): void {
     this.#name = 'sound';
     this.#replies.clear();
   }
--- a/src/state/replicated-state.test.ts
+++ b/src/state/replicated-state.test.ts
@@ -41,7 +41,7 @@
   #carryOut(id: NodeId, state: ReplicatedState, effect: ReplicatedStateEffect): void {
     if (effect.do === 'store') {
       if (!this.unreachable.has(id))
-        state.stored(effect.partition, effect.version, this.grantedEpoch, moment(this.now));
+        state.onPersisted(effect.partition, effect.version, this.grantedEpoch, moment(this.now));
     } else if (effect.do === 'committed')
       this.committed.push(
         `${effect.partition} ${effect.version.epoch}.${effect.version.count} ${effect.body}`,
@@ -151,7 +151,7 @@
   ]);
   const cluster = new ThreeVoters(stored);
   expect(cluster.states.get(c)?.corruptPartitions()).toEqual(['p1']);
-  const copies = cluster.states.get(c)?.replicaMessages() ?? [];
+  const copies = cluster.states.get(c)?.storedReplicas() ?? [];
   expect(copies.filter(isCorrupt).map(partitionOf)).toEqual(['p1']);
   cluster.grantedEpoch = 4;
   cluster.unreachable.add(c);
--- a/src/state/replicated-state.ts
+++ b/src/state/replicated-state.ts
@@ -52,8 +52,8 @@
     return this.#coordinator.isServing;
   }
   /** Number of partitions sent by anti-entropy to repair other replicas since the process started. */
-  get repairs(): number {
-    return this.#antiEntropy.repairs;
+  get repairCount(): number {
+    return this.#antiEntropy.repairCount;
   }
 
   /** Replaces the voters of which a majority is required. */
@@ -68,12 +68,12 @@
 
   /** The version at the local replica; `NO_VERSION` for an unknown partition. */
   versionOf(partition: PartitionName): Version {
-    return this.#replica.of(partition)?.version ?? NO_VERSION;
+    return this.#replica.get(partition)?.version ?? NO_VERSION;
   }
 
   /** The body at the local replica; empty for an unknown partition. */
   replicaBody(partition: PartitionName): string {
-    return this.#replica.of(partition)?.body ?? '';
+    return this.#replica.get(partition)?.body ?? '';
   }
 
   /** The partitions whose newest file was corrupt and that are not repaired yet. */
@@ -82,8 +82,8 @@
   }
 
   /** All partitions of the local replica in their message form. */
-  replicaMessages(): StoredReplica[] {
-    return this.#replica.toMessages();
+  storedReplicas(): StoredReplica[] {
+    return this.#replica.toStoredReplicas();
   }
 
   /** Adopts newer versions read from peers; returns the partitions that must be persisted before this replica may vote. */
@@ -99,8 +99,8 @@
   }
 
   /** Steps down and drops effects that are valid only while this voter leads. */
-  release(): void {
-    this.#coordinator.release();
+  stepDown(): void {
+    this.#coordinator.stepDown();
     this.#effects.dropCoordinatorEffects();
   }
 
@@ -169,7 +169,12 @@
   }
 
   /** Handles the completion of a `store` effect: acknowledges the version while its epoch is still granted. */
-  stored(partition: PartitionName, version: Version, grantedEpoch: number, now?: Moment): void {
+  onPersisted(
+    partition: PartitionName,
+    version: Version,
+    grantedEpoch: number,
+    now?: Moment,
+  ): void {
     this.#persistedVersions.set(partition, version);
     // Acknowledged only while its epoch is still granted: a newer leader may have read this replica before the write was on disk.
     if (version.epoch !== grantedEpoch) return;
@@ -189,7 +194,7 @@
       epoch: grantedEpoch,
       nonce: message.nonce,
       sound: true,
-      copies: this.replicaMessages(),
+      copies: this.storedReplicas(),
       standing: replicaStatus,
     });
   }
@@ -201,7 +206,7 @@
     members: readonly MemberVersion[],
   ): void {
     const partition = partitionName(message.part);
-    const local = this.#replica.of(partition);
+    const local = this.#replica.get(partition);
     const version = { epoch: message.epoch, count: message.count };
     // Rejects writes of an older epoch or version, and of an epoch not granted yet: its leader sends these again after the grant.
     if (!local || message.epoch !== grantedEpoch || compareVersions(version, local.version) < 0) {
@@ -212,7 +217,7 @@
     this.#replica.put(partition, version, message.body);
     this.#pendingReplies.set(partition, { to: from, version, members });
     if (isRepeated && this.#isPersisted(partition, version))
-      this.stored(partition, version, grantedEpoch);
+      this.onPersisted(partition, version, grantedEpoch);
     else this.#effects.store(partition, version, message.body);
   }
 
--- a/src/state/testing/lone-replica.ts
+++ b/src/state/testing/replica-harness.ts
@@ -118,7 +118,7 @@
     else if (effect.do === 'store') {
       this.stored.push([effect.partition, effect.version, effect.body]);
       if (!this.isDiskStalled)
-        this.state.stored(effect.partition, effect.version, this.grantedEpoch, this.now);
+        this.state.onPersisted(effect.partition, effect.version, this.grantedEpoch, this.now);
     } else this.otherEffects.push(effect.do);
   }
 }
