--- a/src/control/command-answers.ts
+++ b/src/control/command-answers.ts
@@ -2,7 +2,7 @@
 import { versionText, type Version } from '../common/version.js';
 import { ConfigError, TableError } from './config-edits.js';
 
-/** Where a command came from, and where its answer goes: `from` is empty for this node's own API. */
+/** The sender of a command, to which its answer is returned; `from` is empty for this node's own API. */
 export interface Origin {
   readonly from: string;
   readonly id: number;
@@ -14,7 +14,7 @@
   readonly body: string;
 }
 
-/** The edit is on a majority of the voters, as configuration `number`. */
+/** The edit is stored at a majority of the voters, as configuration `number`. */
 export function acceptedAnswer(id: string, number: number, version: Version): CommandAnswer {
   return {
     status: 200,
@@ -22,12 +22,12 @@
   };
 }
 
-/** The edit was never accepted, and never will be. */
+/** The edit was not accepted and can no longer be. */
 export function closedAnswer(id: string): CommandAnswer {
   return { status: 200, body: JSON.stringify({ outcome: 'turned-away', id }) };
 }
 
-/** A rejection or an unknown outcome, as the error says. */
+/** A rejection or an unknown outcome, depending on the error. */
 export function errorAnswer(error: HaretrackError): CommandAnswer {
   const faults =
     error instanceof TableError || error instanceof ConfigError ? { faults: error.faults } : {};
@@ -38,12 +38,12 @@
   };
 }
 
-/** The leader became unreachable: the outcome of an edit, which has an id, is unknown; anything else was not done. */
+/** The connection to the leader was lost: the outcome of an edit, which has an id, is unknown; a read failed. */
 export function leaderLostAnswer(id: string): CommandAnswer {
   const kind: ErrorCode = id === '' ? 'no-leader' : 'unsure-edit';
   const outcome = id === '' ? 'turned-away' : 'unsure';
   const text =
-    id === '' ? 'the leader was lost' : `the leader was lost; ask what became of edit ${id}`;
+    id === '' ? 'the leader was lost' : `the leader was lost; query the outcome of edit ${id}`;
   return {
     status: ERROR_RESPONSES[kind].status,
     body: JSON.stringify({ outcome, defect: kind, id, text }),
--- a/src/control/command-forwarding.ts
+++ b/src/control/command-forwarding.ts
@@ -6,7 +6,7 @@
 import type { ControlCounters, UnclearReason } from './control-metrics.js';
 import { leaderLostAnswer, type CommandAnswer, type Origin } from './command-answers.js';
 
-/** A moment of the leader's own monotonic clock, as a message of that epoch carried it; milliseconds. */
+/** A moment of the leader's own monotonic clock, taken from a message of that epoch; milliseconds. */
 export interface LeaderClock {
   readonly epoch: number;
   readonly at: number;
@@ -16,7 +16,7 @@
 export interface ForwardingHost {
   /** The leader that this node follows; `undefined` without one, or if this node itself leads. */
   leader(): string | undefined;
-  /** By how much longer than over an ordinary link a round trip to that node takes, in milliseconds. */
+  /** How much longer a round trip to that node takes than one over an ordinary link, in milliseconds. */
   extraRoundTripMs(id: string): number;
   send(to: string, message: Message): void;
   answer(origin: Origin, answer: CommandAnswer): void;
@@ -33,19 +33,19 @@
 type CommandMessage = Extract<Message, { kind: 'command' }>;
 type CommandReply = Extract<Message, { kind: 'commandReply' }>;
 
-/** How long the reply to a forwarded edit is awaited. */
+/** Timeout of the reply to a forwarded edit. */
 const EDIT_TIMEOUT_MS = 9000;
-/** How long the reply to a forwarded read is awaited; a client can retry it at once. */
+/** Timeout of the reply to a forwarded read; a client can retry a read at once. */
 const READ_TIMEOUT_MS = 1500;
-/** Clients wait a second for an answer; an older command may have been retried, and overridden since. */
+/** Clients wait one second for an answer; an older command may have been retried and its effect overridden since. */
 const MAX_COMMAND_AGE_MS = 1500;
-/** A longer gap between ticks means that the process was stalled: what it reads next may be that old. */
+/** A longer gap between ticks means that the process was stalled: the input that it reads next may be as old as the gap. */
 const EVENT_LOOP_STALL_MS = 1000;
-/** After a stall the backlog of input has been read within this time. */
+/** Time within which the backlog of input is read after a stall. */
 const BACKLOG_DRAIN_MS = 300;
 const UNKNOWN_CLOCK: LeaderClock = { epoch: 0, at: 0 };
 const READ_VERBS = new Set(['read', 'fleet', 'live']);
-/** Commands without a base version: only their age tells a late duplicate from a new command. */
+/** Commands without a base version: a late duplicate of one can be recognized only by its age. */
 const UNVERSIONED_VERBS = new Set(['zone']);
 
 /**
@@ -53,22 +53,22 @@
  *
  * A command without a base version could be executed long after it was retried and reverted. Its age is therefore bounded,
  * without comparing clocks of two nodes: the node that accepts it adds the last moment of the leader's clock that it
- * received, which is earlier than the command arrived; the leader rejects commands that may be older than clients wait, by
- * that clock. A node that was stalled cannot tell how old its input is, and rejects such commands until it has read its
+ * received, which is earlier than the arrival of the command; the leader rejects commands that, by that clock, may be older
+ * than clients wait. A node that was stalled cannot tell how old its input is, and rejects such commands until it has read its
  * backlog.
  */
 export class CommandForwarding {
   readonly #host: ForwardingHost;
   readonly #counters: ControlCounters;
   readonly #forwards = new Map<number, ForwardedCommand>();
-  /** Nodes whose connection closed and from which nothing arrived since: a message sent there would not arrive. */
+  /** Nodes whose connection closed and from which no message arrived since: a message sent there would be lost. */
   readonly #closed = new Set<string>();
   #forwardId: number;
   #leaderClock = UNKNOWN_CLOCK;
   #lastTickAt: Moment;
   #backlogUntil: Moment;
 
-  /** Ids begin at the incarnation's number, so that a reply to a former incarnation is not mistaken for one to us. */
+  /** Ids begin at the incarnation's number, so that a reply to an earlier incarnation is not taken for one to this one. */
   constructor(host: ForwardingHost, counters: ControlCounters, incarnation: number, now: Moment) {
     this.#host = host;
     this.#counters = counters;
@@ -77,12 +77,12 @@
     this.#backlogUntil = now;
   }
 
-  /** The leader sent its clock with its victory or a renewal of its lease. */
+  /** The leader sent its clock, with the announcement that it was elected or a renewal of its lease. */
   onLeaderClock(clock: LeaderClock): void {
     this.#leaderClock = clock;
   }
 
-  /** A message of that node arrived. */
+  /** A message from that node arrived. */
   onHeard(from: string): void {
     this.#closed.delete(from);
   }
@@ -111,7 +111,7 @@
     if (now < this.#backlogUntil || now - this.#lastTickAt > EVENT_LOOP_STALL_MS) {
       this.#counters.countRefused('too-old');
       throw new NoLeaderError(
-        'this node stood still and cannot tell how old the order is; nothing was done',
+        'this node was stalled and cannot tell how old the command is; nothing was done',
       );
     }
   }
@@ -122,7 +122,7 @@
     if (message.epoch !== epoch || now - message.leaderTime > MAX_COMMAND_AGE_MS) {
       this.#counters.countRefused('too-old');
       throw new NoLeaderError(
-        'the order took too long on its way, or came for another leader; nothing was done',
+        'the command was too long in transit, or was forwarded to another leader; nothing was done',
       );
     }
   }
@@ -130,7 +130,7 @@
   /** Forwards a command to the leader; throws a `NoLeaderError` if there is none to forward it to. */
   forward(now: Moment, origin: Origin, verb: string, body: string): void {
     const leader = this.#host.leader();
-    // Forwarded at most once: two nodes that take each other for the leader must not forward it back and forth.
+    // Forwarded at most once, since two nodes that consider each other the leader would forward it back and forth.
     if (leader === undefined || origin.from !== '' || this.#closed.has(leader)) {
       if (!READ_VERBS.has(verb)) this.#counters.countUnserved();
       throw new NoLeaderError('no leader is known; nothing was done');
@@ -150,7 +150,7 @@
     });
   }
 
-  /** The leader's reply to a forwarded command; a reply of another node is ignored. */
+  /** The leader's reply to a forwarded command; a reply from another node is ignored. */
   onReply(from: string, message: CommandReply): void {
     const forwarded = this.#forwards.get(message.id);
     if (!forwarded || forwarded.to !== from) return;
@@ -168,14 +168,14 @@
     }
   }
 
-  /** The outcome of a forwarded command is unknown here. */
+  /** Answers that the outcome of a forwarded command is unknown to this node. */
   #answerUnclear(forwarded: ForwardedCommand, reason: UnclearReason): void {
     if (forwarded.editId !== '') this.#counters.countUnclear(reason);
     this.#host.answer(forwarded.origin, leaderLostAnswer(forwarded.editId));
   }
 }
 
-/** The leader's clock as one of its messages carried it. */
+/** Reads the leader's clock from one of its messages. */
 export function leaderClockOf(message: {
   readonly epoch: number;
   readonly sentAt: number;
--- a/src/control/command-handler.ts
+++ b/src/control/command-handler.ts
@@ -58,7 +58,7 @@
     }
   }
 
-  /** A command at this node's own API. */
+  /** A command that arrived at this node's own API. */
   onCommand(now: Moment, id: number, verb: string, body: string): void {
     const origin = { from: '', id };
     try {
@@ -92,7 +92,7 @@
     else orders.submit(now, origin, verb, body);
   }
 
-  /** An operator declares that no better replica is left than those this node can reach. */
+  /** An operator declares that no replica better than those that this node can reach is left. */
   #forceNewCluster(now: Moment, origin: Origin): void {
     const { replicaStatus, takeover, repair, voters } = this.#dependencies;
     if (replicaStatus.name === 'sound') {
