--- a/src/control/config-codec.ts
+++ b/src/control/config-codec.ts
@@ -3,20 +3,20 @@
 import { parseAs } from '../common/json.js';
 import { ConfigDocShape, type ConfigDoc } from './config-shapes.js';
 
-/** The remembered edits by columns: as objects, a thousand of them would make up most of each write and message. */
+/** The recorded edits as columns: stored as objects, 1000 edits would make up most of each write and message. */
 const EditColumnsShape = type({
   ids: array(string()),
   numbers: array(number()),
-  /** Indexes in the other columns of the edits that were closed; all others were accepted. */
+  /** Indexes, in the other columns, of the edits that were closed; all others were accepted. */
   closed: array(number()),
   /** The operators' version of the routing right after each edit; documents of older builds lack the column. */
   versions: optional(array(number())),
 });
-/** In place of a version that an older document lacks. */
+/** Placeholder for a version that the document of an older build lacks. */
 const UNKNOWN_VERSION = -1;
 type EditColumns = Infer<typeof EditColumnsShape>;
 
-/** The document as stored and sent. Documents of older builds have their edits as objects and no columns. */
+/** The document as stored and sent. Documents of older builds have edits as objects, and no columns. */
 const StoredDocShape = assign(ConfigDocShape, type({ editColumns: optional(EditColumnsShape) }));
 
 type Edits = ConfigDoc['edits'];
@@ -39,18 +39,18 @@
   for (const [index, id] of columns.ids.entries()) {
     const outcome = closed.has(index) ? 'closed' : 'accepted';
     const version = columns.versions?.[index] ?? UNKNOWN_VERSION;
-    const known = version === UNKNOWN_VERSION ? {} : { version };
-    edits.push({ id, number: columns.numbers[index] ?? 0, outcome, ...known });
+    const versionField = version === UNKNOWN_VERSION ? {} : { version };
+    edits.push({ id, number: columns.numbers[index] ?? 0, outcome, ...versionField });
   }
   return edits;
 }
 
-/** The text by which a document is stored and sent. */
+/** Serializes a document for storage and for messages. */
 export function encodeConfigDoc(doc: ConfigDoc): string {
   return JSON.stringify({ ...doc, edits: [], editColumns: columnsOf(doc.edits) });
 }
 
-/** Reads a stored document, also of older builds; `undefined` if the text is malformed. */
+/** Parses a stored document, including those of older builds; `undefined` if the text is malformed. */
 export function decodeConfigDoc(text: string): ConfigDoc | undefined {
   const stored = parseAs(StoredDocShape, text);
   if (!stored) return undefined;
@@ -61,6 +61,6 @@
 /** Like `decodeConfigDoc`, but throws a `MalformedRequestError` if the text is malformed. */
 export function mustDecodeConfigDoc(text: string): ConfigDoc {
   const doc = decodeConfigDoc(text);
-  if (!doc) throw new MalformedRequestError('the configuration part is not what it should be');
+  if (!doc) throw new MalformedRequestError('the stored configuration is malformed');
   return doc;
 }
--- a/src/control/config-edits.ts
+++ b/src/control/config-edits.ts
@@ -5,7 +5,7 @@
 import { checkRouting, type ConfigDialect, type RoutingFault } from '../route/routing.js';
 import { EditShapes, MAX_EDITS, type ConfigDoc } from './config-shapes.js';
 
-/** A policy table that may not be in force, with every fault in it. */
+/** A policy table was rejected; lists every fault in it. */
 export class TableError extends HaretrackError {
   readonly code = 'bad-table';
   readonly faults: readonly Fault[];
@@ -16,7 +16,7 @@
   }
 }
 
-/** A configuration that may not be in force, with every fault in it. */
+/** A configuration was rejected; lists every fault in it. */
 export class ConfigError extends HaretrackError {
   readonly code = 'bad-config';
   readonly faults: readonly RoutingFault[];
@@ -61,15 +61,16 @@
     throw new TableError([
       { row: edit.row, cell: edit.column, text: `no such column; there are ${COLUMNS.join(', ')}` },
     ]);
-  const at = doc.table.rows.findIndex((row) => rowKey(row) === edit.row);
-  const before = doc.table.rows[at];
-  if (!before) throw new TableError([{ row: edit.row, cell: edit.column, text: 'no such row' }]);
-  const raw: unknown = { ...before, [column]: edit.value };
-  // These two columns name the row: duplicates, and mappings to a missing row, show only in the complete table.
+  const rowIndex = doc.table.rows.findIndex((row) => rowKey(row) === edit.row);
+  const currentRow = doc.table.rows[rowIndex];
+  if (!currentRow)
+    throw new TableError([{ row: edit.row, cell: edit.column, text: 'no such row' }]);
+  const raw: unknown = { ...currentRow, [column]: edit.value };
+  // These two columns are the row's key: duplicates, and mappings to a missing row, can only be found in the complete table.
   if (column === 'type' || column === 'model')
     return withTable(doc, edit.id, {
       ...doc.table,
-      rows: doc.table.rows.map((row, index) => (index === at ? raw : row)),
+      rows: doc.table.rows.map((row, index) => (index === rowIndex ? raw : row)),
     });
   const { table, faults } = checkTable({ mappings: [], rows: [raw] });
   const [row] = table.rows;
@@ -80,7 +81,7 @@
     doc: {
       ...doc,
       number: doc.number + 1,
-      table: { ...doc.table, rows: doc.table.rows.with(at, row) },
+      table: { ...doc.table, rows: doc.table.rows.with(rowIndex, row) },
     },
   };
 }
@@ -111,7 +112,7 @@
 ): Edited {
   const edit = mustParseAs(EditShapes.configure, body, 'the edit');
   const current = doc.routing?.version ?? 0;
-  // The base is checked first: a conflict is reported as one, and not as a version that is too low by now.
+  // The base is checked first, so that a concurrent edit is reported as a conflict and not as a version that is too low.
   if (edit.base !== current)
     throw new VersionConflictError(
       `made from version ${edit.base}, but version ${current} is in force`,
@@ -168,7 +169,7 @@
   throw new MalformedRequestError(`no such edit: ${verb}`);
 }
 
-/** The document with the outcome of an edit remembered; only the newest `MAX_EDITS` are. */
+/** Records the outcome of an edit in the document, which keeps the newest `MAX_EDITS` records. */
 export function recordEdit(doc: ConfigDoc, id: string, outcome: 'accepted' | 'closed'): ConfigDoc {
   const record = { id, number: doc.number, outcome, version: doc.routing?.version ?? 0 };
   return { ...doc, edits: [...doc.edits, record].slice(-MAX_EDITS) };
--- a/src/control/config-shapes.ts
+++ b/src/control/config-shapes.ts
@@ -11,10 +11,10 @@
 } from 'superstruct';
 import { EMPTY_TABLE, TableShape } from '../policy/table.js';
 
-/** The operators' routing: their version number, and its text as they sent it or as amended since. */
+/** The operators' routing: its version number, and its text as they sent it or as amended since. */
 const RoutingDocShape = type({ version: number(), text: string() });
 
-/** An edit whose outcome is remembered, so that it is applied once however often it is sent. */
+/** The recorded outcome of an edit, by which retries of it are not applied again. */
 const EditRecord = type({
   id: string(),
   /** The number of the table right after the edit. */
@@ -26,7 +26,7 @@
 
 /** The configuration document, as stored in the configuration partition. */
 export const ConfigDocShape = type({
-  /** Counts accepted tables; an edit names the one it was made from. */
+  /** Counts accepted tables; an edit names the number of the table that it was made from. */
   number: number(),
   table: TableShape,
   /** Zones that operators evacuated. */
@@ -35,13 +35,13 @@
   /** One set of voters, or two during a joint configuration. */
   voters: array(array(string())),
   routing: optional(RoutingDocShape),
-  /** How many voters are wanted, if departed ones were removed: spares are added up to this number. */
+  /** Target number of voters, set once departed voters were removed: spares are added up to this number. */
   seats: optional(number()),
 });
-/** The configuration document: table, evacuated zones, remembered edits, voters and routing. */
+/** The configuration document: table, evacuated zones, recorded edits, voters and routing. */
 export type ConfigDoc = Infer<typeof ConfigDocShape>;
 
-/** The configuration as published to the data plane: the document without what only the control nodes need. */
+/** The configuration as published to the data plane: the document without the fields that only control nodes need. */
 export const ConfigUpdateShape = type({
   number: number(),
   table: TableShape,
@@ -52,15 +52,15 @@
 /** The published configuration. */
 export type ConfigUpdate = Infer<typeof ConfigUpdateShape>;
 
-/** How many edits are remembered by id. */
+/** How many edits are recorded. */
 export const MAX_EDITS = 1000;
 
 /** What the `base` of an edit counts: accepted tables, or the operators' own versions of the routing. */
 export type BaseKind = 'table' | 'routing';
 
 /**
- * Whether an edit that is not remembered may have been accepted and forgotten since. An accepted edit raises the number
- * that its `base` counts, so it is still remembered if a record no later than its base is.
+ * Whether an edit without a record may have been accepted and its record discarded since. An accepted edit raises the
+ * number that its `base` counts, so its record still exists if one exists that is no later than its base.
  */
 export function mayBeForgotten(
   doc: ConfigDoc,
@@ -94,6 +94,6 @@
   /** A complete document, or an amendment; `base` is the version of the document that it was made from, 0 for none. */
   configure: type({ id: string(), base: number(), text: string() }),
   swap: type({ id: string(), old: string(), new: string() }),
-  /** A query for the outcome of an edit; its `base` shows whether the edit would still be remembered. */
+  /** A query for the outcome of an edit; its `base` shows whether the edit's record would still exist. */
   edit: type({ id: string(), base: optional(number()) }),
 } as const;
--- a/src/control/config-store.ts
+++ b/src/control/config-store.ts
@@ -13,7 +13,7 @@
 } from './config-shapes.js';
 import type { PartitionWriter } from './partition-writer.js';
 
-/** Where the configuration is stored and published. */
+/** The components by which the configuration is stored and published. */
 export interface ConfigStoreDependencies {
   readonly seeds: readonly string[];
   readonly state: ReplicatedState;
@@ -38,26 +38,29 @@
     return this.#newest;
   }
 
-  /** The newest document known to be on a majority; the same object as `newest()` if no write is in flight. */
+  /** The newest document known to be stored at a majority; the same object as `newest()` if no write is in flight. */
   committed(): ConfigDoc {
     return this.#committed;
   }
 
-  /** Whether a write is not yet on a majority. */
+  /** Whether a write is not yet stored at a majority. */
   get isWriting(): boolean {
     return this.#dependencies.state.isWriting(CONFIG_PARTITION);
   }
 
-  /** Loads the document that was read while taking over; returns whether there was one. Throws if it is malformed. */
+  /**
+   * Loads the document that was read during the takeover; returns whether there was one. Throws a `MalformedRequestError` if
+   * it is malformed.
+   */
   load(): boolean {
     const body = this.#dependencies.state.body(CONFIG_PARTITION);
     this.#newest = body === '' ? initialDoc(this.#dependencies.seeds) : mustDecodeConfigDoc(body);
-    // A majority rewrote it in our epoch before this node serves.
+    // Before this node serves, it was rewritten at a majority in this node's epoch.
     this.#committed = this.#newest;
     return body !== '';
   }
 
-  /** Writes a document; `token` is returned with its commit, 0 if nobody waits for that. */
+  /** Writes a document; `token` is returned with its commit, 0 if no edit waits for the commit. */
   write(now: Moment, doc: ConfigDoc, token: number): void {
     this.#newest = doc;
     this.#dependencies.writer.write(now, CONFIG_PARTITION, encodeConfigDoc(doc), token);
@@ -76,7 +79,7 @@
     this.#publish(this.#dependencies.state.versionOf(CONFIG_PARTITION), this.#newest);
   }
 
-  /** A published configuration that is newer than the stored document: no majority stores it any more. */
+  /** A published configuration that is newer than the stored document: it is no longer stored at a majority. */
   unstoredUpdate(): ConfigUpdate | undefined {
     const published = parseAs(
       ConfigUpdateShape,
@@ -85,7 +88,7 @@
     return published && published.number > this.#newest.number ? published : undefined;
   }
 
-  /** Rewrites the document, with a published configuration that is missing in the replicas merged into it. */
+  /** Rewrites the document, merged with a published configuration that the replicas have lost. */
   recover(now: Moment, update: ConfigUpdate | undefined): void {
     this.write(now, update ? withUpdate(this.#newest, update) : this.#newest, 0);
   }
@@ -97,7 +100,7 @@
   }
 }
 
-/** The voters of the document stay: members do not decide who votes. */
+/** Keeps the document's voters, since the voter set is not taken from members. */
 function withUpdate(doc: ConfigDoc, update: ConfigUpdate): ConfigDoc {
   const { number: count, table, emptied, routing } = update;
   return { ...doc, number: count, table, emptied, ...(routing ? { routing } : {}) };
--- a/src/control/config-voters.ts
+++ b/src/control/config-voters.ts
@@ -6,8 +6,8 @@
 const VotersShape = type({ voters: array(array(string())) });
 
 /**
- * The voters named by the text of a configuration, stored or published: one set, or two during a joint configuration.
- * `undefined` if the text is empty or names none.
+ * Parses the voters from the text of a configuration, stored or published: one set, or two during a joint configuration.
+ * `undefined` if the text is empty or has no voters.
  */
 export function quorumOf(configBody: string): Quorum | undefined {
   if (configBody === '') return undefined;
