--- a/src/control/control-command.ts
+++ b/src/control/control-command.ts
@@ -18,11 +18,11 @@
     platform: Flags.string({ description: "address of the platform's list of machines" }),
     store: Flags.string({ description: 'address of the weight store' }),
     blindMs: Flags.integer({
-      description: 'a proxy not confirmed fresh within this span turns new work away',
+      description: 'without a freshness confirmation for this long, a proxy rejects new requests',
     }),
   };
 
-  /** Runs until the process is told to stop, then hands over and exits with 0. */
+  /** Runs until the process receives a stop signal, then hands over and exits with 0. */
   async run(): Promise<void> {
     const { flags } = await this.parse(ControlCommand);
     const settings = this.parseSettings(TableControlSettingsShape, flags);
--- a/src/control/control-effect.ts
+++ b/src/control/control-effect.ts
@@ -6,7 +6,7 @@
 import type { ConfigDialect, Routing } from '../route/routing.js';
 import type { CoreLogEvent } from './control-log-event.js';
 
-/** An effect that a control node's core has decided on; the process and the simulators carry it out, in order. */
+/** An effect that a control node's core has decided on; the process, or a simulator, carries effects out in order. */
 export type ControlEffect =
   /** Send a message to another node, if it is connected. */
   | { readonly do: 'send'; readonly to: string; readonly message: Message }
@@ -27,7 +27,7 @@
   | { readonly do: 'askStatus'; readonly runner: string; readonly address: string }
   /** Poll a runner's report; the result is `ControlCore.onRunnerReport`. */
   | { readonly do: 'askReport'; readonly runner: string; readonly address: string }
-  /** Send an order to a runner, only if `mayOrder` is still true right before the write; aborted before the lease ends. */
+  /** Send an order to a runner, only if `mayOrder` is still true right before the write; abort it before the lease ends. */
   | { readonly do: 'order'; readonly intent: Intent; readonly address: string }
   /** Answer a command of this node's own API: an HTTP status and a JSON body. */
   | { readonly do: 'reply'; readonly id: number; readonly status: number; readonly body: string }
@@ -35,19 +35,26 @@
   | { readonly do: 'log'; readonly event: CoreLogEvent };
 
 /**
- * The outcome of an order at a runner: accepted, already fulfilled, rejected for now, rejected for good, unknown, or never
- * written.
+ * The outcome of an order at a runner: accepted, already fulfilled, rejected for now, rejected permanently, unknown, or
+ * never written.
  */
 export type OrderResult = 'taken' | 'held' | 'busy' | 'refused' | 'unsure' | 'unsent';
 
-/** The placement of models in a deployment, which lists its runners and routes by a configuration of its own. */
+/** Plans the placement of models in a deployment, whose platform lists the runners and whose configuration sets the routing. */
 export interface FleetPlanner {
+  /** This node became the leader, with the stored services; `label` is the prefix of the ids of the intents that it decides. */
   restore(now: Moment, docs: readonly ServiceDoc[], label: string): void;
+  /** The placements and intents to be stored. */
   docs(): readonly ServiceDoc[];
+  /** A proxy reported its demand. */
   demand(now: Moment, report: FleetDemand): void;
+  /** The platform's list of runners was read. */
   list(now: Moment, runners: readonly ListedRunner[]): void;
+  /** A poll of a runner that began at `askedAt` ended; `status` is undefined if it returned none. */
   status(now: Moment, runner: string, askedAt: Moment, status: RunnerStatus | undefined): void;
+  /** Ids of the runners whose poll is due; each is returned once until its poll has ended. */
   asks(now: Moment): readonly string[];
+  /** Plans; returns the models whose documents changed and have to be stored. */
   plan(
     now: Moment,
     input: {
@@ -56,20 +63,25 @@
       readonly proxies: number;
     },
   ): readonly string[];
+  /** The committed intents that are due to be sent as orders; each is returned once until its order has ended. */
   orders(now: Moment): readonly Intent[];
+  /** These intents are stored at a majority: they may be sent. */
   kept(intentIds: Iterable<string>): void;
+  /** The order of an intent ended. */
   ordered(now: Moment, intentId: string, outcome: OrderResult): void;
+  /** The fleet as published to proxies. */
   fleet(now: Moment): Fleet;
+  /** When the next plan or order is due without new input; undefined if none is. */
   nextAt(now: Moment): Moment | undefined;
 }
 
-/** What a deployment provides; without it the node uses the product's own policy table, platform and weight store. */
+/** What a deployment provides; without it the node uses haretrack's own policy table, platform and weight store. */
 export interface Deployed {
   readonly dialect: ConfigDialect;
   readonly planner: FleetPlanner;
   /** Whether this is the first start of the cluster: only then may nodes with blank disks start a new cluster. */
   readonly isFirstStart: boolean;
-  /** How often the leader polls the list of runners, in milliseconds. */
+  /** Interval at which the leader polls the list of runners, in milliseconds. */
   readonly listMs: number;
 }
 
@@ -77,7 +89,7 @@
 export interface ControlSettings {
   readonly me: string;
   readonly zone: string;
-  /** A number that no other incarnation of this process has, well apart from the others. */
+  /** Unique to this incarnation of the process, and far from the numbers of others, since ids are counted up from it. */
   readonly incarnation: number;
   readonly seeds: readonly string[];
   /** The freshness bound: a member whose configuration was not confirmed within it rejects new requests. */
@@ -86,14 +98,14 @@
   readonly silentMs: number;
   /** How long a node with a blank disk waits for peers that may have state before it starts a new cluster. */
   readonly foundMs: number;
-  /** How often runners are polled for their reports. */
+  /** Interval at which runners are polled for their reports. */
   readonly reportMs: number;
-  /** How often the list of machines is polled. */
+  /** Interval at which the list of machines is polled. */
   readonly machinesMs: number;
   readonly deployed?: Deployed | undefined;
 }
 
-/** Times of a control node where the settings name none. */
+/** Default times of a control node, in milliseconds. */
 export const CONTROL_DEFAULTS = {
   blindMs: 2500,
   silentMs: 1500,
--- a/src/control/control-log-event.ts
+++ b/src/control/control-log-event.ts
@@ -1,7 +1,6 @@
 /**
- * What a control node writes to its log: one closed list of events with their fields. An event's name is the `msg` of
- * its log line, its other members are fields of that line. What operators do about each is in
- * `docs/operators/log-events.md`.
+ * The log events of a control node: a closed list with their fields. An event's name is the `msg` of its log line, its
+ * other members are fields of that line. `docs/operators/log-events.md` says what operators do about each.
  */
 
 import type { Logger } from 'pino';
@@ -17,13 +16,13 @@
   | { readonly event: 'replica read from peers'; readonly epoch: number }
   /** The replica is complete on disk, and this node votes. */
   | { readonly event: 'replica became healthy' }
-  /** Another node leads, as seen here; `leader` is `none` while none is known. */
+  /** The leader that this node knows has changed; `leader` is `none` while none is known. */
   | { readonly event: 'leader changed'; readonly leader: string; readonly epoch: number }
   /** This node leads, and has read the complete state from a majority. */
   | { readonly event: 'serving started'; readonly epoch: number }
-  /** Limits that hold over the whole fleet are divided by another number of proxies from here on, as this leader counts them. */
+  /** The number of proxies by which this leader divides fleet-wide limits has changed. */
   | { readonly event: 'proxy count changed'; readonly count: number }
-  /** A configuration that no majority has on disk any more was restored from agents and proxies; `number` is its own. */
+  /** Configuration `number`, which was no longer on disk at a majority, was restored from agents and proxies. */
   | { readonly event: 'configuration recovered'; readonly number: number }
   /** The leader wrote another voter set; sets of a joint change are separated by ` | `. */
   | { readonly event: 'voters changed'; readonly from: string; readonly to: string };
@@ -31,7 +30,7 @@
 /** An event of the process around the core. */
 export type ProcessLogEvent =
   | { readonly event: 'control node started'; readonly replicaStatus: ReplicaStatusName }
-  /** An order to a runner ended with this outcome, which is one of the order's sender. */
+  /** An order to a runner ended; `outcome` is the one that the order's sender returned. */
   | ({ readonly event: 'order sent'; readonly order: string; readonly outcome: string } & Pick<
       Intent,
       'verb' | 'model' | 'adapter' | 'runner'
@@ -40,7 +39,7 @@
   | { readonly event: 'runner list read failed'; readonly reason: string }
   | { readonly event: 'platform became reachable' }
   | { readonly event: 'platform became unreachable'; readonly reason: string }
-  /** A connection, a message or a write failed; the node carries on. */
+  /** A connection, a message or a write failed; the node continues. */
   | { readonly event: 'operation failed'; readonly code: ErrorCode; readonly reason: string }
   /** The core threw on an input. The input is dropped; `stack` belongs in a bug report. */
   | { readonly event: 'input failed'; readonly stack: string };
@@ -48,7 +47,7 @@
 /** Every event of a control node's log. */
 export type ControlLogEvent = CoreLogEvent | ProcessLogEvent;
 
-/** The event by which a leader that decides on orders is found in the logs. */
+/** The event by which a serving leader is found in the logs. */
 export const SERVING_STARTED = 'serving started' satisfies CoreLogEvent['event'];
 
 /** Writes an event as one line. */
