--- a/src/control/control-families.ts
+++ b/src/control/control-families.ts
@@ -1,4 +1,4 @@
-/** The metrics of a control node under the names that operators see. */
+/** Maps the metrics of a control node to metric families, with the names that operators see. */
 
 import {
   counterFamily,
@@ -29,9 +29,9 @@
   return counterFamily(`${PREFIX}${name}`, help, value);
 }
 
-/** Who leads, and whether a majority is in contact. */
+/** Leadership, lease and contact with a majority. */
 function leadershipFamilies(node: ControlMetrics): MetricFamily[] {
-  // A node that never was in contact must not look as if it had been just now.
+  // A node that has had no contact yet must not report a contact age of zero.
   const contactAge = secondsOf(node.majorityContactAgeMs ?? Infinity);
   return [
     gauge('epoch', 'Term of the election; odd while one is under way.', node.epoch),
@@ -57,7 +57,7 @@
   ];
 }
 
-/** The replica of the state, and how far its configuration is. */
+/** The state of the replica, and the versions of its configuration. */
 function replicaFamilies(node: ControlMetrics): MetricFamily[] {
   const { configHeld, configCommitted } = node;
   return [
--- a/src/control/control-metrics.ts
+++ b/src/control/control-metrics.ts
@@ -1,14 +1,14 @@
 /**
- * The metrics of a control node as plain numbers: counters of what it decided, and a read-only snapshot of its
- * state. Nothing here knows a metrics library, a clock or the network, so the core that owns it stays pure.
+ * The metrics of a control node as plain numbers: counters of its decisions, and a read-only snapshot of its state.
+ * Independent of metrics library, clock and network, so that the core, which owns the counters, has no side effects.
  */
 
 import type { ErrorCode } from '../common/errors.js';
 import { versionsBetween, type Version } from '../common/version.js';
 
-/** Why an order of an operator was refused: it was not carried out and never will be. */
+/** Why an operator's edit was rejected: it has no effect, now or later. The metrics call edits orders. */
 export const REFUSAL_REASONS = ['base-changed', 'invalid', 'too-old', 'other'] as const;
-/** One of the reasons. */
+/** One of `REFUSAL_REASONS`. */
 export type RefusalReason = (typeof REFUSAL_REASONS)[number];
 
 const REASON_OF: ReadonlyMap<ErrorCode, RefusalReason> = new Map([
@@ -18,29 +18,29 @@
   ['malformed', 'invalid'],
 ]);
 
-/** The reason to count a refusal under, by the code of its error. */
+/** The reason under which a rejection with this error code is counted. */
 export function refusalReason(code: ErrorCode): RefusalReason {
   return REASON_OF.get(code) ?? 'other';
 }
 
-/** Why an order got no clear answer: it may be carried out, or may have been. */
+/** Why the outcome of an edit is unknown to its client: it may have been accepted, or may still be. */
 export const UNCLEAR_REASONS = ['no-majority', 'leader-lost', 'timeout', 'forgotten'] as const;
-/** One of the reasons. */
+/** One of `UNCLEAR_REASONS`. */
 export type UnclearReason = (typeof UNCLEAR_REASONS)[number];
 
-/** Whether a replica may count: `blank` began empty, `lost` has a record that cannot be trusted. */
+/** Whether a replica counts towards a majority: `blank` started empty, `lost` has a corrupt record. */
 export const REPLICA_STATES = ['sound', 'blank', 'lost', 'repairing'] as const;
-/** One of the states. */
+/** One of `REPLICA_STATES`. */
 export type ReplicaState = (typeof REPLICA_STATES)[number];
 
-/** Orders of operators since the start of this process, each counted by the node that decided on it. */
+/** Operators' edits since the start of this process, each counted by the node that decided on it. */
 export interface OrderCounts {
   readonly accepted: number;
-  /** Of the accepted ones: an order that was repeated after it had been committed. */
+  /** Of the accepted ones, retries of edits that were already committed. */
   readonly acknowledgedAgain: number;
   readonly refused: Readonly<Record<RefusalReason, number>>;
   readonly unclear: Readonly<Record<UnclearReason, number>>;
-  /** Rejected without effect: no leader was known. */
+  /** Rejected without effect, since no leader was known. */
   readonly unserved: number;
   /** Forwarded by this node to the leader, which counts them by outcome. */
   readonly forwarded: number;
@@ -51,42 +51,42 @@
   readonly electionsStarted: number;
   readonly votesGranted: number;
   readonly leaderChanges: number;
-  /** Voter sets that came into force here; a replacement of one voter counts two, by way of a joint set. */
+  /** Voter sets that came into force here; the replacement of one voter counts as two, since it passes through a joint set. */
   readonly voterChanges: number;
-  /** Repairs of this node's own replica that were completed. */
+  /** Completed repairs of this node's own replica. */
   readonly repairs: number;
-  /** Partitions at other voters that this node found different and sent anew. */
+  /** Partitions that this node sent again to other voters, whose copies differed. */
   readonly copiesMended: number;
-  /** Times that this node read the list of runners because no leader did. */
+  /** How often this node read the list of runners because there was no leader to do so. */
   readonly leaderlessReadings: number;
 }
 
-/** Who votes, as far as this node knows. */
+/** The voters, as far as this node knows them. */
 export interface VoterNumbers {
-  /** All voters; of both sets while a joint change is under way. */
+  /** All voters; those of both sets during a joint change. */
   readonly members: number;
   /** Voters, this node included, that have recently answered it. */
   readonly reachable: number;
   readonly isVoter: boolean;
-  /** Whether a joint change is under way: a majority is then one of the old set and of the new. */
+  /** Whether a joint change is in progress: a majority then needs one of the old set and one of the new set. */
   readonly isJoint: boolean;
 }
 
 /** The agents that have a session with this node. */
 export interface SessionNumbers {
   readonly open: number;
-  /** Of those, the ones with an older configuration than the newest one known to be committed. */
+  /** Those of them whose configuration is older than the newest one known to be committed. */
   readonly behind: number;
-  /** How many versions the last of them is behind. */
+  /** How many versions the agent that lags most is behind. */
   readonly versionsBehind: number;
 }
 
-/** One look at a control node. Durations are in milliseconds. */
+/** A snapshot of a control node. Durations are in milliseconds. */
 export interface ControlMetrics {
   readonly epoch: number;
   readonly isLeaderKnown: boolean;
   readonly isLeading: boolean;
-  /** Whether this node leads and has read the complete state, so that it may decide on orders. */
+  /** Whether this node leads and has read the complete state, so that it may decide on edits. */
   readonly isServing: boolean;
   /** Whether it may send orders to runners at this moment. */
   readonly mayOrder: boolean;
@@ -108,7 +108,7 @@
 
 type Counts<Key extends string> = Record<Key, number>;
 
-/** Counts what a control node decides. Counters only ever grow. */
+/** Counts the decisions of a control node. All counters are monotonic. */
 export class ControlCounters {
   #accepted = 0;
   #acknowledgedAgain = 0;
@@ -130,53 +130,53 @@
     forgotten: 0,
   };
 
-  /** An order was committed and acknowledged. */
+  /** An edit was committed and acknowledged. */
   countAccepted(): void {
     this.#accepted += 1;
   }
 
-  /** An order that had been committed was repeated and acknowledged again. */
+  /** A retry of a committed edit was acknowledged. */
   countAcknowledgedAgain(): void {
     this.#accepted += 1;
     this.#acknowledgedAgain += 1;
   }
 
-  /** An order was refused for good; `too-old` is an evacuation past its age. */
+  /** An edit was rejected; `too-old` is the evacuation of a zone that exceeded its maximum age. */
   countRefused(reason: RefusalReason): void {
     this.#refused[reason] += 1;
   }
 
-  /** An order was left without a clear answer. */
+  /** The outcome of an edit is unknown to its client. */
   countUnclear(reason: UnclearReason): void {
     this.#unclear[reason] += 1;
   }
 
-  /** A call was rejected without effect since no leader was known. */
+  /** An edit was rejected without effect, since no leader was known. */
   countUnserved(): void {
     this.#unserved += 1;
   }
 
-  /** An order was forwarded to the leader. */
+  /** An edit was forwarded to the leader. */
   countForwarded(): void {
     this.#forwarded += 1;
   }
 
-  /** Another node leads now, as this node sees it, or none does. */
+  /** The leader that this node knows has changed, or is no longer known. */
   countLeaderChange(): void {
     this.#leaderChanges += 1;
   }
 
-  /** Another voter set is in force here. */
+  /** Another voter set came into force here. */
   countVoterChange(): void {
     this.#voterChanges += 1;
   }
 
-  /** A repair of this node's replica was completed: all that the peers have is on its disk. */
+  /** A repair of this node's replica was completed: the complete state of the peers is on its disk. */
   countRepair(): void {
     this.#repairs += 1;
   }
 
-  /** Orders of operators, by outcome. */
+  /** Operators' edits, by outcome. */
   get orders(): OrderCounts {
     return {
       accepted: this.#accepted,
@@ -188,7 +188,7 @@
     };
   }
 
-  /** Events, with those that the election and the replica count by themselves. */
+  /** Events, together with those that the election and the replica count. */
   eventsWith(own: {
     readonly electionsStarted: number;
     readonly votesGranted: number;
@@ -204,7 +204,7 @@
   }
 }
 
-/** How far the agents with a session are behind the configuration that is known to be committed. */
+/** How far the agents with a session, which acknowledged these versions, are behind the committed configuration. */
 export function sessionNumbers(acked: readonly Version[], committed: Version): SessionNumbers {
   let behind = 0;
   let versionsBehind = 0;
--- a/src/control/control-report.ts
+++ b/src/control/control-report.ts
@@ -5,8 +5,8 @@
 import { controlFamilies } from './control-families.js';
 import type { ControlMetrics } from './control-metrics.js';
 
-/** A core, as far as its metrics are read. */
-interface Observed {
+/** The part of a core from which its metrics are read. */
+interface MetricsSource {
   metrics(now: Moment): ControlMetrics;
 }
 
@@ -14,7 +14,7 @@
 export class ControlReport {
   readonly #writes = new WriteLatency();
 
-  /** Measures a write until it is synced or has failed, and passes its failure on. */
+  /** Measures a write until it is synced or has failed; rejects with the error of the write. */
   async measure(write: Promise<void>): Promise<void> {
     const id = this.#writes.begin(monotonicNow());
     try {
@@ -27,7 +27,7 @@
   }
 
   /** The metrics as text; undefined while the core has not started. */
-  async render(core: Observed | undefined): Promise<Exposition | undefined> {
+  async render(core: MetricsSource | undefined): Promise<Exposition | undefined> {
     if (!core) return undefined;
     const now = monotonicNow();
     return renderMetrics(controlFamilies(core.metrics(now), this.#writes.figures(now)));
