--- a/src/control/control-host.ts
+++ b/src/control/control-host.ts
@@ -20,7 +20,7 @@
 /** The folder of the state on disk, below the data folder. */
 const STATE_FOLDER = 'parts';
 
-/** Where a control node is reached, and where its state is stored. */
+/** The addresses of a control node, and where its state is stored. */
 export interface ControlHostSettings {
   /** Address to listen at for other nodes, `host:port`; it is the node's id as well. */
   readonly address: string;
@@ -44,7 +44,7 @@
   onError?(error: HaretrackError): void;
 }
 
-/** The operators' HTTP API as the host opens and closes it. */
+/** The part of the operators' HTTP API that the host uses. */
 export interface HostedApi {
   /** Listens at an address and returns the port. */
   listen(address: string): Promise<number>;
@@ -74,26 +74,26 @@
     return this.#runtime;
   }
 
-  /** The state as it is on disk, to start a core with. */
+  /** Reads the stored state, with which a core is started. */
   readStored(): Promise<readonly StoredPartition[]> {
     return this.#store.readAll();
   }
 
-  /** Runs the core: takes messages, serves operators where an address is given, and begins to tick. */
+  /** Runs the core: receives messages, serves operators if an address is given, and starts ticks. */
   async start(core: ControlCore, api: HostedApi, apiAddress: string | undefined): Promise<void> {
     await this.#runtime.open(core);
     if (apiAddress !== undefined) await api.listen(apiAddress);
     this.#runtime.startTicks();
   }
 
-  /** Hands over what the node leads, for a bounded time, and closes its connections. */
+  /** Hands over the node's leadership within a bounded time, and closes its connections. */
   async stop(api: HostedApi): Promise<void> {
     await this.#runtime.retire();
     api.close();
     this.#runtime.close();
   }
 
-  /** The metrics of this process; nothing while its core has not started. */
+  /** Renders the metrics of this process; undefined while its core has not started. */
   metrics(): Promise<Exposition | undefined> {
     return this.#report.render(this.#runtime.core);
   }
@@ -103,12 +103,12 @@
     logControlEvent(this.#log, event);
   }
 
-  /** Logs how an order to a runner ended. */
+  /** Logs the outcome of an order to a runner. */
   logOrder({ id, verb, model, adapter, runner }: Intent, outcome: string): void {
     this.log({ event: 'order sent', order: id, verb, model, adapter, runner, outcome });
   }
 
-  /** Logs a failure that the node survives, and lets the program count it. */
+  /** Logs a failure after which the node continues, and reports it to the program. */
   reportError(error: HaretrackError): void {
     this.#program.onError?.(error);
     this.log({ event: 'operation failed', code: error.code, reason: error.message });
--- a/src/control/control-process.ts
+++ b/src/control/control-process.ts
@@ -30,7 +30,7 @@
 export const CONTROL_TICK_MS = 50;
 /** Interval at which the serving leader reads the list of runners. */
 export const RUNNER_LIST_INTERVAL_MS = 1000;
-/** Timing of elections in a deployment, which is shorter than the default since everything waits while nobody leads. */
+/** Timing of elections in a deployment: shorter than the default, since edits and placement wait while there is no leader. */
 export const DEPLOYED_VOTE = {
   pingMs: 250,
   renewMs: 300,
@@ -38,7 +38,7 @@
   leaseMs: 1500,
   peerTimeoutMs: 1200,
 } as const;
-/** An agent whose session brought nothing for so long in a deployment is disconnected. */
+/** Idle timeout of an agent's session in a deployment. */
 export const SESSION_TIMEOUT_MS = 3000;
 
 /** Settings of a control node in a deployment. */
@@ -54,9 +54,9 @@
   readonly data: string;
   /** Address of the operators' API; undefined where this node offers none. */
   readonly control: string | undefined;
-  /** Time between two leaders in which nobody may order. */
+  /** Time between the leases of two leaders in which no node may send orders, in milliseconds. */
   readonly handoverGapMs: number;
-  /** Settings of the planner that differ from its defaults. */
+  /** Overrides of the planner's default settings. */
   readonly planner: Partial<PlannerSettings>;
 }
 
@@ -66,13 +66,13 @@
 /** Renders the metrics of this process; undefined while it has not started. */
 export type ControlMetricsSource = () => Promise<Exposition | undefined>;
 
-/** What a deployment speaks to the outside. It translates and decides nothing. */
+/** A deployment's adapters to the platform, the runners and the operators; they translate and make no decisions. */
 export interface ControlPorts {
   /** Reads and writes configurations. */
   readonly dialect: ConfigDialect;
   /** Reads the platform's list of runners; undefined where no platform is configured. */
   readonly listRunners: (() => Promise<readonly ListedRunner[]>) | undefined;
-  /** Polls the runner at an address; undefined if it gave no usable status. */
+  /** Polls the runner at an address; undefined if it returned no valid status. */
   runnerStatus(address: string): Promise<RunnerStatus | undefined>;
   /** Sends an order within the lease of `holder`, whose fencing token is `fence`. */
   sendOrder(
@@ -87,7 +87,7 @@
   operatorsApi(request: ControlRequest, metrics: ControlMetricsSource): HostedApi;
 }
 
-/** A control node's process in a deployment that reaches platform, runners and operators through ports of its own. */
+/** A control node's process in a deployment, which reaches platform, runners and operators through the deployment's ports. */
 export class ControlProcess implements ControlProgram {
   readonly tickMs = CONTROL_TICK_MS;
   readonly waitsForHandover = true;
@@ -118,12 +118,12 @@
     this.#host.log({ event: 'control node started', replicaStatus: core.replicaStatus.name });
   }
 
-  /** Hands over its voter seat where a spare is there, then the lease, if no order is open, and stops. */
+  /** Lets a spare, if there is one, replace it as a voter, hands over the lease if no order is open, and stops. */
   async stop(): Promise<void> {
     await this.#host.stop(this.#operatorsApi);
   }
 
-  /** Takes other seed nodes, as the settings file names them now. */
+  /** Replaces the seed nodes after the settings file has changed. */
   setSeeds(seeds: readonly string[]): void {
     this.#seeds = seeds;
     this.#host.runtime.submit((core: ControlCore) => {
@@ -158,7 +158,7 @@
     }
   }
 
-  /** An input from outside must not end this process: it is dropped. */
+  /** Logs an input that failed and drops it, since input from outside must not crash this process. */
   onCommandFailed(thrown: unknown): void {
     const stack = thrown instanceof Error ? (thrown.stack ?? thrown.message) : reasonOf(thrown);
     this.#host.log({ event: 'input failed', stack });
@@ -187,7 +187,7 @@
     return new ControlCore(settings, stored, monotonicNow(), vote);
   }
 
-  /** One reading at a time; a slow platform is not asked again meanwhile. */
+  /** Runs at most one poll at a time, so that a slow platform gets no concurrent requests. */
   async #pollRunnerList(): Promise<void> {
     const { listRunners } = this.#ports;
     if (!listRunners || this.#isListPending) return;
--- a/src/control/control-runtime.ts
+++ b/src/control/control-runtime.ts
@@ -1,4 +1,4 @@
-/** Runs a control node's core: inputs in, one at a time, and effects out. Real programs and simulations use it alike. */
+/** Runs a control node's core: passes it one input at a time and carries out its effects, in programs and in simulations. */
 
 import { interval, Subscription } from 'rxjs';
 import { monotonicNow } from '../common/clock.js';
@@ -7,12 +7,12 @@
 import type { ControlEffect } from './control-effect.js';
 import type { ControlCore } from './control-core.js';
 
-/** A write that failed is tried again after so long. */
+/** Delay before a failed write is retried. */
 export const DISK_RETRY_MS = 500;
-/** How long a planned stop waits for orders whose outcome is open. */
+/** How long a planned stop waits for orders without an outcome. */
 export const RETIRE_TIMEOUT_MS = 1000;
 
-/** What the runtime uses of an exchange; an exchange that counts messages has the same members. */
+/** The part of an exchange that the runtime uses; an exchange that counts messages implements it as well. */
 export type ControlExchange = Pick<
   Exchange,
   'incoming$' | 'disconnected$' | 'open' | 'close' | 'dial' | 'send'
@@ -36,25 +36,25 @@
   readonly body: string;
 }
 
-/** What differs between programs. */
+/** The part of a control node that differs between programs. */
 export interface ControlRuntimePorts {
   /** Interval between ticks of the core, in milliseconds. */
   readonly tickMs: number;
-  /** Whether the time that a planned stop gives to open orders begins after the node's voter seat is handed over. */
+  /** Whether a planned stop's wait for open orders begins only after the node's handover as a voter. */
   readonly waitsForHandover: boolean;
   /** The nodes to keep a connection to. */
   peers(core: ControlCore): readonly string[];
-  /** A message arrived; returns the command that hands it to the core. */
+  /** A message arrived; returns the command that passes it to the core. */
   onMessage(incoming: Incoming): CoreCommand;
-  /** Writes a partition to disk; rejects where it could not be synced. */
+  /** Writes a partition to disk; rejects if it could not be synced. */
   write(effect: StoreEffect): Promise<void>;
   /** Carries out an effect. */
   perform(effect: OutsideEffect, core: ControlCore): void;
-  /** A command threw; where this throws in turn, the command's effects are not carried out. */
+  /** A command threw; if this throws as well, the command's effects are not carried out. */
   onCommandFailed(thrown: unknown): void;
 }
 
-/** Hands a message to the core, with its sender's zone if that is a control node. */
+/** Passes a message to the core, with the sender's zone if the sender is a control node. */
 export function deliverWithZone(incoming: Incoming, core: ControlCore): void {
   const zone = incoming.role === 'mind' ? incoming.zone : '';
   core.onMessage(monotonicNow(), incoming.from, incoming.message, zone);
@@ -80,7 +80,7 @@
     return this.#core;
   }
 
-  /** From here on the core takes commands, and messages once the exchange listens. */
+  /** Opens the exchange; from this call on the core takes commands, and messages once the exchange listens. */
   async open(core: ControlCore): Promise<void> {
     this.#core = core;
     this.#subscription.add(
@@ -92,17 +92,17 @@
     await this.#exchange.open();
   }
 
-  /** Ticks the core from now on. */
+  /** Starts the regular ticks of the core. */
   startTicks(): void {
     this.#subscription.add(interval(this.#ports.tickMs).subscribe(() => this.tick()));
   }
 
-  /** Ticks the core now, beside the regular ticks. */
+  /** Ticks the core now, in addition to the regular ticks. */
   tick(): void {
     this.submit((core) => this.#tick(core));
   }
 
-  /** Hands over the lease and the voter seat, if no order is open; ends after a bounded time either way. */
+  /** Hands over the lease, if no order is open, and the node's role as a voter; resolves within a bounded time either way. */
   async retire(): Promise<void> {
     const { tickMs } = this.#ports;
     const nextTick = () => new Promise<void>((resolve) => setTimeout(resolve, tickMs));
@@ -140,7 +140,7 @@
     return reply;
   }
 
-  /** Whether the core may stop. A handover of its voter seat has a time-out of its own; open orders get theirs after it. */
+  /** Whether the core may stop. The handover as a voter has a timeout of its own; that of open orders begins after it. */
   #retireCore(onHandingOver: () => void): boolean {
     let isRetired = false;
     this.submit((core) => {
@@ -197,7 +197,7 @@
     try {
       await this.#ports.write(effect);
     } catch {
-      // The store has reported it. Until a retry succeeds nothing that depends on this write is acknowledged.
+      // The store has reported the failure. Nothing that depends on this write is acknowledged until a retry succeeds.
       setTimeout(() => void this.#store(effect), DISK_RETRY_MS).unref();
       return;
     }
--- a/src/control/table-control-process.ts
+++ b/src/control/table-control-process.ts
@@ -23,7 +23,7 @@
 
 /** Interval between ticks of the core. */
 const TICK_MS = 25;
-/** Time-out of a call to the platform, the weight store or a runner. */
+/** Timeout of a call to the platform, the weight store or a runner. */
 const HTTP_TIMEOUT_MS = 800;
 
 type TableControlSettings = Infer<typeof TableControlSettingsShape>;
@@ -90,7 +90,7 @@
     this.#counters.add(`defects.${error.code}`);
   }
 
-  /** An input other than a message failed: that is a bug, which ends the process. */
+  /** An input other than a message failed, which is a bug: rethrows the error, which ends the process. */
   onCommandFailed(thrown: unknown): void {
     throw thrown;
   }
@@ -116,7 +116,7 @@
   }
 
   #deliver({ from, message }: Incoming, core: ControlCore): void {
-    // A message of a node of another build must not end this one.
+    // A message from a node of another build must not crash this process.
     try {
       core.onMessage(monotonicNow(), from, message);
     } catch (thrown) {
@@ -140,7 +140,7 @@
     try {
       const body = await get(this.#settings.platform, '/machines');
       const machines = parseAs(MachinesShape, body);
-      if (!machines) throw new Error('its list of machines is not what it should be');
+      if (!machines) throw new Error('its list of machines is malformed');
       this.#host.runtime.submit((core: ControlCore) => {
         core.onMachines(monotonicNow(), machines);
       });
@@ -166,7 +166,7 @@
   async #pollCatalog(): Promise<void> {
     try {
       const catalog = parseAs(CatalogShape, await get(this.#settings.store, '/catalog'));
-      if (!catalog) throw new Error('its catalogue is not what it should be');
+      if (!catalog) throw new Error('its catalog is malformed');
       this.#host.runtime.submit((core: ControlCore) => {
         core.onCatalog(monotonicNow(), catalog);
       });
@@ -183,7 +183,7 @@
     } catch {
       this.#counters.add('reports.unreached');
     }
-    // A report under another name is some other runner's, at an address that changed hands.
+    // A report with another id is from a different runner, which now has this address.
     const ownReport = report?.id === runner ? report : undefined;
     this.#host.runtime.submit((core: ControlCore) => {
       core.onRunnerReport(monotonicNow(), runner, requestedAt, ownReport);
@@ -206,7 +206,7 @@
   }
 }
 
-/** Reads a page of another program and returns its body. */
+/** Sends a GET request and returns the body of the response. */
 async function get(address: string, path: string): Promise<string> {
   const { body } = await call('GET', address, path, undefined, HTTP_TIMEOUT_MS);
   return body;
