--- a/src/control/fleet-manager.ts
+++ b/src/control/fleet-manager.ts
@@ -8,7 +8,7 @@
 import type { Deployed, ControlEffect, OrderResult } from './control-effect.js';
 import { FleetPublisher, type PublishFleet } from './fleet-publisher.js';
 
-/** What the fleet manager needs of the node that leads. */
+/** What the fleet manager needs of the control node that leads. */
 export interface FleetHost {
   /** Adds an effect that the process carries out. */
   readonly addEffect: (effect: ControlEffect) => void;
@@ -17,7 +17,7 @@
   readonly publish: PublishFleet;
   /** Whether orders may be sent to runners at this moment. */
   readonly mayOrder: (now: Moment) => boolean;
-  /** How many proxies are known. */
+  /** The number of proxies by which fleet-wide limits are divided. */
   readonly proxyCount: (now: Moment) => number;
 }
 
@@ -47,7 +47,7 @@
     this.#publisher = new FleetPublisher(host.publish);
   }
 
-  /** Whether the outcome of some order is open. */
+  /** Whether some order has no outcome yet. */
   get hasOpenOrders(): boolean {
     return this.#openOrders.size > 0;
   }
@@ -63,8 +63,8 @@
   }
 
   /**
-   * This node leads from now on, with the stored services; `label` marks the intents that it decides. Nothing is planned
-   * before the first list of runners that it reads.
+   * This node became the leader, with the stored services; `label` is the prefix of the ids of the intents that it decides.
+   * Nothing is planned before it has read a list of runners.
    */
   beginLeading(now: Moment, docs: readonly ServiceDoc[], label: string): void {
     this.#deployed.planner.restore(now, docs, label);
@@ -80,7 +80,7 @@
     const report = parseAs(FleetDemandShape, body);
     if (!report) return;
     this.#deployed.planner.demand(now, report);
-    // A request waits at a proxy: it shall not wait for the next tick as well.
+    // A request that waits at a proxy is not delayed until the next tick.
     if (report.units.some(({ waiting }) => waiting > 0)) this.#plan(now, doc);
   }
 
@@ -93,7 +93,7 @@
     this.#plan(now, doc);
   }
 
-  /** A poll of a runner that began at `requestedAt` ended; `status` is undefined if it brought none. */
+  /** A poll of a runner that began at `requestedAt` ended; `status` is undefined if it returned none. */
   onRunnerStatus(
     now: Moment,
     runner: string,
@@ -118,7 +118,7 @@
     this.#sendOrders(now);
   }
 
-  /** Polls and plans what is due. */
+  /** Polls and plans if due. */
   tick(now: Moment, doc: ConfigDoc): void {
     this.#pollRunnerList(now);
     if (!this.#hasRunnerList) return;
@@ -141,7 +141,7 @@
     }
   }
 
-  /** Parsed once for each text. */
+  /** The routing of the document; its text is parsed once. */
   #routingOf(doc: ConfigDoc): Routing | undefined {
     const text = doc.routing?.text ?? '';
     if (text !== this.#routingText) {
@@ -152,7 +152,7 @@
   }
 
   #plan(now: Moment, doc: ConfigDoc): void {
-    // A new leader without a list of runners would take all of them for gone.
+    // Without a list of runners a new leader would treat all of them as gone.
     if (!this.#hasRunnerList) return;
     this.#plannedAt = now;
     const { planner } = this.#deployed;
--- a/src/control/fleet-publisher.ts
+++ b/src/control/fleet-publisher.ts
@@ -1,24 +1,24 @@
 import type { Moment } from '../common/ids.js';
 import type { Fleet, FleetDelta, FleetRunner } from '../placement/fleet.js';
 
-/** Publishes the complete fleet as JSON, and as a delta to the count before. */
+/** Publishes the complete fleet as JSON, and as a delta to the previous count. */
 export type PublishFleet = (count: number, body: string, delta: string) => void;
 
-/** A value as it was published: its text without durations, and the moments at which those durations end. */
+/** A published value: its text without durations, and the moments at which those durations end. */
 interface PublishedValue {
   readonly text: string;
   readonly ends: readonly number[];
 }
 
-/** Key of what is published beside the runners; no runner has an empty id. */
+/** Key of the published values that belong to no runner; no runner has an empty id. */
 const NO_RUNNER = '';
-/** By how much, in milliseconds, an expected moment may move before it is published again. */
-const MOVED_MS = 300;
+/** How far the end of a duration may move before it is published again. */
+const END_TOLERANCE_MS = 300;
 
-/** Publishes changes of the fleet. Durations that merely count down are no change: receivers count them down themselves. */
+/** Publishes changes of the fleet. A duration that merely counts down is no change, since receivers count it down themselves. */
 export class FleetPublisher {
   readonly #publish: PublishFleet;
-  /** What was published last, by id of the runner. */
+  /** The values published last, by id of the runner. */
   readonly #published = new Map<string, PublishedValue>();
   #publishedFleet: Fleet | undefined;
   #count = 0;
@@ -27,16 +27,16 @@
     this.#publish = publish;
   }
 
-  /** Starts to count anew, and publishes everything the next time: a new epoch of the leader began. */
+  /** Restarts the count at a new epoch of the leader; the next update publishes the complete fleet. */
   reset(): void {
     this.#published.clear();
     this.#publishedFleet = undefined;
     this.#count = 0;
   }
 
-  /** Publishes what changed of the fleet, if anything did. */
+  /** Publishes the changes of the fleet, if there are any. */
   update(now: Moment, fleet: Fleet): void {
-    // To compare the same object by its text takes longer than a tick for a large fleet.
+    // Comparing an unchanged object by its text would take longer than a tick for a large fleet.
     if (fleet === this.#publishedFleet) return;
     this.#publishedFleet = fleet;
     const put = this.#changedRunners(now, fleet);
@@ -56,7 +56,7 @@
     return changed;
   }
 
-  /** Forgets runners that are in the fleet no longer, and returns their ids. */
+  /** Removes runners that are no longer in the fleet, and returns their ids. */
   #dropMissing({ runners }: Fleet): string[] {
     const present = new Set<string>([NO_RUNNER]);
     for (const { id } of runners) present.add(id);
@@ -66,7 +66,7 @@
     return missing;
   }
 
-  /** Whether a value differs from what was published; if so it counts as published from here on. */
+  /** Whether a value differs from the published one; if it does, it is recorded as published. */
   #updateValue(now: Moment, key: string, value: object): boolean {
     const next = publishedValue(now, value);
     const last = this.#published.get(key);
@@ -84,7 +84,7 @@
   return { text, ends };
 }
 
-/** Replaces a duration by whether it is over, and adds the moment of its end to `ends`. */
+/** Replaces a duration by 0 if it has ended and by 1 if not, and adds the moment of its end to `ends`. */
 function withoutDuration(now: Moment, ends: number[], field: string, item: unknown): unknown {
   if ((field !== 'readyMs' && field !== 'coldMs') || typeof item !== 'number') return item;
   if (item <= 0) return 0;
@@ -96,6 +96,8 @@
   return (
     last.text === next.text &&
     last.ends.length === next.ends.length &&
-    last.ends.every((end, index) => Math.abs(end - (next.ends[index] ?? Infinity)) <= MOVED_MS)
+    last.ends.every(
+      (end, index) => Math.abs(end - (next.ends[index] ?? Infinity)) <= END_TOLERANCE_MS,
+    )
   );
 }
--- a/src/control/intent-dispatcher.ts
+++ b/src/control/intent-dispatcher.ts
@@ -4,16 +4,16 @@
 import type { Intent, ServiceDoc } from '../placement/shapes.js';
 import type { ControlEffect, OrderResult } from './control-effect.js';
 
-/** What an order's sender returned last, or that it has not returned yet. */
+/** The state of an order that was sent. */
 interface SentOrder {
   readonly sentAt: Moment;
   /** `sent`: no outcome yet; `taken`: the runner accepted it; `unsure`: it may have. */
   readonly state: 'sent' | 'taken' | 'unsure';
-  /** Whether some attempt's outcome is unknown: a later attempt that was not sent doesn't change that. */
+  /** Whether the outcome of some attempt is unknown, which a later attempt that was not sent does not change. */
   readonly wasUnsure: boolean;
 }
 
-/** An order without a clear outcome is sent again after so long. */
+/** Time after which an order without a known outcome is sent again. */
 const ORDER_RETRY_INTERVAL_MS = 2000;
 const NEVER = moment(-1e12);
 
@@ -24,11 +24,11 @@
   readonly #sent = new Map<string, SentOrder>();
   /** Ids of intents that are stored at a majority. */
   readonly #committed = new Set<string>();
-  /** Prefix of the ids of intents that this leader decided in its present epoch. */
+  /** Prefix of the ids of intents that this leader decided in its current epoch. */
   #label = '';
   #mayOrderSince: Moment = NEVER;
   #sentCount = 0;
-  /** Made once: it is passed for every intent at every plan. */
+  /** Allocated once, since it is passed for every intent at every plan. */
   readonly #isSent = (intent: string) => this.#sent.has(intent);
 
   constructor(placer: Placer, addEffect: (effect: ControlEffect) => void) {
@@ -41,19 +41,19 @@
     return this.#sentCount;
   }
 
-  /** Whether the outcome of some order is open: it may still be in flight. */
+  /** Whether some order has no known outcome: it may still be in flight. */
   get hasOpenOrders(): boolean {
     for (const order of this.#sent.values()) if (order.state !== 'taken') return true;
     return false;
   }
 
-  /** This node leads from now on; `label` marks the intents that it decides. */
+  /** This node became the leader; `label` is the prefix of the ids of the intents that it decides. */
   beginLeading(label: string): void {
     this.#label = label;
     this.#mayOrderSince = NEVER;
   }
 
-  /** This node leads no longer. */
+  /** This node no longer leads. */
   endLeading(): void {
     this.#sent.clear();
     this.#committed.clear();
@@ -76,10 +76,10 @@
       return;
     }
     const sent = this.#sent.get(intent);
-    if (sent && sent.state !== 'taken') this.#onUnclearOutcome(now, intent, outcome, sent);
+    if (sent && sent.state !== 'taken') this.#onUnknownOutcome(now, intent, outcome, sent);
   }
 
-  /** Sends what is due, while this node may order. A load waits until the weight store's rate limit is known. */
+  /** Sends the orders that are due; called while this node may order. Loads wait until the weight store's limit is known. */
   dispatch(now: Moment, input: PlanInput, isStoreLimitKnown: boolean): void {
     if (this.#mayOrderSince === NEVER) this.#mayOrderSince = now;
     const open = new Set<string>();
@@ -93,7 +93,7 @@
     for (const id of this.#committed) if (!open.has(id)) this.#committed.delete(id);
   }
 
-  #onUnclearOutcome(now: Moment, intent: string, outcome: OrderResult, sent: SentOrder): void {
+  #onUnknownOutcome(now: Moment, intent: string, outcome: OrderResult, sent: SentOrder): void {
     const isUnsent = outcome === 'unsent';
     // An order that was never written counts as not sent, unless an earlier attempt may have arrived.
     if (isUnsent && !sent.wasUnsure) {
@@ -116,15 +116,15 @@
     this.#send(now, intent, view.machine.address, sent?.wasUnsure ?? false);
   }
 
-  /** Only what a majority stores is sent, and what was accepted is never sent twice. */
+  /** Only intents that are stored at a majority are sent, and an accepted one is never sent again. */
   #isDue(now: Moment, intent: Intent, sent: SentOrder | undefined): boolean {
     if (!this.#committed.has(intent.id) || sent?.state === 'taken') return false;
     return !sent || now >= later(sent.sentAt, ORDER_RETRY_INTERVAL_MS);
   }
 
   /**
-   * Of an intent that this leader did not send: one of its own epoch was sent by nobody; one of an older epoch would
-   * show in a report requested since this leader may order, which is long after any other could.
+   * Applies to an intent that this leader did not send. One of its own epoch was never sent; one of an older epoch would
+   * show in a report requested after this leader could order, which is long after any other leader could.
    */
   #wasNeverAccepted(intent: Intent, view: RunnerView): boolean {
     return intent.id.startsWith(`${this.#label}.`) || view.requestedAt > this.#mayOrderSince;
--- a/src/control/placement-control.ts
+++ b/src/control/placement-control.ts
@@ -13,7 +13,7 @@
 import { ProxyCount } from './proxy-count.js';
 import { TableManager } from './table-manager.js';
 
-/** What placement is made from. */
+/** The components that placement uses. */
 export interface PlacementDependencies {
   readonly settings: ControlSettings;
   readonly placer: PlacerSettings;
@@ -29,21 +29,21 @@
 
 const NEVER = moment(-1e12);
 
-/** Placement at the leader: by the planner that a deployment brings, or else by the policy table. */
+/** Placement at the leader: by the planner of a deployment if there is one, or else by the policy table. */
 export class PlacementControl {
   readonly #dependencies: PlacementDependencies;
   readonly #table: TableManager;
   readonly #proxyCount: ProxyCount;
-  /** Set where a deployment brings its own planner. */
+  /** Set if a deployment provides the planner. */
   readonly #fleet: FleetManager | undefined;
   #machineListPolledAt: Moment = NEVER;
   #writes = 0;
-  /** The number of proxies that was used last; 0 for none since this node leads. */
+  /** The number of proxies that was logged last; 0 if none was since this node became the leader. */
   #loggedProxyCount = 0;
 
-  constructor(parts: PlacementDependencies) {
-    const { settings, placer, effects, members, relay, mayOrder } = parts;
-    this.#dependencies = parts;
+  constructor(dependencies: PlacementDependencies) {
+    const { settings, placer, effects, members, relay, mayOrder } = dependencies;
+    this.#dependencies = dependencies;
     const write = (now: Moment, partition: PartitionName, body: string) =>
       this.#write(now, partition, body);
     const effect = (added: ControlEffect) => effects.add(added);
@@ -72,7 +72,7 @@
     );
   }
 
-  /** Placement by the policy table; it has the list of machines in any case. */
+  /** Placement by the policy table; it holds the list of machines also in a deployment. */
   get table(): TableManager {
     return this.#table;
   }
@@ -80,11 +80,11 @@
   get ordersSent(): number {
     return this.#table.ordersSent + (this.#fleet?.ordersSent ?? 0);
   }
-  /** How often a partition was written for placement. */
+  /** Number of writes of partitions by placement. */
   get writes(): number {
     return this.#writes;
   }
-  /** Whether the outcome of some order is open: it may still be in flight. */
+  /** Whether some order has no known outcome: it may still be in flight. */
   get hasOpenOrders(): boolean {
     if (this.#table.hasOpenOrders) return true;
     return this.#dependencies.leadership.isServing && (this.#fleet?.hasOpenOrders ?? false);
@@ -95,7 +95,7 @@
     return (this.#fleet ?? this.#table).docs();
   }
 
-  /** This node leads and serves from now on, with the stored services. */
+  /** This node began to serve as the leader, with the stored services. */
   beginLeading(now: Moment, docs: readonly ServiceDoc[]): void {
     const { settings, leadership, document } = this.#dependencies;
     const label = `${settings.me}/${leadership.epoch}`;
@@ -109,7 +109,7 @@
     this.#table.beginLeading(now, docs, label);
   }
 
-  /** This node leads no longer. */
+  /** This node no longer leads. */
   endLeading(): void {
     this.#table.endLeading();
   }
@@ -127,7 +127,7 @@
       this.#fleet.onDemand(now, body, this.#dependencies.document.newest());
   }
 
-  /** Polls and plans what is due; nothing is planned while the configuration is being recovered. */
+  /** Polls and plans if due; nothing is planned while the configuration is being recovered. */
   tick(now: Moment, isRecovering: boolean): void {
     const { leadership, document } = this.#dependencies;
     if (this.#fleet) {
@@ -144,7 +144,7 @@
     if (leadership.isServing) this.#fleet?.onRunnerList(now, runners, document.newest());
   }
 
-  /** A poll of a runner that began at `requestedAt` ended; `status` is undefined if it brought none. */
+  /** A poll of a runner that began at `requestedAt` ended; `status` is undefined if it returned none. */
   onRunnerStatus(
     now: Moment,
     runner: string,
@@ -166,7 +166,7 @@
     this.#fleet.onOrderOutcome(now, intent, result, this.#dependencies.document.newest());
   }
 
-  /** How many proxies share limits that hold over the whole fleet; a change is logged. */
+  /** The number of proxies by which fleet-wide limits are divided; a change is logged. */
   #countProxies(now: Moment): number {
     const count = this.#proxyCount.current(now);
     if (count !== this.#loggedProxyCount)
--- a/src/control/polled-runners.ts
+++ b/src/control/polled-runners.ts
@@ -3,7 +3,7 @@
 import type { Machines, RunnerReport } from '../placement/shapes.js';
 import type { ControlEffect } from './control-effect.js';
 
-/** What is known of one machine that runs an engine. */
+/** The polled state of the runner on one machine. */
 interface PolledRunner {
   /** Its last report. */
   report: RunnerReport | undefined;
@@ -11,15 +11,15 @@
   reportRequestedAt: Moment;
   /** When a report was requested last. */
   polledAt: Moment;
-  /** When a report came last; at first when this node began to lead. */
+  /** When the last report arrived; before the first one, when this node became the leader. */
   lastSeenAt: Moment;
-  /** Whether its last poll brought a report. */
+  /** Whether its last poll returned a report. */
   isReachable: boolean;
-  /** Whether any poll of it has ended; a plain back end is not polled, so there is nothing to wait for. */
+  /** Whether any poll of it has ended; always true for a plain back end: it is never polled, so that planning need not wait. */
   isPolled: boolean;
 }
 
-/** A runner that gave no report for so long is given up: its placements go elsewhere. */
+/** A runner without a report for this long counts as unreachable, and its models are placed elsewhere. */
 const RUNNER_UNREACHABLE_MS = 4000;
 const NEVER = moment(-1e12);
 
@@ -42,7 +42,7 @@
   /** The platform's list of machines arrived; returns whether it was newer than the known one and is in use now. */
   onMachineList(machines: Machines): boolean {
     if (machines.revision <= this.#machines.revision) return false;
-    // A platform that has lost its data says nothing of our machines: an empty list never replaces one that is not.
+    // A platform that has lost its data returns an empty list, which therefore never replaces a list with machines.
     if (machines.machines.length === 0 && this.#machines.machines.length > 0) return false;
     this.#machines = machines;
     const ids = new Set<string>();
@@ -54,7 +54,7 @@
     return true;
   }
 
-  /** A poll of a runner that began at `requestedAt` ended; `report` is undefined if it brought none. */
+  /** A poll of a runner that began at `requestedAt` ended; `report` is undefined if it returned none. */
   onReport(now: Moment, id: string, requestedAt: Moment, report: RunnerReport | undefined): void {
     const runner = this.#runners.get(id);
     if (!runner || requestedAt < runner.reportRequestedAt) return;
@@ -66,7 +66,7 @@
     runner.lastSeenAt = now;
   }
 
-  /** This node leads from now on: every runner is to be polled anew before it may count as unreachable. */
+  /** This node became the leader: each runner has to be polled again before it may count as unreachable. */
   beginLeading(now: Moment): void {
     this.#servingSince = now;
     for (const machine of this.#machines.machines) {
@@ -88,7 +88,7 @@
     }
   }
 
-  /** Whether a new leader knows enough to plan: before all runners were polled it would take their placements away. */
+  /** Whether a new leader knows enough to plan: runners that are not polled yet would lose their placements. */
   isInformed(now: Moment): boolean {
     if (now - this.#servingSince > RUNNER_UNREACHABLE_MS) return true;
     for (const runner of this.#runners.values()) if (!runner.isPolled) return false;
--- a/src/control/proxy-count.ts
+++ b/src/control/proxy-count.ts
@@ -5,13 +5,13 @@
 import { PROXY_COUNT_RETENTION_MS, ProxyCountShape } from '../placement/fleet.js';
 import type { KnownMembers } from './known-members.js';
 
-/** Topics whose updates tell the number of proxies. */
+/** Topics whose updates carry the number of proxies. */
 const TOPICS = ['fleet', 'places'] as const;
 
 /**
- * The number of proxies by which the leader has limits divided that hold over the whole fleet. A larger number holds at
- * once; a smaller one only once the larger has not been seen for a while, since members that are not known at the moment
- * serve on.
+ * The number of proxies by which the leader divides fleet-wide limits. An increase takes effect at once; a decrease only
+ * `PROXY_COUNT_RETENTION_MS` after the larger number was last seen, since proxies that are not known at the moment may
+ * still be serving.
  */
 export class ProxyCount {
   readonly #members: KnownMembers;
@@ -23,7 +23,7 @@
     this.#relay = relay;
   }
 
-  /** This node leads from now on: what the former leader told holds until the members had time to be known here. */
+  /** This node became the leader: the number that the previous leader published holds until the members had time to become known. */
   beginLeading(now: Moment): void {
     this.#recent = new SlidingMaximum(PROXY_COUNT_RETENTION_MS);
     for (const topic of TOPICS) {
@@ -33,7 +33,7 @@
     }
   }
 
-  /** The number in force; at least one. */
+  /** The number in effect; at least one. */
   current(now: Moment): number {
     this.#recent.set(now, this.#members.count());
     return this.#recent.value(now);
--- a/src/control/table-manager.ts
+++ b/src/control/table-manager.ts
@@ -25,11 +25,11 @@
   addEffect(effect: ControlEffect): void;
   /** Writes a partition of the replicated state. */
   write(now: Moment, partition: PartitionName, body: string): void;
-  /** Publishes the placements as text, by a count within the leader's epoch. */
+  /** Publishes the placements as text, numbered by a count within the leader's epoch. */
   publish(count: number, text: string): void;
   /** Whether orders may be sent to runners at this moment. */
   mayOrder(now: Moment): boolean;
-  /** How many proxies share the limits of rows. */
+  /** The number of proxies by which the limits of rows are divided. */
   proxyCount(now: Moment): number;
 }
 
@@ -38,9 +38,9 @@
 const PLAN_INTERVAL_MS = 250;
 /** Interval between polls of the weight store's catalog. */
 const CATALOG_POLL_INTERVAL_MS = 5000;
-/** The same while no catalog is known. */
+/** Interval between polls while no catalog is known. */
 const FIRST_CATALOG_POLL_INTERVAL_MS = 500;
-/** Quota shares follow demand, which proxies report once a second: computed more often they would only be more updates. */
+/** Quota shares follow demand, which proxies report once a second: a shorter interval would only cause more updates. */
 const SHARES_INTERVAL_MS = 1000;
 const NEVER = moment(-1e12);
 
@@ -52,7 +52,7 @@
   readonly #intents: IntentDispatcher;
   readonly #shares = new QuotaShares();
   #catalog: Catalog = EMPTY_CATALOG;
-  /** Whether the catalog was read since this node leads; an older one may be out of date. */
+  /** Whether the catalog was read since this node became the leader; an older one may be outdated. */
   #isCatalogCurrent = false;
   #publishedShares: readonly Share[] = [];
   #sharesPublishedAt: Moment = NEVER;
@@ -79,7 +79,7 @@
     return this.#intents.sentCount;
   }
 
-  /** Whether the outcome of some order is open: it may still be in flight. */
+  /** Whether some order has no known outcome: it may still be in flight. */
   get hasOpenOrders(): boolean {
     return this.#intents.hasOpenOrders;
   }
@@ -109,7 +109,7 @@
     }
   }
 
-  /** A poll of a runner that began at `requestedAt` ended; `report` is undefined if it brought none. */
+  /** A poll of a runner that began at `requestedAt` ended; `report` is undefined if it returned none. */
   onReport(now: Moment, id: string, requestedAt: Moment, report: RunnerReport | undefined): void {
     this.#runners.onReport(now, id, requestedAt, report);
   }
@@ -124,7 +124,7 @@
     this.#intents.onCommitted(docs);
   }
 
-  /** This node leads from now on, with the stored services; `label` marks the intents that it decides. */
+  /** This node became the leader, with the stored services; `label` is the prefix of the ids of the intents that it decides. */
   beginLeading(now: Moment, docs: readonly ServiceDoc[], label: string): void {
     this.#catalogPolledAt = NEVER;
     this.#placer.restore(docs, label);
@@ -134,14 +134,14 @@
     this.#placesCount = 0;
   }
 
-  /** This node leads no longer. */
+  /** This node no longer leads. */
   endLeading(): void {
     this.#isCatalogCurrent = false;
     this.#intents.endLeading();
     this.#placesText = '';
   }
 
-  /** Polls and plans what is due; `mayPlan` is false while the table itself is being recovered. */
+  /** Polls and plans if due; `mayPlan` is false while the table itself is being recovered. */
   tick(now: Moment, doc: ConfigDoc, mayPlan: boolean): void {
     this.#pollCatalog(now);
     this.#runners.poll(now, (effect) => this.#host.addEffect(effect));
@@ -165,7 +165,7 @@
     return { number, table, emptied, catalog, docs: this.docs(), runners: views, demand };
   }
 
-  /** The table with its placements beside it: who serves, who waits for what, and the demand. */
+  /** The table with its current placements: which runners serve, which models wait and why, and the demand. */
   live(now: Moment, doc: ConfigDoc): Live {
     const input = this.#planInput(now, doc);
     const rows = [];
