--- a/src/control/operator-api.ts
+++ b/src/control/operator-api.ts
@@ -9,13 +9,13 @@
 
 /** A body larger than this is rejected as malformed. */
 const MAX_BODY_BYTES = 32 * 1024 * 1024;
-/** `retry-after` of a reply with status 503, in seconds. */
+/** The `retry-after` header of a reply with status 503, in seconds. */
 const RETRY_AFTER_S = 2;
 
 const ZONE_PATH = /^\/zones\/([^/]+)\/empty$/;
 const EDIT_PATH = /^\/edits\/([^/]+)$/;
 
-/** Verbs of the core that a method and path lead to; these take no body. */
+/** Verbs of the core by method and path, for calls without a body. */
 const QUERY_VERBS: ReadonlyMap<string, string> = new Map([
   ['GET /status', 'status'],
   ['GET /fleet', 'fleet'],
@@ -24,7 +24,7 @@
   ['POST /found', 'found'],
 ]);
 
-/** Verbs of the core that get the body of the call. */
+/** Verbs of the core by method and path, for calls whose body is passed on. */
 const CHANGE_VERBS: ReadonlyMap<string, string> = new Map([
   ['PUT /table', 'table'],
   ['PATCH /table/cell', 'cell'],
@@ -38,12 +38,12 @@
 interface ApiCall {
   readonly method: string;
   readonly path: string;
-  /** What follows the first question mark; '' if nothing does. */
+  /** The query string without its question mark; '' if there is none. */
   readonly query: string;
   readonly body: string;
 }
 
-/** The operators' HTTP API of a control node; any node takes any command and forwards it to the leader. */
+/** The operators' HTTP API of a control node; every node accepts every command and forwards it to the leader. */
 export class OperatorApi {
   readonly #request: ApiRequest;
   readonly #counters: () => object;
@@ -70,7 +70,7 @@
     return this.#server.listen(address);
   }
 
-  /** Takes no new calls. */
+  /** Stops accepting calls. */
   close(): void {
     this.#server.close();
   }
@@ -116,7 +116,7 @@
   return JSON.stringify(base === null ? { id } : { id, base: Number(base) });
 }
 
-/** The JSON object of a body with fields added. Throws a SyntaxError where the body is not JSON. */
+/** The JSON object of a body with fields added. Throws a `SyntaxError` if the body is not JSON. */
 function withFields(body: string, fields: object): string {
   const raw: unknown = body === '' ? {} : JSON.parse(body);
   return JSON.stringify(typeof raw === 'object' && raw !== null ? { ...raw, ...fields } : fields);
--- a/src/control/operator-edits.ts
+++ b/src/control/operator-edits.ts
@@ -27,14 +27,14 @@
 export interface EditHost {
   /** The configuration document as last written by this leader, committed or not. */
   newest(): ConfigDoc;
-  /** The newest document that this leader knows to be on a majority of the voters. */
+  /** The newest document that this leader knows to be stored at a majority of the voters. */
   committed(): ConfigDoc;
   /** Writes a document; `token` is returned with its commit. */
   write(now: Moment, doc: ConfigDoc, token: number): void;
   /** Requests a quorum read that begins after this call; `onConfirmation` gets the returned id. */
   requestConfirmation(): number;
   answer(origin: Origin, answer: CommandAnswer): void;
-  /** Whether each member that may still use an older configuration has acknowledged this one, or is stale beyond the freshness bound. */
+  /** Whether each member that might still use an older configuration has acknowledged this one or exceeded the freshness bound. */
   isInForce(now: Moment, commit: Commit): boolean;
 }
 
@@ -45,7 +45,7 @@
   readonly members: ReadonlySet<string>;
 }
 
-/** An edit, or the outcome of one, that was written and is not acknowledged yet. */
+/** An edit, or the recorded outcome of one, that was written and is not acknowledged yet. */
 interface WrittenEdit {
   readonly origin: Origin;
   readonly id: string;
@@ -56,34 +56,35 @@
   commit: Commit | undefined;
 }
 
-/** An edit to be rejected by this node's configuration, which first has to be proved to be the newest. */
-interface UnconfirmedRefusal {
+/** An edit to be rejected by this node's configuration, once that is confirmed to be the newest. */
+interface UnconfirmedRejection {
   readonly origin: Origin;
   readonly verb: string;
   readonly body: string;
   readonly arrivedAt: Moment;
 }
 
-/** How long a confirmation is awaited; clients have moved on to another node by then. */
+/** Timeout of a confirmation; clients retry at another node before it expires. */
 const CONFIRMATION_TIMEOUT_MS = 3000;
 const NO_MAJORITY = 'no majority was reached; nothing was done';
 
 /**
  * Decides the edits of operators at the leader: each is written and acknowledged once it is committed, or rejected.
  *
- * A rejection needs as much proof as an acknowledgement. This node's configuration may be stale (isolated, or just thawed,
- * while a successor accepted the same edit) or uncommitted (the edit would lose to one that never took effect). A
- * rejection therefore rests on a committed configuration, confirmed by a quorum read that began after the edit arrived.
+ * A rejection needs as much proof as an acknowledgement. This node's configuration may be stale (the node was isolated or
+ * suspended while a successor accepted the same edit) or uncommitted (the edit would conflict with one that never takes
+ * effect). A rejection is therefore based on a committed configuration, confirmed by a quorum read that began after the edit
+ * arrived.
  */
 export class OperatorEdits {
   readonly #host: EditHost;
   readonly #dialect: ConfigDialect | undefined;
   readonly #counters: ControlCounters;
   readonly #written = new Map<number, WrittenEdit>();
-  /** By the id of the quorum read that is to confirm them. */
-  readonly #unconfirmed = new Map<number, UnconfirmedRefusal>();
-  /** To be rejected by a write that is not committed yet: decided again after its commit. */
-  #awaitingCommit: UnconfirmedRefusal[] = [];
+  /** Rejections by the id of the quorum read that is to confirm them. */
+  readonly #unconfirmed = new Map<number, UnconfirmedRejection>();
+  /** Edits that conflict with an uncommitted write: decided again after its commit. */
+  #awaitingCommit: UnconfirmedRejection[] = [];
   #token = 0;
 
   constructor(host: EditHost, dialect: ConfigDialect | undefined, counters: ControlCounters) {
@@ -92,36 +93,36 @@
     this.#counters = counters;
   }
 
-  /** An edit or a query for the outcome of one, from a client that awaits the answer at `origin`. */
+  /** Submits an edit, or a query for the outcome of one; the answer goes to `origin`. */
   submit(now: Moment, origin: Origin, verb: string, body: string): void {
     try {
       if (verb === 'edit')
-        this.#queryOutcome(now, origin, mustParseAs(EditShapes.edit, body, 'the ask'));
+        this.#queryOutcome(now, origin, mustParseAs(EditShapes.edit, body, 'the query'));
       else this.#applyAndWrite(now, origin, verb, body);
     } catch (thrown) {
       const error = toHaretrackError(thrown);
-      // An unknown outcome, and an error that does not depend on our state, need no confirmation.
+      // An unknown outcome, and an error that does not depend on this node's state, need no confirmation.
       if (error.response.isOutcomeUnknown || error instanceof MalformedRequestError)
         this.#reject(origin, error);
       else this.#requestConfirmation({ origin, verb, body, arrivedAt: now });
     }
   }
 
-  /** The quorum read with this id completed; `isNewest` says that no later leader has written anything. */
+  /** The quorum read with this id completed; `isNewest` tells whether no later leader has written anything. */
   onConfirmation(now: Moment, id: number, isNewest: boolean): void {
-    const refusal = this.#unconfirmed.get(id);
-    if (!refusal) return;
+    const rejection = this.#unconfirmed.get(id);
+    if (!rejection) return;
     this.#unconfirmed.delete(id);
-    if (isNewest) this.#decide(now, refusal);
+    if (isNewest) this.#decide(now, rejection);
     else
       this.#answerUnclear(
-        refusal,
+        rejection,
         'leader-lost',
         'another leader has written since; nothing was done',
       );
   }
 
-  /** A write with these tokens was committed; `members` are those that may still use an older configuration. */
+  /** A write with these tokens was committed; `members` are those that might still use an older configuration. */
   onCommitted(
     now: Moment,
     version: Version,
@@ -135,68 +136,68 @@
       if (edit) edit.commit = { version, at: now, members: ids };
     }
     this.#acknowledge(now);
-    const refusals = this.#awaitingCommit;
+    const rejections = this.#awaitingCommit;
     this.#awaitingCommit = [];
-    for (const { origin, verb, body, arrivedAt } of refusals)
+    for (const { origin, verb, body, arrivedAt } of rejections)
       this.#retry(now, { origin, verb, body, arrivedAt });
   }
 
   /** Acknowledges edits that have come into force, and answers rejections whose confirmation timed out. */
   tick(now: Moment): void {
     this.#acknowledge(now);
-    for (const [id, refusal] of this.#unconfirmed) {
-      if (now < later(refusal.arrivedAt, CONFIRMATION_TIMEOUT_MS)) continue;
+    for (const [id, rejection] of this.#unconfirmed) {
+      if (now < later(rejection.arrivedAt, CONFIRMATION_TIMEOUT_MS)) continue;
       this.#unconfirmed.delete(id);
-      this.#answerUnclear(refusal, 'no-majority', NO_MAJORITY);
+      this.#answerUnclear(rejection, 'no-majority', NO_MAJORITY);
     }
   }
 
-  /** This node no longer leads: whether its writes are committed is for the next leader to find out. */
+  /** This node no longer leads: whether its writes were committed is unknown to it, and decided by the next leader. */
   abandon(): void {
     for (const edit of this.#written.values()) {
       this.#counters.countUnclear('leader-lost');
       this.#host.answer(edit.origin, leaderLostAnswer(edit.id));
     }
     this.#written.clear();
-    for (const refusal of [...this.#unconfirmed.values(), ...this.#awaitingCommit])
-      this.#answerUnclear(refusal, 'leader-lost', NO_MAJORITY);
+    for (const rejection of [...this.#unconfirmed.values(), ...this.#awaitingCommit])
+      this.#answerUnclear(rejection, 'leader-lost', NO_MAJORITY);
     this.#unconfirmed.clear();
     this.#awaitingCommit = [];
   }
 
-  #answerUnclear(refusal: UnconfirmedRefusal, reason: UnclearReason, text: string): void {
+  #answerUnclear(rejection: UnconfirmedRejection, reason: UnclearReason, text: string): void {
     this.#counters.countUnclear(reason);
-    this.#host.answer(refusal.origin, errorAnswer(new NoLeaderError(text)));
+    this.#host.answer(rejection.origin, errorAnswer(new NoLeaderError(text)));
   }
 
-  /** Answers with a definite error: a rejection, or that the outcome is no longer known. */
+  /** Answers with a definite error: a rejection, or that the record of the outcome was discarded. */
   #reject(origin: Origin, error: HaretrackError): void {
     if (error.response.isOutcomeUnknown) this.#counters.countUnclear('forgotten');
     else this.#counters.countRefused(refusalReason(error.code));
     this.#host.answer(origin, errorAnswer(error));
   }
 
-  #requestConfirmation(refusal: UnconfirmedRefusal): void {
-    this.#unconfirmed.set(this.#host.requestConfirmation(), refusal);
+  #requestConfirmation(rejection: UnconfirmedRejection): void {
+    this.#unconfirmed.set(this.#host.requestConfirmation(), rejection);
   }
 
-  #retry(now: Moment, refusal: UnconfirmedRefusal): void {
-    if (now >= later(refusal.arrivedAt, CONFIRMATION_TIMEOUT_MS))
-      this.#answerUnclear(refusal, 'no-majority', NO_MAJORITY);
-    else this.#requestConfirmation(refusal);
+  #retry(now: Moment, rejection: UnconfirmedRejection): void {
+    if (now >= later(rejection.arrivedAt, CONFIRMATION_TIMEOUT_MS))
+      this.#answerUnclear(rejection, 'no-majority', NO_MAJORITY);
+    else this.#requestConfirmation(rejection);
   }
 
-  /** The committed configuration is confirmed to be the newest: the edit is decided again by it. */
-  #decide(now: Moment, refusal: UnconfirmedRefusal): void {
-    const { origin, verb, body } = refusal;
+  /** Decides an edit again after the committed configuration was confirmed to be the newest. */
+  #decide(now: Moment, rejection: UnconfirmedRejection): void {
+    const { origin, verb, body } = rejection;
     try {
       this.#applyAndWrite(now, origin, verb, body);
     } catch (thrown) {
       const error = toHaretrackError(thrown);
-      // Against an uncommitted write the edit may be rejected only once that is committed.
+      // An edit that conflicts with an uncommitted write may be rejected only after the commit of that write.
       if (error.response.isOutcomeUnknown || !this.#isAcceptable(verb, body))
         this.#reject(origin, error);
-      else this.#awaitingCommit.push(refusal);
+      else this.#awaitingCommit.push(rejection);
     }
   }
 
@@ -215,11 +216,13 @@
   #applyAndWrite(now: Moment, origin: Origin, verb: string, body: string): void {
     const doc = this.#host.newest();
     const { id } = mustParseAs(EditShapes.edit, body, 'the edit');
-    const before = doc.edits.find((edit) => edit.id === id);
-    if (before) {
-      // A retry has the same id: it gets the outcome of the edit, which is applied once.
-      if (before.outcome === 'closed')
-        throw new VersionConflictError(`edit ${id} was asked about before it came, and closed`);
+    const recorded = doc.edits.find((edit) => edit.id === id);
+    if (recorded) {
+      // A retry has the id of the edit and gets its outcome; the edit is not applied again.
+      if (recorded.outcome === 'closed')
+        throw new VersionConflictError(
+          `edit ${id} was closed by a query for its outcome before it arrived`,
+        );
       this.#write(now, { origin, id, outcome: 'accepted', occasion: 'again' }, doc);
       return;
     }
@@ -231,7 +234,7 @@
     );
   }
 
-  /** Applies an edit. One that conflicts by its base may be the retry of one that was accepted long ago. */
+  /** Applies an edit. One whose base conflicts may be the retry of an edit that was accepted long ago. */
   #apply(
     doc: ConfigDoc,
     verb: string,
@@ -245,7 +248,7 @@
       const kind = verb === 'configure' || verb === 'amend' ? 'routing' : 'table';
       if (!mayBeForgotten(doc, edit?.base, kind)) throw thrown;
       throw new OutcomeUnknownError(
-        `edit ${edit?.id ?? ''} was made from table ${edit?.base ?? 0}, so long ago that whether it was accepted is no longer known`,
+        `edit ${edit?.id ?? ''} was made from table ${edit?.base ?? 0}; records of edits that old were discarded, so whether it was accepted is unknown`,
       );
     }
   }
@@ -256,14 +259,14 @@
     { id, base }: { readonly id: string; readonly base?: number | undefined },
   ): void {
     const doc = this.#host.newest();
-    const known = doc.edits.find((edit) => edit.id === id);
-    if (!known && mayBeForgotten(doc, base))
+    const recorded = doc.edits.find((edit) => edit.id === id);
+    if (!recorded && mayBeForgotten(doc, base))
       throw new OutcomeUnknownError(
-        `edit ${id} is not among the last ${MAX_EDITS}: whether it was accepted before is no longer known`,
+        `edit ${id} is not among the last ${MAX_EDITS}, so whether it was accepted before is unknown`,
       );
-    // Known or not, the answer must stay true after us: it is committed like an edit before it is given.
+    // The answer must remain true under later leaders, so it is committed like an edit before it is sent.
     const occasion = 'question';
-    if (known) this.#write(now, { origin, id, outcome: known.outcome, occasion }, doc);
+    if (recorded) this.#write(now, { origin, id, outcome: recorded.outcome, occasion }, doc);
     else
       this.#write(now, { origin, id, outcome: 'closed', occasion }, recordEdit(doc, id, 'closed'));
   }
@@ -291,7 +294,7 @@
   }
 }
 
-/** Replaces one voter through a joint configuration, until the new set stores the complete state. */
+/** Replaces one voter, by a joint configuration that lasts until the new set stores the complete state. */
 function replaceVoter(
   doc: ConfigDoc,
   body: string,
@@ -299,7 +302,7 @@
   const edit = mustParseAs(EditShapes.swap, body, 'the swap');
   const [current] = doc.voters;
   if (!current || doc.voters.length !== 1)
-    throw new VersionConflictError('another swap is under way');
+    throw new VersionConflictError('another swap is in progress');
   if (!current.includes(edit.old) || current.includes(edit.new))
     throw new MalformedRequestError(`${edit.old} is no voter, or ${edit.new} is one`);
   return {
--- a/src/control/order-sender.ts
+++ b/src/control/order-sender.ts
@@ -6,19 +6,19 @@
 import { mayWrite, remainingOrderTimeMs, type Lease } from './lease.js';
 
 /**
- * How an order ended. `taken`: the runner accepted it. `turnedAway`: it never will. `unsure`: it was written, and no clear
- * response came. `unsent`: nothing of it was written. The words are part of the names of the operators' counters.
+ * The outcome of an order. `taken`: the runner accepted it. `turnedAway`: the runner rejected it permanently. `unsure`: it
+ * was written, but no definite response came. `unsent`: its body was not written. The values are part of counter names.
  */
 export type OrderOutcome = 'taken' | 'turnedAway' | 'unsure' | 'unsent';
 
-/** A runner that does not ask for the body of an order within this time does not get it. */
+/** How long to wait for a runner's `100 Continue` before the order is given up unsent. */
 const CONTINUE_TIMEOUT_MS = 1000;
-/** So long after it asked for the body a runner may accept the order, on its own clock, in milliseconds. */
+/** How long after its `100 Continue` a runner may still accept the order, by the runner's clock, in milliseconds. */
 export const ACCEPT_WITHIN_MS = 300;
 
 /**
- * Sends orders to runners. The head goes first and expects `100 Continue`, so that a runner that is unreachable or slow
- * never finds an order waiting in its socket; the lease is checked right before the order itself is written.
+ * Sends orders to runners. The headers go first and expect `100 Continue`, so that an unreachable or slow runner never reads
+ * an outdated order from its socket; the lease is checked right before the body, which is the order, is written.
  */
 export class OrderSender {
   readonly #lease: Lease;
@@ -29,7 +29,7 @@
     this.#now = now;
   }
 
-  /** Sends one order to the runner at `address`; `holder` and `epoch`, the fencing token, say who orders. Never rejects. */
+  /** Sends one order to the runner at `address`; `holder` is this leader, `epoch` its fencing token. Never rejects. */
   send(intent: Intent, address: string, holder: string, epoch: number): Promise<OrderOutcome> {
     const { host, port } = parseAddress(address);
     const body = JSON.stringify({
@@ -90,7 +90,7 @@
     );
   }
 
-  /** The lease must last for longer than the margin at which an order in flight is cancelled. */
+  /** Writes the order if the lease lasts longer than the margin at which an order in flight is cancelled. */
   #write(): void {
     if (!mayWrite(this.#lease, this.#now())) {
       this.#end('unsent');
