--- a/src/control/command-answers.ts
+++ b/src/control/command-answers.ts
@@ -38,7 +38,7 @@
   };
 }
 
-/** The connection to the leader was lost: the outcome of an edit, which has an id, is unknown; a read failed. */
+/** The leader was lost, or its reply timed out: the outcome of an edit, which has an id, is unknown; a read failed. */
 export function leaderLostAnswer(id: string): CommandAnswer {
   const kind: ErrorCode = id === '' ? 'no-leader' : 'unsure-edit';
   const outcome = id === '' ? 'turned-away' : 'unsure';
