--- a/src/control/control-effect.ts
+++ b/src/control/control-effect.ts
@@ -50,8 +50,8 @@
   demand(now: Moment, report: FleetDemand): void;
   /** The platform's list of runners was read. */
   list(now: Moment, runners: readonly ListedRunner[]): void;
-  /** A poll of a runner that began at `askedAt` ended; `status` is undefined if it returned none. */
-  status(now: Moment, runner: string, askedAt: Moment, status: RunnerStatus | undefined): void;
+  /** A poll of a runner that began at `requestedAt` ended; `status` is undefined if it returned none. */
+  status(now: Moment, runner: string, requestedAt: Moment, status: RunnerStatus | undefined): void;
   /** Ids of the runners whose poll is due; each is returned once until its poll has ended. */
   asks(now: Moment): readonly string[];
   /** Plans; returns the models whose documents changed and have to be stored. */
