--- a/src/control/command-forwarding.test.ts
+++ b/src/control/command-forwarding.test.ts
@@ -6,16 +6,16 @@
 import { ControlCounters } from './control-metrics.js';
 
 const INCARNATION = 3000;
-const BEGAN = moment(50_000);
+const START = moment(50_000);
 const EDIT_TIMEOUT_MS = 9000;
 const READ_TIMEOUT_MS = 1500;
 const STALL_MS = 1000;
 const BACKLOG_MS = 300;
 const EDIT = JSON.stringify({ id: 'e1' });
-/** A client at this node's own API. */
+/** The origin of a command at this node's own API. */
 const CLIENT: Origin = { from: '', id: 5 };
 
-/** A follower's forwarding, with what it sent and answered. */
+/** The forwarding of a follower; records the messages and answers that it sends. */
 class Follower {
   leader: string | undefined = 'b';
   extraRoundTripMs = 0;
@@ -31,18 +31,18 @@
     },
     this.counters,
     INCARNATION,
-    BEGAN,
+    START,
   );
 
   tickAfter(millis: number): void {
-    this.forwarding.tick(moment(BEGAN + millis));
+    this.forwarding.tick(moment(START + millis));
   }
 
   reply(from: string, id: number): void {
     this.forwarding.onReply(from, { kind: 'commandReply', id, status: 200, body: 'done' });
   }
 
-  /** Ticks on until its answer to a command that was forwarded at the beginning; returns when that came. */
+  /** Ticks until a command that was forwarded at the start is answered; returns after how many milliseconds. */
   answeredAfter(limitMs: number): number | undefined {
     for (let millis = 500; millis <= limitMs; millis += 500) {
       this.tickAfter(millis - 1);
@@ -59,12 +59,12 @@
 }
 
 describe('a command that is forwarded', () => {
-  test('carries the last clock of the leader that was heard, and a number of this incarnation', () => {
+  test('carries the last received clock of the leader, and an id of this incarnation', () => {
     const follower = new Follower();
     const { forwarding } = follower;
-    forwarding.forward(BEGAN, CLIENT, 'zone', EDIT);
+    forwarding.forward(START, CLIENT, 'zone', EDIT);
     forwarding.onLeaderClock(leaderClockOf({ epoch: 6, sentAt: 777 }));
-    forwarding.forward(BEGAN, CLIENT, 'configure', EDIT);
+    forwarding.forward(START, CLIENT, 'configure', EDIT);
     const command = { kind: 'command', body: EDIT } as const;
     expect(follower.sent).toEqual([
       ['b', { ...command, id: INCARNATION + 1, verb: 'zone', epoch: 0, leaderTime: 0 }],
@@ -73,9 +73,9 @@
     expect(follower.counters.orders.forwarded).toBe(2);
   });
 
-  test('is answered once, with what the leader replied, and by nobody else', () => {
+  test('is answered once, with the reply of the leader and of no other node', () => {
     const follower = new Follower();
-    follower.forwarding.forward(BEGAN, CLIENT, 'configure', EDIT);
+    follower.forwarding.forward(START, CLIENT, 'configure', EDIT);
     follower.reply('c', INCARNATION + 1);
     follower.reply('b', INCARNATION + 2);
     expect(follower.answers).toEqual([]);
@@ -86,9 +86,9 @@
     expect(follower.answers).toHaveLength(1);
   });
 
-  test('is unclear where no reply to an edit comes in time', () => {
+  test('has an unknown outcome if it is an edit without a reply in time', () => {
     const follower = new Follower();
-    follower.forwarding.forward(BEGAN, CLIENT, 'configure', EDIT);
+    follower.forwarding.forward(START, CLIENT, 'configure', EDIT);
     expect(follower.answeredAfter(EDIT_TIMEOUT_MS)).toBe(EDIT_TIMEOUT_MS);
     expect(follower.answers[0]?.[1].body).toContain('"outcome":"unsure"');
     expect(follower.counters.orders.unclear.timeout).toBe(1);
@@ -96,21 +96,21 @@
     expect(follower.answers).toHaveLength(1);
   });
 
-  test('is not done where no reply to a read comes in time, which is longer over slow links', () => {
+  test('fails if it is a read without a reply in time, which is longer over slow links', () => {
     const follower = new Follower();
-    follower.forwarding.forward(BEGAN, CLIENT, 'read', '');
+    follower.forwarding.forward(START, CLIENT, 'read', '');
     expect(follower.answeredAfter(EDIT_TIMEOUT_MS)).toBe(READ_TIMEOUT_MS);
     expect(follower.statuses).toEqual([503]);
     const slow = new Follower();
     slow.extraRoundTripMs = 1000;
-    slow.forwarding.forward(BEGAN, CLIENT, 'read', '');
+    slow.forwarding.forward(START, CLIENT, 'read', '');
     expect(slow.answeredAfter(EDIT_TIMEOUT_MS)).toBe(READ_TIMEOUT_MS + 2000);
     expect(slow.counters.orders.unclear).toMatchObject({ timeout: 0, 'leader-lost': 0 });
   });
 
-  test('is unclear at once where the connection to the leader closes, and not where another closes', () => {
+  test('has an unknown outcome at once if the connection to the leader closes, and not if another closes', () => {
     const follower = new Follower();
-    follower.forwarding.forward(BEGAN, CLIENT, 'configure', EDIT);
+    follower.forwarding.forward(START, CLIENT, 'configure', EDIT);
     follower.forwarding.onDisconnect('c');
     expect(follower.answers).toEqual([]);
     follower.forwarding.onDisconnect('b');
@@ -122,49 +122,49 @@
 
 describe('a command that cannot be forwarded', () => {
   function expectRejected(follower: Follower, origin: Origin = CLIENT): void {
-    expect(() => follower.forwarding.forward(BEGAN, origin, 'configure', EDIT)).toThrow(
+    expect(() => follower.forwarding.forward(START, origin, 'configure', EDIT)).toThrow(
       'no leader is known; nothing was done',
     );
     expect(follower.sent).toEqual([]);
     expect(follower.counters.orders).toMatchObject({ unserved: 1, forwarded: 0 });
   }
 
-  test('is rejected where no leader is known', () => {
+  test('is rejected if no leader is known', () => {
     const follower = new Follower();
     follower.leader = undefined;
     expectRejected(follower);
   });
 
-  test('is rejected where it was forwarded already', () => {
+  test('is rejected if it was forwarded already', () => {
     expectRejected(new Follower(), { from: 'c', id: 1 });
   });
 
-  test('is rejected while the connection to the leader is closed, until that is heard again', () => {
+  test('is rejected while the connection to the leader is closed, until a message from the leader arrives', () => {
     const follower = new Follower();
     follower.forwarding.onDisconnect('b');
     follower.forwarding.onHeard('c');
     expectRejected(follower);
     follower.forwarding.onHeard('b');
-    follower.forwarding.forward(BEGAN, CLIENT, 'configure', EDIT);
+    follower.forwarding.forward(START, CLIENT, 'configure', EDIT);
     expect(follower.sent).toHaveLength(1);
   });
 
-  test('is no unserved order where it is a read', () => {
+  test('is not counted as an unserved edit if it is a read', () => {
     const follower = new Follower();
     for (const verb of ['read', 'fleet', 'live']) {
-      follower.forwarding.forward(BEGAN, CLIENT, verb, '');
+      follower.forwarding.forward(START, CLIENT, verb, '');
       follower.leader = undefined;
-      expect(() => follower.forwarding.forward(BEGAN, CLIENT, verb, '')).toThrow();
+      expect(() => follower.forwarding.forward(START, CLIENT, verb, '')).toThrow();
       follower.leader = 'b';
     }
     expect(follower.counters.orders).toMatchObject({ unserved: 0, forwarded: 0 });
   });
 });
 
-describe('the age of an order that builds on no version', () => {
+describe('the age of a command without a base version', () => {
   function isRejected(follower: Follower, millis: number, verb = 'zone'): boolean {
     try {
-      follower.forwarding.checkAge(moment(BEGAN + millis), verb);
+      follower.forwarding.checkAge(moment(START + millis), verb);
       return false;
     } catch {
       return true;
@@ -195,7 +195,7 @@
     expect(isRejected(follower, endMs + BACKLOG_MS)).toBe(false);
   });
 
-  test('does not matter to an order that builds on a version', () => {
+  test('does not matter for a command with a base version', () => {
     const follower = new Follower();
     for (const verb of ['configure', 'read'])
       expect(isRejected(follower, 60_000, verb)).toBe(false);
--- a/src/control/command-handler.test.ts
+++ b/src/control/command-handler.test.ts
@@ -17,24 +17,24 @@
     if (effect.do === 'reply') return { status: effect.status, body: effect.body };
   return undefined;
 }
-test('what the leader alone can do is turned away while nobody leads', () => {
+test('commands that only the leader can execute are rejected while no leader is known', () => {
   const node = new DutyNode(SOUND_DISK);
   for (const verb of ['read', 'live', 'edit', 'no such verb'])
     expect(answerOf(node, verb)?.status).toBe(503);
 });
-test('any node tells its status', () => {
+test('every node answers a status query', () => {
   const answer = answerOf(new DutyNode([]), 'status');
   expect(answer?.status).toBe(200);
   const status: unknown = JSON.parse(answer?.body ?? '');
   expect(status).toMatchObject({ me: 'a', standing: 'blank', leader: '', config: 'none' });
 });
-test('only a node that does not count is forced to', () => {
+test('only a node whose replica is not sound forces a new cluster', () => {
   const sound = answerOf(new DutyNode(SOUND_DISK), 'found');
   const blank = answerOf(new DutyNode([]), 'found');
   expect(sound?.body).toBe('{"outcome":"already","standing":"sound"}');
   expect(blank?.body).toBe('{"outcome":"forced","standing":"blank"}');
 });
-test('a command that was passed on is answered to whoever passed it on', () => {
+test('a forwarded command is answered to the node that forwarded it', () => {
   const node = new DutyNode(SOUND_DISK);
   const message = {
     kind: 'command',
--- a/src/control/forwarded-order-age.test.ts
+++ b/src/control/forwarded-order-age.test.ts
@@ -10,8 +10,8 @@
 /** The epoch in which this node leads. */
 const EPOCH = 8;
 const NOW = moment(50_000);
-/** Of the leader's own clock: an order older than this is rejected. */
-const MOST_AGE_MS = 1500;
+/** By the leader's own clock: a command older than this is rejected. */
+const MAX_AGE_MS = 1500;
 
 const HOST = {
   leader: () => undefined,
@@ -20,13 +20,13 @@
   answer: () => undefined,
 };
 
-/** An evacuation, which builds on no version of the configuration, as another node forwards it. */
-function forwardedZoneOrder(epoch: number, leaderTime: number): CommandMessage {
+/** An evacuation, which has no base version, as another node forwards it. */
+function forwardedZoneCommand(epoch: number, leaderTime: number): CommandMessage {
   return { kind: 'command', id: 8, verb: 'zone', body: '{}', epoch, leaderTime };
 }
 
-/** What the leader makes of a forwarded command, and how many orders it counted as rejected for their age. */
-function verdictOn(message: CommandMessage): readonly [string, number] {
+/** The leader's result for a forwarded command, and how many commands it counted as rejected for their age. */
+function resultOf(message: CommandMessage): readonly [string, number] {
   const counters = new ControlCounters();
   const forwarding = new CommandForwarding(HOST, counters, 1, NOW);
   try {
@@ -38,24 +38,24 @@
   }
 }
 
-test('an order without a version is taken where it was forwarded in the epoch of this leader', () => {
-  expect(verdictOn(forwardedZoneOrder(EPOCH, NOW))).toEqual(['taken', 0]);
-  expect(verdictOn(forwardedZoneOrder(EPOCH, NOW - MOST_AGE_MS))).toEqual(['taken', 0]);
+test('a command without a base version is accepted if it was forwarded in the epoch of this leader', () => {
+  expect(resultOf(forwardedZoneCommand(EPOCH, NOW))).toEqual(['taken', 0]);
+  expect(resultOf(forwardedZoneCommand(EPOCH, NOW - MAX_AGE_MS))).toEqual(['taken', 0]);
 });
 
-test('an order without a version is rejected where it was forwarded in another epoch', () => {
-  // The time is of another leader's clock, or of this one's own before it lost the lead: it bounds no age here.
+test('a command without a base version is rejected if it was forwarded in another epoch', () => {
+  // The time is from another leader's clock, or from this one's before it lost its leadership, so it does not bound the age.
   for (const epoch of [EPOCH - 2, EPOCH + 2, 0])
     for (const leaderTime of [NOW, NOW + 1_000_000])
-      expect(verdictOn(forwardedZoneOrder(epoch, leaderTime))).toEqual(['no-leader', 1]);
+      expect(resultOf(forwardedZoneCommand(epoch, leaderTime))).toEqual(['no-leader', 1]);
 });
 
-test('an order without a version is rejected once it is older than a caller waits', () => {
-  expect(verdictOn(forwardedZoneOrder(EPOCH, NOW - MOST_AGE_MS - 1))).toEqual(['no-leader', 1]);
+test('a command without a base version is rejected once it is older than a client waits', () => {
+  expect(resultOf(forwardedZoneCommand(EPOCH, NOW - MAX_AGE_MS - 1))).toEqual(['no-leader', 1]);
 });
 
-test('an order that builds on a version is taken whenever it was forwarded', () => {
-  const message = forwardedZoneOrder(EPOCH - 2, 0);
+test('a command with a base version is accepted whenever it was forwarded', () => {
+  const message = forwardedZoneCommand(EPOCH - 2, 0);
   for (const verb of ['configure', 'amend', 'read'])
-    expect(verdictOn({ ...message, verb })).toEqual(['taken', 0]);
+    expect(resultOf({ ...message, verb })).toEqual(['taken', 0]);
 });
