--- a/src/control/config-edits.test.ts
+++ b/src/control/config-edits.test.ts
@@ -16,7 +16,7 @@
 function apply(verb: string, edit: object): ConfigDoc {
   return applyEdit(doc, verb, JSON.stringify(edit)).doc;
 }
-test('a cell edit changes that cell alone, from its base alone', () => {
+test('a cell edit changes only that cell, and only if it was made from the current table', () => {
   const next = apply('cell', { id: 'e', base: 3, row: 'check/m', column: 'weight', value: 9 });
   expect(next.table.rows[0]?.weight).toBe(9);
   expect(next.number).toBe(4);
@@ -36,7 +36,7 @@
     apply('cell', { id: 'e', base: 3, row: 'check/n', column: 'weight', value: 1 }),
   ).toThrow(/1 fault/);
 });
-test('rows are put and removed, the rest stays', () => {
+test('a rows edit puts and removes rows without changing the document that it was made from', () => {
   const next = apply('rows', {
     id: 'e',
     base: 3,
--- a/src/control/config-size.test.ts
+++ b/src/control/config-size.test.ts
@@ -11,9 +11,9 @@
 
 const THREE = ['a:1', 'b:1', 'c:1'];
 const CATCH_UP_MS = 4000;
-const MISSED = 700;
-/** Bytes that a remembered edit may take in the stored text: its id of 32 letters, its number, and what separates them. */
-const EDIT_BYTES = 42;
+const MISSED_CHANGES = 700;
+/** Size limit of a recorded edit in the stored text: its id of 32 characters, its number, and separators. */
+const MAX_EDIT_BYTES = 42;
 
 function idOf(index: number): string {
   return createHash('sha256').update(`edit ${index}`).digest('hex').slice(0, 32);
@@ -31,31 +31,31 @@
   return doc;
 }
 
-function changed(cluster: FaultCluster, from: number, count: number): number {
+function configureTimes(cluster: FaultCluster, from: number, count: number): number {
   for (let version = from; version < from + count; version += 1)
     cluster.configure(version, version + 1);
   return from + count;
 }
 
-/** A follower that missed hundreds of changes holds the newest once it is back, with one write. */
-function checkMissed(how: 'cut' | 'restarted'): void {
+/** A follower that missed hundreds of changes gets the newest version with one write when it is back. */
+function checkCatchUp(how: 'cut' | 'restarted'): void {
   const cluster = foundedFaultCluster(THREE);
   const behind = cluster.follower();
   if (how === 'cut') cluster.cutOff(behind);
   else cluster.kill(behind);
-  const version = changed(cluster, 0, MISSED);
+  const version = configureTimes(cluster, 0, MISSED_CHANGES);
   if (how === 'cut') cluster.heal();
   else cluster.start(behind, THREE);
   const took = cluster.runUntil(
     () => cluster.isCounting(behind),
     CATCH_UP_MS,
-    'it holds the newest',
+    'the follower holds the newest version',
   );
-  process.stdout.write(`${MISSED} changes missed, ${how}: caught up after ${took} ms\n`);
+  process.stdout.write(`${MISSED_CHANGES} changes missed, ${how}: caught up after ${took} ms\n`);
   expect(cluster.versionAt(behind)).toBe(version);
 }
 
-test('a thousand remembered edits are kept compact', () => {
+test('1000 recorded edits are stored compactly', () => {
   const empty = encodeConfigDoc(initialDoc(THREE)).length;
   const doc = withEdits(MAX_EDITS);
   const body = encodeConfigDoc(doc);
@@ -68,35 +68,35 @@
       `on disk ${stored.length}, as objects ${JSON.stringify({ body: before }).length}; ` +
       `in a write ${message.length}\n`,
   );
-  expect(body.length - empty).toBeLessThanOrEqual(EDIT_BYTES * MAX_EDITS);
+  expect(body.length - empty).toBeLessThanOrEqual(MAX_EDIT_BYTES * MAX_EDITS);
   expect(decodeConfigDoc(body)).toEqual(doc);
 });
-/** What was stored before the edits stood in columns is read as it was. */
-test('edits stored as objects are read as before', () => {
+/** Older builds stored edits as objects instead of columns. */
+test('edits stored as objects can be read', () => {
   const doc = withEdits(20);
   expect(decodeConfigDoc(JSON.stringify(doc))).toEqual(doc);
   expect(decodeConfigDoc('{')).toBeUndefined();
 });
-test('a follower that was cut off during 700 changes catches up', () => checkMissed('cut'));
-test('a follower that was away during 700 changes catches up', () => checkMissed('restarted'));
-/** Its newest file is torn and the one before it is old: it is mended, and nobody goes by what it held. */
-test('a torn newest file beside an old one is mended', () => {
+test('a follower that was cut off during 700 changes catches up', () => checkCatchUp('cut'));
+test('a follower that was down during 700 changes catches up', () => checkCatchUp('restarted'));
+/** The newest file is corrupt and the one before it is outdated: the replica is repaired, and its old content is not used. */
+test('a replica whose newest file is corrupt and whose previous file is outdated is repaired', () => {
   const cluster = foundedFaultCluster(THREE);
   const behind = cluster.follower();
   cluster.configure(0, 1);
   cluster.kill(behind);
-  const version = changed(cluster, 1, 300);
+  const version = configureTimes(cluster, 1, 300);
   cluster.node(behind).store.corrupt(CONFIG_PARTITION);
   cluster.start(behind, THREE);
-  cluster.runUntil(() => cluster.isCounting(behind), CATCH_UP_MS, 'it is mended');
+  cluster.runUntil(() => cluster.isCounting(behind), CATCH_UP_MS, 'the replica is repaired');
   const leader = cluster.leader();
   const [third = ''] = THREE.filter((id) => id !== behind && id !== leader);
   cluster.kill(third);
-  cluster.runUntil(() => cluster.hasLeader(), 6000, 'two of three lead');
+  cluster.runUntil(() => cluster.hasLeader(), 6000, 'a leader is elected by two of three');
   expect(cluster.versionAt(behind)).toBe(version);
 });
-/** A relay with old news passes on nothing older than what a child has, and takes the newest at once. */
-test('a relay with old news passes on nothing that is older', () => {
+/** An outdated relay sends a child nothing older than the child has, and accepts the newest version at once. */
+test('a relay with an outdated configuration sends nothing older than a child has', () => {
   const old = new Relay();
   old.offer('config', { epoch: 4, count: 10 }, 'old');
   old.setChildren(['child']);
--- a/src/control/config-store.test.ts
+++ b/src/control/config-store.test.ts
@@ -14,8 +14,8 @@
 const EPOCH = 2;
 const ME = nodeId('a');
 
-/** The only voter, which owns all parts once its first writes are on disk. */
-class Owner {
+/** The only voter; it serves once its first writes are on disk. */
+class SoleVoter {
   readonly relay = new Relay();
   readonly state = new ReplicatedState(ME, new Quorum([ME]), allPartitions(), []);
   readonly document = new ConfigStore({
@@ -31,7 +31,7 @@
     this.step();
   }
 
-  /** Lets what is being written reach the disk, and takes up what was committed by then. */
+  /** Completes the pending disk writes, and applies the commits that result. */
   step(): void {
     for (const effect of this.state.drain()) {
       if (effect.do === 'store') this.state.stored(effect.partition, effect.version, EPOCH, NOW);
@@ -39,7 +39,7 @@
     }
   }
 
-  /** The first writes take over the state; nothing is told of them. */
+  /** The first writes take over the state; their commits are not reported to the store. */
   #commit(partition: PartitionName, version: Version): void {
     if (
       partition === CONFIG_PARTITION &&
@@ -53,8 +53,8 @@
     return parseAs(ConfigUpdateShape, this.relay.latest('config')?.body ?? '')?.number;
   }
 }
-test('what is written is told once it is committed', () => {
-  const owner = new Owner();
+test('a document is published once it is committed', () => {
+  const owner = new SoleVoter();
   const { document } = owner;
   expect(document.load()).toBe(false);
   expect(document.newest().voters).toEqual([['a']]);
@@ -70,17 +70,17 @@
   expect(document.committed()).toBe(document.newest());
   expect(owner.publishedNumber()).toBe(2);
 });
-test('a table that members still hold is taken back, the voters are not', () => {
-  const owner = new Owner();
+test('a configuration that members still hold is recovered, except for its voters', () => {
+  const owner = new SoleVoter();
   const { document } = owner;
   document.load();
   expect(document.unstoredUpdate()).toBeUndefined();
   const { table } = document.newest();
-  const news = { number: 5, table, emptied: ['east'], voters: [['x']] };
-  owner.relay.offer('config', { epoch: 1, count: 9 }, JSON.stringify(news));
-  const lost = document.unstoredUpdate();
-  expect(lost?.number).toBe(5);
-  document.recover(NOW, lost);
+  const published = { number: 5, table, emptied: ['east'], voters: [['x']] };
+  owner.relay.offer('config', { epoch: 1, count: 9 }, JSON.stringify(published));
+  const unstored = document.unstoredUpdate();
+  expect(unstored?.number).toBe(5);
+  document.recover(NOW, unstored);
   expect(document.newest()).toMatchObject({ number: 5, emptied: ['east'], voters: [['a']] });
   expect(document.unstoredUpdate()).toBeUndefined();
 });
