--- a/src/control/control-core-metrics.test.ts
+++ b/src/control/control-core-metrics.test.ts
@@ -8,14 +8,14 @@
   SEEDS,
 } from './testing/control-cluster.js';
 
-/** Pings go every 300 ms, and their answers take two steps of the cluster. */
-const CALM_CONTACT_MS = 400;
+/** Pings are sent every 300 ms, and their replies take two steps of the cluster. */
+const MAX_CONTACT_AGE_MS = 400;
 
 function metricsOf(cluster: ControlCluster, id: string): ControlMetrics {
   return cluster.node(id).core.metrics(cluster.now);
 }
 
-test('a calm cluster shows one leader, contact and equal versions', () => {
+test('a cluster without faults reports one leader, contact with a majority and equal versions', () => {
   const cluster = foundedCluster();
   const answer = cluster.asked(
     cluster.leader(),
@@ -34,7 +34,7 @@
     voters: { members: 3, reachable: 3, isVoter: true, isJoint: false },
   });
   expect(leader.leaseLeftMs).toBeGreaterThan(0);
-  expect(leader.majorityContactAgeMs).toBeLessThanOrEqual(CALM_CONTACT_MS);
+  expect(leader.majorityContactAgeMs).toBeLessThanOrEqual(MAX_CONTACT_AGE_MS);
   expect(leader.configHeld).toEqual(leader.configCommitted);
   const follower = metricsOf(cluster, cluster.follower());
   expect(follower).toMatchObject({ epoch: leader.epoch, isLeaderKnown: true, isLeading: false });
@@ -42,7 +42,7 @@
   expect(follower.configCommitted).toEqual(leader.configCommitted);
   expect(follower.events.votesGranted).toBeGreaterThan(0);
 });
-test('a node that is cut off shows how long, and comes back', () => {
+test('an isolated node reports the age of its last contact until it is connected again', () => {
   const cluster = foundedCluster();
   const former = cluster.leader();
   const before = metricsOf(cluster, former);
@@ -52,19 +52,19 @@
   expect(during).toMatchObject({ isLeaderKnown: false, isLeading: false, mayOrder: false });
   expect(during.majorityContactAgeMs).toBeGreaterThan(3500);
   expect(during.voters).toMatchObject({ members: 3, reachable: 1 });
-  // It reaches no majority, and so does not run the term up for the others.
+  // It reaches no majority, so it does not raise the epoch by elections that it cannot win.
   expect(during.events.electionsStarted).toBe(before.events.electionsStarted);
   const successor = metricsOf(cluster, cluster.leader());
   expect(successor.epoch).toBeGreaterThan(during.epoch);
-  expect(successor.majorityContactAgeMs).toBeLessThanOrEqual(CALM_CONTACT_MS);
+  expect(successor.majorityContactAgeMs).toBeLessThanOrEqual(MAX_CONTACT_AGE_MS);
   cluster.heal(former);
   cluster.run(2000);
   const after = metricsOf(cluster, former);
   expect(after).toMatchObject({ isLeaderKnown: true, voters: { reachable: 3 } });
-  expect(after.majorityContactAgeMs).toBeLessThanOrEqual(CALM_CONTACT_MS);
+  expect(after.majorityContactAgeMs).toBeLessThanOrEqual(MAX_CONTACT_AGE_MS);
   expect(after.events.leaderChanges).toBeGreaterThan(before.events.leaderChanges);
 });
-test('a node with a lost disk shows its repair', () => {
+test('a node with a wiped disk reports its repair', () => {
   const cluster = foundedCluster();
   const id = cluster.follower();
   cluster.stop(id);
@@ -76,46 +76,46 @@
   cluster.run(4000);
   expect(metricsOf(cluster, id)).toMatchObject({ replica: 'sound', events: { repairs: 1 } });
 });
-test('a joint change of voters shows while it lasts', () => {
+test('a joint change of voters is reported while it lasts', () => {
   const cluster = foundedCluster();
   const leader = cluster.leader();
   const before = metricsOf(cluster, leader).events.voterChanges;
   cluster.stop(cluster.follower());
   cluster.start('d:1', false);
   expect(metricsOf(cluster, 'd:1').voters.isVoter).toBe(false);
-  let joint = 0;
-  for (let waits = 0; waits < 1000; waits += 1) {
+  let jointSteps = 0;
+  for (let step = 0; step < 1000; step += 1) {
     cluster.run(10);
     const { voters } = metricsOf(cluster, leader);
     if (!voters.isJoint) continue;
     expect(voters.members).toBe(4);
-    joint += 1;
+    jointSteps += 1;
   }
-  expect(joint).toBeGreaterThan(0);
+  expect(jointSteps).toBeGreaterThan(0);
   expect(metricsOf(cluster, leader)).toMatchObject({
     voters: { members: 3, reachable: 3, isJoint: false },
     events: { voterChanges: before + 2 },
   });
   expect(metricsOf(cluster, 'd:1').voters.isVoter).toBe(true);
 });
-test('a configuration on no majority shows as held and not committed', () => {
+test('a configuration that is not stored at a majority is reported as held, not as committed', () => {
   const cluster = foundedCluster();
   const leader = cluster.leader();
   for (const id of SEEDS) if (id !== leader) cluster.node(id).disk = 'stalled';
   const before = metricsOf(cluster, leader);
   cluster.asked(leader, 'configure', editOf('e1', 0, documentOf(7, 'x')), 300);
   const after = metricsOf(cluster, leader);
-  // Held here, and not known to be on a majority.
+  // Held by the leader, but not known to be stored at a majority.
   expect(after.configHeld.count).toBe(before.configHeld.count + 1);
   expect(after.configCommitted).toEqual(before.configCommitted);
 });
-test('orders show by outcome at the node that decides on them', () => {
+test('edits are counted by outcome at the node that decides on them', () => {
   const cluster = foundedCluster();
   const leader = cluster.leader();
   const follower = cluster.follower();
   const first = editOf('e1', 0, documentOf(7, 'x'));
   expect(cluster.asked(leader, 'configure', first).status).toBe(200);
-  // The same once more, passed on by a follower.
+  // A retry of the same edit, forwarded by a follower.
   expect(cluster.asked(follower, 'configure', first).status).toBe(200);
   expect(cluster.asked(leader, 'configure', editOf('e2', 0, documentOf(8, 'y'))).status).toBe(409);
   expect(cluster.asked(leader, 'configure', editOf('e3', 7, documentOf(7, 'z'))).status).toBe(400);
@@ -128,21 +128,21 @@
     unserved: 0,
     forwarded: 0,
   });
-  // Passed on there, and decided and counted by the leader.
+  // The follower forwarded the edit; the leader decided and counted it.
   expect(metricsOf(cluster, follower).orders).toMatchObject({ accepted: 0, forwarded: 1 });
 });
-test('orders at a node that is cut off show as unclear', () => {
+test('an edit at an isolated leader is counted as unclear', () => {
   const cluster = foundedCluster();
   const leader = cluster.leader();
   cluster.cut(leader);
   cluster.ask(leader, 'configure', editOf('e1', 0, documentOf(7, 'x')));
   cluster.run(5000);
   expect(metricsOf(cluster, leader).orders.unclear['leader-lost']).toBe(1);
-  // Now it knows no leader, and says that nothing was done.
+  // The node no longer knows a leader, and rejects the edit without effect.
   expect(cluster.asked(leader, 'configure', editOf('e2', 0, documentOf(8))).status).toBe(503);
   expect(metricsOf(cluster, leader).orders).toMatchObject({ accepted: 0, unserved: 1 });
 });
-test('an evacuation past its age shows', () => {
+test('a zone evacuation that exceeds its maximum age is counted', () => {
   const cluster = foundedCluster();
   const leader = cluster.leader();
   cluster.freeze(leader);
@@ -150,6 +150,6 @@
   cluster.run(6000);
   cluster.thaw(leader);
   cluster.run(500);
-  // It waited at a frozen node for six seconds: nobody can tell what was ordered since.
+  // The command waited at a frozen node for six seconds, in which it may have been retried and its effect overridden.
   expect(metricsOf(cluster, leader).orders.refused['too-old']).toBe(1);
 });
--- a/src/control/control-families.test.ts
+++ b/src/control/control-families.test.ts
@@ -47,7 +47,7 @@
   return undefined;
 }
 
-test('a look at a node is told under its names', () => {
+test('the values of a snapshot are exposed under the names of the metrics', () => {
   const families = familiesOf({});
   expect(valueOf(families, 'epoch')).toBe(8);
   expect(valueOf(families, 'leader_known')).toBe(1);
@@ -60,20 +60,20 @@
   expect(valueOf(families, 'leaderless_list_readings_total')).toBe(6);
   expect(valueOf(families, 'versions_behind')).toBe(3);
 });
-test('a replica is in one state', () => {
+test('the replica state metric is 1 for exactly one state', () => {
   const families = familiesOf({ replica: 'blank' });
   const states = ['sound', 'blank', 'lost', 'repairing'];
   expect(states.map((state) => valueOf(families, 'replica_state', state))).toEqual([0, 1, 0, 0]);
 });
-test('a node never in contact does not look as if it were', () => {
+test('a node that never had contact reports an infinite contact age', () => {
   const families = familiesOf({ majorityContactAgeMs: undefined });
   expect(valueOf(families, 'majority_contact_age_seconds')).toBe(Infinity);
 });
-test('names are unique and of the usual form', () => {
+test('metric names are unique and follow the naming conventions', () => {
   const names = new Set<string>();
   for (const { name, kind } of familiesOf({})) {
     expect(name).toMatch(/^haretrack_control_[a-z_]+$/);
-    // Counters end in _total and gauges do not, as is usual for such names.
+    // By convention, counters end in _total and gauges do not.
     expect(name.endsWith('_total')).toBe(kind === 'counter');
     expect(names.has(name)).toBe(false);
     names.add(name);
--- a/src/control/control-metrics.test.ts
+++ b/src/control/control-metrics.test.ts
@@ -2,7 +2,7 @@
 import { versionsBetween } from '../common/version.js';
 import { ControlCounters, sessionNumbers } from './control-metrics.js';
 
-test('orders are counted by outcome and reason', () => {
+test('edits are counted by outcome and reason', () => {
   const counters = new ControlCounters();
   counters.countAccepted();
   counters.countAcknowledgedAgain();
@@ -21,7 +21,7 @@
     forwarded: 1,
   });
 });
-test('events are counted beside those of the election and the replica', () => {
+test('event counts include those of the election and the replica', () => {
   const counters = new ControlCounters();
   counters.countLeaderChange();
   counters.countVoterChange();
@@ -34,22 +34,22 @@
     repairs: 1,
   });
 });
-test('a snapshot does not change with what is counted after it', () => {
+test('a snapshot is not changed by later counts', () => {
   const counters = new ControlCounters();
   const before = counters.orders;
   counters.countRefused('invalid');
   expect(before.refused.invalid).toBe(0);
 });
-test('versions behind go on over a change of leader', () => {
+test('versions behind are counted across a change of leader', () => {
   const newer = { epoch: 4, count: 12 };
   expect(versionsBetween({ epoch: 4, count: 9 }, newer)).toBe(3);
   expect(versionsBetween({ epoch: 2, count: 9 }, newer)).toBe(3);
-  // A new leader writes the same configuration anew: it is one version further all the same.
+  // A new leader rewrites the same configuration, which counts as one version more.
   expect(versionsBetween({ epoch: 2, count: 12 }, newer)).toBe(1);
   expect(versionsBetween(newer, newer)).toBe(0);
   expect(versionsBetween({ epoch: 6, count: 1 }, newer)).toBe(0);
 });
-test('sessions behind are counted with the farthest of them', () => {
+test('sessions that are behind are counted, with the largest lag', () => {
   const committed = { epoch: 4, count: 12 };
   const acked = [committed, { epoch: 4, count: 10 }, { epoch: 0, count: 0 }];
   expect(sessionNumbers(acked, committed)).toEqual({ open: 3, behind: 2, versionsBehind: 12 });
