--- a/src/control/control-updates.test.ts
+++ b/src/control/control-updates.test.ts
@@ -11,13 +11,13 @@
     moment(0),
   );
 }
-function isNewsTo(id: string, effect: ControlEffect): boolean {
+function isUpdateTo(id: string, effect: ControlEffect): boolean {
   return effect.do === 'send' && effect.to === id && effect.message.kind === 'update';
 }
 function isAssignmentTo(id: string, effect: ControlEffect): boolean {
   return effect.do === 'send' && effect.to === id && effect.message.kind === 'assignParent';
 }
-function tell(core: ControlCore, count: number): void {
+function receiveConfigUpdate(core: ControlCore, count: number): void {
   core.onMessage(moment(10 + count), 'b:1', {
     kind: 'update',
     topic: 'config',
@@ -26,18 +26,18 @@
     body: '{}',
   });
 }
-/** Who asks across is answered and forgotten; its news come down the tree it hangs in. */
-test('who asks across gets what it lacks, and nothing after that', () => {
+/** A member of another node's relay tree is answered once; later updates reach it through its own tree. */
+test('a freshness request from a member of another tree is answered with one update, and none after it', () => {
   const core = makeCore();
-  tell(core, 1);
+  receiveConfigUpdate(core, 1);
   core.drain();
   core.onMessage(moment(20), 'l:9', { kind: 'freshnessRequest', nonce: -1, have: [], members: [] });
-  expect(core.drain().filter((effect) => isNewsTo('l:9', effect))).toHaveLength(1);
-  tell(core, 2);
-  expect(core.drain().filter((effect) => isNewsTo('l:9', effect))).toHaveLength(0);
+  expect(core.drain().filter((effect) => isUpdateTo('l:9', effect))).toHaveLength(1);
+  receiveConfigUpdate(core, 2);
+  expect(core.drain().filter((effect) => isUpdateTo('l:9', effect))).toHaveLength(0);
 });
-/** Those that hang here go on being fed when they ask across as well. */
-test('a child that asks across is fed on', () => {
+/** A child in this node's tree that also sends such a request still receives updates. */
+test('a child that sends a freshness request still receives updates', () => {
   const core = makeCore();
   core.onMessage(moment(5), 'l:1', {
     kind: 'join',
@@ -49,13 +49,16 @@
   });
   core.onMessage(moment(20), 'l:1', { kind: 'freshnessRequest', nonce: -1, have: [], members: [] });
   core.drain();
-  tell(core, 1);
-  expect(core.drain().filter((effect) => isNewsTo('l:1', effect))).toHaveLength(1);
+  receiveConfigUpdate(core, 1);
+  expect(core.drain().filter((effect) => isUpdateTo('l:1', effect))).toHaveLength(1);
 });
-/** Drawing the tree takes time with its size: words that change nothing must not draw it, or cost grows with the square of the links. */
-test('the tree is drawn where a join may change it, and not for every join', () => {
+/**
+ * Computing the relay tree takes time proportional to its size: if every repeated join recomputed it, the cost would grow
+ * with the square of the number of links.
+ */
+test('the relay tree is recomputed for a join that may change it, and not for every join', () => {
   const core = makeCore();
-  const chosen = vi.spyOn(Sessions.prototype, 'relayParents');
+  const relayParents = vi.spyOn(Sessions.prototype, 'relayParents');
   function joinAll(at: number): void {
     for (let index = 0; index < 50; index += 1)
       core.onMessage(moment(at + index), `l:${100 + index}`, {
@@ -69,13 +72,13 @@
   }
   joinAll(0);
   core.drain();
-  chosen.mockClear();
+  relayParents.mockClear();
   joinAll(100);
-  expect(chosen).not.toHaveBeenCalled();
+  expect(relayParents).not.toHaveBeenCalled();
   expect(core.drain().filter((effect) => isAssignmentTo('l:149', effect))).toEqual([
     { do: 'send', to: 'l:149', message: { kind: 'assignParent', parent: 'l:111' } },
   ]);
-  // One that a child could not reach hangs under the control node itself at once.
+  // A child that could not reach its parent is moved to the control node itself at once.
   core.onMessage(moment(200), 'l:149', {
     kind: 'join',
     zone: 'z',
@@ -84,6 +87,6 @@
     count: 0,
     lost: 'l:111',
   });
-  expect(chosen).toHaveBeenCalled();
-  chosen.mockRestore();
+  expect(relayParents).toHaveBeenCalled();
+  relayParents.mockRestore();
 });
--- a/src/control/fleet-manager.test.ts
+++ b/src/control/fleet-manager.test.ts
@@ -5,12 +5,12 @@
 import { FleetManager } from './fleet-manager.js';
 import { IdlePlanner } from './testing/idle-planner.js';
 
-/** Says what it is given to say. */
-class TellingPlanner extends IdlePlanner {
-  told: Fleet = { flows: 1, runners: [], waits: [] };
+/** Returns the fleet that a test sets. */
+class FixedFleetPlanner extends IdlePlanner {
+  nextFleet: Fleet = { flows: 1, runners: [], waits: [] };
 
   override fleet(): Fleet {
-    return this.told;
+    return this.nextFleet;
   }
 }
 
@@ -34,12 +34,12 @@
   };
 }
 function ignore(): void {
-  /* not looked at */
+  /* The test does not check it. */
 }
-function yes(): boolean {
+function returnTrue(): boolean {
   return true;
 }
-function one(): number {
+function returnOne(): number {
   return 1;
 }
 function noRouting(): { readonly routing: undefined; readonly faults: readonly [] } {
@@ -48,28 +48,28 @@
 function noChange(): undefined {
   return undefined;
 }
-test('a fleet that stands still is told once, also while runners warm up', () => {
-  const planner = new TellingPlanner();
+test('an unchanged fleet is published once, also while the warm-up times of runners count down', () => {
+  const planner = new FixedFleetPlanner();
   const bodies: string[] = [];
   function publish(_count: number, body: string): void {
     bodies.push(body);
   }
   const fleetManager = new FleetManager(
     { dialect: { read: noRouting, amend: noChange }, planner, isFirstStart: true, listMs: 1000 },
-    { addEffect: ignore, write: ignore, publish, mayOrder: yes, proxyCount: one },
+    { addEffect: ignore, write: ignore, publish, mayOrder: returnTrue, proxyCount: returnOne },
   );
   const doc = initialDoc(['a:1']);
   fleetManager.beginLeading(moment(0), [], 'a/2');
-  planner.told = fleetOf(3000);
+  planner.nextFleet = fleetOf(3000);
   fleetManager.onRunnerList(moment(0), [], doc);
-  // The planner has nothing new to say; that a span it told has run down meanwhile is none.
+  // The planner returns the same fleet; that a duration in it has counted down meanwhile is no change.
   for (let at = 100; at < 5000; at += 100) fleetManager.tick(moment(at), doc);
   expect(bodies).toHaveLength(1);
-  // Said anew with what is left of the span, it is still the same; a later end is news.
-  planner.told = fleetOf(500);
+  // The remaining duration is published again only if the moment of its end has moved.
+  planner.nextFleet = fleetOf(500);
   fleetManager.tick(moment(2500 + 2500), doc);
   expect(bodies).toHaveLength(2);
-  planner.told = fleetOf(400);
+  planner.nextFleet = fleetOf(400);
   fleetManager.tick(moment(5100), doc);
   expect(bodies).toHaveLength(2);
 });
--- a/src/control/order-sender.test.ts
+++ b/src/control/order-sender.test.ts
@@ -40,37 +40,38 @@
   }
 }
 class FakeLease {
-  readonly #may: boolean;
-  readonly #end: number;
+  readonly #mayOrder: boolean;
+  readonly #endMs: number;
   constructor(may: boolean, end: number) {
-    this.#may = may;
-    this.#end = end;
+    this.#mayOrder = may;
+    this.#endMs = end;
   }
   mayOrder(): boolean {
-    return this.#may;
+    return this.#mayOrder;
   }
   leaseEnd(): Moment {
-    return moment(this.#end);
+    return moment(this.#endMs);
   }
 }
-function zero(): Moment {
+function nowAtZero(): Moment {
   return moment(0);
 }
-async function checkTaken(address: string, bodies: string[]): Promise<void> {
+async function checkAccepted(address: string, bodies: string[]): Promise<void> {
   expect(
-    await new OrderSender(new FakeLease(true, 5000), zero).send(intent, address, 'me', 2),
+    await new OrderSender(new FakeLease(true, 5000), nowAtZero).send(intent, address, 'me', 2),
   ).toBe('taken');
   expect(bodies).toHaveLength(1);
 }
-async function checkLapsed(address: string, bodies: string[]): Promise<void> {
-  // The lease is lost between the head and the write: the runner sees no order.
+async function checkExpiredLease(address: string, bodies: string[]): Promise<void> {
+  // The lease is lost between the headers and the body: the runner receives no order.
   expect(
-    await new OrderSender(new FakeLease(false, 5000), zero).send(intent, address, 'me', 2),
+    await new OrderSender(new FakeLease(false, 5000), nowAtZero).send(intent, address, 'me', 2),
+  ).toBe('unsent');
+  expect(
+    await new OrderSender(new FakeLease(true, 50), nowAtZero).send(intent, address, 'me', 2),
   ).toBe('unsent');
-  expect(await new OrderSender(new FakeLease(true, 50), zero).send(intent, address, 'me', 2)).toBe(
-    'unsent',
-  );
   expect(bodies).toHaveLength(0);
 }
-test('an order within the lease is taken', () => withRunner(checkTaken));
-test('no order is written once the lease is over or about to be', () => withRunner(checkLapsed));
+test('an order within the lease is accepted', () => withRunner(checkAccepted));
+test('no order is written after the lease has ended or shortly before its end', () =>
+  withRunner(checkExpiredLease));
--- a/src/control/planned-stop.test.ts
+++ b/src/control/planned-stop.test.ts
@@ -9,10 +9,10 @@
 const NOTIFY_INTERVAL_MS = 200;
 const DEPARTURE_TIMEOUT_MS = 1000;
 const STALL_MS = 400;
-const BEGAN = 10_000;
+const START_MS = 10_000;
 
 function at(millis: number) {
-  return moment(BEGAN + millis);
+  return moment(START_MS + millis);
 }
 
 describe('the handover of a planned stop', () => {
@@ -24,7 +24,7 @@
     expect(handover.isNotifyDue(at(NOTIFY_INTERVAL_MS))).toBe(true);
   });
 
-  test('is over once the leader lets the voter stop, and not while it does not', () => {
+  test('is over once the leader permits the stop, and not before', () => {
     const handover = new VoterHandover(at(0));
     handover.onReply(false);
     expect(handover.isOver).toBe(false);
@@ -57,7 +57,7 @@
   });
 });
 
-test('a voter counts as departing for a second after it said so last', () => {
+test('a voter counts as departing for a second after its last notification', () => {
   const departing = new DepartingVoters();
   expect(departing.has('b')).toBe(false);
   departing.onDeparture(at(0), 'b');
@@ -72,7 +72,7 @@
 });
 
 describe('the time for which a peer is idle', () => {
-  test('counts from when it was heard last, and is none for one that was never pinged', () => {
+  test('counts from its last message, and is 0 for a peer that was never pinged', () => {
     const clock = new PeerIdleClock(at(0));
     clock.tick(at(100));
     expect(clock.idleMs(at(100), at(70))).toBe(30);
--- a/src/control/proxy-count.test.ts
+++ b/src/control/proxy-count.test.ts
@@ -9,7 +9,7 @@
 import { ProxyCount } from './proxy-count.js';
 import { foundedCluster, SEEDS, type ControlCluster } from './testing/control-cluster.js';
 
-const BLIND_MS = 2500;
+const FRESHNESS_BOUND_MS = 2500;
 const TAKEOVER = moment(60_000);
 const AGENTS = 9;
 const JOIN_INTERVAL_MS = 1000;
@@ -22,24 +22,24 @@
   return JSON.stringify({ flows, runners: [], waits: [] } satisfies Fleet);
 }
 
-/** What a control node knows that has just become the leader: the former leader's update, and these members. */
-class Successor {
+/** The proxy count of a new leader, with its sources: the former leader's update and the known members. */
+class NewLeader {
   readonly relay = new Relay();
-  readonly #members = new KnownMembers(new Sessions(1500, 5000), BLIND_MS, moment(0));
+  readonly #members = new KnownMembers(new Sessions(1500, 5000), FRESHNESS_BOUND_MS, moment(0));
   readonly count = new ProxyCount(this.#members, this.relay);
 
-  know(now: Moment, members: number): void {
+  reportMembers(now: Moment, members: number): void {
     const reported = Array.from({ length: members }, (_, index) => memberOf(index));
     this.#members.onMembersReported(now, 'other', reported);
   }
 }
 
 // Guards against FAILBACK: proxies that a new leader does not know yet send to a cold runner as well.
-test("a new leader goes on with the former one's number until all had time to be known", () => {
+test("a new leader uses the former leader's number until all members had time to become known", () => {
   for (const topic of ['fleet', 'places']) {
-    const successor = new Successor();
+    const successor = new NewLeader();
     successor.relay.offer(topic, { epoch: 2, count: 7 }, fleetText(AGENTS));
-    successor.know(TAKEOVER, 3);
+    successor.reportMembers(TAKEOVER, 3);
     successor.count.beginLeading(TAKEOVER);
     expect(successor.count.current(TAKEOVER)).toBe(AGENTS);
     const last = moment(TAKEOVER + PROXY_COUNT_RETENTION_MS - 1);
@@ -47,22 +47,22 @@
     expect(successor.count.current(moment(last + 1))).toBe(3);
   }
 });
-test('a new member counts at once, one that is not seen any more for a while', () => {
-  const leader = new Successor();
+test('a new member counts at once, and one that is no longer seen still counts for the retention time', () => {
+  const leader = new NewLeader();
   leader.count.beginLeading(TAKEOVER);
   expect(leader.count.current(TAKEOVER)).toBe(1);
-  leader.know(TAKEOVER, 5);
+  leader.reportMembers(TAKEOVER, 5);
   expect(leader.count.current(TAKEOVER)).toBe(5);
-  leader.know(moment(TAKEOVER + 100), 4);
+  leader.reportMembers(moment(TAKEOVER + 100), 4);
   expect(leader.count.current(moment(TAKEOVER + 100))).toBe(5);
   expect(leader.count.current(moment(TAKEOVER + 100 + PROXY_COUNT_RETENTION_MS))).toBe(4);
 });
-test('a number counted in an earlier time as the leader does not hold in a later one', () => {
-  const leader = new Successor();
-  leader.know(moment(0), 20);
+test('a number counted in an earlier leadership does not hold in a later one', () => {
+  const leader = new NewLeader();
+  leader.reportMembers(moment(0), 20);
   leader.count.beginLeading(moment(0));
   expect(leader.count.current(moment(0))).toBe(20);
-  leader.know(TAKEOVER, 6);
+  leader.reportMembers(TAKEOVER, 6);
   leader.count.beginLeading(TAKEOVER);
   expect(leader.count.current(TAKEOVER)).toBe(6);
 });
@@ -85,7 +85,7 @@
     cluster.node(id).core.onMessage(cluster.now, `agent-${index}`, message, 'z');
 }
 
-/** The numbers by which a node has had limits divided, in order. */
+/** The proxy counts that a node has logged, in order. */
 function countsOf(cluster: ControlCluster, id: string): number[] {
   const counts: number[] = [];
   for (const event of cluster.node(id).events)
@@ -93,13 +93,13 @@
   return counts;
 }
 
-test('the first fleet of a leader that follows another has limits divided by all proxies', () => {
+test('the first fleet of a new leader divides limits by all proxies', () => {
   const cluster = foundedCluster();
   runWithAgents(cluster, 5000);
   const former = cluster.leader();
   expect(countsOf(cluster, former).at(-1)).toBe(AGENTS);
   cluster.stop(former);
-  // It leads before the agents of the other follower were reported to it.
+  // The new leader serves before the agents of the other follower were reported to it.
   while (cluster.leader() === '') cluster.run(10);
   const leader = cluster.leader();
   cluster.node(leader).core.onRunnerList(cluster.now, []);
