--- a/src/control/testing/attached-proxy.ts
+++ b/src/control/testing/attached-proxy.ts
@@ -7,18 +7,18 @@
 import type { FaultCluster, Neighbour } from './fault-cluster.js';
 
 const PROXY = 'flow@proxy';
-const ASK_MS = 1000;
+const FRESHNESS_REQUEST_INTERVAL_MS = 1000;
 
-/** An agent with the proxy beside it, as far as it hears of leaving runners, next to a cluster of control cores. */
+/** An agent and its proxy, connected to a cluster of control cores; records when the proxy learns that runners are draining. */
 export class AttachedProxy implements Neighbour {
   readonly id: string;
   readonly #cluster: FaultCluster;
   readonly #agent: AgentCore;
-  readonly #held = new Map<string, KnownVersion>();
-  readonly #leaving = new DrainingRunnerIds();
-  /** When the proxy heard first that a runner leaves. */
-  readonly #heardAt = new Map<string, Moment>();
-  #askedAt = moment(-ASK_MS);
+  readonly #heldVersions = new Map<string, KnownVersion>();
+  readonly #drainingRunners = new DrainingRunnerIds();
+  /** When the proxy first learned that a runner is draining, by its id. */
+  readonly #drainSeenAt = new Map<string, Moment>();
+  #requestedAt = moment(-FRESHNESS_REQUEST_INTERVAL_MS);
   #nonce = 0;
 
   constructor(cluster: FaultCluster, id: string, zone: string, seeds: readonly string[]) {
@@ -36,32 +36,36 @@
     cluster.join(id, this);
   }
 
+  /** The control node that the agent is connected to. */
   get controlNode(): string {
     return this.#agent.controlNode;
   }
 
-  /** When its proxy heard first that a runner leaves; nothing if it has not. */
+  /** When the proxy first learned that a runner is draining; undefined if it has not. */
   heardAt(runner: string): number | undefined {
-    return this.#heardAt.get(runner);
+    return this.#drainSeenAt.get(runner);
   }
 
+  /** Ticks the agent, and sends it the proxy's freshness request if due. */
   tick(now: Moment): void {
     this.#agent.tick(now);
-    if (now - this.#askedAt >= ASK_MS) {
-      this.#askedAt = now;
+    if (now - this.#requestedAt >= FRESHNESS_REQUEST_INTERVAL_MS) {
+      this.#requestedAt = now;
       this.#nonce += 1;
-      const have = [...this.#held.values(), ...this.#leaving.summary()];
-      const ask = { kind: 'freshnessRequest', nonce: this.#nonce, have, members: [] } as const;
-      this.#agent.onMessage(now, PROXY, 'flow', { ...ask, members: [] });
+      const have = [...this.#heldVersions.values(), ...this.#drainingRunners.summary()];
+      const request = { kind: 'freshnessRequest', nonce: this.#nonce, have, members: [] } as const;
+      this.#agent.onMessage(now, PROXY, 'flow', { ...request, members: [] });
     }
     this.#drain(now);
   }
 
+  /** Delivers a message to the agent. */
   receive(now: Moment, from: string, message: Message): void {
     this.#agent.onMessage(now, from, from.startsWith('agent') ? 'link' : 'mind', message);
     this.#drain(now);
   }
 
+  /** The connection to a node closed. */
   gone(now: Moment, id: string): void {
     this.#agent.onDisconnect(now, id);
     this.#drain(now);
@@ -70,29 +74,29 @@
   #drain(now: Moment): void {
     for (const effect of this.#agent.drain()) {
       if (effect.do !== 'send') continue;
-      if (effect.to === PROXY) this.#hear(now, effect.message);
+      if (effect.to === PROXY) this.#onProxyMessage(now, effect.message);
       else this.#cluster.send(this.id, effect.to, effect.message);
     }
   }
 
-  #hear(now: Moment, message: Message): void {
+  #onProxyMessage(now: Moment, message: Message): void {
     if (message.kind === 'leaving') {
-      this.#leaving.add(now, message.runners);
-      for (const id of message.runners) this.#note(now, id);
+      this.#drainingRunners.add(now, message.runners);
+      for (const id of message.runners) this.#recordDrain(now, id);
       return;
     }
     if (message.kind !== 'update' && message.kind !== 'delta') return;
     const { topic, epoch, count, body } = message;
-    this.#held.set(topic, { topic, epoch, count });
+    this.#heldVersions.set(topic, { topic, epoch, count });
     if (topic !== 'fleet') return;
     const runners: readonly FleetRunner[] | undefined =
       message.kind === 'update'
         ? parseAs(FleetShape, body)?.runners
         : parseAs(FleetDeltaShape, body)?.put;
-    for (const { id, isLeaving } of runners ?? []) if (isLeaving) this.#note(now, id);
+    for (const { id, isLeaving } of runners ?? []) if (isLeaving) this.#recordDrain(now, id);
   }
 
-  #note(now: Moment, id: string): void {
-    if (!this.#heardAt.has(id)) this.#heardAt.set(id, now);
+  #recordDrain(now: Moment, id: string): void {
+    if (!this.#drainSeenAt.has(id)) this.#drainSeenAt.set(id, now);
   }
 }
--- a/src/control/testing/control-cluster.ts
+++ b/src/control/testing/control-cluster.ts
@@ -9,12 +9,13 @@
 
 export { documentOf } from './plain-dialect.js';
 
+/** A node's answer to a command; status 0 if there is none. */
 export interface Answer {
   readonly status: number;
   readonly body: string;
 }
 
-interface Mail {
+interface Envelope {
   readonly from: string;
   readonly to: string;
   readonly message: Message;
@@ -24,29 +25,31 @@
   core: ControlCore;
   readonly store: MemoryStore;
   isUp: boolean;
-  /** Inputs of a frozen node wait and reach it before its first tick after the thaw. */
+  /** Inputs of a frozen node are queued, and handled before its first tick after the thaw. */
   isFrozen: boolean;
   readonly inbox: (() => void)[];
   disk: 'sound' | 'stalled';
   readonly answers: Map<number, Answer>;
-  /** The log events since its start. */
+  /** The log events since the start of the node. */
   readonly events: CoreLogEvent[];
 }
 
+/** The nodes of a cluster that `foundedCluster` starts. */
 export const SEEDS = ['a:1', 'b:1', 'c:1'];
 const STEP_MS = 10;
 const TICK_MS = 50;
 
-/** Control cores in memory on virtual time, with messages that take one step each. */
+/** Control cores in memory, on virtual time; each message takes one step. */
 export class ControlCluster {
   #now = 0;
-  #asked = 0;
+  #commandId = 0;
   readonly nodes = new Map<string, Node>();
-  #mail: Mail[] = [];
-  readonly #cut = new Set<string>();
-  /** Messages that a cut holds up; they are delivered late, in order, once it heals. */
-  #held: Mail[] = [];
+  #inFlight: Envelope[] = [];
+  readonly #isolated = new Set<string>();
+  /** Messages from and to isolated nodes, in order; delivered or dropped when a node is connected again. */
+  #delayed: Envelope[] = [];
 
+  /** Starts a node, with its stored state if it ran before. */
   start(id: string, isFirstStart: boolean, seeds: readonly string[] = SEEDS): void {
     const store = this.nodes.get(id)?.store ?? new MemoryStore();
     const deployed = {
@@ -77,54 +80,60 @@
     });
   }
 
+  /** The virtual time. */
   get now(): Moment {
     return moment(this.#now);
   }
 
+  /** Stops a node without a handover. */
   stop(id: string): void {
     this.node(id).isUp = false;
   }
 
+  /** Erases the disk of a node. */
   wipe(id: string): void {
     this.node(id).store.erase();
   }
 
+  /** Suspends a node: its inputs are queued, and it does not tick. */
   freeze(id: string): void {
     this.node(id).isFrozen = true;
   }
 
-  /** What waits at the node is handled at once; its first tick comes with the next run. */
+  /** Resumes a node: its queued inputs are handled at once, its first tick comes with the next run. */
   thaw(id: string): void {
     const node = this.node(id);
     node.isFrozen = false;
     for (const input of node.inbox.splice(0)) input();
   }
 
-  /** Cuts a node off from all others, both ways. */
+  /** Isolates a node from all others, in both directions. */
   cut(id: string): void {
-    this.#cut.add(id);
+    this.#isolated.add(id);
   }
 
-  /** Joins a node again; what the cut held up arrives now, unless it was lost. */
-  heal(id: string, held: 'delivered' | 'lost' = 'delivered'): void {
-    this.#cut.delete(id);
-    const released = this.#held;
-    this.#held = [];
-    if (held === 'delivered') this.#mail.push(...released);
+  /** Connects a node again; the messages held meanwhile are delivered now, or lost. */
+  heal(id: string, delayed: 'delivered' | 'lost' = 'delivered'): void {
+    this.#isolated.delete(id);
+    const messages = this.#delayed;
+    this.#delayed = [];
+    if (delayed === 'delivered') this.#inFlight.push(...messages);
   }
 
+  /** The node with this id; throws if there is none. */
   node(id: string): Node {
     const node = this.nodes.get(id);
     if (!node) throw new Error(`no node ${id}`);
     return node;
   }
 
+  /** Runs the cluster for that long. */
   run(millis: number): void {
     for (const end = this.#now + millis; this.#now < end;) {
       this.#now += STEP_MS;
-      const mail = this.#mail;
-      this.#mail = [];
-      for (const item of mail) this.#deliver(item);
+      const envelopes = this.#inFlight;
+      this.#inFlight = [];
+      for (const envelope of envelopes) this.#deliver(envelope);
       for (const [id, node] of this.nodes) {
         if (!node.isUp || node.isFrozen) continue;
         if (this.#now % TICK_MS === 0) node.core.tick(moment(this.#now));
@@ -133,12 +142,12 @@
     }
   }
 
-  #deliver(item: Mail): void {
-    const { from, to, message } = item;
+  #deliver(envelope: Envelope): void {
+    const { from, to, message } = envelope;
     const node = this.nodes.get(to);
     if (!node?.isUp || !this.node(from).isUp) return;
-    if (this.#cut.has(from) || this.#cut.has(to)) {
-      this.#held.push(item);
+    if (this.#isolated.has(from) || this.#isolated.has(to)) {
+      this.#delayed.push(envelope);
       return;
     }
     this.#input(to, () => this.#receive(to, from, message));
@@ -160,7 +169,7 @@
     for (let effects = node.core.drain(); effects.length > 0; effects = node.core.drain()) {
       for (const effect of effects) {
         if (effect.do === 'send')
-          this.#mail.push({ from: id, to: effect.to, message: effect.message });
+          this.#inFlight.push({ from: id, to: effect.to, message: effect.message });
         else if (effect.do === 'reply')
           node.answers.set(effect.id, { status: effect.status, body: effect.body });
         else if (effect.do === 'log') node.events.push(effect.event);
@@ -172,15 +181,17 @@
     }
   }
 
+  /** The id of a node that serves as the leader; '' if there is none. */
   leader(): string {
     for (const [id, node] of this.nodes)
       if (node.isUp && !node.isFrozen && node.core.isServing) return id;
     return '';
   }
 
+  /** Sends a command to a node's API; returns the number by which `answer` finds the answer. */
   ask(id: string, verb: string, body: object): number {
-    this.#asked += 1;
-    const number = this.#asked;
+    this.#commandId += 1;
+    const number = this.#commandId;
     const text = JSON.stringify(body);
     this.#input(id, () => this.#command(id, number, verb, text));
     return number;
@@ -192,21 +203,24 @@
     this.#drain(id, node);
   }
 
+  /** The answer of a node to the command with this number; status 0 if there is none yet. */
   answer(id: string, number: number): Answer {
     return this.node(id).answers.get(number) ?? { status: 0, body: '' };
   }
 
+  /** Sends a command to a node's API, runs the cluster, and returns the answer. */
   asked(id: string, verb: string, body: object, millis: number = 500): Answer {
     const number = this.ask(id, verb, body);
     this.run(millis);
     return this.answer(id, number);
   }
 
+  /** The voters as the leader knows them, separated by spaces. */
   voters(): string {
     return [...this.node(this.leader()).core.voters].join(' ');
   }
 
-  /** Some node that does not lead. */
+  /** The id of a running node that is not the leader; throws if there is none. */
   follower(): string {
     const leader = this.leader();
     for (const [id, node] of this.nodes)
@@ -215,15 +229,16 @@
   }
 }
 
-/** A cluster of three at its first start, with a leader that serves. */
+/** A new cluster of three, with a leader that serves. */
 export function foundedCluster(): ControlCluster {
   const cluster = new ControlCluster();
   for (const id of SEEDS) cluster.start(id, true);
   cluster.run(6000);
-  if (cluster.leader() === '') throw new Error('nobody leads');
+  if (cluster.leader() === '') throw new Error('no node leads');
   return cluster;
 }
 
+/** The body of an edit. */
 export function editOf(id: string, base: number, text: string): object {
   return { id, base, text };
 }
--- a/src/control/testing/duty-node.ts
+++ b/src/control/testing/duty-node.ts
@@ -9,9 +9,10 @@
 import { ControlComponents } from '../control-components.js';
 import { makeReplica, type ControlReplica } from '../control-replica.js';
 
-/** A message and to whom it goes. */
+/** A message with its recipient, which comes first. */
 export type Sent = readonly [string, Message];
 
+/** A list of machines with one runner. */
 export const MACHINES: Machines = {
   revision: 3,
   machines: [{ id: 'r1', address: 'r1:1', zone: 'z', service: '', leaving: false }],
@@ -19,7 +20,7 @@
 
 const START = moment(0);
 
-/** What is on the disk of a node that may vote and has granted nothing. */
+/** The disk of a node that may vote and has granted no epoch. */
 export const SOUND_DISK: readonly StoredPartition[] = [
   {
     partition: VOTE_RECORD,
@@ -29,7 +30,7 @@
   },
 ];
 
-/** The duties of node `a` of three, without the core that ties them together. */
+/** The components of node `a` of three, without the core that connects them. */
 export class DutyNode {
   readonly replica: ControlReplica;
   readonly duties: ControlComponents;
@@ -44,18 +45,18 @@
     };
     this.replica = makeReplica(settings, stored, START, VOTE_DEFAULTS);
     this.duties = new ControlComponents(settings, PLACER_DEFAULTS, this.replica, START, {
-      mayOrder: never,
+      mayOrder: returnFalse,
       drainEffects: doNothing,
-      peers: nobody,
+      peers: noPeers,
     });
   }
 
-  /** The effects since they were asked for last. */
+  /** Takes the effects since the last call. */
   drain(): readonly ControlEffect[] {
     return this.replica.effects.drain();
   }
 
-  /** What was sent of them. */
+  /** Takes the effects since the last call, and returns the messages among them. */
   sent(): Sent[] {
     const sent: Sent[] = [];
     for (const effect of this.drain())
@@ -64,12 +65,12 @@
   }
 }
 
-function never(): boolean {
+function returnFalse(): boolean {
   return false;
 }
 function doNothing(): void {
-  /* Nothing is decided by the election here. */
+  /* The election decides nothing in these tests. */
 }
-function nobody(): readonly string[] {
+function noPeers(): readonly string[] {
   return [];
 }
--- a/src/control/testing/fault-cluster.ts
+++ b/src/control/testing/fault-cluster.ts
@@ -12,18 +12,18 @@
 import { CONTROL_DEFAULTS, type ControlEffect } from '../control-effect.js';
 import { documentOf, PlainDialect, type PlainDocument } from './plain-dialect.js';
 
-/** Plans nothing by itself: it keeps what a test places, as a planner keeps its intents. */
-class KeepingPlanner extends IdlePlanner {
+/** A planner that only stores the placements that a test adds. */
+class StoringPlanner extends IdlePlanner {
   #docs: readonly ServiceDoc[] = [];
   #changed: string[] = [];
-  #listed: readonly ListedRunner[] = [];
+  #runners: readonly ListedRunner[] = [];
 
   override list(_now: Moment, runners: readonly ListedRunner[]): void {
-    this.#listed = runners;
+    this.#runners = runners;
   }
 
   override fleet(): Fleet {
-    return { flows: 1, runners: this.#listed.map(runnerOf), waits: [] };
+    return { flows: 1, runners: this.#runners.map(runnerOf), waits: [] };
   }
 
   place(model: string): void {
@@ -49,72 +49,77 @@
   return { id, address, zone, service, slots, isLeaving, coldMs: 0, holds: [], coming: [] };
 }
 
+/** A node's answer to a command; status 0 if there is none. */
 export interface Answer {
   readonly status: number;
   readonly body: string;
 }
 
-/** A machine beside the control nodes: an agent with its proxy, say. */
+/** A client of the control nodes on a machine of its own, for example an agent with its proxy. */
 export interface Neighbour {
+  /** Delivers a message. */
   receive(now: Moment, from: string, message: Message): void;
+  /** The connection to a node closed. */
   gone(now: Moment, id: string): void;
+  /** Called at each tick of the control nodes. */
   tick(now: Moment): void;
 }
 
-/** A reading of the platform's list, as asked for. */
+/** A read of the platform's list of runners by a node, at the time of its request. */
 export interface ListReading {
   readonly id: string;
   readonly at: number;
 }
 
-interface Timed {
+interface ScheduledEvent {
   readonly at: number;
   readonly run: () => void;
 }
 
 interface Node {
   core: ControlCore;
-  readonly planner: KeepingPlanner;
+  readonly planner: StoringPlanner;
   store: MemoryStore;
-  /** Grows with each start, so that what was under way for a former incarnation is dropped. */
+  /** Increases with each start, so that events for an earlier incarnation are dropped. */
   incarnation: number;
   state: 'up' | 'frozen' | 'down';
-  /** What reached a frozen node; it is read after the thaw. */
+  /** Inputs that reached the frozen node; handled after the thaw. */
   readonly inbox: (() => void)[];
   isDiskStalled: boolean;
   readonly stalled: (() => void)[];
   readonly answers: Map<number, Answer>;
-  /** Since when a planned stop is under way. */
+  /** When a planned stop began. */
   retiringSince: number | undefined;
   stoppedAt: number | undefined;
 }
 
+/** The seed and delays of a cluster. */
 export interface FaultClusterOptions {
   readonly seed?: number;
-  /** Each message takes between these two, in order on each link. */
+  /** Range of the delay of a message; each link delivers in order. */
   readonly leastDelayMs?: number;
   readonly mostDelayMs?: number;
   readonly leastDiskMs?: number;
   readonly mostDiskMs?: number;
 }
 
-/** Both in milliseconds, one way. */
+/** Range of a one-way delay, in milliseconds. */
 interface DelayRange {
-  readonly leastMs: number;
-  readonly mostMs: number;
+  readonly minMs: number;
+  readonly maxMs: number;
 }
 
 const STEP_MS = 5;
 const LIST_DELAY_MS = 30;
 const TICK_MS = 50;
-/** An order in calm times is acknowledged within so long. */
-const ACK_MS = 4000;
-/** A read without an answer is asked again for so long. */
-const READ_MS = 3000;
-/** A planned stop that was not over by then would be killed. */
-const GRACE_MS = 8000;
-/** As a control process of a deployment sets them. */
-const VOTE = {
+/** Time within which an edit is acknowledged if there are no faults. */
+const EDIT_ACK_TIMEOUT_MS = 4000;
+/** How long an unanswered read is retried. */
+const READ_TIMEOUT_MS = 3000;
+/** A planned stop that takes longer is killed. */
+const STOP_GRACE_MS = 8000;
+/** The election settings of a control process in a deployment. */
+const VOTE_SETTINGS = {
   ...VOTE_DEFAULTS,
   pingMs: 250,
   renewMs: 300,
@@ -125,28 +130,30 @@
 } as const;
 
 /**
- * Control cores in memory on virtual time, with links that delay, cut one way or both, processes that are
- * frozen, killed and stopped as planned, and disks that are slow, stalled, lost or brought back old.
+ * Control cores in memory on virtual time, with fault injection: links with delays and cuts in one or both directions,
+ * processes that are frozen, killed or stopped as planned, and disks that are slow, stalled, wiped or restored from an older
+ * copy.
  */
 export class FaultCluster {
   #now = 0;
-  #asked = 0;
+  #commandId = 0;
   readonly nodes = new Map<string, Node>();
-  readonly #numbers: Seeded;
+  readonly #random: Seeded;
   readonly #options: Required<FaultClusterOptions>;
-  readonly #near: DelayRange;
-  #events: Timed[] = [];
-  /** When the last message on a link arrives, or the last write of a part on a disk ends. */
-  readonly #links = new Map<string, number>();
-  /** What each message from or to these takes, in place of what the options say. */
-  readonly #far = new Map<string, DelayRange>();
-  readonly #cut = new Set<string>();
-  readonly #lost = new Set<string>();
-  readonly #neighbours = new Map<string, Neighbour>();
-  /** What the platform lists; nothing where it answers nobody. */
-  #listed: readonly ListedRunner[] | undefined;
-  /** Nodes that the platform does not answer. */
-  readonly #unanswered = new Set<string>();
+  readonly #defaultDelay: DelayRange;
+  #events: ScheduledEvent[] = [];
+  /** When the last message on a link arrives, or the last write of a partition on a disk ends. */
+  readonly #lastDueAt = new Map<string, number>();
+  /** Delays of messages from or to these nodes, in place of those of the options. */
+  readonly #delays = new Map<string, DelayRange>();
+  readonly #cutLinks = new Set<string>();
+  readonly #droppedKinds = new Set<string>();
+  readonly #clients = new Map<string, Neighbour>();
+  /** The platform's list of runners; undefined while the platform is unreachable. */
+  #runnerList: readonly ListedRunner[] | undefined;
+  /** Nodes that cannot reach the platform. */
+  readonly #cutFromPlatform = new Set<string>();
+  /** The reads of the platform's list of runners, in order. */
   readonly listReadings: ListReading[] = [];
 
   constructor(options: FaultClusterOptions = {}) {
@@ -159,26 +166,28 @@
     };
     this.#options = { ...defaults, ...options };
     const { leastDelayMs, mostDelayMs } = this.#options;
-    this.#near = { leastMs: leastDelayMs, mostMs: mostDelayMs };
-    this.#numbers = new Seeded(this.#options.seed, 1);
+    this.#defaultDelay = { minMs: leastDelayMs, maxMs: mostDelayMs };
+    this.#random = new Seeded(this.#options.seed, 1);
   }
 
+  /** The virtual time, in milliseconds. */
   get now(): number {
     return this.#now;
   }
 
+  /** The node with this id; throws if there is none. */
   node(id: string): Node {
     const node = this.nodes.get(id);
     if (!node) throw new Error(`no node ${id}`);
     return node;
   }
 
-  /** Starts a node, with the disk that stands at its address. */
+  /** Starts a node, with its disk if it ran before. */
   start(id: string, seeds: readonly string[], isFirstStart: boolean = false): void {
-    const before = this.nodes.get(id);
-    const store = before?.store ?? new MemoryStore();
-    const incarnation = (before?.incarnation ?? 0) + 1;
-    const planner = new KeepingPlanner();
+    const previous = this.nodes.get(id);
+    const store = previous?.store ?? new MemoryStore();
+    const incarnation = (previous?.incarnation ?? 0) + 1;
+    const planner = new StoringPlanner();
     const deployed = {
       dialect: new PlainDialect(),
       planner,
@@ -190,12 +199,12 @@
       me: id,
       zone: `zone-${id}`,
       seeds,
-      incarnation: incarnation * 1_000_000 + Math.floor(this.#numbers.next() * 1000),
+      incarnation: incarnation * 1_000_000 + Math.floor(this.#random.next() * 1000),
       silentMs: 3000,
       foundMs: 0,
       deployed,
     };
-    const core = new ControlCore(settings, store.list(), moment(this.#now), VOTE);
+    const core = new ControlCore(settings, store.list(), moment(this.#now), VOTE_SETTINGS);
     this.nodes.set(id, {
       core,
       planner,
@@ -211,76 +220,83 @@
     });
   }
 
-  /** From now on the platform answers with these runners. */
+  /** Makes the platform return these runners. */
   list(runners: readonly ListedRunner[]): void {
-    this.#listed = runners;
+    this.#runnerList = runners;
   }
 
-  /** From now on the platform answers nobody. */
+  /** Makes the platform unreachable for all nodes. */
   stopPlatform(): void {
-    this.#listed = undefined;
+    this.#runnerList = undefined;
   }
 
-  /** From now on the platform answers that node nothing. */
+  /** Makes the platform unreachable for a node. */
   cutFromPlatform(id: string): void {
-    this.#unanswered.add(id);
+    this.#cutFromPlatform.add(id);
   }
 
-  /** Puts a machine beside the control nodes; it ticks with them, and cuts bind it as well. */
-  join(id: string, neighbour: Neighbour): void {
-    this.#neighbours.set(id, neighbour);
+  /** Adds a client, which ticks with the control nodes and is subject to cuts as well. */
+  join(id: string, client: Neighbour): void {
+    this.#clients.set(id, client);
   }
 
-  /** A message from a neighbour. */
+  /** Sends a message of a client. */
   send(from: string, to: string, message: Message): void {
     this.#send(from, to, message);
   }
 
+  /** Stops a node at once, without a handover. */
   kill(id: string): void {
     const node = this.node(id);
     node.state = 'down';
     node.stoppedAt = this.#now;
     const closesAt = moment(this.#now + STEP_MS);
-    for (const neighbour of this.#neighbours.values())
-      this.#at(STEP_MS, () => neighbour.gone(closesAt, id));
+    for (const client of this.#clients.values())
+      this.#schedule(STEP_MS, () => client.gone(closesAt, id));
     for (const other of this.nodes.keys())
-      if (other !== id) this.#at(STEP_MS, () => this.#gone(other, id));
+      if (other !== id) this.#schedule(STEP_MS, () => this.#onConnectionClosed(other, id));
   }
 
-  /** A planned stop: the core is asked until it may stop, as its process does. */
+  /** Begins a planned stop: the core is polled until it may stop, as a process does. */
   retire(id: string): void {
     this.node(id).retiringSince = this.#now;
   }
 
+  /** Replaces a node's disk by an empty one. */
   wipe(id: string): void {
     this.node(id).store = new MemoryStore();
   }
 
+  /** The content of a node's disk. */
   disk(id: string): readonly StoredPartition[] {
     return this.node(id).store.list();
   }
 
-  /** Brings back what was on a disk earlier; only for a node that is down. */
+  /** Restores an earlier content of a disk; only for a node that is down. */
   restoreDisk(id: string, stored: readonly StoredPartition[]): void {
     const store = new MemoryStore();
     for (const item of stored) store.persist(item.partition, item.version, item.body);
     this.node(id).store = store;
   }
 
+  /** Delays the ends of a node's disk writes until `resumeDisk`. */
   stallDisk(id: string): void {
     this.node(id).isDiskStalled = true;
   }
 
+  /** Ends a stall of a node's disk. */
   resumeDisk(id: string): void {
     const node = this.node(id);
     node.isDiskStalled = false;
     for (const finish of node.stalled.splice(0)) finish();
   }
 
+  /** Suspends a node: its inputs are queued, and it does not tick. */
   freeze(id: string): void {
     this.node(id).state = 'frozen';
   }
 
+  /** Resumes a node, which first handles its queued inputs or first ticks. */
   thaw(id: string, first: 'input' | 'tick' = 'input'): void {
     const node = this.node(id);
     node.state = 'up';
@@ -289,54 +305,59 @@
     if (first === 'input') this.#tick(id, node);
   }
 
-  /** Moves a node far from all others: each message from or to it takes between these two. */
-  setFar(id: string, leastMs: number, mostMs: number): void {
-    this.#far.set(id, { leastMs, mostMs });
+  /** Sets the delays of messages from and to a node. */
+  setFar(id: string, minMs: number, maxMs: number): void {
+    this.#delays.set(id, { minMs, maxMs });
   }
 
+  /** Drops messages on a link in one direction. */
   cutOneWay(from: string, to: string): void {
-    this.#cut.add(`${from}>${to}`);
+    this.#cutLinks.add(`${from}>${to}`);
   }
 
+  /** Drops messages on a link in both directions. */
   cutBothWays(one: string, other: string): void {
     this.cutOneWay(one, other);
     this.cutOneWay(other, one);
   }
 
+  /** Isolates a node from all other nodes and clients. */
   cutOff(id: string): void {
     for (const other of this.nodes.keys()) this.cutBothWays(id, other);
-    for (const other of this.#neighbours.keys()) this.cutBothWays(id, other);
+    for (const other of this.#clients.keys()) this.cutBothWays(id, other);
   }
 
+  /** Ends all cuts. */
   heal(): void {
-    this.#cut.clear();
+    this.#cutLinks.clear();
   }
 
-  /** Nothing of that kind reaches a node from now on, as where it comes late each time. */
+  /** Drops all messages of a kind to a node, as if each of them were late. */
   lose(to: string, kind: Message['kind']): void {
-    this.#lost.add(`${to} ${kind}`);
+    this.#droppedKinds.add(`${to} ${kind}`);
   }
 
-  /** From now on everything arrives again. */
+  /** Ends all losses of kinds of messages. */
   loseNothing(): void {
-    this.#lost.clear();
+    this.#droppedKinds.clear();
   }
 
+  /** Runs the cluster for that long. */
   run(millis: number): void {
     for (const end = this.#now + millis; this.#now < end;) this.#step();
   }
 
-  /** Runs until it holds and says how long that took; fails after the limit. */
-  runUntil(holds: () => boolean, limitMs: number, what: string): number {
+  /** Runs until the condition holds, and returns after how many milliseconds; throws after the limit. */
+  runUntil(holds: () => boolean, limitMs: number, description: string): number {
     const begin = this.#now;
     while (!holds()) {
-      if (this.#now - begin >= limitMs) throw new Error(`not within ${limitMs} ms: ${what}`);
+      if (this.#now - begin >= limitMs) throw new Error(`not within ${limitMs} ms: ${description}`);
       this.#step();
     }
     return this.#now - begin;
   }
 
-  /** The serving node of the highest epoch. */
+  /** The id of the serving node with the highest epoch; '' if no node serves. */
   leader(): string {
     let leader = '';
     let epoch = -1;
@@ -348,16 +369,18 @@
     return leader;
   }
 
+  /** Whether a node serves as the leader. */
   hasLeader(): boolean {
     return this.leader() !== '';
   }
 
-  /** Who votes as the leader sees it, joint sets together. */
+  /** The voters as the leader knows them, of both sets during a joint change, separated by spaces. */
   voters(): string {
     const leader = this.leader();
     return leader === '' ? '' : [...this.node(leader).core.voters].join(' ');
   }
 
+  /** The id of a running voter that is not the leader; throws if there is none. */
   follower(): string {
     const leader = this.leader();
     for (const id of this.node(leader).core.voters) {
@@ -366,7 +389,7 @@
     throw new Error('no follower');
   }
 
-  /** Sends an order or a read, and waits for its answer; status 0 where none came. */
+  /** Sends a command to a node's API and waits for the answer; status 0 if none arrived in time. */
   asked(id: string, verb: string, body: object, millis: number = 500): Answer {
     const number = this.ask(id, verb, body);
     for (const end = this.#now + millis; this.#now < end;) {
@@ -377,22 +400,23 @@
     return { status: 0, body: '' };
   }
 
+  /** Sends a command to a node's API; returns the number by which its answer is stored. */
   ask(id: string, verb: string, body: object): number {
-    this.#asked += 1;
+    this.#commandId += 1;
     const node = this.node(id);
-    node.core.onCommand(moment(this.#now), this.#asked, verb, JSON.stringify(body));
+    node.core.onCommand(moment(this.#now), this.#commandId, verb, JSON.stringify(body));
     this.#drain(id, node);
-    return this.#asked;
+    return this.#commandId;
   }
 
   /**
-   * Puts a configuration in force by way of the leader; one without a clear answer is sent again as it was.
-   * Fails where it is not acknowledged in time.
+   * Puts a configuration in force through the leader; an edit without a known outcome is retried. Throws if the edit is not
+   * acknowledged in time.
    */
   configure(base: number, version: number): void {
     const body = { id: `edit-${version}`, base, text: documentOf(version) };
-    let answer: Answer = { status: 0, body: 'nobody leads' };
-    for (const end = this.#now + ACK_MS; this.#now < end; this.run(TICK_MS)) {
+    let answer: Answer = { status: 0, body: 'no node leads' };
+    for (const end = this.#now + EDIT_ACK_TIMEOUT_MS; this.#now < end; this.run(TICK_MS)) {
       if (!this.hasLeader()) continue;
       answer = this.asked(this.leader(), 'configure', body, 1000);
       if (answer.status === 200) return;
@@ -401,7 +425,7 @@
     throw new Error(`${version} on ${base}: ${answer.status} ${answer.body}`);
   }
 
-  /** Whether a node counts as a voter again: it has granted the leader's epoch and holds all that the leader holds. */
+  /** Whether a node counts as a voter again: it has granted the leader's epoch and stores all that the leader stores. */
   isCounting(id: string): boolean {
     const leader = this.leader();
     if (leader === '') return false;
@@ -418,7 +442,7 @@
     return true;
   }
 
-  /** Has the leader keep that a model is placed. */
+  /** Makes the leader store a placement of a model. */
   place(model: string): void {
     const node = this.node(this.leader());
     node.planner.place(model);
@@ -426,16 +450,16 @@
     this.#drain(this.leader(), node);
   }
 
-  /** What the leader holds as placed. */
+  /** The models whose placements the leader has stored. */
   placed(): readonly string[] {
     const models: string[] = [];
     for (const doc of this.node(this.leader()).planner.docs()) models.push(doc.model);
     return models;
   }
 
-  /** The version in force, as a node reads it; asked again while it has no answer. Nothing where none came. */
+  /** The version in force as read through a node, with retries; undefined if none was answered. */
   versionAt(id: string): number | undefined {
-    for (const end = this.#now + READ_MS; this.#now < end; this.run(TICK_MS)) {
+    for (const end = this.#now + READ_TIMEOUT_MS; this.#now < end; this.run(TICK_MS)) {
       const answer = this.asked(id, 'read', {}, 1500);
       if (answer.status !== 200) continue;
       const read: { readonly routing?: Pick<PlainDocument, 'version'> } = JSON.parse(answer.body);
@@ -455,7 +479,7 @@
       if (this.#now % TICK_MS === 0) this.#tick(id, node);
     }
     if (this.#now % TICK_MS !== 0) return;
-    for (const neighbour of this.#neighbours.values()) neighbour.tick(moment(this.#now));
+    for (const client of this.#clients.values()) client.tick(moment(this.#now));
   }
 
   #tick(id: string, node: Node): void {
@@ -464,20 +488,20 @@
     if (node.retiringSince === undefined) return;
     const mayStop = node.core.retire(moment(this.#now));
     this.#drain(id, node);
-    if (mayStop || this.#now - node.retiringSince >= GRACE_MS) this.kill(id);
+    if (mayStop || this.#now - node.retiringSince >= STOP_GRACE_MS) this.kill(id);
   }
 
-  #at(millis: number, run: () => void): void {
+  #schedule(millis: number, run: () => void): void {
     this.#events.push({ at: this.#now + millis, run });
   }
 
-  #gone(at: string, id: string): void {
+  #onConnectionClosed(at: string, id: string): void {
     const node = this.nodes.get(at);
     if (!node || node.state === 'down') return;
-    this.#input(at, () => this.#hearGone(at, id));
+    this.#input(at, () => this.#handleDisconnect(at, id));
   }
 
-  #hearGone(at: string, id: string): void {
+  #handleDisconnect(at: string, id: string): void {
     const node = this.node(at);
     node.core.onDisconnect(moment(this.#now), id);
     this.#drain(at, node);
@@ -485,10 +509,10 @@
 
   #send(from: string, to: string, message: Message): void {
     const link = `${from}>${to}`;
-    const range = this.#far.get(from) ?? this.#far.get(to) ?? this.#near;
-    const delay = this.#numbers.between(range.leastMs, range.mostMs);
-    const at = Math.max(this.#links.get(link) ?? 0, this.#now + delay);
-    this.#links.set(link, at);
+    const range = this.#delays.get(from) ?? this.#delays.get(to) ?? this.#defaultDelay;
+    const delay = this.#random.between(range.minMs, range.maxMs);
+    const at = Math.max(this.#lastDueAt.get(link) ?? 0, this.#now + delay);
+    this.#lastDueAt.set(link, at);
     const sender = this.nodes.get(from)?.incarnation;
     const receiver = this.nodes.get(to)?.incarnation;
     this.#events.push({ at, run: () => this.#deliver(from, to, sender, receiver, message) });
@@ -501,11 +525,11 @@
     receiver: number | undefined,
     message: Message,
   ): void {
-    if (this.nodes.get(from)?.incarnation !== sender || this.#cut.has(`${from}>${to}`)) return;
-    this.#neighbours.get(to)?.receive(moment(this.#now), from, message);
+    if (this.nodes.get(from)?.incarnation !== sender || this.#cutLinks.has(`${from}>${to}`)) return;
+    this.#clients.get(to)?.receive(moment(this.#now), from, message);
     const node = this.nodes.get(to);
     if (!node || node.state === 'down' || node.incarnation !== receiver) return;
-    if (this.#lost.has(`${to} ${message.kind}`)) return;
+    if (this.#droppedKinds.has(`${to} ${message.kind}`)) return;
     this.#input(to, () => this.#receive(to, from, message));
   }
 
@@ -529,59 +553,63 @@
 
   #carryOut(id: string, node: Node, effect: ControlEffect): void {
     if (effect.do === 'send') this.#send(id, effect.to, effect.message);
-    else if (effect.do === 'askList') this.#askList(id, node);
+    else if (effect.do === 'askList') this.#readRunnerList(id, node);
     else if (effect.do === 'reply')
       node.answers.set(effect.id, { status: effect.status, body: effect.body });
     else if (effect.do === 'store') {
-      // Versions of one part reach the disk in order.
+      // Versions of one partition reach the disk in order.
       const queue = `${id} ${effect.partition}`;
-      const millis = this.#numbers.between(this.#options.leastDiskMs, this.#options.mostDiskMs);
-      const at = Math.max(this.#links.get(queue) ?? 0, this.#now + millis);
-      this.#links.set(queue, at);
+      const millis = this.#random.between(this.#options.leastDiskMs, this.#options.mostDiskMs);
+      const at = Math.max(this.#lastDueAt.get(queue) ?? 0, this.#now + millis);
+      this.#lastDueAt.set(queue, at);
       const { incarnation } = node;
-      this.#events.push({ at, run: () => this.#synced(id, incarnation, effect) });
+      this.#events.push({ at, run: () => this.#onWriteSynced(id, incarnation, effect) });
     }
   }
 
-  #askList(id: string, node: Node): void {
+  #readRunnerList(id: string, node: Node): void {
     this.listReadings.push({ id, at: this.#now });
-    const listed = this.#listed;
+    const listed = this.#runnerList;
     const { incarnation } = node;
-    if (listed && !this.#unanswered.has(id))
-      this.#at(LIST_DELAY_MS, () => this.#hearList(id, incarnation, listed));
+    if (listed && !this.#cutFromPlatform.has(id))
+      this.#schedule(LIST_DELAY_MS, () => this.#onRunnerList(id, incarnation, listed));
   }
 
-  #hearList(id: string, incarnation: number, listed: readonly ListedRunner[]): void {
+  #onRunnerList(id: string, incarnation: number, listed: readonly ListedRunner[]): void {
     const node = this.node(id);
     if (node.incarnation !== incarnation || node.state === 'down') return;
-    this.#input(id, () => this.#takeList(id, listed));
+    this.#input(id, () => this.#handleRunnerList(id, listed));
   }
 
-  #takeList(id: string, listed: readonly ListedRunner[]): void {
+  #handleRunnerList(id: string, listed: readonly ListedRunner[]): void {
     const node = this.node(id);
     node.core.onRunnerList(moment(this.#now), listed);
     this.#drain(id, node);
   }
 
-  #synced(id: string, incarnation: number, effect: Extract<ControlEffect, { do: 'store' }>): void {
+  #onWriteSynced(
+    id: string,
+    incarnation: number,
+    effect: Extract<ControlEffect, { do: 'store' }>,
+  ): void {
     const node = this.node(id);
     if (node.incarnation !== incarnation || node.state === 'down') return;
     if (node.isDiskStalled) {
-      node.stalled.push(() => this.#synced(id, incarnation, effect));
+      node.stalled.push(() => this.#onWriteSynced(id, incarnation, effect));
       return;
     }
     node.store.persist(effect.partition, effect.version, effect.body);
-    this.#input(id, () => this.#hearStored(id, effect));
+    this.#input(id, () => this.#handlePersisted(id, effect));
   }
 
-  #hearStored(id: string, effect: Extract<ControlEffect, { do: 'store' }>): void {
+  #handlePersisted(id: string, effect: Extract<ControlEffect, { do: 'store' }>): void {
     const node = this.node(id);
     node.core.onPersisted(moment(this.#now), effect.partition, effect.version);
     this.#drain(id, node);
   }
 }
 
-/** A cluster of these nodes at its first start, all voters, with a leader that serves; the first three are its seeds. */
+/** A new cluster in which all these nodes are voters, with a leader that serves; the first three are its seeds. */
 export function foundedFaultCluster(
   ids: readonly string[],
   options: FaultClusterOptions = {},
@@ -591,11 +619,11 @@
   cluster.runUntil(
     (): boolean => cluster.voters() === [...ids].sort().join(' '),
     20_000,
-    `all of ${ids.join(' ')} vote`,
+    `all of ${ids.join(' ')} are voters`,
   );
   cluster.run(2000);
   return cluster;
 }
-function byTime(a: Timed, b: Timed): number {
+function byTime(a: ScheduledEvent, b: ScheduledEvent): number {
   return a.at - b.at;
 }
--- a/src/control/testing/idle-planner.ts
+++ b/src/control/testing/idle-planner.ts
@@ -3,24 +3,24 @@
 import type { Intent, ServiceDoc } from '../../placement/shapes.js';
 import type { FleetPlanner } from '../control-effect.js';
 
-/** A planner that plans nothing, for tests of the control node's other parts; what differs is overridden. */
+/** A planner that plans nothing, for tests of other components of the control node, which override its methods as needed. */
 export class IdlePlanner implements FleetPlanner {
   #proxyCount = 1;
 
   restore(_now: Moment, _docs: readonly ServiceDoc[]): void {
-    /* nothing kept */
+    /* ignored */
   }
   docs(): readonly ServiceDoc[] {
     return [];
   }
   demand(): void {
-    /* not told */
+    /* ignored */
   }
   list(_now: Moment, _runners: readonly ListedRunner[]): void {
-    /* not told */
+    /* ignored */
   }
   status(): void {
-    /* not told */
+    /* ignored */
   }
   asks(): readonly string[] {
     return [];
@@ -33,10 +33,10 @@
     return [];
   }
   kept(): void {
-    /* nothing kept */
+    /* ignored */
   }
   ordered(): void {
-    /* nothing ordered */
+    /* ignored */
   }
   fleet(): Fleet {
     return { flows: this.#proxyCount, runners: [], waits: [] };
