--- a/src/control/testing/fault-cluster.ts
+++ b/src/control/testing/fault-cluster.ts
@@ -165,8 +165,8 @@
       mostDiskMs: 10,
     };
     this.#options = { ...defaults, ...options };
-    const { leastDelayMs, mostDelayMs } = this.#options;
-    this.#defaultDelay = { minMs: leastDelayMs, maxMs: mostDelayMs };
+    const { leastDelayMs: minMs, mostDelayMs: maxMs } = this.#options;
+    this.#defaultDelay = { minMs, maxMs };
     this.#random = new Seeded(this.#options.seed, 1);
   }
 
