--- a/src/control/testing/control-cluster.ts
+++ b/src/control/testing/control-cluster.ts
@@ -34,7 +34,7 @@
   readonly events: CoreLogEvent[];
 }
 
-/** The nodes of a cluster that `foundedCluster` starts. */
+/** The nodes of a cluster that `formedCluster` starts. */
 export const SEEDS = ['a:1', 'b:1', 'c:1'];
 const STEP_MS = 10;
 const TICK_MS = 50;
