--- a/src/compatibility/metrics.test.ts
+++ b/src/compatibility/metrics.test.ts
@@ -20,7 +20,7 @@
   corruptPartitions: 2,
   configHeld: { epoch: 16, count: 41 },
   configCommitted: { epoch: 18, count: 40 },
-  orders: {
+  edits: {
     accepted: 101,
     acknowledgedAgain: 102,
     refused: { 'base-changed': 103, invalid: 104, 'too-old': 105, other: 106 },
@@ -34,8 +34,8 @@
     leaderChanges: 203,
     voterChanges: 204,
     repairs: 205,
-    copiesMended: 206,
-    leaderlessReadings: 207,
+    copiesRepaired: 206,
+    leaderlessListReads: 207,
   },
   sessions: { open: 301, behind: 302, versionsBehind: 303 },
 };
--- a/src/control/cluster-restart.test.ts
+++ b/src/control/cluster-restart.test.ts
@@ -1,5 +1,5 @@
 import { expect, test } from 'vitest';
-import { foundedFaultCluster } from './testing/fault-cluster.js';
+import { formedFaultCluster } from './testing/fault-cluster.js';
 
 const SEED_COUNT = 20;
 /** After all voters have restarted, a leader serves again within this time. */
@@ -11,7 +11,7 @@
 function checkAllKilled(ids: readonly string[]): void {
   let longestMs = 0;
   for (let seed = 1; seed <= SEED_COUNT; seed += 1) {
-    const cluster = foundedFaultCluster(ids, { seed, mostDelayMs: 20, mostDiskMs: 20 });
+    const cluster = formedFaultCluster(ids, { seed, maxDelayMs: 20, maxDiskMs: 20 });
     cluster.configure(0, 7);
     for (const id of ids) cluster.kill(id);
     cluster.run(500);
--- a/src/control/command-forwarding.test.ts
+++ b/src/control/command-forwarding.test.ts
@@ -70,7 +70,7 @@
       ['b', { ...command, id: INCARNATION + 1, verb: 'zone', epoch: 0, leaderTime: 0 }],
       ['b', { ...command, id: INCARNATION + 2, verb: 'configure', epoch: 6, leaderTime: 777 }],
     ]);
-    expect(follower.counters.orders.forwarded).toBe(2);
+    expect(follower.counters.edits.forwarded).toBe(2);
   });
 
   test('is answered once, with the reply of the leader and of no other node', () => {
@@ -91,7 +91,7 @@
     follower.forwarding.forward(START, CLIENT, 'configure', EDIT);
     expect(follower.answeredAfter(EDIT_TIMEOUT_MS)).toBe(EDIT_TIMEOUT_MS);
     expect(follower.answers[0]?.[1].body).toContain('"outcome":"unsure"');
-    expect(follower.counters.orders.unclear.timeout).toBe(1);
+    expect(follower.counters.edits.unclear.timeout).toBe(1);
     follower.tickAfter(2 * EDIT_TIMEOUT_MS);
     expect(follower.answers).toHaveLength(1);
   });
@@ -105,7 +105,7 @@
     slow.extraRoundTripMs = 1000;
     slow.forwarding.forward(START, CLIENT, 'read', '');
     expect(slow.answeredAfter(EDIT_TIMEOUT_MS)).toBe(READ_TIMEOUT_MS + 2000);
-    expect(slow.counters.orders.unclear).toMatchObject({ timeout: 0, 'leader-lost': 0 });
+    expect(slow.counters.edits.unclear).toMatchObject({ timeout: 0, 'leader-lost': 0 });
   });
 
   test('has an unknown outcome at once if the connection to the leader closes, and not if another closes', () => {
@@ -116,7 +116,7 @@
     follower.forwarding.onDisconnect('b');
     follower.forwarding.onDisconnect('b');
     expect(follower.answers).toHaveLength(1);
-    expect(follower.counters.orders.unclear['leader-lost']).toBe(1);
+    expect(follower.counters.edits.unclear['leader-lost']).toBe(1);
   });
 });
 
@@ -126,7 +126,7 @@
       'no leader is known; nothing was done',
     );
     expect(follower.sent).toEqual([]);
-    expect(follower.counters.orders).toMatchObject({ unserved: 1, forwarded: 0 });
+    expect(follower.counters.edits).toMatchObject({ unserved: 1, forwarded: 0 });
   }
 
   test('is rejected if no leader is known', () => {
@@ -157,7 +157,7 @@
       expect(() => follower.forwarding.forward(START, CLIENT, verb, '')).toThrow();
       follower.leader = 'b';
     }
-    expect(follower.counters.orders).toMatchObject({ unserved: 0, forwarded: 0 });
+    expect(follower.counters.edits).toMatchObject({ unserved: 0, forwarded: 0 });
   });
 });
 
@@ -177,13 +177,13 @@
     expect(isRejected(follower, STALL_MS)).toBe(false);
     follower.tickAfter(STALL_MS);
     expect(isRejected(follower, STALL_MS)).toBe(false);
-    expect(follower.counters.orders.refused['too-old']).toBe(0);
+    expect(follower.counters.edits.refused['too-old']).toBe(0);
   });
 
   test('is not known to a node that is stalled, by the time since its last tick', () => {
     const follower = new Follower();
     expect(isRejected(follower, STALL_MS + 1)).toBe(true);
-    expect(follower.counters.orders.refused['too-old']).toBe(1);
+    expect(follower.counters.edits.refused['too-old']).toBe(1);
   });
 
   test('is not known until the backlog after a stall is read', () => {
--- a/src/control/config-size.test.ts
+++ b/src/control/config-size.test.ts
@@ -7,7 +7,7 @@
 import { decodeConfigDoc, encodeConfigDoc } from './config-codec.js';
 import { initialDoc, MAX_EDITS, type ConfigDoc } from './config-shapes.js';
 import { recordEdit } from './config-edits.js';
-import { FaultCluster, foundedFaultCluster } from './testing/fault-cluster.js';
+import { FaultCluster, formedFaultCluster } from './testing/fault-cluster.js';
 
 const THREE = ['a:1', 'b:1', 'c:1'];
 const CATCH_UP_MS = 4000;
@@ -39,7 +39,7 @@
 
 /** A follower that missed hundreds of changes gets the newest version with one write when it is back. */
 function checkCatchUp(how: 'cut' | 'restarted'): void {
-  const cluster = foundedFaultCluster(THREE);
+  const cluster = formedFaultCluster(THREE);
   const behind = cluster.follower();
   if (how === 'cut') cluster.cutOff(behind);
   else cluster.kill(behind);
@@ -47,7 +47,7 @@
   if (how === 'cut') cluster.heal();
   else cluster.start(behind, THREE);
   const took = cluster.runUntil(
-    () => cluster.isCounting(behind),
+    () => cluster.isCaughtUp(behind),
     CATCH_UP_MS,
     'the follower holds the newest version',
   );
@@ -81,14 +81,14 @@
 test('a follower that was down during 700 changes catches up', () => checkCatchUp('restarted'));
 /** The newest file is corrupt and the one before it is outdated: the replica is repaired, and its old content is not used. */
 test('a replica whose newest file is corrupt and whose previous file is outdated is repaired', () => {
-  const cluster = foundedFaultCluster(THREE);
+  const cluster = formedFaultCluster(THREE);
   const behind = cluster.follower();
   cluster.configure(0, 1);
   cluster.kill(behind);
   const version = configureTimes(cluster, 1, 300);
   cluster.node(behind).store.corrupt(CONFIG_PARTITION);
   cluster.start(behind, THREE);
-  cluster.runUntil(() => cluster.isCounting(behind), CATCH_UP_MS, 'the replica is repaired');
+  cluster.runUntil(() => cluster.isCaughtUp(behind), CATCH_UP_MS, 'the replica is repaired');
   const leader = cluster.leader();
   const [third = ''] = THREE.filter((id) => id !== behind && id !== leader);
   cluster.kill(third);
--- a/src/control/control-core-metrics.test.ts
+++ b/src/control/control-core-metrics.test.ts
@@ -4,7 +4,7 @@
   ControlCluster,
   documentOf,
   editOf,
-  foundedCluster,
+  formedCluster,
   SEEDS,
 } from './testing/control-cluster.js';
 
@@ -16,8 +16,8 @@
 }
 
 test('a cluster without faults reports one leader, contact with a majority and equal versions', () => {
-  const cluster = foundedCluster();
-  const answer = cluster.asked(
+  const cluster = formedCluster();
+  const answer = cluster.request(
     cluster.leader(),
     'configure',
     editOf('e1', 0, documentOf(7, 'x')),
@@ -43,7 +43,7 @@
   expect(follower.events.votesGranted).toBeGreaterThan(0);
 });
 test('an isolated node reports the age of its last contact until it is connected again', () => {
-  const cluster = foundedCluster();
+  const cluster = formedCluster();
   const former = cluster.leader();
   const before = metricsOf(cluster, former);
   cluster.cut(former);
@@ -65,7 +65,7 @@
   expect(after.events.leaderChanges).toBeGreaterThan(before.events.leaderChanges);
 });
 test('a node with a wiped disk reports its repair', () => {
-  const cluster = foundedCluster();
+  const cluster = formedCluster();
   const id = cluster.follower();
   cluster.stop(id);
   cluster.wipe(id);
@@ -77,7 +77,7 @@
   expect(metricsOf(cluster, id)).toMatchObject({ replica: 'sound', events: { repairs: 1 } });
 });
 test('a joint change of voters is reported while it lasts', () => {
-  const cluster = foundedCluster();
+  const cluster = formedCluster();
   const leader = cluster.leader();
   const before = metricsOf(cluster, leader).events.voterChanges;
   cluster.stop(cluster.follower());
@@ -99,28 +99,32 @@
   expect(metricsOf(cluster, 'd:1').voters.isVoter).toBe(true);
 });
 test('a configuration that is not stored at a majority is reported as held, not as committed', () => {
-  const cluster = foundedCluster();
+  const cluster = formedCluster();
   const leader = cluster.leader();
   for (const id of SEEDS) if (id !== leader) cluster.node(id).disk = 'stalled';
   const before = metricsOf(cluster, leader);
-  cluster.asked(leader, 'configure', editOf('e1', 0, documentOf(7, 'x')), 300);
+  cluster.request(leader, 'configure', editOf('e1', 0, documentOf(7, 'x')), 300);
   const after = metricsOf(cluster, leader);
   // Held by the leader, but not known to be stored at a majority.
   expect(after.configHeld.count).toBe(before.configHeld.count + 1);
   expect(after.configCommitted).toEqual(before.configCommitted);
 });
 test('edits are counted by outcome at the node that decides on them', () => {
-  const cluster = foundedCluster();
+  const cluster = formedCluster();
   const leader = cluster.leader();
   const follower = cluster.follower();
   const first = editOf('e1', 0, documentOf(7, 'x'));
-  expect(cluster.asked(leader, 'configure', first).status).toBe(200);
+  expect(cluster.request(leader, 'configure', first).status).toBe(200);
   // A retry of the same edit, forwarded by a follower.
-  expect(cluster.asked(follower, 'configure', first).status).toBe(200);
-  expect(cluster.asked(leader, 'configure', editOf('e2', 0, documentOf(8, 'y'))).status).toBe(409);
-  expect(cluster.asked(leader, 'configure', editOf('e3', 7, documentOf(7, 'z'))).status).toBe(400);
-  expect(cluster.asked(follower, 'read', {}).status).toBe(200);
-  expect(metricsOf(cluster, leader).orders).toEqual({
+  expect(cluster.request(follower, 'configure', first).status).toBe(200);
+  expect(cluster.request(leader, 'configure', editOf('e2', 0, documentOf(8, 'y'))).status).toBe(
+    409,
+  );
+  expect(cluster.request(leader, 'configure', editOf('e3', 7, documentOf(7, 'z'))).status).toBe(
+    400,
+  );
+  expect(cluster.request(follower, 'read', {}).status).toBe(200);
+  expect(metricsOf(cluster, leader).edits).toEqual({
     accepted: 2,
     acknowledgedAgain: 1,
     refused: { 'base-changed': 1, invalid: 1, 'too-old': 0, other: 0 },
@@ -129,27 +133,27 @@
     forwarded: 0,
   });
   // The follower forwarded the edit; the leader decided and counted it.
-  expect(metricsOf(cluster, follower).orders).toMatchObject({ accepted: 0, forwarded: 1 });
+  expect(metricsOf(cluster, follower).edits).toMatchObject({ accepted: 0, forwarded: 1 });
 });
 test('an edit at an isolated leader is counted as unclear', () => {
-  const cluster = foundedCluster();
+  const cluster = formedCluster();
   const leader = cluster.leader();
   cluster.cut(leader);
-  cluster.ask(leader, 'configure', editOf('e1', 0, documentOf(7, 'x')));
+  cluster.submit(leader, 'configure', editOf('e1', 0, documentOf(7, 'x')));
   cluster.run(5000);
-  expect(metricsOf(cluster, leader).orders.unclear['leader-lost']).toBe(1);
+  expect(metricsOf(cluster, leader).edits.unclear['leader-lost']).toBe(1);
   // The node no longer knows a leader, and rejects the edit without effect.
-  expect(cluster.asked(leader, 'configure', editOf('e2', 0, documentOf(8))).status).toBe(503);
-  expect(metricsOf(cluster, leader).orders).toMatchObject({ accepted: 0, unserved: 1 });
+  expect(cluster.request(leader, 'configure', editOf('e2', 0, documentOf(8))).status).toBe(503);
+  expect(metricsOf(cluster, leader).edits).toMatchObject({ accepted: 0, unserved: 1 });
 });
 test('a zone evacuation that exceeds its maximum age is counted', () => {
-  const cluster = foundedCluster();
+  const cluster = formedCluster();
   const leader = cluster.leader();
   cluster.freeze(leader);
-  cluster.ask(leader, 'zone', { id: 'z1', zone: 'north', empty: true });
+  cluster.submit(leader, 'zone', { id: 'z1', zone: 'north', empty: true });
   cluster.run(6000);
   cluster.thaw(leader);
   cluster.run(500);
   // The command waited at a frozen node for six seconds, in which it may have been retried and its effect overridden.
-  expect(metricsOf(cluster, leader).orders.refused['too-old']).toBe(1);
+  expect(metricsOf(cluster, leader).edits.refused['too-old']).toBe(1);
 });
--- a/src/control/control-effect.ts
+++ b/src/control/control-effect.ts
@@ -81,7 +81,7 @@
 }
 
 /** What a deployment provides; without it the node uses haretrack's own policy table, platform and weight store. */
-export interface Deployed {
+export interface Deployment {
   readonly dialect: ConfigDialect;
   readonly planner: FleetPlanner;
   /** Whether this is the first start of the cluster: only then may nodes with blank disks start a new cluster. */
@@ -107,7 +107,7 @@
   readonly reportMs: number;
   /** Interval at which the list of machines is polled. */
   readonly machinesMs: number;
-  readonly deployed?: Deployed | undefined;
+  readonly deployed?: Deployment | undefined;
 }
 
 /** Default times of a control node, in milliseconds. */
--- a/src/control/control-families.ts
+++ b/src/control/control-families.ts
@@ -13,7 +13,7 @@
   UNCLEAR_REASONS,
   type ControlMetrics,
   type EventCounts,
-  type OrderCounts,
+  type EditCounts,
   type RefusalReason,
   type ReplicaState,
   type UnclearReason,
@@ -85,7 +85,7 @@
   ];
 }
 
-function orderFamilies(orders: OrderCounts): MetricFamily[] {
+function orderFamilies(orders: EditCounts): MetricFamily[] {
   return [
     counter('orders_accepted_total', 'Orders committed here.', orders.accepted),
     counter(
@@ -129,11 +129,11 @@
       events.voterChanges,
     ),
     counter('repairs_total', 'Completed repairs of this replica.', events.repairs),
-    counter('copies_mended_total', 'Copies of others sent anew.', events.copiesMended),
+    counter('copies_mended_total', 'Copies of others sent anew.', events.copiesRepaired),
     counter(
       'leaderless_list_readings_total',
       'Readings of the list of runners while no leader was heard to do it.',
-      events.leaderlessReadings,
+      events.leaderlessListReads,
     ),
   ];
 }
@@ -163,7 +163,7 @@
     ...leadershipFamilies(node),
     ...voterFamilies(node),
     ...replicaFamilies(node),
-    ...orderFamilies(node.orders),
+    ...orderFamilies(node.edits),
     ...eventFamilies(node.events),
     ...sessionFamilies(node),
     ...diskFamilies(disk),
--- a/src/control/control-metrics.test.ts
+++ b/src/control/control-metrics.test.ts
@@ -1,6 +1,6 @@
 import { expect, test } from 'vitest';
 import { versionsBetween } from '../common/version.js';
-import { ControlCounters, sessionNumbers } from './control-metrics.js';
+import { ControlCounters, sessionMetrics } from './control-metrics.js';
 
 test('edits are counted by outcome and reason', () => {
   const counters = new ControlCounters();
@@ -12,7 +12,7 @@
   counters.countUnclear('no-majority');
   counters.countUnserved();
   counters.countForwarded();
-  expect(counters.orders).toEqual({
+  expect(counters.edits).toEqual({
     accepted: 2,
     acknowledgedAgain: 1,
     refused: { 'base-changed': 2, invalid: 0, 'too-old': 1, other: 0 },
@@ -26,7 +26,7 @@
   counters.countLeaderChange();
   counters.countVoterChange();
   counters.countRepair();
-  const own = { electionsStarted: 3, votesGranted: 2, copiesMended: 1, leaderlessReadings: 4 };
+  const own = { electionsStarted: 3, votesGranted: 2, copiesRepaired: 1, leaderlessListReads: 4 };
   expect(counters.eventsWith(own)).toEqual({
     ...own,
     leaderChanges: 1,
@@ -36,7 +36,7 @@
 });
 test('a snapshot is not changed by later counts', () => {
   const counters = new ControlCounters();
-  const before = counters.orders;
+  const before = counters.edits;
   counters.countRefused('invalid');
   expect(before.refused.invalid).toBe(0);
 });
@@ -52,6 +52,6 @@
 test('sessions that are behind are counted, with the largest lag', () => {
   const committed = { epoch: 4, count: 12 };
   const acked = [committed, { epoch: 4, count: 10 }, { epoch: 0, count: 0 }];
-  expect(sessionNumbers(acked, committed)).toEqual({ open: 3, behind: 2, versionsBehind: 12 });
-  expect(sessionNumbers([], committed)).toEqual({ open: 0, behind: 0, versionsBehind: 0 });
+  expect(sessionMetrics(acked, committed)).toEqual({ open: 3, behind: 2, versionsBehind: 12 });
+  expect(sessionMetrics([], committed)).toEqual({ open: 0, behind: 0, versionsBehind: 0 });
 });
--- a/src/control/control-metrics.ts
+++ b/src/control/control-metrics.ts
@@ -34,7 +34,7 @@
 export type ReplicaState = (typeof REPLICA_STATES)[number];
 
 /** Operators' edits since the start of this process, each counted by the node that decided on it. */
-export interface OrderCounts {
+export interface EditCounts {
   readonly accepted: number;
   /** Of the accepted ones, retries of edits that were already committed. */
   readonly acknowledgedAgain: number;
@@ -56,13 +56,13 @@
   /** Completed repairs of this node's own replica. */
   readonly repairs: number;
   /** Partitions that this node sent again to other voters, whose copies differed. */
-  readonly copiesMended: number;
+  readonly copiesRepaired: number;
   /** How often this node read the list of runners because there was no leader to do so. */
-  readonly leaderlessReadings: number;
+  readonly leaderlessListReads: number;
 }
 
 /** The voters, as far as this node knows them. */
-export interface VoterNumbers {
+export interface VoterMetrics {
   /** All voters; those of both sets during a joint change. */
   readonly members: number;
   /** Voters, this node included, that have recently answered it. */
@@ -73,7 +73,7 @@
 }
 
 /** The agents that have a session with this node. */
-export interface SessionNumbers {
+export interface SessionMetrics {
   readonly open: number;
   /** Those of them whose configuration is older than the newest one known to be committed. */
   readonly behind: number;
@@ -93,7 +93,7 @@
   readonly leaseLeftMs: number;
   /** Time since a majority of the voters, this node included, was last in contact; undefined if it never was. */
   readonly majorityContactAgeMs: number | undefined;
-  readonly voters: VoterNumbers;
+  readonly voters: VoterMetrics;
   readonly replica: ReplicaState;
   /** Partitions of the state whose stored data here is corrupt. */
   readonly corruptPartitions: number;
@@ -101,9 +101,9 @@
   readonly configHeld: Version;
   /** The newest configuration that this node knows to be committed. */
   readonly configCommitted: Version;
-  readonly orders: OrderCounts;
+  readonly edits: EditCounts;
   readonly events: EventCounts;
-  readonly sessions: SessionNumbers;
+  readonly sessions: SessionMetrics;
 }
 
 type Counts<Key extends string> = Record<Key, number>;
@@ -177,7 +177,7 @@
   }
 
   /** Operators' edits, by outcome. */
-  get orders(): OrderCounts {
+  get edits(): EditCounts {
     return {
       accepted: this.#accepted,
       acknowledgedAgain: this.#acknowledgedAgain,
@@ -192,8 +192,8 @@
   eventsWith(own: {
     readonly electionsStarted: number;
     readonly votesGranted: number;
-    readonly copiesMended: number;
-    readonly leaderlessReadings: number;
+    readonly copiesRepaired: number;
+    readonly leaderlessListReads: number;
   }): EventCounts {
     return {
       ...own,
@@ -205,7 +205,7 @@
 }
 
 /** How far the agents with a session, which acknowledged these versions, are behind the committed configuration. */
-export function sessionNumbers(acked: readonly Version[], committed: Version): SessionNumbers {
+export function sessionMetrics(acked: readonly Version[], committed: Version): SessionMetrics {
   let behind = 0;
   let versionsBehind = 0;
   for (const version of acked) {
--- a/src/control/control-process.ts
+++ b/src/control/control-process.ts
@@ -31,7 +31,7 @@
 /** Interval at which the serving leader reads the list of runners. */
 export const RUNNER_LIST_INTERVAL_MS = 1000;
 /** Timing of elections in a deployment: shorter than the default, since edits and placement wait while there is no leader. */
-export const DEPLOYED_VOTE = {
+export const DEPLOYED_VOTE_SETTINGS = {
   pingMs: 250,
   renewMs: 300,
   electionMs: 500,
@@ -183,7 +183,7 @@
       foundMs: 0,
       deployed,
     };
-    const vote = { ...VOTE_DEFAULTS, ...DEPLOYED_VOTE, handoverGapMs };
+    const vote = { ...VOTE_DEFAULTS, ...DEPLOYED_VOTE_SETTINGS, handoverGapMs };
     return new ControlCore(settings, stored, monotonicNow(), vote);
   }
 
--- a/src/control/control-snapshot.ts
+++ b/src/control/control-snapshot.ts
@@ -6,10 +6,10 @@
 import type { ReplicatedState } from '../state/replicated-state.js';
 import type { ReplicaStatus } from '../state/replica-status.js';
 import {
-  sessionNumbers,
+  sessionMetrics,
   type ControlCounters,
   type ControlMetrics,
-  type VoterNumbers,
+  type VoterMetrics,
 } from './control-metrics.js';
 import type { FollowedVoters } from './followed-voters.js';
 import type { Leadership } from './leadership.js';
@@ -50,18 +50,18 @@
     corruptPartitions: state.corruptPartitions().length,
     configHeld: state.versionOf(CONFIG_PARTITION),
     configCommitted: committed,
-    orders: counters.orders,
+    edits: counters.edits,
     events: counters.eventsWith({
       electionsStarted: elector.electionsStarted,
       votesGranted: elector.votesGranted,
-      copiesMended: state.repairCount,
-      leaderlessReadings: sources.drainingRunners?.reads ?? 0,
+      copiesRepaired: state.repairCount,
+      leaderlessListReads: sources.drainingRunners?.reads ?? 0,
     }),
-    sessions: sessionNumbers(sources.sessions.connectedMembers(), committed),
+    sessions: sessionMetrics(sources.sessions.connectedMembers(), committed),
   };
 }
 
-function voterNumbers(now: Moment, { me, elector, voters }: MetricsSources): VoterNumbers {
+function voterNumbers(now: Moment, { me, elector, voters }: MetricsSources): VoterMetrics {
   return {
     members: voters.quorum.all.length,
     reachable: elector.countReachableVoters(now),
--- a/src/control/draining-runners-reader.test.ts
+++ b/src/control/draining-runners-reader.test.ts
@@ -2,10 +2,10 @@
 import type { ListedRunner } from '../placement/fleet.js';
 import { AttachedProxy } from './testing/attached-proxy.js';
 import {
-  foundedFaultCluster,
+  formedFaultCluster,
   type FaultCluster,
   type FaultClusterOptions,
-  type ListReading,
+  type RunnerListRead,
 } from './testing/fault-cluster.js';
 
 const THREE = ['a:1', 'b:1', 'c:1'] as const;
@@ -43,14 +43,14 @@
   perZone: number = 2,
   options: FaultClusterOptions = {},
 ): Site {
-  const cluster = foundedFaultCluster(ids, options);
-  cluster.list(READY);
+  const cluster = formedFaultCluster(ids, options);
+  cluster.setRunnerList(READY);
   const proxies: AttachedProxy[] = [];
   for (const id of ids)
     for (let index = 0; index < perZone; index += 1)
       proxies.push(new AttachedProxy(cluster, `agent-${id}-${index}`, `zone-${id}`, ids));
   cluster.run(5000);
-  for (const proxy of proxies) expect(proxy.heardAt('r1')).toBeUndefined();
+  for (const proxy of proxies) expect(proxy.drainSeenAt('r1')).toBeUndefined();
   return { cluster, proxies };
 }
 
@@ -58,7 +58,7 @@
 function notificationDelaysMs(site: Site, listedAt: number): (number | undefined)[] {
   const list: (number | undefined)[] = [];
   for (const proxy of site.proxies) {
-    const at = proxy.heardAt('r1');
+    const at = proxy.drainSeenAt('r1');
     list.push(at === undefined ? undefined : at - listedAt);
   }
   return list;
@@ -69,14 +69,14 @@
     expect(delay).toBeLessThanOrEqual(NOTIFICATION_LIMIT_MS);
 }
 
-function isAtOrAfter(at: number, read: ListReading): boolean {
+function isAtOrAfter(at: number, read: RunnerListRead): boolean {
   return read.at >= at;
 }
 
 /** The maximum number of reads by all nodes in any second from then on. */
 function maxReadsPerSecond(cluster: FaultCluster, from: number): number {
   let max = 0;
-  const reads = cluster.listReadings.filter((read) => isAtOrAfter(from, read));
+  const reads = cluster.runnerListReads.filter((read) => isAtOrAfter(from, read));
   for (const { at } of reads) {
     let count = 0;
     for (const other of reads) if (other.at >= at && other.at < at + 1000) count += 1;
@@ -91,7 +91,7 @@
   cluster.run(300);
   cluster.kill(cluster.leader());
   cluster.run(10);
-  cluster.list(ONE_DRAINING);
+  cluster.setRunnerList(ONE_DRAINING);
   const listedAt = cluster.now;
   cluster.run(UNSERVED_MS);
   expect(cluster.hasLeader()).toBe(false);
@@ -105,7 +105,7 @@
   'lost: %s; all proxies know within 1.5 s of the listing',
   (loss: Loss) => {
     for (let seed = 1; seed <= 15; seed += 1) {
-      const site = settledSite(THREE, 7, { seed, mostDelayMs: 30 });
+      const site = settledSite(THREE, 7, { seed, maxDelayMs: 30 });
       const { cluster } = site;
       cluster.run(seed * 65);
       if (loss === 'leader and a voter') {
@@ -117,7 +117,7 @@
       if (loss === 'leader, and all disks stall')
         for (const id of THREE) if (id !== leader) cluster.stallDisk(id);
       cluster.run(5);
-      cluster.list(ONE_DRAINING);
+      cluster.setRunnerList(ONE_DRAINING);
       const listedAt = cluster.now;
       cluster.run(UNSERVED_MS);
       expectNotified(site, listedAt);
@@ -132,7 +132,7 @@
   cluster.kill(leader);
   for (const id of THREE) if (id !== leader) cluster.stallDisk(id);
   cluster.run(10);
-  cluster.list(ONE_DRAINING);
+  cluster.setRunnerList(ONE_DRAINING);
   const listedAt = cluster.now;
   cluster.run(UNSERVED_MS);
   expect(cluster.hasLeader()).toBe(false);
@@ -153,7 +153,7 @@
   cluster.kill(cluster.leader());
   cluster.runUntil(() => hasElectedLeader(cluster), 5000, 'a successor is elected');
   for (const [id, { state }] of cluster.nodes) if (state === 'up') cluster.stallDisk(id);
-  cluster.list(ONE_DRAINING);
+  cluster.setRunnerList(ONE_DRAINING);
   const listedAt = cluster.now;
   cluster.run(UNSERVED_MS);
   expect(cluster.hasLeader()).toBe(false);
@@ -168,7 +168,7 @@
   for (const [id, { core }] of cluster.nodes)
     if (core.elector.isLeading()) cluster.cutFromPlatform(id);
   cluster.run(1000);
-  cluster.list(ONE_DRAINING);
+  cluster.setRunnerList(ONE_DRAINING);
   const listedAt = cluster.now;
   cluster.run(UNSERVED_MS);
   expectNotified(site, listedAt);
@@ -181,13 +181,15 @@
   const { cluster } = site;
   cluster.freeze(cluster.leader());
   cluster.run(10);
-  cluster.list(ONE_DRAINING);
+  cluster.setRunnerList(ONE_DRAINING);
   const listedAt = cluster.now;
   cluster.run(NOTIFICATION_LIMIT_MS);
   const frozen = [...cluster.nodes].find(isFrozen)?.[0] ?? '';
   for (const proxy of site.proxies) {
     if (proxy.controlNode === frozen) continue;
-    expect((proxy.heardAt('r1') ?? Infinity) - listedAt).toBeLessThanOrEqual(NOTIFICATION_LIMIT_MS);
+    expect((proxy.drainSeenAt('r1') ?? Infinity) - listedAt).toBeLessThanOrEqual(
+      NOTIFICATION_LIMIT_MS,
+    );
   }
 });
 test('during a network partition one voter of each side reads the list', () => {
@@ -199,7 +201,7 @@
       for (const other of sides.slice(index + 1).flat()) cluster.cutBothWays(id, other);
   cluster.run(2000);
   expect(cluster.hasLeader()).toBe(false);
-  cluster.list(ONE_DRAINING);
+  cluster.setRunnerList(ONE_DRAINING);
   const listedAt = cluster.now;
   cluster.run(UNSERVED_MS);
   expect(cluster.hasLeader()).toBe(false);
@@ -215,7 +217,7 @@
   for (const id of THREE)
     for (const other of THREE) if (id !== other) cluster.cutBothWays(id, other);
   cluster.run(10);
-  cluster.list(ONE_DRAINING);
+  cluster.setRunnerList(ONE_DRAINING);
   const listedAt = cluster.now;
   cluster.run(10_000);
   expectNotified(site, listedAt);
@@ -231,7 +233,7 @@
   cluster.run(10);
   const from = cluster.now;
   cluster.run(20_000);
-  const count = cluster.listReadings.filter((read) => isAtOrAfter(from, read)).length;
+  const count = cluster.runnerListReads.filter((read) => isAtOrAfter(from, read)).length;
   // Two nodes, each of which waits 1, 2, 4, 4 s and so on between its reads.
   expect(count).toBeLessThanOrEqual(14);
   expect(count).toBeGreaterThanOrEqual(8);
@@ -241,7 +243,7 @@
   const from = cluster.now;
   const leader = cluster.leader();
   cluster.run(20_000);
-  const reads = cluster.listReadings.filter((read) => isAtOrAfter(from, read));
+  const reads = cluster.runnerListReads.filter((read) => isAtOrAfter(from, read));
   expect(reads).toHaveLength(20);
   for (const { id } of reads) expect(id).toBe(leader);
 });
@@ -257,13 +259,13 @@
   if (!isolated) throw new Error('no proxy');
   cluster.cutOff(isolated.id);
   for (const id of THREE) cluster.cutBothWays(isolated.id, id);
-  cluster.list(ONE_DRAINING);
+  cluster.setRunnerList(ONE_DRAINING);
   cluster.run(3000);
-  expect(isolated.heardAt('r1')).toBeUndefined();
+  expect(isolated.drainSeenAt('r1')).toBeUndefined();
   cluster.heal();
   const healedAt = cluster.now;
   cluster.run(NOTIFICATION_LIMIT_MS);
-  expect((isolated.heardAt('r1') ?? Infinity) - healedAt).toBeLessThanOrEqual(
+  expect((isolated.drainSeenAt('r1') ?? Infinity) - healedAt).toBeLessThanOrEqual(
     NOTIFICATION_LIMIT_MS,
   );
 });
@@ -273,7 +275,7 @@
   const { cluster } = site;
   const cut = cluster.follower();
   for (const id of THREE) if (id !== cut) cluster.cutBothWays(id, cut);
-  cluster.list(ONE_DRAINING);
+  cluster.setRunnerList(ONE_DRAINING);
   const listedAt = cluster.now;
   cluster.run(UNSERVED_MS);
   expectNotified(site, listedAt + 500);
@@ -282,13 +284,15 @@
   const { cluster } = settledSite(THREE);
   cluster.kill(cluster.leader());
   cluster.run(10);
-  cluster.list(ONE_DRAINING);
+  cluster.setRunnerList(ONE_DRAINING);
   cluster.runUntil(() => cluster.hasLeader(), 6000, 'a successor serves');
   const leader = cluster.leader();
   const servedAt = cluster.now;
   cluster.run(100);
   expect(
-    cluster.listReadings.some((read) => read.id === leader && Math.abs(read.at - servedAt) <= 50),
+    cluster.runnerListReads.some(
+      (read) => read.id === leader && Math.abs(read.at - servedAt) <= 50,
+    ),
   ).toBe(true);
 });
 
@@ -296,14 +300,14 @@
 function expectOnlyLeaderReads(cluster: FaultCluster): void {
   const from = cluster.now + 1;
   cluster.run(10_000);
-  const reads = cluster.listReadings.filter((read) => isAtOrAfter(from, read));
+  const reads = cluster.runnerListReads.filter((read) => isAtOrAfter(from, read));
   expect(reads).toHaveLength(10);
   for (const { id } of reads) expect(id).toBe(cluster.leader());
 }
 /** No agent joins in the meantime: a join would recompute the relay tree. */
 test('the voters get the first update of an epoch at once', () => {
-  const cluster = foundedFaultCluster(FIVE);
-  cluster.list(READY);
+  const cluster = formedFaultCluster(FIVE);
+  cluster.setRunnerList(READY);
   cluster.run(3000);
   cluster.kill(cluster.leader());
   cluster.runUntil(() => cluster.hasLeader(), 6000, 'a successor serves');
@@ -315,11 +319,11 @@
 /** The first update of a leader's epoch is lost on its way to a voter, and no other follows since nothing changes. */
 test('a voter that missed the first update of an epoch soon stops reading the list', () => {
   const { cluster } = settledSite(FIVE);
-  for (const id of FIVE) cluster.lose(id, 'update');
+  for (const id of FIVE) cluster.dropMessages(id, 'update');
   cluster.kill(cluster.leader());
   cluster.runUntil(() => cluster.hasLeader(), 6000, 'a successor serves');
   cluster.run(1000);
-  cluster.loseNothing();
+  cluster.stopDroppingMessages();
   cluster.run(4000);
   expectOnlyLeaderReads(cluster);
 });
--- a/src/control/fleet-manager.ts
+++ b/src/control/fleet-manager.ts
@@ -5,7 +5,7 @@
 import type { Intent, ServiceDoc } from '../placement/shapes.js';
 import type { Routing } from '../route/routing.js';
 import type { ConfigDoc } from './config-shapes.js';
-import type { Deployed, ControlEffect, OrderResult } from './control-effect.js';
+import type { Deployment, ControlEffect, OrderResult } from './control-effect.js';
 import { FleetPublisher, type PublishFleet } from './fleet-publisher.js';
 
 /** What the fleet manager needs of the control node that leads. */
@@ -27,7 +27,7 @@
 
 /** The leader's placement by a deployment's planner: polls, demand and outcomes come in, plans are stored, orders go out. */
 export class FleetManager {
-  readonly #deployed: Deployed;
+  readonly #deployed: Deployment;
   readonly #host: FleetHost;
   readonly #publisher: FleetPublisher;
   /** Addresses of the listed runners, by id. */
@@ -41,7 +41,7 @@
   #hasRunnerList = false;
   #ordersSent = 0;
 
-  constructor(deployed: Deployed, host: FleetHost) {
+  constructor(deployed: Deployment, host: FleetHost) {
     this.#deployed = deployed;
     this.#host = host;
     this.#publisher = new FleetPublisher(host.publish);
--- a/src/control/followed-voters.test.ts
+++ b/src/control/followed-voters.test.ts
@@ -67,8 +67,8 @@
   const electorCounts = {
     electionsStarted: 0,
     votesGranted: 0,
-    copiesMended: 0,
-    leaderlessReadings: 0,
+    copiesRepaired: 0,
+    leaderlessListReads: 0,
   };
   expect(sources.counters.eventsWith(electorCounts).voterChanges).toBe(1);
 });
--- a/src/control/forwarded-order-age.test.ts
+++ b/src/control/forwarded-command-age.test.ts
@@ -31,10 +31,10 @@
   const forwarding = new CommandForwarding(HOST, counters, 1, NOW);
   try {
     forwarding.checkForwarded(NOW, EPOCH, message);
-    return ['taken', counters.orders.refused['too-old']];
+    return ['taken', counters.edits.refused['too-old']];
   } catch (thrown) {
     const kind = thrown instanceof HaretrackError ? thrown.code : 'untyped';
-    return [kind, counters.orders.refused['too-old']];
+    return [kind, counters.edits.refused['too-old']];
   }
 }
 
--- a/src/control/joining-node.test.ts
+++ b/src/control/joining-node.test.ts
@@ -1,6 +1,6 @@
 import { expect, test } from 'vitest';
 import { compareVersions, NO_VERSION } from '../common/version.js';
-import { FaultCluster, foundedFaultCluster } from './testing/fault-cluster.js';
+import { FaultCluster, formedFaultCluster } from './testing/fault-cluster.js';
 
 const THREE = ['a:1', 'b:1', 'c:1'];
 const CATCH_UP_MS = 4000;
@@ -9,7 +9,7 @@
   readonly cluster: FaultCluster;
   readonly isolated: string;
 } {
-  const cluster = foundedFaultCluster(THREE);
+  const cluster = formedFaultCluster(THREE);
   cluster.configure(0, 7);
   const isolated = cluster.follower();
   cluster.cutOff(isolated);
@@ -39,8 +39,8 @@
 test('a control node that reaches only an isolated one answers nothing until it reaches the others', () => {
   const { cluster, isolated } = startBesideIsolated(true);
   cluster.run(10_000);
-  expect(cluster.asked('n:1', 'read', {}, 1500).status).not.toBe(200);
-  expect(cluster.asked(isolated, 'read', {}, 1500).status).not.toBe(200);
+  expect(cluster.request('n:1', 'read', {}, 1500).status).not.toBe(200);
+  expect(cluster.request(isolated, 'read', {}, 1500).status).not.toBe(200);
   expect(['n:1', isolated]).not.toContain(cluster.leader());
   cluster.heal();
   cluster.run(CATCH_UP_MS);
--- a/src/control/proxy-count.test.ts
+++ b/src/control/proxy-count.test.ts
@@ -7,7 +7,7 @@
 import { PROXY_COUNT_RETENTION_MS, type Fleet } from '../placement/fleet.js';
 import { KnownMembers } from './known-members.js';
 import { ProxyCount } from './proxy-count.js';
-import { foundedCluster, SEEDS, type ControlCluster } from './testing/control-cluster.js';
+import { formedCluster, SEEDS, type ControlCluster } from './testing/control-cluster.js';
 
 const FRESHNESS_BOUND_MS = 2500;
 const TAKEOVER = moment(60_000);
@@ -94,7 +94,7 @@
 }
 
 test('the first fleet of a new leader divides limits by all proxies', () => {
-  const cluster = foundedCluster();
+  const cluster = formedCluster();
   runWithAgents(cluster, 5000);
   const former = cluster.leader();
   expect(countsOf(cluster, former).at(-1)).toBe(AGENTS);
--- a/src/control/quorum-read-before-serving.test.ts
+++ b/src/control/quorum-read-before-serving.test.ts
@@ -2,7 +2,7 @@
 import { moment, nodeId, type Moment } from '../common/ids.js';
 import type { Version } from '../common/version.js';
 import { QuorumReads } from './quorum-reads.js';
-import { DutyNode, SOUND_DISK } from './testing/duty-node.js';
+import { ComponentsNode, SOUND_DISK } from './testing/components-node.js';
 
 const NOW = moment(10_000);
 const EPOCH = 4;
@@ -14,14 +14,14 @@
 
 /** The confirmations that a leading node gets from a quorum read for a rejection, once a majority has replied. */
 function confirmationsAt(leadershipState: LeadershipState, newest: Version): readonly boolean[] {
-  const node = new DutyNode(SOUND_DISK);
+  const node = new ComponentsNode(SOUND_DISK);
   const confirmations: boolean[] = [];
   const reads = new QuorumReads({
     ...node.replica,
     incarnation: INCARNATION,
-    members: node.duties.members,
-    table: node.duties.placement.table,
-    updates: node.duties.updates,
+    members: node.components.members,
+    table: node.components.placement.table,
+    updates: node.components.updates,
     needsMachines: false,
     onConfirmation: (_now: Moment, _id: number, isNewest: boolean) => confirmations.push(isNewest),
   });
--- a/src/control/quorum-reads.test.ts
+++ b/src/control/quorum-reads.test.ts
@@ -3,7 +3,7 @@
 import type { Message } from '../common/messages.js';
 import type { Version } from '../common/version.js';
 import type { ControlEffect } from './control-effect.js';
-import { DutyNode, MACHINES, SOUND_DISK } from './testing/duty-node.js';
+import { ComponentsNode, MACHINES, SOUND_DISK } from './testing/components-node.js';
 
 const NOW = moment(10_000);
 const EPOCH = 4;
@@ -14,9 +14,9 @@
 const OTHER = nodeId('b');
 
 /** A serving leader, with a configuration that it knows to be committed. */
-function servingLeader(): DutyNode {
-  const node = new DutyNode(SOUND_DISK);
-  node.duties.updates.onMachineList(MACHINES);
+function servingLeader(): ComponentsNode {
+  const node = new ComponentsNode(SOUND_DISK);
+  node.components.updates.onMachineList(MACHINES);
   node.replica.leadership.begin(EPOCH);
   node.replica.leadership.serve();
   node.replica.relay.offer('config', COMMITTED, 'the configuration');
@@ -24,9 +24,9 @@
   return node;
 }
 
-function reply(node: DutyNode, version: Version): void {
+function reply(node: ComponentsNode, version: Version): void {
   const message = { kind: 'quorumReadReply', nonce: NONCE, ...version, marks: 2 } as const;
-  node.duties.reads.onQuorumReadReply(NOW, OTHER, message);
+  node.components.reads.onQuorumReadReply(NOW, OTHER, message);
 }
 
 function statusOf(effects: readonly ControlEffect[]): number | undefined {
@@ -35,8 +35,8 @@
 }
 test('a read is answered once a majority has replied with its versions', () => {
   const node = servingLeader();
-  node.duties.reads.read(ORIGIN);
-  node.duties.reads.tick(NOW);
+  node.components.reads.read(ORIGIN);
+  node.components.reads.tick(NOW);
   const request = { kind: 'quorumRead', nonce: NONCE, members: [] };
   expect(node.sent()).toEqual([
     ['b', request],
@@ -51,25 +51,25 @@
 });
 test('a read is rejected if a later leader has written', () => {
   const node = servingLeader();
-  node.duties.reads.read(ORIGIN);
-  node.duties.reads.tick(NOW);
+  node.components.reads.read(ORIGIN);
+  node.components.reads.tick(NOW);
   node.drain();
   reply(node, { epoch: EPOCH + 1, count: 1 });
   expect(statusOf(node.drain())).toBe(503);
 });
 test('a node that steps down rejects its pending reads at once, and does not answer them again later', () => {
   const node = servingLeader();
-  node.duties.reads.read(ORIGIN);
-  node.duties.reads.tick(NOW);
+  node.components.reads.read(ORIGIN);
+  node.components.reads.tick(NOW);
   node.drain();
-  node.duties.reads.abandon();
+  node.components.reads.abandon();
   expect(statusOf(node.drain())).toBe(503);
   reply(node, COMMITTED);
   expect(node.drain()).toEqual([]);
 });
 test('a member is confirmed with the newest configuration and list of machines of a majority', () => {
   const node = servingLeader();
-  node.duties.reads.confirmFreshness(NOW, { child: 'm', nonce: 9, members: ['m'] });
+  node.components.reads.confirmFreshness(NOW, { child: 'm', nonce: 9, members: ['m'] });
   expect(node.sent()).toHaveLength(2);
   reply(node, COMMITTED);
   const { revision: marks } = MACHINES;
@@ -77,12 +77,12 @@
 });
 test('a node that may have stored a newer version, or has no list of machines, does not reply', () => {
   const message: Message = { kind: 'quorumRead', nonce: 3, members: [] };
-  const blank = new DutyNode([]);
-  blank.duties.updates.onMachineList(MACHINES);
+  const blank = new ComponentsNode([]);
+  blank.components.updates.onMachineList(MACHINES);
   blank.drain();
-  blank.duties.reads.onQuorumRead(NOW, 'b', message);
+  blank.components.reads.onQuorumRead(NOW, 'b', message);
   expect(blank.sent()).toEqual([]);
-  const withoutList = new DutyNode(SOUND_DISK);
-  withoutList.duties.reads.onQuorumRead(NOW, 'b', message);
+  const withoutList = new ComponentsNode(SOUND_DISK);
+  withoutList.components.reads.onQuorumRead(NOW, 'b', message);
   for (const [, sent] of withoutList.sent()) expect(sent.kind).toBe('freshnessRequest');
 });
--- a/src/control/replica-repair.test.ts
+++ b/src/control/replica-repair.test.ts
@@ -2,7 +2,7 @@
 import { moment } from '../common/ids.js';
 import { CONFIG_PARTITION } from '../state/partition-names.js';
 import type { ReplicaStatusOutcome } from '../state/replica-status.js';
-import { DutyNode } from './testing/duty-node.js';
+import { ComponentsNode } from './testing/components-node.js';
 
 const NOW = moment(10_000);
 const VERSION = { epoch: 3, count: 1 };
@@ -12,8 +12,8 @@
   copies: [{ part: CONFIG_PARTITION, ...VERSION, body: '{}', sound: true }],
 };
 test('a repaired node counts once its partitions and then its vote record are on disk', () => {
-  const node = new DutyNode([]);
-  const { repair, stateMessages } = node.duties;
+  const node = new ComponentsNode([]);
+  const { repair, stateMessages } = node.components;
   const { replicaStatus } = node.replica;
   expect(repair.isInProgress).toBe(false);
   repair.resolve(NOW, REPAIRED);
@@ -27,15 +27,15 @@
   expect(repair.isInProgress).toBe(false);
 });
 test('a repair in progress is not started again', () => {
-  const node = new DutyNode([]);
-  node.duties.repair.resolve(NOW, REPAIRED);
+  const node = new ComponentsNode([]);
+  node.components.repair.resolve(NOW, REPAIRED);
   node.drain();
-  node.duties.repair.resolve(NOW, REPAIRED);
+  node.components.repair.resolve(NOW, REPAIRED);
   expect(node.drain()).toEqual([]);
 });
 test('a node that starts a new cluster counts once its first vote record is on disk', () => {
-  const node = new DutyNode([]);
-  const { repair } = node.duties;
+  const node = new ComponentsNode([]);
+  const { repair } = node.components;
   repair.resolve(NOW, { become: 'founded', epoch: 0 });
   expect(node.drain()).toEqual([{ do: 'log', event: { event: 'cluster formed' } }]);
   expect(repair.mayPersistVotes).toBe(true);
--- a/src/control/slow-links.test.ts
+++ b/src/control/slow-links.test.ts
@@ -10,8 +10,8 @@
 const STEP_MS = 10;
 const SEED_COUNT = 12;
 const ALL = ['a', 'b', 'c', 'd', 'e'];
-const SLOW_LINKS = { leastDelayMs: 150, mostDelayMs: 400 };
-const SLOW_DISKS = { leastDiskMs: 50, mostDiskMs: 200 };
+const SLOW_LINKS = { minDelayMs: 150, maxDelayMs: 400 };
+const SLOW_DISKS = { minDiskMs: 50, maxDiskMs: 200 };
 
 /** A voter with slow links, and the one-way delay of each message from or to it. */
 interface DistantVoter {
@@ -50,7 +50,7 @@
   const ids = ALL.slice(0, deployment.voters);
   const cluster = new FaultCluster({ ...deployment.options, seed });
   const { distant } = deployment;
-  if (distant) cluster.setFar(distant.id, distant.minDelayMs, distant.maxDelayMs);
+  if (distant) cluster.setDelay(distant.id, distant.minDelayMs, distant.maxDelayMs);
   for (const id of ids) cluster.start(id, ids.slice(0, 3), true);
   const hasLeader = () => cluster.hasLeader();
   const firstLeaderMs = cluster.runUntil(hasLeader, 20_000, `a first leader, seed ${seed}`);
@@ -89,7 +89,7 @@
   'five voters, links of 150 to 400 ms': { voters: 5, options: SLOW_LINKS },
   'three voters, links of 400 ms': {
     voters: 3,
-    options: { leastDelayMs: 400, mostDelayMs: 400 },
+    options: { minDelayMs: 400, maxDelayMs: 400 },
   },
   'three voters, disks of 50 to 200 ms': { voters: 3, options: SLOW_DISKS },
   'five voters, disks of 50 to 200 ms': { voters: 5, options: SLOW_DISKS },
@@ -115,7 +115,9 @@
     cluster.runUntil(() => cluster.hasLeader(), 20_000, `a first leader, seed ${seed}`);
     cluster.run(SETTLING_MS);
     for (let reads = 0; reads < 5; reads += 1)
-      expect(cluster.asked(cluster.follower(), 'read', {}, 4000).status, `seed ${seed}`).toBe(200);
+      expect(cluster.request(cluster.follower(), 'read', {}, 4000).status, `seed ${seed}`).toBe(
+        200,
+      );
   }
 });
 
--- a/src/control/testing/attached-proxy.ts
+++ b/src/control/testing/attached-proxy.ts
@@ -4,13 +4,13 @@
 import type { KnownVersion, Message } from '../../common/messages.js';
 import { DrainingRunnerIds } from '../../dissemination/draining-runner-ids.js';
 import { FleetDeltaShape, FleetShape, type FleetRunner } from '../../placement/fleet.js';
-import type { FaultCluster, Neighbour } from './fault-cluster.js';
+import type { FaultCluster, ClusterClient } from './fault-cluster.js';
 
 const PROXY = 'flow@proxy';
 const FRESHNESS_REQUEST_INTERVAL_MS = 1000;
 
 /** An agent and its proxy, connected to a cluster of control cores; records when the proxy learns that runners are draining. */
-export class AttachedProxy implements Neighbour {
+export class AttachedProxy implements ClusterClient {
   readonly id: string;
   readonly #cluster: FaultCluster;
   readonly #agent: AgentCore;
@@ -33,7 +33,7 @@
       isDeployed: true,
     };
     this.#agent = new AgentCore(settings, moment(cluster.now));
-    cluster.join(id, this);
+    cluster.addClient(id, this);
   }
 
   /** The control node that the agent is connected to. */
@@ -42,7 +42,7 @@
   }
 
   /** When the proxy first learned that a runner is draining; undefined if it has not. */
-  heardAt(runner: string): number | undefined {
+  drainSeenAt(runner: string): number | undefined {
     return this.#drainSeenAt.get(runner);
   }
 
@@ -66,7 +66,7 @@
   }
 
   /** The connection to a node closed. */
-  gone(now: Moment, id: string): void {
+  onDisconnect(now: Moment, id: string): void {
     this.#agent.onDisconnect(now, id);
     this.#drain(now);
   }
--- a/src/control/testing/duty-node.ts
+++ b/src/control/testing/components-node.ts
@@ -31,9 +31,9 @@
 ];
 
 /** The components of node `a` of three, without the core that connects them. */
-export class DutyNode {
+export class ComponentsNode {
   readonly replica: ControlReplica;
-  readonly duties: ControlComponents;
+  readonly components: ControlComponents;
 
   constructor(stored: readonly StoredPartition[]) {
     const settings = {
@@ -44,7 +44,7 @@
       seeds: ['a', 'b', 'c'],
     };
     this.replica = makeReplica(settings, stored, START, VOTE_DEFAULTS);
-    this.duties = new ControlComponents(settings, PLACER_DEFAULTS, this.replica, START, {
+    this.components = new ControlComponents(settings, PLACER_DEFAULTS, this.replica, START, {
       mayOrder: returnFalse,
       drainEffects: doNothing,
       peers: noPeers,
--- a/src/control/testing/control-cluster.ts
+++ b/src/control/testing/control-cluster.ts
@@ -189,7 +189,7 @@
   }
 
   /** Sends a command to a node's API; returns the number by which `answer` finds the answer. */
-  ask(id: string, verb: string, body: object): number {
+  submit(id: string, verb: string, body: object): number {
     this.#commandId += 1;
     const number = this.#commandId;
     const text = JSON.stringify(body);
@@ -209,8 +209,8 @@
   }
 
   /** Sends a command to a node's API, runs the cluster, and returns the answer. */
-  asked(id: string, verb: string, body: object, millis: number = 500): Answer {
-    const number = this.ask(id, verb, body);
+  request(id: string, verb: string, body: object, millis: number = 500): Answer {
+    const number = this.submit(id, verb, body);
     this.run(millis);
     return this.answer(id, number);
   }
@@ -230,7 +230,7 @@
 }
 
 /** A new cluster of three, with a leader that serves. */
-export function foundedCluster(): ControlCluster {
+export function formedCluster(): ControlCluster {
   const cluster = new ControlCluster();
   for (const id of SEEDS) cluster.start(id, true);
   cluster.run(6000);
--- a/src/control/testing/fault-cluster.ts
+++ b/src/control/testing/fault-cluster.ts
@@ -56,17 +56,17 @@
 }
 
 /** A client of the control nodes on a machine of its own, for example an agent with its proxy. */
-export interface Neighbour {
+export interface ClusterClient {
   /** Delivers a message. */
   receive(now: Moment, from: string, message: Message): void;
   /** The connection to a node closed. */
-  gone(now: Moment, id: string): void;
+  onDisconnect(now: Moment, id: string): void;
   /** Called at each tick of the control nodes. */
   tick(now: Moment): void;
 }
 
 /** A read of the platform's list of runners by a node, at the time of its request. */
-export interface ListReading {
+export interface RunnerListRead {
   readonly id: string;
   readonly at: number;
 }
@@ -97,10 +97,10 @@
 export interface FaultClusterOptions {
   readonly seed?: number;
   /** Range of the delay of a message; each link delivers in order. */
-  readonly leastDelayMs?: number;
-  readonly mostDelayMs?: number;
-  readonly leastDiskMs?: number;
-  readonly mostDiskMs?: number;
+  readonly minDelayMs?: number;
+  readonly maxDelayMs?: number;
+  readonly minDiskMs?: number;
+  readonly maxDiskMs?: number;
 }
 
 /** Range of a one-way delay, in milliseconds. */
@@ -148,24 +148,24 @@
   readonly #delays = new Map<string, DelayRange>();
   readonly #cutLinks = new Set<string>();
   readonly #droppedKinds = new Set<string>();
-  readonly #clients = new Map<string, Neighbour>();
+  readonly #clients = new Map<string, ClusterClient>();
   /** The platform's list of runners; undefined while the platform is unreachable. */
   #runnerList: readonly ListedRunner[] | undefined;
   /** Nodes that cannot reach the platform. */
   readonly #cutFromPlatform = new Set<string>();
   /** The reads of the platform's list of runners, in order. */
-  readonly listReadings: ListReading[] = [];
+  readonly runnerListReads: RunnerListRead[] = [];
 
   constructor(options: FaultClusterOptions = {}) {
     const defaults = {
       seed: 1,
-      leastDelayMs: 1,
-      mostDelayMs: 10,
-      leastDiskMs: 1,
-      mostDiskMs: 10,
+      minDelayMs: 1,
+      maxDelayMs: 10,
+      minDiskMs: 1,
+      maxDiskMs: 10,
     };
     this.#options = { ...defaults, ...options };
-    const { leastDelayMs: minMs, mostDelayMs: maxMs } = this.#options;
+    const { minDelayMs: minMs, maxDelayMs: maxMs } = this.#options;
     this.#defaultDelay = { minMs, maxMs };
     this.#random = new Seeded(this.#options.seed, 1);
   }
@@ -221,7 +221,7 @@
   }
 
   /** Makes the platform return these runners. */
-  list(runners: readonly ListedRunner[]): void {
+  setRunnerList(runners: readonly ListedRunner[]): void {
     this.#runnerList = runners;
   }
 
@@ -236,7 +236,7 @@
   }
 
   /** Adds a client, which ticks with the control nodes and is subject to cuts as well. */
-  join(id: string, client: Neighbour): void {
+  addClient(id: string, client: ClusterClient): void {
     this.#clients.set(id, client);
   }
 
@@ -252,7 +252,7 @@
     node.stoppedAt = this.#now;
     const closesAt = moment(this.#now + STEP_MS);
     for (const client of this.#clients.values())
-      this.#schedule(STEP_MS, () => client.gone(closesAt, id));
+      this.#schedule(STEP_MS, () => client.onDisconnect(closesAt, id));
     for (const other of this.nodes.keys())
       if (other !== id) this.#schedule(STEP_MS, () => this.#onConnectionClosed(other, id));
   }
@@ -306,7 +306,7 @@
   }
 
   /** Sets the delays of messages from and to a node. */
-  setFar(id: string, minMs: number, maxMs: number): void {
+  setDelay(id: string, minMs: number, maxMs: number): void {
     this.#delays.set(id, { minMs, maxMs });
   }
 
@@ -333,12 +333,12 @@
   }
 
   /** Drops all messages of a kind to a node, as if each of them were late. */
-  lose(to: string, kind: Message['kind']): void {
+  dropMessages(to: string, kind: Message['kind']): void {
     this.#droppedKinds.add(`${to} ${kind}`);
   }
 
   /** Ends all losses of kinds of messages. */
-  loseNothing(): void {
+  stopDroppingMessages(): void {
     this.#droppedKinds.clear();
   }
 
@@ -390,8 +390,8 @@
   }
 
   /** Sends a command to a node's API and waits for the answer; status 0 if none arrived in time. */
-  asked(id: string, verb: string, body: object, millis: number = 500): Answer {
-    const number = this.ask(id, verb, body);
+  request(id: string, verb: string, body: object, millis: number = 500): Answer {
+    const number = this.submit(id, verb, body);
     for (const end = this.#now + millis; this.#now < end;) {
       const answer = this.node(id).answers.get(number);
       if (answer) return answer;
@@ -401,7 +401,7 @@
   }
 
   /** Sends a command to a node's API; returns the number by which its answer is stored. */
-  ask(id: string, verb: string, body: object): number {
+  submit(id: string, verb: string, body: object): number {
     this.#commandId += 1;
     const node = this.node(id);
     node.core.onCommand(moment(this.#now), this.#commandId, verb, JSON.stringify(body));
@@ -418,7 +418,7 @@
     let answer: Answer = { status: 0, body: 'no node leads' };
     for (const end = this.#now + EDIT_ACK_TIMEOUT_MS; this.#now < end; this.run(TICK_MS)) {
       if (!this.hasLeader()) continue;
-      answer = this.asked(this.leader(), 'configure', body, 1000);
+      answer = this.request(this.leader(), 'configure', body, 1000);
       if (answer.status === 200) return;
       if (answer.status !== 0 && answer.status < 500) break;
     }
@@ -426,7 +426,7 @@
   }
 
   /** Whether a node counts as a voter again: it has granted the leader's epoch and stores all that the leader stores. */
-  isCounting(id: string): boolean {
+  isCaughtUp(id: string): boolean {
     const leader = this.leader();
     if (leader === '') return false;
     const { core } = this.node(id);
@@ -460,7 +460,7 @@
   /** The version in force as read through a node, with retries; undefined if none was answered. */
   versionAt(id: string): number | undefined {
     for (const end = this.#now + READ_TIMEOUT_MS; this.#now < end; this.run(TICK_MS)) {
-      const answer = this.asked(id, 'read', {}, 1500);
+      const answer = this.request(id, 'read', {}, 1500);
       if (answer.status !== 200) continue;
       const read: { readonly routing?: Pick<PlainDocument, 'version'> } = JSON.parse(answer.body);
       return read.routing?.version ?? 0;
@@ -559,7 +559,7 @@
     else if (effect.do === 'store') {
       // Versions of one partition reach the disk in order.
       const queue = `${id} ${effect.partition}`;
-      const millis = this.#random.between(this.#options.leastDiskMs, this.#options.mostDiskMs);
+      const millis = this.#random.between(this.#options.minDiskMs, this.#options.maxDiskMs);
       const at = Math.max(this.#lastDueAt.get(queue) ?? 0, this.#now + millis);
       this.#lastDueAt.set(queue, at);
       const { incarnation } = node;
@@ -568,7 +568,7 @@
   }
 
   #readRunnerList(id: string, node: Node): void {
-    this.listReadings.push({ id, at: this.#now });
+    this.runnerListReads.push({ id, at: this.#now });
     const listed = this.#runnerList;
     const { incarnation } = node;
     if (listed && !this.#cutFromPlatform.has(id))
@@ -610,7 +610,7 @@
 }
 
 /** A new cluster in which all these nodes are voters, with a leader that serves; the first three are its seeds. */
-export function foundedFaultCluster(
+export function formedFaultCluster(
   ids: readonly string[],
   options: FaultClusterOptions = {},
 ): FaultCluster {
--- a/src/control/update-exchange.test.ts
+++ b/src/control/update-exchange.test.ts
@@ -1,6 +1,6 @@
 import { expect, test } from 'vitest';
 import { moment, nodeId } from '../common/ids.js';
-import { DutyNode, MACHINES, type Sent } from './testing/duty-node.js';
+import { ComponentsNode, MACHINES, type Sent } from './testing/components-node.js';
 
 const NOW = moment(10_000);
 
@@ -10,56 +10,56 @@
   return ids;
 }
 test('a newer list of machines is forwarded at once to the other voters', () => {
-  const node = new DutyNode([]);
+  const node = new ComponentsNode([]);
   const body = JSON.stringify(MACHINES);
   const update = { kind: 'update', topic: 'machines', epoch: 0, count: 3, body } as const;
-  node.duties.updates.onUpdate(update);
+  node.components.updates.onUpdate(update);
   expect(node.sent()).toEqual([
     ['b', update],
     ['c', update],
   ]);
-  node.duties.updates.onUpdate(update);
+  node.components.updates.onUpdate(update);
   expect(node.sent()).toEqual([]);
 });
 test('a delta whose base is unknown here is requested as a complete update', () => {
-  const node = new DutyNode([]);
+  const node = new ComponentsNode([]);
   const delta = { kind: 'delta', topic: 'fleet', epoch: 2, from: 4, count: 5, body: '{}' } as const;
-  node.duties.updates.onDelta('b', delta);
+  node.components.updates.onDelta('b', delta);
   expect(node.sent()).toEqual([
     ['b', { kind: 'freshnessRequest', nonce: -1, have: [], members: [] }],
   ]);
 });
 test('the list of machines is requested from members and voters twice a second', () => {
-  const node = new DutyNode([]);
-  node.duties.members.onMembersReported(NOW, 'b', [
+  const node = new ComponentsNode([]);
+  node.components.members.onMembersReported(NOW, 'b', [
     { id: 'm', zone: 'z', address: 'm:1', epoch: 0, count: 0 },
   ]);
-  node.duties.updates.requestMachineList(NOW);
+  node.components.updates.requestMachineList(NOW);
   expect(recipients(node.sent())).toEqual(['m', 'b', 'c']);
-  node.duties.updates.requestMachineList(moment(NOW + 499));
+  node.components.updates.requestMachineList(moment(NOW + 499));
   expect(node.sent()).toEqual([]);
-  node.duties.updates.requestMachineList(moment(NOW + 500));
+  node.components.updates.requestMachineList(moment(NOW + 500));
   expect(recipients(node.sent())).toEqual(['m', 'b', 'c']);
 });
 test('a node that is not a child gets the requested updates once', () => {
-  const node = new DutyNode([]);
+  const node = new ComponentsNode([]);
   node.replica.relay.offer('config', { epoch: 1, count: 1 }, '{}');
   node.replica.relay.onKnownVersions('m', []);
-  node.duties.updates.onUpdateRequest('m');
+  node.components.updates.onUpdateRequest('m');
   expect(recipients(node.sent())).toEqual(['m']);
   node.replica.relay.offer('config', { epoch: 1, count: 2 }, '{}');
-  node.duties.updates.flush();
+  node.components.updates.flush();
   expect(node.sent()).toEqual([]);
 });
 test('messages of other kinds are not handled', () => {
-  const node = new DutyNode([]);
-  const isHandled = node.duties.memberMessages.onMessage(NOW, 'b', {
+  const node = new ComponentsNode([]);
+  const isHandled = node.components.memberMessages.onMessage(NOW, 'b', {
     kind: 'renewed',
     epoch: 1,
     nonce: 1,
   });
   expect(isHandled).toBe(false);
-  const stateMessages = node.duties.stateMessages;
+  const stateMessages = node.components.stateMessages;
   expect(stateMessages.onMessage(NOW, nodeId('b'), { kind: 'renewed', epoch: 1, nonce: 1 })).toBe(
     false,
   );
--- a/src/control/voter-changes.test.ts
+++ b/src/control/voter-changes.test.ts
@@ -1,5 +1,5 @@
 import { expect, test } from 'vitest';
-import { FaultCluster, foundedFaultCluster } from './testing/fault-cluster.js';
+import { FaultCluster, formedFaultCluster } from './testing/fault-cluster.js';
 
 /** After this time another failure may follow. */
 const CATCH_UP_MS = 4000;
@@ -19,7 +19,7 @@
 }
 
 function checkReplacement(departingRole: 'leader' | 'follower'): void {
-  const cluster = foundedFaultCluster(THREE);
+  const cluster = formedFaultCluster(THREE);
   cluster.configure(0, 7);
   const departing = departingRole === 'leader' ? cluster.leader() : cluster.follower();
   const [first = '', second = ''] = THREE.filter((other) => isOther(departing, other));
@@ -48,7 +48,7 @@
   checkReplacement('follower'));
 test('a leader in a planned stop is replaced before it stops', () => checkReplacement('leader'));
 test('the state of a departing voter is stored at a majority of the others before it stops', () => {
-  const cluster = foundedFaultCluster(THREE);
+  const cluster = formedFaultCluster(THREE);
   const leader = cluster.leader();
   const [departing = '', lagging = ''] = THREE.filter((other) => isOther(leader, other));
   // The third voter misses the newest configuration: only the leader and the departing voter have it on disk.
@@ -64,7 +64,7 @@
   expect(cluster.versionAt('n:1')).toBe(7);
 });
 test('a voter without a spare to replace it stops at once, and stays in the set of voters', () => {
-  const cluster = foundedFaultCluster(THREE);
+  const cluster = formedFaultCluster(THREE);
   const departing = cluster.follower();
   cluster.retire(departing);
   const tookMs = cluster.runUntil(
@@ -76,7 +76,7 @@
   expect(cluster.voters()).toBe(THREE.join(' '));
 });
 test('five voters may be lost permanently one after another until two remain', () => {
-  const cluster = foundedFaultCluster(FIVE);
+  const cluster = formedFaultCluster(FIVE);
   cluster.configure(0, 7);
   const remaining = [...FIVE];
   let version = 7;
@@ -92,7 +92,7 @@
   expect(cluster.versionAt(remaining[0] ?? '')).toBe(version);
 });
 test('after the permanent loss of two of five voters the remaining three tolerate one more', () => {
-  const cluster = foundedFaultCluster(FIVE);
+  const cluster = formedFaultCluster(FIVE);
   cluster.kill(cluster.follower());
   cluster.run(20_000);
   cluster.kill(cluster.follower());
@@ -107,7 +107,7 @@
   );
 });
 test('removed voters that return become voters again within the time to catch up', () => {
-  const cluster = foundedFaultCluster(FIVE);
+  const cluster = formedFaultCluster(FIVE);
   cluster.configure(0, 7);
   const first = cluster.follower();
   cluster.kill(first);
@@ -128,14 +128,14 @@
   expect(cluster.versionAt(first)).toBe(8);
 });
 test('three voters of which one is lost stay three, since two would tolerate no more losses', () => {
-  const cluster = foundedFaultCluster(THREE);
+  const cluster = formedFaultCluster(THREE);
   cluster.kill(cluster.follower());
   cluster.run(20_000);
   expect(cluster.voters()).toBe(THREE.join(' '));
 });
 /** A node of the first start that was replaced while it was frozen is a spare: it is not added to the voters. */
 test('a voter that returns after it was replaced is not added to the voters', () => {
-  const cluster = foundedFaultCluster(THREE);
+  const cluster = formedFaultCluster(THREE);
   const frozen = cluster.follower();
   cluster.freeze(frozen);
   cluster.start('n:1', THREE);
@@ -147,7 +147,7 @@
 });
 /** A partition that has not been written for a long time must reach the new voters as well. */
 test('a partition stored only at the leader and a departing voter reaches the new voters', () => {
-  const cluster = foundedFaultCluster(THREE);
+  const cluster = formedFaultCluster(THREE);
   cluster.configure(0, 7);
   const leader = cluster.leader();
   const [departing = '', lagging = ''] = THREE.filter((other) => isOther(leader, other));
--- a/src/control/voter-faults.test.ts
+++ b/src/control/voter-faults.test.ts
@@ -1,5 +1,5 @@
 import { expect, test } from 'vitest';
-import { FaultCluster, foundedFaultCluster } from './testing/fault-cluster.js';
+import { FaultCluster, formedFaultCluster } from './testing/fault-cluster.js';
 import { documentOf } from './testing/plain-dialect.js';
 import { Seeded } from '../rehearsal/seeded.js';
 
@@ -57,7 +57,7 @@
   longestLeaderlessMs = 0;
 
   constructor(ids: readonly string[], maxFaults: number, seed: number) {
-    this.#cluster = foundedFaultCluster(ids, { seed, mostDelayMs: 30, mostDiskMs: 30 });
+    this.#cluster = formedFaultCluster(ids, { seed, maxDelayMs: 30, maxDiskMs: 30 });
     this.#random = new Seeded(seed * 7919, 1);
     this.#machines = [...ids];
     this.#maxFaults = maxFaults;
@@ -220,7 +220,7 @@
   #edit(): void {
     const leader = this.#cluster.leader();
     if (leader === '') return;
-    const read = this.#cluster.asked(leader, 'read', {}, 600);
+    const read = this.#cluster.request(leader, 'read', {}, 600);
     if (read.status !== 200) return;
     const version = versionIn(read.body);
     expect(version, this.#logText()).toBeGreaterThanOrEqual(this.#lastAcknowledged);
@@ -228,7 +228,7 @@
     this.#lastSent += 1;
     const text = documentOf(this.#lastSent);
     const body = { id: `edit-${this.#lastSent}`, base: version, text };
-    const answer = this.#cluster.asked(leader, 'configure', body, 1000);
+    const answer = this.#cluster.request(leader, 'configure', body, 1000);
     if (answer.status === 200) this.#lastAcknowledged = this.#lastSent;
   }
 }
--- a/src/control/voter-membership.test.ts
+++ b/src/control/voter-membership.test.ts
@@ -4,7 +4,7 @@
 import { allPartitions, CONFIG_PARTITION } from '../state/partition-names.js';
 import { initialDoc, type ConfigDoc } from './config-shapes.js';
 import type { ControlReplica } from './control-replica.js';
-import { DutyNode, SOUND_DISK } from './testing/duty-node.js';
+import { ComponentsNode, SOUND_DISK } from './testing/components-node.js';
 import { VoterMembership } from './voter-membership.js';
 
 type Voters = readonly (readonly string[])[];
@@ -19,7 +19,7 @@
 
 /** The membership of node `a`, which leads voters `a`, `b` and `c` and has taken over the state. */
 class LeadingMembership {
-  readonly replica: ControlReplica = new DutyNode(SOUND_DISK).replica;
+  readonly replica: ControlReplica = new ComponentsNode(SOUND_DISK).replica;
   readonly membership: VoterMembership;
   /** The sets of voters that were written, in order. */
   readonly changes: Voters[] = [];
--- a/src/control/voter-repair.test.ts
+++ b/src/control/voter-repair.test.ts
@@ -1,7 +1,7 @@
 import { expect, test } from 'vitest';
 import {
   FaultCluster,
-  foundedFaultCluster,
+  formedFaultCluster,
   type FaultClusterOptions,
 } from './testing/fault-cluster.js';
 
@@ -88,19 +88,19 @@
   {
     name: 'three voters, links of 60 to 200 ms',
     ids: THREE,
-    options: { leastDelayMs: 60, mostDelayMs: 200 },
+    options: { minDelayMs: 60, maxDelayMs: 200 },
     injectFault: noFault,
   },
   {
     name: 'three voters, disks of 50 to 200 ms',
     ids: THREE,
-    options: { leastDiskMs: 50, mostDiskMs: 200 },
+    options: { minDiskMs: 50, maxDiskMs: 200 },
     injectFault: noFault,
   },
 ];
 
 function repairTimeMs(item: Case, seed: number): number {
-  const cluster = foundedFaultCluster(item.ids, { ...item.options, seed });
+  const cluster = formedFaultCluster(item.ids, { ...item.options, seed });
   cluster.configure(0, 7);
   const wiped = seed % 3 === 0 ? cluster.leader() : cluster.follower();
   cluster.kill(wiped);
@@ -109,7 +109,7 @@
   cluster.run(seed * 7);
   item.injectFault(cluster, wiped, seed);
   cluster.start(wiped, THREE);
-  const counts = () => cluster.isCounting(wiped);
+  const counts = () => cluster.isCaughtUp(wiped);
   return cluster.runUntil(counts, 20_000, `${item.name}, seed ${seed}`);
 }
 
@@ -138,7 +138,7 @@
 }
 /** Its seeds are fewer than the voters: it must read the replicas of all voters that it may have formed a majority with. */
 test('a wiped voter whose seeds are few of the voters reads all voters that it decided with', () => {
-  const cluster = foundedFaultCluster(FIVE);
+  const cluster = formedFaultCluster(FIVE);
   cluster.configure(0, 7);
   // Three voters store the newest configuration; one of them loses its disk.
   cluster.runUntil(() => cluster.hasLeader(), 1000, 'a leader serves');
--- a/src/control/voter-replacements.test.ts
+++ b/src/control/voter-replacements.test.ts
@@ -1,5 +1,5 @@
 import { expect, test } from 'vitest';
-import { FaultCluster, foundedFaultCluster } from './testing/fault-cluster.js';
+import { FaultCluster, formedFaultCluster } from './testing/fault-cluster.js';
 
 const CATCH_UP_MS = 4000;
 const ELECTION_LIMIT_MS = 6000;
@@ -23,7 +23,7 @@
 /** The leader is lost at various times after a replacement began, and returns 5 s later. */
 function checkLeaderLostInReplacement(how: 'killed' | 'cut' | 'frozen'): void {
   for (let seed = 1; seed <= SEED_COUNT; seed += 1) {
-    const cluster = foundedFaultCluster(THREE, { seed, mostDelayMs: 40, mostDiskMs: 40 });
+    const cluster = formedFaultCluster(THREE, { seed, maxDelayMs: 40, maxDiskMs: 40 });
     cluster.configure(0, 7);
     const lost = cluster.follower();
     cluster.kill(lost);
@@ -63,7 +63,7 @@
  * accepted.
  */
 function withStaleVoters(): StaleVoters {
-  const cluster = foundedFaultCluster(THREE, { leastDelayMs: 15, mostDelayMs: 20, mostDiskMs: 3 });
+  const cluster = formedFaultCluster(THREE, { minDelayMs: 15, maxDelayMs: 20, maxDiskMs: 3 });
   cluster.configure(0, 7);
   const leader = cluster.leader();
   const [stale = '', joint = ''] = others(THREE, leader);
@@ -75,7 +75,7 @@
   for (const id of [leader, 'n:1']) cluster.cutOneWay(id, joint);
   expect(cluster.node(joint).core.voters).toHaveLength(4);
   // From now on elections are faster than updates.
-  cluster.lose(stale, 'update');
+  cluster.dropMessages(stale, 'update');
   cluster.run(500);
   cluster.configure(7, 8);
   return { cluster, leader, stale, joint };
@@ -84,7 +84,7 @@
 /** A frozen leader receives nothing, so that the silence of the other voters in that time means nothing. */
 function checkThawedLeader(first: 'input' | 'tick'): void {
   for (let seed = 1; seed <= SEED_COUNT; seed += 1) {
-    const cluster = foundedFaultCluster(THREE, { seed });
+    const cluster = formedFaultCluster(THREE, { seed });
     cluster.start('n:1', THREE);
     cluster.run(3000);
     // All voters are frozen together, as when their host is, so that none takes over.
@@ -140,7 +140,7 @@
 });
 /** A replaced voter returns with the disk from before its replacement: it is a spare, and neither leads nor votes. */
 test('a voter that returns with its old disk after it was replaced does not vote', () => {
-  const cluster = foundedFaultCluster(THREE);
+  const cluster = formedFaultCluster(THREE);
   cluster.configure(0, 7);
   const lost = cluster.follower();
   cluster.kill(lost);
@@ -173,7 +173,7 @@
 /** Both are lost at the same time. */
 test('two voters are replaced one after the other', () => {
   for (let seed = 1; seed <= SEED_COUNT; seed += 1) {
-    const cluster = foundedFaultCluster(FIVE, { seed, mostDelayMs: 30 });
+    const cluster = formedFaultCluster(FIVE, { seed, maxDelayMs: 30 });
     cluster.configure(0, 7);
     const first = cluster.follower();
     cluster.kill(first);
@@ -204,7 +204,7 @@
 /** A leader in a planned stop is killed at various times before its replacement has completed. */
 test('a leader that is killed during its planned stop is replaced', () => {
   for (let seed = 1; seed <= SEED_COUNT; seed += 1) {
-    const cluster = foundedFaultCluster(THREE, { seed, mostDelayMs: 40, mostDiskMs: 40 });
+    const cluster = formedFaultCluster(THREE, { seed, maxDelayMs: 40, maxDiskMs: 40 });
     cluster.configure(0, 7);
     cluster.start('n:1', THREE);
     cluster.run(1500);
@@ -222,7 +222,7 @@
 });
 /** A voter with a stalled disk still sends messages: it is not replaced, and does not count as lost. */
 test('a voter whose disk stalls stays a voter, and catches up', () => {
-  const cluster = foundedFaultCluster(THREE);
+  const cluster = formedFaultCluster(THREE);
   cluster.configure(0, 7);
   const stalled = cluster.follower();
   cluster.stallDisk(stalled);
@@ -238,7 +238,7 @@
 });
 /** A voter that does not know the candidate does not block a majority that knows the newest voters. */
 test('a voter that does not know the candidate learns of it and votes', () => {
-  const cluster = foundedFaultCluster(THREE);
+  const cluster = formedFaultCluster(THREE);
   cluster.configure(0, 7);
   const leader = cluster.leader();
   const [departing = '', lagging = ''] = others(THREE, leader);
--- a/src/control/voter-set-writer.test.ts
+++ b/src/control/voter-set-writer.test.ts
@@ -1,7 +1,7 @@
 import { expect, test } from 'vitest';
 import { moment, nodeId, type NodeId, type PartitionName } from '../common/ids.js';
 import { allPartitions, CONFIG_PARTITION } from '../state/partition-names.js';
-import { DutyNode, SOUND_DISK } from './testing/duty-node.js';
+import { ComponentsNode, SOUND_DISK } from './testing/components-node.js';
 
 const NOW = moment(10_000);
 const EPOCH = 2;
@@ -12,7 +12,7 @@
 
 /** Node `a`, which leads the replicated state; all partitions are empty and stored at `b` and `c` as well. */
 class StateLeader {
-  readonly node = new DutyNode(SOUND_DISK);
+  readonly node = new ComponentsNode(SOUND_DISK);
   #electedEpoch = EPOCH;
 
   constructor() {
@@ -38,7 +38,7 @@
   }
 
   change(voters: readonly (readonly string[])[], voterCount?: number): void {
-    this.node.duties.voterSet.writeVoters(NOW, { do: 'voters', voters, voterCount });
+    this.node.components.voterSet.writeVoters(NOW, { do: 'voters', voters, voterCount });
   }
 
   /** The node's elector learns of a new epoch in which these voters take part. */
@@ -57,7 +57,7 @@
   }
 
   get voters(): readonly (readonly string[])[] {
-    return this.node.duties.document.newest().voters;
+    return this.node.components.document.newest().voters;
   }
 }
 
@@ -87,16 +87,16 @@
 test('the wanted number of voters is stored if there is one, and unchanged if there is none', () => {
   const leader = new StateLeader();
   leader.change([THREE, NEXT]);
-  expect(leader.node.duties.document.newest().seats).toBe(undefined);
+  expect(leader.node.components.document.newest().seats).toBe(undefined);
   leader.change([THREE, NEXT], 5);
-  expect(leader.node.duties.document.newest().seats).toBe(5);
+  expect(leader.node.components.document.newest().seats).toBe(5);
   leader.change([NEXT]);
-  expect(leader.node.duties.document.newest().seats).toBe(5);
+  expect(leader.node.components.document.newest().seats).toBe(5);
 });
 
 test('all partitions except the configuration are rewritten', () => {
   const leader = new StateLeader();
-  leader.node.duties.voterSet.rewritePartitions(NOW);
+  leader.node.components.voterSet.rewritePartitions(NOW);
   const { state } = leader.node.replica;
   const written = allPartitions().filter((partition) => state.isWriting(partition));
   expect(written).toEqual(allPartitions().filter((partition) => partition !== CONFIG_PARTITION));
@@ -104,7 +104,7 @@
 
 test("an operator's replacement completes once the configuration is stored and every new voter takes part", () => {
   const leader = new StateLeader();
-  const { voterSet } = leader.node.duties;
+  const { voterSet } = leader.node.components;
   const { elector } = leader.node.replica;
   voterSet.completeReplacement(NOW);
   expect(leader.voters).toEqual([THREE]);
--- a/src/control/voters.test.ts
+++ b/src/control/voters.test.ts
@@ -3,7 +3,7 @@
   ControlCluster,
   documentOf as document,
   editOf as edit,
-  foundedCluster as founded,
+  formedCluster as founded,
   SEEDS,
 } from './testing/control-cluster.js';
 
@@ -16,7 +16,7 @@
 function checkReplacement(lostRole: 'leader' | 'follower'): void {
   const cluster = founded();
   expect(
-    cluster.asked(followerOf(cluster), 'configure', edit('e1', 0, document(7, 'x'))).status,
+    cluster.request(followerOf(cluster), 'configure', edit('e1', 0, document(7, 'x'))).status,
   ).toBe(200);
   const lost = lostRole === 'leader' ? cluster.leader() : followerOf(cluster);
   cluster.stop(lost);
@@ -29,43 +29,43 @@
   // With the new voter the loss of another one is tolerated.
   cluster.stop(cluster.leader() === one ? two : one);
   cluster.run(8000);
-  expect(JSON.parse(cluster.asked('d:1', 'read', {}).body).routing.version).toBe(7);
+  expect(JSON.parse(cluster.request('d:1', 'read', {}).body).routing.version).toBe(7);
   // A replaced voter that returns is not a voter, and does not disturb the others.
   cluster.start(lost, false);
   cluster.run(6000);
-  expect(cluster.asked('d:1', 'configure', edit('e2', 7, document(9, 'y'))).status).toBe(200);
+  expect(cluster.request('d:1', 'configure', edit('e2', 7, document(9, 'y'))).status).toBe(200);
 }
 
 test('a configuration is accepted once from its base, acknowledged again, amended and read back', () => {
   const cluster = founded();
   const follower = followerOf(cluster);
-  expect(cluster.asked(follower, 'read', {}).body).not.toContain('routing');
-  expect(cluster.asked(follower, 'configure', edit('e1', 0, document(7, 'x'))).status).toBe(200);
+  expect(cluster.request(follower, 'read', {}).body).not.toContain('routing');
+  expect(cluster.request(follower, 'configure', edit('e1', 0, document(7, 'x'))).status).toBe(200);
   // A retry is acknowledged at any node; another edit of the same version conflicts.
-  expect(cluster.asked(cluster.leader(), 'configure', edit('e1', 0, document(7, 'x'))).status).toBe(
-    200,
-  );
-  expect(cluster.asked(follower, 'configure', edit('e2', 0, document(8, 'y')))).toMatchObject({
+  expect(
+    cluster.request(cluster.leader(), 'configure', edit('e1', 0, document(7, 'x'))).status,
+  ).toBe(200);
+  expect(cluster.request(follower, 'configure', edit('e2', 0, document(8, 'y')))).toMatchObject({
     status: 409,
   });
-  expect(cluster.asked(follower, 'amend', edit('e3', 7, document(12, 'y'))).status).toBe(200);
-  expect(cluster.asked(follower, 'configure', edit('e4', 12, document(12, 'z')))).toMatchObject({
+  expect(cluster.request(follower, 'amend', edit('e3', 7, document(12, 'y'))).status).toBe(200);
+  expect(cluster.request(follower, 'configure', edit('e4', 12, document(12, 'z')))).toMatchObject({
     status: 400,
   });
   expect(
-    cluster.asked(
+    cluster.request(
       follower,
       'configure',
       edit('e5', 12, JSON.stringify({ version: 20, faulty: true, items: [] })),
     ).body,
   ).toContain('is faulty');
-  const read = JSON.parse(cluster.asked(follower, 'read', {}).body);
+  const read = JSON.parse(cluster.request(follower, 'read', {}).body);
   expect(read.routing).toEqual({ version: 12, text: document(12, 'x', 'y') });
 });
 test('of two edits of the same version one is accepted', () => {
   const cluster = founded();
-  const first = cluster.ask(cluster.leader(), 'configure', edit('e1', 0, document(7, 'x')));
-  const second = cluster.ask(cluster.leader(), 'configure', edit('e2', 0, document(8, 'y')));
+  const first = cluster.submit(cluster.leader(), 'configure', edit('e1', 0, document(7, 'x')));
+  const second = cluster.submit(cluster.leader(), 'configure', edit('e2', 0, document(8, 'y')));
   cluster.run(500);
   const { answers } = cluster.node(cluster.leader());
   expect([answers.get(first)?.status, answers.get(second)?.status]).toEqual([200, 409]);
@@ -74,7 +74,7 @@
   const cluster = founded();
   const leader = cluster.leader();
   for (const id of SEEDS) if (id !== leader) cluster.node(id).disk = 'stalled';
-  const asked = cluster.ask(leader, 'configure', edit('e1', 0, document(7, 'x')));
+  const asked = cluster.submit(leader, 'configure', edit('e1', 0, document(7, 'x')));
   cluster.run(400);
   expect(cluster.node(leader).answers.get(asked)).toBeUndefined();
   // One more copy on disk makes a majority; no member has to acknowledge it or become stale.
@@ -89,10 +89,10 @@
     ['z2', false],
     ['z3', true],
   ] as const)
-    expect(cluster.asked(followerOf(cluster), 'zone', { id, zone: 'north', empty }).status).toBe(
+    expect(cluster.request(followerOf(cluster), 'zone', { id, zone: 'north', empty }).status).toBe(
       200,
     );
-  expect(JSON.parse(cluster.asked(followerOf(cluster), 'read', {}).body).emptied).toEqual([
+  expect(JSON.parse(cluster.request(followerOf(cluster), 'read', {}).body).emptied).toEqual([
     'north',
   ]);
 });
@@ -102,12 +102,12 @@
   cluster.run(12_000);
   expect(cluster.voters()).toBe('a:1 b:1 c:1 d:1 e:1');
   expect(
-    cluster.asked(followerOf(cluster), 'configure', edit('e1', 0, document(7, 'x'))).status,
+    cluster.request(followerOf(cluster), 'configure', edit('e1', 0, document(7, 'x'))).status,
   ).toBe(200);
   cluster.stop(cluster.leader());
   cluster.stop(followerOf(cluster));
   cluster.run(8000);
-  expect(JSON.parse(cluster.asked(cluster.leader(), 'read', {}).body).routing.version).toBe(7);
+  expect(JSON.parse(cluster.request(cluster.leader(), 'read', {}).body).routing.version).toBe(7);
 });
 test('an empty node replaces a lost follower', () => checkReplacement('follower'));
 test('an empty node replaces a lost leader', () => checkReplacement('leader'));
@@ -129,7 +129,7 @@
 test('a node that lost its disk is repaired from the others', () => {
   const cluster = founded();
   expect(
-    cluster.asked(followerOf(cluster), 'configure', edit('e1', 0, document(7, 'x'))).status,
+    cluster.request(followerOf(cluster), 'configure', edit('e1', 0, document(7, 'x'))).status,
   ).toBe(200);
   const leader = cluster.leader();
   cluster.stop(leader);
@@ -137,7 +137,7 @@
   cluster.start(leader, false);
   cluster.run(9000);
   expect(cluster.node(leader).core.replicaStatus.name).toBe('sound');
-  expect(JSON.parse(cluster.asked(leader, 'read', {}).body).routing.version).toBe(7);
+  expect(JSON.parse(cluster.request(leader, 'read', {}).body).routing.version).toBe(7);
 });
 test('blank nodes start a cluster only at the first start', () => {
   const cluster = new ControlCluster();
--- a/src/simulation/control-node.ts
+++ b/src/simulation/control-node.ts
@@ -13,7 +13,7 @@
 import { VOTE_DEFAULTS } from '../election/vote-settings.js';
 import {
   CONTROL_TICK_MS,
-  DEPLOYED_VOTE,
+  DEPLOYED_VOTE_SETTINGS,
   RUNNER_LIST_INTERVAL_MS,
   SESSION_TIMEOUT_MS,
 } from '../control/control-process.js';
@@ -206,7 +206,7 @@
       foundMs: 0,
       deployed,
     };
-    const vote = { ...VOTE_DEFAULTS, ...DEPLOYED_VOTE, handoverGapMs: LEASE_MS };
+    const vote = { ...VOTE_DEFAULTS, ...DEPLOYED_VOTE_SETTINGS, handoverGapMs: LEASE_MS };
     this.#operators.open();
     const inputs = { settings, stored: this.disk.list(), now: this.process.now(), vote };
     this.#core = this.#around.build.control(inputs);
