--- a/src/agent/agent-core.ts
+++ b/src/agent/agent-core.ts
@@ -22,12 +22,15 @@
 const FIRST_JOIN_ADVANCE_MS = 400;
 /** How often updates are requested from the parent or the control node, in a deployment. */
 const UPDATE_INTERVAL_MS = 1000;
-/** A child requests at least once a second; one that has not for this long has another parent, which feeds it. */
+/** A child sends a request at least once a second. One that has sent none for this long gets its updates elsewhere. */
 const CHILD_TIMEOUT_MS = 3500;
-/** The nonce of a request that is answered once, by updates alone, and makes its sender no child. */
+/** The nonce of a request that is answered once, with updates only, and does not make its sender a child. */
 const UPDATES_ONLY = -1;
 
-/** The agent beside a proxy: a session with one control node, a place in the relay tree, and updates for the proxy. */
+/**
+ * The state machine of the agent next to a proxy: it has a session with one control node, a position in the relay tree, and
+ * sends updates to the proxy. It does no I/O itself: `drain` returns what its owner has to carry out.
+ */
 export class AgentCore {
   readonly #settings: AgentSettings;
   readonly #timing: AgentTiming;
@@ -39,19 +42,20 @@
   readonly #session: ControlSession;
   readonly #crossRequests: CrossRequests;
   readonly #lag = new ConfigurationLag();
-  /** When each of those that are fed from here requested last. */
+  /** The children and proxies that get updates from this agent, with the time of the last request of each. */
   readonly #children = new Map<string, Moment>();
   #effects: AgentEffect[] = [];
   #joinedAt: Moment;
-  /** The parent in the relay tree; empty if that is the control node. */
+  /** The parent in the relay tree; empty if it is the control node. */
   #parent = '';
-  /** A parent that failed, until the control node is notified. */
+  /** A failed parent that the control node has not been notified of yet; empty if there is none. */
   #failedParent = '';
-  /** Since when a request upward has been without a reply. */
+  /** When the oldest unanswered request to the parent or the control node was sent. */
   #unansweredSince: Moment | undefined;
   #sentAck: Version = NO_VERSION;
   #updatesRequestedAt: Moment;
 
+  /** Creates an agent at the current time `now`; its first `join` is due within the join interval. */
   constructor(settings: AgentSettings, now: Moment) {
     this.#settings = settings;
     this.#timing = settings.isDeployed ? DEPLOYED_TIMING : CONFIRMED_TIMING;
@@ -64,12 +68,12 @@
     this.#joinedAt = moment(now - FIRST_JOIN_ADVANCE_MS);
   }
 
-  /** Adds the seeds of changed settings, for when no known voter replies. */
+  /** Adds the seeds of changed settings; they are used when no known voter replies. */
   setSeeds(seeds: readonly string[]): void {
     this.#controlNodes.setSeeds(seeds);
   }
 
-  /** The newest state of each topic known here. */
+  /** The newest state of each topic that this agent knows. */
   get relay(): Relay {
     return this.#relay;
   }
@@ -79,7 +83,7 @@
     return this.#controlNodes.current;
   }
 
-  /** The parent in the relay tree; empty if that is the control node. */
+  /** The parent in the relay tree; empty if it is the control node. */
   get parent(): string {
     return this.#parent;
   }
@@ -114,10 +118,10 @@
     return effects;
   }
 
-  /** Time has passed: failures are detected, and what is due is sent. */
+  /** Detects failures, and sends the requests and acknowledgements that are due. */
   tick(now: Moment): void {
     if (this.#session.isTimedOut(now)) this.#leaveControlNode(now);
-    // The control node assigns another parent in place of one that does not reply.
+    // The parent is reported as lost to the control node, which then assigns another one.
     if (this.#isParentOverdue(now)) this.#leaveParent(now);
     if (now >= later(this.#joinedAt, this.#timing.joinIntervalMs)) this.#join(now);
     this.#proxies.tick(now);
@@ -132,7 +136,7 @@
     this.#flush();
   }
 
-  /** A message came from a node or a proxy of this role. */
+  /** Handles a message from a node or a proxy; `role` is the role of the sender. */
   onMessage(now: Moment, from: string, role: string, message: Message): void {
     switch (message.kind) {
       case 'assignParent':
@@ -169,7 +173,7 @@
     this.#flush();
   }
 
-  /** The last connection to a node or a proxy closed. */
+  /** Handles the close of the last connection to a node or a proxy. */
   onDisconnect(now: Moment, from: string): void {
     this.#removeChild(from);
     this.#proxies.onDisconnect(now, from);
@@ -194,7 +198,7 @@
     this.#session.onReply(now);
     this.#lag.onNamed(now, message, this.#relay.version('config'));
     this.#controlNodes.setZones(message.controlNodes);
-    // One that knows no leader may be partitioned from the others, and then receives no updates.
+    // A control node that knows no leader may be partitioned from the others, and then receives no updates.
     this.#session.onLeader(message.leader);
     if (this.#session.hasLeaderlessControlNode) {
       this.#leaveControlNode(now);
@@ -204,7 +208,7 @@
       this.#onSessionMoved(now);
       return;
     }
-    // The parent may have missed an update without knowing it.
+    // The parent may have missed an update without noticing.
     const { epoch, count } = message;
     if (compareVersions({ epoch, count }, this.#relay.version('config')) > 0)
       this.#requestUpdatesFrom(this.controlNode);
@@ -258,12 +262,12 @@
       this.#requestUpdates(now);
       return;
     }
-    // What waits below is requested anew from the new parent.
+    // Confirmations that children wait for are requested again from the new parent.
     for (const request of requests) this.#confirmation.enqueue(request);
     this.#requestConfirmation(now);
   }
 
-  // Updates from above
+  // Updates from the parent or a control node
 
   #onUpdate({ topic, epoch, count, body }: Body<'update'>): void {
     const isNew = this.#relay.offer(topic, { epoch, count }, body);
@@ -273,7 +277,7 @@
   #onDelta(from: string, { topic, epoch, count, from: base, body }: Body<'delta'>): void {
     const version = { epoch, count };
     if (this.#relay.offerDelta(topic, version, base, body)) return;
-    // It does not follow on the known version: an update before it was dropped on the way.
+    // The delta is not based on the known version: an earlier update was lost in transit.
     if (compareVersions(version, this.#relay.version(topic)) > 0) this.#requestUpdatesFrom(from);
   }
 
@@ -294,14 +298,14 @@
     this.#request(to, UPDATES_ONLY, []);
   }
 
-  // Freshness, where proxies work by being confirmed
+  // Freshness confirmation, outside deployments
 
   #requestConfirmation(now: Moment): void {
     if (this.#settings.isDeployed) return;
     const nonce = this.#confirmation.begin(now);
     if (nonce === undefined) return;
     this.#unansweredSince ??= now;
-    // Names all that become fresh by the reply, connected or not: a commit waits for the acknowledgement of each.
+    // Lists all members that the reply makes fresh, connected or not: a commit waits until each has acknowledged.
     this.#request(this.#upstream(), nonce, [this.#settings.me, ...this.#confirmation.members()]);
   }
 
@@ -313,7 +317,7 @@
     this.#requestConfirmation(now);
   }
 
-  // Those that are fed from here
+  // Requests of children and proxies
 
   #onFreshnessRequest(
     now: Moment,
@@ -324,7 +328,7 @@
     this.#sendMissingRunners(from, have);
     if (role === 'flow') this.#proxies.onRequest(from);
     this.#relay.onKnownVersions(from, have);
-    // A control node that has lost its state requests updates alone.
+    // A control node that has lost its state requests updates only, and does not become a child.
     if (nonce < 0) {
       this.#flush();
       this.#removeChild(from);
@@ -346,7 +350,7 @@
     this.#relay.removeChild(child);
   }
 
-  /** The newest configuration by which all proxies work, this agent's or an older one. */
+  /** The newest configuration that all proxies have applied: that of this agent, or an older one. */
   #ackedConfig(): Version {
     return this.#proxies.acked(this.#relay.version('config'));
   }
@@ -364,7 +368,7 @@
 
   // Draining runners
 
-  /** The ids are right whoever sends them; only unknown ones are forwarded. */
+  /** The ids are valid from any sender. Only new ones are forwarded, so that messages do not circulate. */
   #onDrainingRunners(now: Moment, ids: readonly string[]): void {
     const runners = this.#draining.add(now, ids);
     if (runners.length === 0) return;
@@ -389,7 +393,7 @@
   }
 }
 
-/** All voters of a configuration, of both sets during a change of voters; none if it names none. */
+/** All voters of a configuration, of both sets during a change of voters; empty if the configuration lists none. */
 function votersOf(config: string): ReadonlySet<string> {
   return new Set(parseAs(VotersShape, config)?.voters.flat() ?? []);
 }
--- a/src/agent/control-node-choice.ts
+++ b/src/agent/control-node-choice.ts
@@ -2,16 +2,17 @@
 import type { ControlNodeZone } from '../common/messages.js';
 import type { AgentSettings } from './agent-effect.js';
 
-/** For how long a control node that failed is not chosen again, where there is another. */
+/** How long a failed control node is not chosen again if there is another one. */
 const AVOIDANCE_MS = 3000;
+/** Summands of a node's rank; the lowest rank is chosen. A failed node ranks below a node of another zone. */
 const AVOIDED_RANK = 2;
 const OTHER_ZONE_RANK = 1;
 
-/** The control nodes that an agent may have its session with, and which of them is chosen. */
+/** The control nodes that an agent may have its session with, and the choice among them. */
 export class ControlNodeChoice {
   readonly #settings: AgentSettings;
   readonly #zones = new Map<string, string>();
-  /** Control nodes that failed, with when each may be chosen again. */
+  /** Failed control nodes, each with the time from which it may be chosen again. */
   readonly #avoided = new Map<string, Moment>();
   #seeds: readonly string[];
   #nodes: readonly string[];
@@ -21,21 +22,21 @@
     this.#settings = settings;
     this.#seeds = settings.seeds;
     this.#nodes = settings.seeds;
-    // Agents start at different control nodes, so that the load is spread.
+    // Agents start with different control nodes to spread the load.
     this.#index = hashOf(settings.me) % settings.seeds.length;
   }
 
-  /** The chosen control node. */
+  /** The chosen control node; empty if none is known. */
   get current(): string {
     return this.#nodes[this.#index % this.#nodes.length] ?? '';
   }
 
-  /** All others. */
+  /** All control nodes but the chosen one. */
   get others(): readonly string[] {
     return this.#nodes.filter((node) => node !== this.current);
   }
 
-  /** Adds the seeds of changed settings; the chosen node stays. */
+  /** Adds the seeds of changed settings; the choice stays. */
   setSeeds(seeds: readonly string[]): void {
     this.#seeds = seeds;
     const { current } = this;
@@ -43,11 +44,11 @@
     this.#index = Math.max(0, this.#nodes.indexOf(current));
   }
 
-  /** Takes the voters of a new configuration; the chosen node stays if it is among them. */
+  /** Applies the voters of a new configuration; the choice stays if it is among them. */
   setVoters(voters: ReadonlySet<string>): void {
     if (voters.size === 0) return;
     const { current } = this;
-    // Seeds that are no voters stay, for when no voter replies.
+    // Seeds that are not voters stay, for the case that no voter replies.
     this.#nodes = this.#settings.isDeployed
       ? [...new Set([...voters, ...this.#seeds])]
       : [...voters];
@@ -55,23 +56,26 @@
     this.#index = index < 0 ? hashOf(this.#settings.me) % this.#nodes.length : index;
   }
 
-  /** Takes the zones of the control nodes. */
+  /** Replaces the known zones of the control nodes. */
   setZones(nodes: readonly ControlNodeZone[]): void {
     this.#zones.clear();
     for (const { id, zone } of nodes) this.#zones.set(id, zone);
   }
 
-  /** Whether this is a control node of the agent's zone. */
+  /** Whether the node is known to be in the zone of the agent. */
   isInOwnZone(id: string): boolean {
     return this.#zones.get(id) === this.#settings.zone;
   }
 
-  /** This node failed. */
+  /** Marks a node as failed: for a while it is chosen only if there is no other. */
   avoid(now: Moment, id: string): void {
     this.#avoided.set(id, later(now, AVOIDANCE_MS));
   }
 
-  /** Chooses the next in turn; in a deployment those of the own zone go first, and those that failed lately last. */
+  /**
+   * Chooses the next node in turn. In a deployment, nodes of the own zone are preferred, and nodes that failed recently come
+   * last.
+   */
   chooseNext(now: Moment): void {
     const count = this.#nodes.length;
     let best = (this.#index + 1) % count;
@@ -88,7 +92,10 @@
     this.#index = best;
   }
 
-  /** Chooses a node of the own zone if the current one is in another; returns whether it did. Traffic between zones costs. */
+  /**
+   * Chooses a node of the own zone if the current one is in another zone, since traffic between zones has a cost. Returns
+   * whether the choice changed.
+   */
   chooseCloser(now: Moment): boolean {
     if (this.isInOwnZone(this.current)) return false;
     const closer = this.#nodes.findIndex((id) => this.isInOwnZone(id) && !this.#isAvoided(now, id));
--- a/src/agent/control-session.ts
+++ b/src/agent/control-session.ts
@@ -1,21 +1,21 @@
 import type { Moment } from '../common/ids.js';
 
-/** Replies of a control node without a leader, in a row, after which the session leaves it. */
+/** Successive replies without a leader that are tolerated; after one more the session moves to another control node. */
 const MAX_LEADERLESS_REPLIES = 1;
 
 /** The state of an agent's session with its control node. */
 export class ControlSession {
   readonly #timeoutMs: number;
-  /** When the control node was heard last, or was chosen. */
+  /** When the control node last replied, or was chosen. */
   #lastHeardAt: Moment;
-  /** When any control node of the session replied last. */
+  /** When any control node of the session last replied. */
   #repliedAt: Moment | undefined;
   #isMoving = false;
   #moves = 0;
   #isLeaderless = false;
   #leaderlessReplies = 0;
 
-  /** A control node that has not replied for `timeoutMs` has failed. */
+  /** A control node that has not replied for `timeoutMs` milliseconds counts as failed. */
   constructor(timeoutMs: number, now: Moment) {
     this.#timeoutMs = timeoutMs;
     this.#lastHeardAt = now;
@@ -26,7 +26,7 @@
     return this.#moves;
   }
 
-  /** Whether it moved to a control node that has not replied yet. */
+  /** Whether the session moved to a control node that has not replied yet. */
   get isMoving(): boolean {
     return this.#isMoving;
   }
@@ -36,7 +36,7 @@
     return this.#isLeaderless;
   }
 
-  /** Whether replies without a leader came too often in a row. */
+  /** Whether the control node sent too many successive replies without a leader. */
   get hasLeaderlessControlNode(): boolean {
     return this.#leaderlessReplies > MAX_LEADERLESS_REPLIES;
   }
@@ -51,26 +51,26 @@
     return this.#repliedAt === undefined ? undefined : now - this.#repliedAt;
   }
 
-  /** Whether a control node replied lately. A session that moves is open until none replies in time. */
+  /** Whether a control node replied within the timeout. A moving session stays open until the timeout has passed. */
   isOpen(now: Moment): boolean {
     const ageMs = this.replyAgeMs(now);
     return ageMs !== undefined && ageMs <= this.#timeoutMs;
   }
 
-  /** The control node replied. */
+  /** Records a reply of the control node. */
   onReply(now: Moment): void {
     this.#lastHeardAt = now;
     this.#repliedAt = now;
     this.#isMoving = false;
   }
 
-  /** The control node named its leader; empty if it knows none. */
+  /** Records the leader that the control node reported; empty if it knows none. */
   onLeader(leader: string): void {
     this.#isLeaderless = leader === '';
     this.#leaderlessReplies = this.#isLeaderless ? this.#leaderlessReplies + 1 : 0;
   }
 
-  /** Another control node was chosen. */
+  /** Records that another control node was chosen. */
   onMoved(now: Moment): void {
     this.#leaderlessReplies = 0;
     this.#moves += 1;
