--- a/src/agent/agent-command.ts
+++ b/src/agent/agent-command.ts
@@ -6,16 +6,19 @@
 import { StatusPort } from '../common/status-port.js';
 import { TableAgentProcess } from './table-agent-process.js';
 
+/** The subcommand that runs an agent next to a proxy until SIGTERM or SIGINT. */
 export class AgentCommand extends ProgramCommand {
   static override aliases = ['link'];
   static override deprecateAliases = true;
-  static override description = 'run the agent beside a proxy';
+  static override description = 'run the agent next to a proxy';
   static override flags = {
     ...PROGRAM_FLAGS,
     ...SEED_FLAGS,
-    feed: Flags.string({ description: 'loopback address where the proxy is fed' }),
-    status: Flags.string({ description: 'address for counters and metrics' }),
-    blindMs: Flags.integer({ description: 'as set for the proxies' }),
+    feed: Flags.string({ description: 'loopback address at which the proxy gets its updates' }),
+    status: Flags.string({ description: 'address that serves counters and metrics' }),
+    blindMs: Flags.integer({
+      description: 'freshness bound in milliseconds, as set for the proxies',
+    }),
   };
 
   async run(): Promise<void> {
--- a/src/agent/agent-metrics.ts
+++ b/src/agent/agent-metrics.ts
@@ -1,40 +1,47 @@
-/** What an agent tells about itself: a read-only look at its session, its news and those that it feeds. */
+/** Metrics of an agent: a read-only snapshot of its session, its updates and its proxies. */
 
 import { counterFamily, gaugeFamily, type MetricFamily } from '../metrics/exposition.js';
 import { secondsOf } from '../metrics/write-latency.js';
 
-/** For how long an agent may be behind before it is said to be: news and the word of it cross on their way. */
+/**
+ * How long an agent may lack versions before its state is `behind`. A control node may announce a version while the update
+ * is still on its way.
+ */
 export const BEHIND_GRACE_MS = 1500;
 
-/** One look at an agent. Durations are in milliseconds. */
+/** A snapshot of an agent. Durations are in milliseconds. */
 export interface AgentMetrics {
-  /** The control node of its session, or the one that it is asking for one. */
+  /** The control node of its session, or the one that it is trying to join. */
   readonly controlNode: string;
-  /** Whether a control node has lately answered. */
+  /** Whether a control node has replied recently. */
   readonly hasSession: boolean;
-  /** Time since a control node answered last; nothing if none has. */
+  /** Time since the last reply of a control node; undefined if there was none. */
   readonly sessionHeardAgeMs: number | undefined;
   /** How often the session moved to another control node. */
   readonly sessionMoves: number;
-  /** Whether the control node that answered last follows no leader. */
+  /** Whether the control node that replied last knows no leader. */
   readonly isLeaderless: boolean;
-  /** Whether news comes by another agent of the zone. */
+  /** Whether updates come through another agent of the zone. */
   readonly isUnderAgent: boolean;
-  /** Proxies that are fed from here. */
+  /** Number of connected proxies that get updates from this agent. */
   readonly proxies: number;
-  /** The term and count of the configuration held here. */
+  /** The epoch of the configuration that the agent holds. */
   readonly configEpoch: number;
+  /** The version count of the configuration that the agent holds. */
   readonly configCount: number;
-  /** How many versions this agent is behind what its control node told last. */
+  /** How many versions the agent is behind the newest that a control node has announced. */
   readonly versionsBehind: number;
-  /** For how long it has been behind. */
+  /** How long it has been behind; 0 if it is not. */
   readonly behindMs: number;
 }
 
-/** `away` has no session, `leaderless` one with a control node that follows nobody, `behind` lacks configurations. */
+/**
+ * The state of an agent: `away` without a session, `leaderless` if its control node knows no leader, `behind` if it lacks
+ * configuration versions, else `in-touch`.
+ */
 export type AgentState = 'in-touch' | 'behind' | 'leaderless' | 'away';
 
-/** The state that an operator looks for first. */
+/** The state of an agent; of several problems, the one that an operator should look at first. */
 export function agentState(metrics: AgentMetrics): AgentState {
   if (!metrics.hasSession) return 'away';
   if (metrics.isLeaderless) return 'leaderless';
@@ -47,16 +54,16 @@
   return gaugeFamily(`${PREFIX}${name}`, help, value);
 }
 
-/** All metrics of an agent's process. */
+/** All metrics of an agent, as families. */
 export function agentFamilies(agent: AgentMetrics): MetricFamily[] {
-  // One that never had a session must not look as if it had heard just now.
-  const heardAge = secondsOf(agent.sessionHeardAgeMs ?? Infinity);
+  // An agent that never had a session must not look as if a control node had just replied.
+  const heardAgeSeconds = secondsOf(agent.sessionHeardAgeMs ?? Infinity);
   return [
     gauge('session', 'Whether a control node has lately answered.', agent.hasSession),
     gauge(
       'session_heard_age_seconds',
       'Time since a control node answered; +Inf if none.',
-      heardAge,
+      heardAgeSeconds,
     ),
     counterFamily(`${PREFIX}session_moves_total`, 'Moves of the session.', agent.sessionMoves),
     gauge('leaderless', 'Whether its control node follows nobody.', agent.isLeaderless),
--- a/src/agent/agent-runtime.ts
+++ b/src/agent/agent-runtime.ts
@@ -1,4 +1,4 @@
-/** The frame that every program around an agent's core shares. */
+/** Runs an agent's core: the part that all programs with an agent have in common. */
 
 import { interval, merge, Subscription } from 'rxjs';
 import { monotonicNow } from '../common/clock.js';
@@ -8,7 +8,7 @@
 import type { Exchange, Incoming } from '../dissemination/exchange.js';
 import type { AgentCore, AgentEffect } from './agent-core.js';
 
-/** What the runtime uses of an exchange; one that counts what passes has the same members. */
+/** The members of an exchange that the runtime uses, so that a wrapper that counts messages can take its place. */
 export type AgentExchange = Pick<
   Exchange,
   'incoming$' | 'disconnected$' | 'open' | 'close' | 'dial' | 'send'
@@ -17,26 +17,28 @@
 /** An effect that writes a log line. */
 export type AgentLogEvent = Extract<AgentEffect, { do: 'log' }>;
 
-/** What differs between programs. */
+/** The functions and settings that differ between programs. */
 export interface AgentPorts {
+  /** Interval between ticks, in milliseconds. */
   readonly tickMs: number;
-  /** Looks at each message before the core gets it; what it returns is handed on. */
+  /** Called with each incoming message; the core gets the message that it returns. */
   inspect(incoming: Incoming): Message;
-  log(note: AgentLogEvent): void;
-  /** Right after each tick of the core. */
+  /** Writes a log line. */
+  log(event: AgentLogEvent): void;
+  /** Called after each tick of the core. */
   onTicked(now: Moment): void;
 }
 
-/** Feeds an agent's core from its two exchanges and a timer, one command at a time, and carries out its effects. */
+/** Passes messages and ticks to an agent's core, one at a time, and carries out the effects that it returns. */
 export class AgentRuntime {
   readonly #core: AgentCore;
   readonly #nodes: AgentExchange;
   readonly #feed: AgentExchange;
   readonly #ports: AgentPorts;
-  readonly #owner = new SerialQueue();
+  readonly #queue = new SerialQueue();
   readonly #subscription = new Subscription();
 
-  /** `nodes` leads to other nodes, `feed` to the proxy beside the agent. */
+  /** `nodes` connects to other nodes, `feed` to the proxy next to the agent. */
   constructor(core: AgentCore, nodes: AgentExchange, feed: AgentExchange, ports: AgentPorts) {
     this.#core = core;
     this.#nodes = nodes;
@@ -44,6 +46,7 @@
     this.#ports = ports;
   }
 
+  /** Subscribes to both exchanges, opens their ports and starts the timer; fails if a port cannot be opened. */
   async start(): Promise<void> {
     this.#subscription.add(
       merge(this.#nodes.incoming$, this.#feed.incoming$).subscribe((incoming: Incoming) =>
@@ -52,7 +55,7 @@
     );
     this.#subscription.add(
       merge(this.#nodes.disconnected$, this.#feed.disconnected$).subscribe((id: string) =>
-        this.#gone(id),
+        this.#onDisconnect(id),
       ),
     );
     await this.#nodes.open();
@@ -60,23 +63,24 @@
     this.#subscription.add(interval(this.#ports.tickMs).subscribe(() => this.tick()));
   }
 
+  /** Stops the timer and closes both exchanges. */
   stop(): void {
     this.#subscription.unsubscribe();
     this.#nodes.close();
     this.#feed.close();
   }
 
-  /** A tick out of turn. */
+  /** Runs an additional tick, apart from the timer. */
   tick(): void {
     this.submit(() => this.#tick());
   }
 
-  /** Runs a command of the core in its turn; its effects are carried out before the next. */
+  /** Queues a call of the core; its effects are carried out before the next call. */
   submit(command: () => void): void {
-    this.#owner.submit(() => this.#work(command));
+    this.#queue.submit(() => this.#runCommand(command));
   }
 
-  #work(command: () => void): void {
+  #runCommand(command: () => void): void {
     command();
     for (const effect of this.#core.drain()) {
       if (effect.do === 'log') this.#ports.log(effect);
@@ -98,7 +102,7 @@
     this.submit(() => this.#core.onMessage(now, incoming.from, incoming.role, message));
   }
 
-  #gone(id: string): void {
+  #onDisconnect(id: string): void {
     const now = monotonicNow();
     this.submit(() => this.#core.onDisconnect(now, id));
   }
--- a/src/agent/table-agent-process.ts
+++ b/src/agent/table-agent-process.ts
@@ -14,7 +14,7 @@
 
 const TICK_MS = 25;
 
-/** The agent's process: one exchange to the nodes, one to the proxy beside it over loopback. */
+/** The agent's process: one exchange with the nodes, and one over loopback with the proxy next to it. */
 export class TableAgentProcess implements AgentPorts {
   readonly tickMs = TICK_MS;
   readonly #zone: string;
@@ -28,11 +28,11 @@
     const { listen, feed, zone, seeds, blindMs, reach } = settings;
     this.#zone = zone;
     const nodes = new Exchange({ id: listen, role: 'link', zone, listen, reach }, (error) =>
-      this.#tell(error),
+      this.#recordError(error),
     );
     const proxies = new Exchange(
       { id: feed, role: 'link', zone, listen: feed, reach: {} },
-      (error) => this.#tell(error),
+      (error) => this.#recordError(error),
     );
     this.#core = new AgentCore(
       { me: listen, zone, seeds, freshnessBoundMs: blindMs, incarnation: newIncarnation() },
@@ -41,15 +41,18 @@
     this.#runtime = new AgentRuntime(this.#core, nodes, proxies, this);
   }
 
+  /** Opens the ports of both exchanges and starts the timer; fails if a port cannot be opened. */
   async start(): Promise<void> {
     await this.#runtime.start();
     this.#log.info({ zone: this.#zone }, 'agent started');
   }
 
+  /** Stops the timer and closes all connections. */
   stop(): void {
     this.#runtime.stop();
   }
 
+  /** The counters for the status port, with the current control node and parent. */
   counters(): object {
     this.#counters.set('session.turns', this.#core.sessionMoves);
     this.#counters.set('news.sent', this.#core.relay.sentCount);
@@ -60,24 +63,27 @@
     };
   }
 
+  /** The metrics in the text format of Prometheus. */
   async metrics(): Promise<Exposition> {
     return renderMetrics(agentFamilies(this.#core.metrics(monotonicNow())));
   }
 
+  /** Counts each message by kind and passes it on unchanged. */
   inspect(incoming: Incoming): Message {
     this.#counters.add(`messages.${incoming.message.kind}`);
     return incoming.message;
   }
 
-  log(note: AgentLogEvent): void {
-    this.#log.info(note.fields, note.text);
+  /** Writes a log line of the core. */
+  log(event: AgentLogEvent): void {
+    this.#log.info(event.fields, event.text);
   }
 
   onTicked(): void {
-    /* its metrics are asked for */
+    /* The metrics are served by the status port on request. */
   }
 
-  #tell(error: HaretrackError): void {
+  #recordError(error: HaretrackError): void {
     this.#counters.add(`defects.${error.code}`);
     this.#log.warn({ defect: error.code }, error.message);
   }
