--- a/src/agent/agent-core-metrics.test.ts
+++ b/src/agent/agent-core-metrics.test.ts
@@ -18,8 +18,8 @@
     moment(0),
   );
 
-  /** The control node of its session answers, and tells whom it follows and what it holds. */
-  answered(at: number, leader: string, count: number): void {
+  /** The control node of the session replies, with its leader and the count of its configuration. */
+  onReply(at: number, leader: string, count: number): void {
     const { controlNode } = this.core;
     this.core.onMessage(moment(at), controlNode, 'mind', { kind: 'assignParent', parent: '' });
     this.core.onMessage(moment(at), controlNode, 'mind', {
@@ -31,7 +31,8 @@
     });
   }
 
-  updated(at: number, count: number): void {
+  /** The control node of the session sends a configuration. */
+  onUpdate(at: number, count: number): void {
     this.core.onMessage(moment(at), this.core.controlNode, 'mind', {
       kind: 'update',
       topic: 'config',
@@ -46,57 +47,57 @@
   }
 }
 
-test('a session shows from the first answer until the silence', () => {
+test('the metrics show a session from the first reply until the timeout', () => {
   const agent = new Agent();
   expect(agent.state(0)).toBe('away');
   expect(agent.core.metrics(moment(0)).sessionHeardAgeMs).toBeUndefined();
-  agent.updated(90, 1);
-  agent.answered(100, SEEDS[0] ?? '', 1);
+  agent.onUpdate(90, 1);
+  agent.onReply(100, SEEDS[0] ?? '', 1);
   expect(agent.state(200)).toBe('in-touch');
   expect(agent.core.metrics(moment(300)).sessionHeardAgeMs).toBe(200);
-  // Silence ends the session and moves it; the next control node has not answered yet.
+  // The timeout moves the session; the next control node has not replied yet.
   agent.core.tick(moment(2700));
   expect(agent.core.metrics(moment(2700))).toMatchObject({ hasSession: false, sessionMoves: 1 });
   expect(agent.state(2700)).toBe('away');
-  agent.answered(2800, SEEDS[0] ?? '', 1);
+  agent.onReply(2800, SEEDS[0] ?? '', 1);
   expect(agent.state(2800)).toBe('in-touch');
-  // A closed connection moves it at once, and it is in touch for as long as that may take.
+  // A closed connection moves the session at once, and the session stays open until the timeout.
   agent.core.onDisconnect(moment(2900), agent.core.controlNode);
   expect(agent.core.metrics(moment(2900))).toMatchObject({ hasSession: true, sessionMoves: 2 });
 });
-test('a control node that follows nobody shows', () => {
+test('the state shows a control node without a leader', () => {
   const agent = new Agent();
-  agent.answered(100, '', 0);
+  agent.onReply(100, '', 0);
   expect(agent.state(100)).toBe('leaderless');
-  // Told twice, it turns to another, of which it knows nothing better yet.
-  agent.answered(600, '', 0);
+  // After the second reply without a leader the session moves; the next control node has not reported a leader yet.
+  agent.onReply(600, '', 0);
   expect(agent.core.metrics(moment(600))).toMatchObject({ isLeaderless: true, sessionMoves: 1 });
-  agent.answered(1100, SEEDS[0] ?? '', 0);
+  agent.onReply(1100, SEEDS[0] ?? '', 0);
   expect(agent.state(1100)).toBe('in-touch');
 });
-test('versions behind show until they have come', () => {
+test('the metrics show how far the configuration is behind until it has arrived', () => {
   const agent = new Agent();
-  agent.updated(50, 4);
-  agent.answered(100, SEEDS[0] ?? '', 4);
-  agent.answered(1100, SEEDS[0] ?? '', 7);
+  agent.onUpdate(50, 4);
+  agent.onReply(100, SEEDS[0] ?? '', 4);
+  agent.onReply(1100, SEEDS[0] ?? '', 7);
   expect(agent.core.metrics(moment(1200))).toMatchObject({
     configCount: 4,
     versionsBehind: 3,
     behindMs: 100,
   });
   expect(agent.state(1200)).toBe('in-touch');
-  // Told again, it is behind since it was first told.
-  agent.answered(2100, SEEDS[0] ?? '', 9);
+  // A further announcement does not change the time since which the agent is behind.
+  agent.onReply(2100, SEEDS[0] ?? '', 9);
   expect(agent.core.metrics(moment(2700))).toMatchObject({ versionsBehind: 5, behindMs: 1600 });
   expect(agent.state(2700)).toBe('behind');
-  agent.updated(2800, 9);
+  agent.onUpdate(2800, 9);
   expect(agent.core.metrics(moment(2800))).toMatchObject({ versionsBehind: 0, behindMs: 0 });
   expect(agent.state(2800)).toBe('in-touch');
-  // Behind anew, it counts from then.
-  agent.answered(3100, SEEDS[0] ?? '', 10);
+  // The next time that it is behind, the duration starts from there.
+  agent.onReply(3100, SEEDS[0] ?? '', 10);
   expect(agent.core.metrics(moment(3200)).behindMs).toBe(100);
 });
-test('proxies show while they are there', () => {
+test('proxies are counted while they are connected', () => {
   const agent = new Agent();
   expect(agent.core.metrics(moment(0)).proxies).toBe(0);
   agent.core.onMessage(moment(10), 'flow@1', 'flow', {
--- a/src/agent/agent-core.test.ts
+++ b/src/agent/agent-core.test.ts
@@ -5,19 +5,19 @@
 
 const seeds = ['10.0.0.1:1', '10.0.0.2:1', '10.0.0.3:1'];
 function acks(core: AgentCore): Version[] {
-  const list: Version[] = [];
+  const versions: Version[] = [];
   for (const effect of core.drain())
     if (effect.do === 'send' && (effect.message.kind === 'ack' || effect.message.kind === 'join'))
-      list.push({ epoch: effect.message.epoch, count: effect.message.count });
-  return list;
+      versions.push({ epoch: effect.message.epoch, count: effect.message.count });
+  return versions;
 }
-function tellsLost(effect: AgentEffect): boolean {
+function reportsLostParent(effect: AgentEffect): boolean {
   return (
     effect.do === 'send' && effect.message.kind === 'join' && effect.message.lost === '10.0.1.9:1'
   );
 }
-test('a link started anew confirms no proxy until it has surely gone blind', () => {
-  // Killed and started anew: the proxy beside it may still be fresh by what it was confirmed fresh through our former incarnation.
+test('a restarted agent acknowledges no configuration until the freshness bound of earlier proxies has passed', () => {
+  // The proxy next to it may still be fresh because of a confirmation from the previous incarnation of the agent.
   const core = new AgentCore(
     { me: '10.0.1.1:1', zone: 'z', seeds, freshnessBoundMs: 2500, incarnation: 0 },
     moment(0),
@@ -35,7 +35,7 @@
   core.tick(moment(2600));
   expect(acks(core)).toContainEqual({ epoch: 2, count: 7 });
 });
-test('an ask names everybody below who will be fresh by it', () => {
+test('a confirmation request lists all members below that the reply makes fresh', () => {
   const core = new AgentCore(
     { me: '10.0.1.1:1', zone: 'z', seeds, freshnessBoundMs: 2500, incarnation: 0 },
     moment(0),
@@ -57,7 +57,7 @@
     },
   });
 });
-test('a silent parent is left within half a second and its asks go to the control node', () => {
+test('a parent without replies is abandoned within half a second and requests go to the control node', () => {
   const core = new AgentCore(
     { me: '10.0.1.1:1', zone: 'z', seeds, freshnessBoundMs: 2500, incarnation: 0 },
     moment(0),
@@ -78,14 +78,14 @@
     message: { kind: 'freshnessRequest', nonce: 1, have: [], members: ['10.0.1.1:1'] },
   });
   core.tick(moment(370));
-  // The parent returned nothing: the ask goes to the control node, and the control node is told who could not be reached.
+  // The parent has not replied: the request goes to the control node, with a report of the lost parent.
   const sends = core.drain();
   expect(sends).toContainEqual({
     do: 'send',
     to: core.controlNode,
     message: { kind: 'freshnessRequest', nonce: 2, have: [], members: ['10.0.1.1:1'] },
   });
-  expect(sends.some(tellsLost)).toBe(true);
+  expect(sends.some(reportsLostParent)).toBe(true);
   core.onMessage(moment(380), core.controlNode, 'mind', {
     kind: 'freshnessReply',
     nonce: 2,
@@ -100,8 +100,8 @@
   });
 });
 
-/** Its control node may be cut off from a majority that has accepted something since. */
-test('beside its own control node an agent asks the others for news, each in turn', () => {
+/** Its control node may be partitioned from a majority that has committed a newer configuration. */
+test('an agent also requests updates from the other control nodes, one after the other', () => {
   const core = new AgentCore(
     {
       me: '10.0.1.1:1',
@@ -113,7 +113,7 @@
     },
     moment(0),
   );
-  const asked = new Set<string>();
+  const requested = new Set<string>();
   for (let now = 0; now <= 1600; now += 100) {
     core.onMessage(moment(now), core.controlNode, 'mind', {
       kind: 'controlNodes',
@@ -129,12 +129,15 @@
         effect.message.kind === 'freshnessRequest' &&
         effect.message.nonce < 0
       )
-        asked.add(effect.to);
+        requested.add(effect.to);
   }
-  expect([...asked].sort()).toEqual(seeds.filter((seed) => seed !== core.controlNode));
+  expect([...requested].sort()).toEqual(seeds.filter((seed) => seed !== core.controlNode));
 });
-/** A child that was hung elsewhere says nothing of it here: fed on, it would get everything from each parent it ever had. */
-test('a child that hangs elsewhere by now is fed there alone', () => {
+/**
+ * A child that got another parent does not notify the former one. Without a timeout it would get every update from each parent
+ * that it ever had.
+ */
+test('a child that has another parent gets no more updates from the former one', () => {
   const core = new AgentCore(
     {
       me: '10.0.1.1:1',
@@ -146,7 +149,7 @@
     },
     moment(0),
   );
-  function ask(at: number, child: string): void {
+  function request(at: number, child: string): void {
     core.onMessage(moment(at), child, 'link', {
       kind: 'freshnessRequest',
       nonce: 0,
@@ -154,7 +157,7 @@
       members: [],
     });
   }
-  function fed(at: number, count: number): string[] {
+  function receivers(at: number, count: number): string[] {
     core.onMessage(moment(at), core.controlNode, 'mind', {
       kind: 'update',
       topic: 'config',
@@ -167,17 +170,17 @@
       if (effect.do === 'send' && effect.message.kind === 'update') to.push(effect.to);
     return to;
   }
-  ask(0, '10.0.1.2:1');
-  ask(0, '10.0.1.3:1');
-  expect(fed(10, 1)).toEqual(['10.0.1.2:1', '10.0.1.3:1']);
+  request(0, '10.0.1.2:1');
+  request(0, '10.0.1.3:1');
+  expect(receivers(10, 1)).toEqual(['10.0.1.2:1', '10.0.1.3:1']);
   for (let at = 1000; at <= 5000; at += 1000) {
-    ask(at, '10.0.1.3:1');
+    request(at, '10.0.1.3:1');
     core.tick(moment(at));
   }
   core.drain();
-  expect(fed(5010, 2)).toEqual(['10.0.1.3:1']);
-  // Back again, it gets at once what it lacks.
-  ask(5020, '10.0.1.2:1');
+  expect(receivers(5010, 2)).toEqual(['10.0.1.3:1']);
+  // When it requests again, it gets the missing update at once.
+  request(5020, '10.0.1.2:1');
   expect(core.drain()).toContainEqual({
     do: 'send',
     to: '10.0.1.2:1',
--- a/src/agent/agent-metrics.test.ts
+++ b/src/agent/agent-metrics.test.ts
@@ -2,7 +2,7 @@
 import { renderMetrics } from '../metrics/exposition.js';
 import { agentFamilies, agentState, BEHIND_GRACE_MS, type AgentMetrics } from './agent-metrics.js';
 
-const CALM: AgentMetrics = {
+const HEALTHY: AgentMetrics = {
   controlNode: '10.0.0.1:7000',
   hasSession: true,
   sessionHeardAgeMs: 400,
@@ -16,22 +16,24 @@
   behindMs: 0,
 };
 
-test('the state names what to look at first', () => {
-  expect(agentState(CALM)).toBe('in-touch');
-  expect(agentState({ ...CALM, hasSession: false, isLeaderless: true })).toBe('away');
-  expect(agentState({ ...CALM, isLeaderless: true, behindMs: 9000 })).toBe('leaderless');
-  // News that is just on its way is no lag.
-  expect(agentState({ ...CALM, versionsBehind: 1, behindMs: BEHIND_GRACE_MS })).toBe('in-touch');
-  expect(agentState({ ...CALM, versionsBehind: 1, behindMs: 1 + BEHIND_GRACE_MS })).toBe('behind');
+test('the state shows the most severe problem', () => {
+  expect(agentState(HEALTHY)).toBe('in-touch');
+  expect(agentState({ ...HEALTHY, hasSession: false, isLeaderless: true })).toBe('away');
+  expect(agentState({ ...HEALTHY, isLeaderless: true, behindMs: 9000 })).toBe('leaderless');
+  // An update that is on its way does not count as lag yet.
+  expect(agentState({ ...HEALTHY, versionsBehind: 1, behindMs: BEHIND_GRACE_MS })).toBe('in-touch');
+  expect(agentState({ ...HEALTHY, versionsBehind: 1, behindMs: 1 + BEHIND_GRACE_MS })).toBe(
+    'behind',
+  );
 });
-test('a look at an agent is told under its names', async () => {
-  const { body } = await renderMetrics(agentFamilies(CALM));
+test('a snapshot is rendered under the names of the metrics', async () => {
+  const { body } = await renderMetrics(agentFamilies(HEALTHY));
   expect(body).toContain('haretrack_agent_session 1\n');
   expect(body).toContain('haretrack_agent_session_moves_total 2\n');
   expect(body).toContain('haretrack_agent_session_heard_age_seconds 0.4\n');
   expect(body).toContain('haretrack_agent_config_count 40\n');
 });
-test('an agent that heard nobody does not look as if it had', async () => {
-  const { body } = await renderMetrics(agentFamilies({ ...CALM, sessionHeardAgeMs: undefined }));
+test('an agent without any reply has an infinite reply age', async () => {
+  const { body } = await renderMetrics(agentFamilies({ ...HEALTHY, sessionHeardAgeMs: undefined }));
   expect(body).toContain('haretrack_agent_session_heard_age_seconds +Inf\n');
 });
