--- a/src/check/check-command.ts
+++ b/src/check/check-command.ts
@@ -6,18 +6,22 @@
 import { OPERATOR_FLAGS, textOf } from '../operator/operator-command.js';
 import { TableCheck, FleetShape } from './table-check.js';
 
-/** Checks a proposed table against the live fleet, before it is put in force. */
+/** Checks a proposed table against the live fleet before it is put in force. */
 export class CheckCommand extends Command {
   static override aliases = ['doubt'];
   static override deprecateAliases = true;
   static override description =
-    'check a proposed table against the fleet as it is; exit code 0 clean, 1 findings, 2 could not check';
+    'check a proposed table against the live fleet; exit code 0: no findings, 1: findings, 2: check failed';
   static override args = {
     file: Args.string({ required: true, description: 'file in the mapping language' }),
   };
   static override flags = {
     ...OPERATOR_FLAGS,
-    runMs: Flags.integer({ default: 1000, min: 1, description: 'how long a run is taken to last' }),
+    runMs: Flags.integer({
+      default: 1000,
+      min: 1,
+      description: 'assumed duration of a run in milliseconds',
+    }),
   };
 
   async run(): Promise<void> {
@@ -26,7 +30,7 @@
     try {
       text = readFileSync(args.file, 'utf8');
     } catch (thrown) {
-      this.#giveUp(reasonOf(thrown));
+      this.#exitWithError(reasonOf(thrown));
     }
     const { table, faults } = compile(text);
     if (faults.length > 0) {
@@ -42,7 +46,9 @@
     }
     const { status, value } = await new Operator(flags.api).request('GET', '/fleet');
     if (status !== 200 || !FleetShape.is(value))
-      this.#giveUp(`the fleet could not be asked: ${textOf(value['text'] ?? status)}`);
+      this.#exitWithError(
+        `the state of the fleet could not be read: ${textOf(value['text'] ?? status)}`,
+      );
     else {
       const report = new TableCheck(table, value, { runMs: flags.runMs }).check();
       this.#print(report, flags.json);
@@ -50,7 +56,7 @@
     }
   }
 
-  #giveUp(reason: string): never {
+  #exitWithError(reason: string): never {
     process.stderr.write(`${reason}\n`);
     return this.exit(2);
   }
--- a/src/check/table-check.test.ts
+++ b/src/check/table-check.test.ts
@@ -19,13 +19,13 @@
     number: 1,
     table: { mappings: [], rows: [] },
     emptied: [],
-    catalog: { limit: 2, models: models.map(sized), adapters: [] },
+    catalog: { limit: 2, models: models.map(modelOfSize), adapters: [] },
     docs: [],
     runners,
     demand: [{ unit: 'm-0\n', rate: 2 }],
   };
 }
-function sized([name, size]: readonly [string, number]): { name: string; size: number } {
+function modelOfSize([name, size]: readonly [string, number]): { name: string; size: number } {
   return { name, size };
 }
 function kinds(text: string, fleet: FleetView): string[] {
@@ -37,7 +37,7 @@
   return `${finding.kind} ${finding.subject}`;
 }
 const CLEAN = 'map POST /c to check\nrow check m-* weight 9 take 5/s';
-test('a table that fits is clean, and says what it would set off', () => {
+test('a table that fits has no findings, and the report lists the orders that it would cause', () => {
   const { table } = compile(CLEAN);
   const report = new TableCheck(
     table,
@@ -58,7 +58,7 @@
   expect(report.orders).toContain('load m-0 at r0');
   expect(report.orders).toHaveLength(4);
 });
-test('rows that nothing reaches, shadowed ones and takes above the fleet are found', () => {
+test('unreached rows, shadowed rows and rates above the capacity of the fleet are found', () => {
   const fleet = fleetOf(
     [
       ['a', 20],
@@ -82,7 +82,7 @@
     'no-back-end lookup/@kiosk',
   ]);
 });
-test('models that fit nowhere, or in one zone alone, are found', () => {
+test('models that fit no runner, or runners of one zone only, are found', () => {
   expect(
     kinds(
       CLEAN,
--- a/src/check/table-check.ts
+++ b/src/check/table-check.ts
@@ -11,7 +11,7 @@
 } from '../placement/shapes.js';
 import { ReplicaTrial, type TrialOutcome } from '../placement/replica-trial.js';
 
-/** The live fleet, as the leader shows it. */
+/** The live fleet, as the API of the leader returns it. */
 export const FleetShape = type({
   number: number(),
   table: TableShape,
@@ -27,35 +27,35 @@
   ),
   demand: array(type({ unit: string(), rate: number() })),
 });
-/** The live fleet, once its shape has been checked. */
+/** The validated state of the live fleet. */
 export type FleetView = Infer<typeof FleetShape>;
 
-/** A reason against the table; `kind` is stable, for programs that read it. */
+/** A problem of the table. `kind` is stable, for programs that read it. */
 export interface Finding {
   readonly kind: string;
   readonly subject: string;
   readonly text: string;
 }
 
-/** What the check found, and what would follow. */
+/** The findings of the check, and the effects that the table would have. */
 export interface TableCheckReport {
   readonly findings: readonly Finding[];
-  /** Orders to runners that would follow; they are no fault. */
+  /** Orders to runners that the table would cause, beyond those that are due anyway; they are not problems. */
   readonly orders: readonly string[];
-  /** Models that would wait for a load, and why. */
+  /** Models that no runner would serve, each with the reason why its load waits. */
   readonly waits: readonly string[];
 }
 
 /** Assumptions of the check. */
 export interface TableCheckSettings {
-  /** How long a run is taken to last, in milliseconds, to estimate what the present runners could serve. */
+  /** Assumed duration of a run in milliseconds, to estimate the rate that the present runners could serve. */
   readonly runMs: number;
 }
 
-/** Steps of the trial of a placement: enough for every load of a large table to be ordered and done. */
+/** Steps of a simulated placement: enough for every load of a large table to be ordered and completed. */
 const TRIAL_STEPS = 120;
 
-/** Checks a proposed table against the fleet as it is, by the placer itself. */
+/** Checks a proposed table against the live fleet, by a simulation with the placer itself. */
 export class TableCheck {
   readonly #table: Table;
   readonly #fleet: FleetView;
@@ -68,24 +68,25 @@
     this.#settings = settings;
   }
 
+  /** Runs all checks. Call it once only: findings accumulate. */
   check(): TableCheckReport {
-    this.#rows();
-    this.#fits();
-    const now = this.#trial(this.#fleet.emptied);
-    const before = this.#trialOf(this.#fleet.table, this.#fleet.emptied);
+    this.#checkRows();
+    this.#checkCapacity();
+    const proposed = this.#simulate(this.#fleet.emptied);
+    const current = this.#simulateTable(this.#fleet.table, this.#fleet.emptied);
     const waits: string[] = [];
-    for (const place of now.places)
+    for (const place of proposed.places)
       if (place.seats.length === 0 && place.wait !== '')
         waits.push(`${place.model}: ${place.wait}`);
-    this.#zones(now);
-    const ordersBefore = new Set(before.orders.map(orderText));
+    this.#checkZoneLoss(proposed);
+    const currentOrders = new Set(current.orders.map(orderText));
     const orders: string[] = [];
-    for (const intent of now.orders)
-      if (!ordersBefore.has(orderText(intent))) orders.push(orderText(intent));
+    for (const intent of proposed.orders)
+      if (!currentOrders.has(orderText(intent))) orders.push(orderText(intent));
     return { findings: this.#findings, orders, waits };
   }
 
-  #find(kind: string, subject: string, text: string): void {
+  #addFinding(kind: string, subject: string, text: string): void {
     this.#findings.push({ kind, subject, text });
   }
 
@@ -96,58 +97,62 @@
     return models;
   }
 
-  #rows(): void {
+  #checkRows(): void {
     const mapped = new Set<string>();
     for (const mapping of this.#table.mappings) mapped.add(mapping.type);
     const earlier: Row[] = [];
     for (const row of this.#table.rows) {
       const key = rowKey(row);
       if (!mapped.has(row.type))
-        this.#find('unreached-row', key, `no mapping leads to the type ${row.type}`);
-      const cover = earlier.find((earlier) => covers(row, earlier));
-      if (cover)
-        this.#find('shadowed-row', key, `${rowKey(cover)} stands before it and takes all it would`);
+        this.#addFinding('unreached-row', key, `no mapping has the type ${row.type}`);
+      const coveringRow = earlier.find((earlier) => covers(row, earlier));
+      if (coveringRow)
+        this.#addFinding(
+          'shadowed-row',
+          key,
+          `${rowKey(coveringRow)} comes first and matches all its requests`,
+        );
       earlier.push(row);
-      if (row.model.startsWith('@')) this.#plainRow(row);
-      else this.#modelRow(row);
+      if (row.model.startsWith('@')) this.#checkPlainRow(row);
+      else this.#checkModelRow(row);
     }
   }
 
-  #plainRow(row: Row): void {
-    let standing = 0;
+  #checkPlainRow(row: Row): void {
+    let backends = 0;
     for (const { machine } of this.#fleet.runners)
-      if (machine.service === row.model.slice(1) && !machine.leaving) standing += 1;
-    if (standing === 0)
-      this.#find(
+      if (machine.service === row.model.slice(1) && !machine.leaving) backends += 1;
+    if (backends === 0)
+      this.#addFinding(
         'no-back-end',
         rowKey(row),
-        `no back end of ${row.model} is on the platform's list`,
+        `the platform lists no back end of ${row.model}`,
       );
   }
 
-  #modelRow(row: Row): void {
+  #checkModelRow(row: Row): void {
     const models = this.#modelsOf(row);
     if (models.length === 0) {
-      this.#find('unknown-model', rowKey(row), 'the catalogue has no model that fits it');
+      this.#addFinding('unknown-model', rowKey(row), 'the catalog has no matching model');
       return;
     }
     const slots: number[] = [];
     for (const { machine, report } of this.#fleet.runners)
       if (report && !machine.leaving) slots.push(report.slots);
     slots.sort(descending);
-    // Each of its models has a pair at best, and all of them together no more than there is.
-    let standing = 0;
-    for (const count of slots.slice(0, models.length * 2)) standing += count;
-    const perSecond = (standing * 1000) / this.#settings.runMs;
-    if (row.take > perSecond)
-      this.#find(
+    // Each of its models has at most two replicas, and all together have no more runners than there are.
+    let availableSlots = 0;
+    for (const count of slots.slice(0, models.length * 2)) availableSlots += count;
+    const maxPerSecond = (availableSlots * 1000) / this.#settings.runMs;
+    if (row.take > maxPerSecond)
+      this.#addFinding(
         'take-above-fleet',
         rowKey(row),
-        `takes ${row.take} a second; what stands could serve ${perSecond} of ${this.#settings.runMs} ms each`,
+        `accepts ${row.take} requests/s; the present runners could serve ${maxPerSecond} requests/s of ${this.#settings.runMs} ms each`,
       );
   }
 
-  #fits(): void {
+  #checkCapacity(): void {
     for (const { name, size } of this.#fleet.catalog.models) {
       if (
         !this.#table.rows.some((row) => !row.model.startsWith('@') && matchesModel(row.model, name))
@@ -158,59 +163,64 @@
         if (report && report.room >= size && machine.service === '' && !machine.leaving)
           zones.add(machine.zone);
       if (zones.size === 0)
-        this.#find('fits-nowhere', name, `needs ${size}, and no runner has so much room`);
+        this.#addFinding('fits-nowhere', name, `needs ${size}, and no runner has that much room`);
       else if (zones.size === 1)
-        this.#find(
+        this.#addFinding(
           'no-pair',
           name,
-          `only zone ${[...zones][0]} has runners with room for it: its pair cannot cross zones`,
+          `only zone ${[...zones][0]} has runners with room for it: its replicas cannot be in two zones`,
         );
     }
   }
 
-  #zones(now: TrialOutcome): void {
-    this.#zonesOfModels(now);
-    this.#zonesOfPlainBackends();
+  #checkZoneLoss(proposed: TrialOutcome): void {
+    this.#checkZoneLossOfModels(proposed);
+    this.#checkZoneLossOfPlainBackends();
   }
 
-  /** Models that the loss of a single zone would leave unserved. */
-  #zonesOfModels(now: TrialOutcome): void {
+  /** Finds models that no runner would serve after the loss of a single zone. */
+  #checkZoneLossOfModels(proposed: TrialOutcome): void {
     const zones = new Set<string>();
     for (const { machine } of this.#fleet.runners)
       if (machine.service === '') zones.add(machine.zone);
     const served = new Set<string>();
-    for (const place of now.places) if (place.seats.length > 0) served.add(place.model);
+    for (const place of proposed.places) if (place.seats.length > 0) served.add(place.model);
     for (const zone of [...zones].sort()) {
-      const left = this.#trial([...this.#fleet.emptied, zone]);
+      const outcome = this.#simulate([...this.#fleet.emptied, zone]);
       const unserved: string[] = [];
-      for (const place of left.places)
+      for (const place of outcome.places)
         if (place.seats.length === 0 && served.has(place.model)) unserved.push(place.model);
       if (unserved.length > 0)
-        this.#find(
+        this.#addFinding(
           'zone-lost',
           zone,
-          `without it, ${unserved.length} models that would be served are not: ${unserved.sort().join(' ')}`,
+          `without this zone, no runner serves ${unserved.length} models that are served otherwise: ${unserved.sort().join(' ')}`,
         );
     }
   }
 
-  /** Rows whose plain back ends all stand in one zone. */
-  #zonesOfPlainBackends(): void {
+  /** Finds rows whose plain back ends are all in one zone. */
+  #checkZoneLossOfPlainBackends(): void {
     for (const row of this.#table.rows) {
       if (!row.model.startsWith('@')) continue;
-      const homes = new Set<string>();
+      const backendZones = new Set<string>();
       for (const { machine } of this.#fleet.runners)
-        if (machine.service === row.model.slice(1) && !machine.leaving) homes.add(machine.zone);
-      if (homes.size === 1)
-        this.#find('zone-lost', [...homes][0] ?? '', `all back ends of ${row.model} stand there`);
+        if (machine.service === row.model.slice(1) && !machine.leaving)
+          backendZones.add(machine.zone);
+      if (backendZones.size === 1)
+        this.#addFinding(
+          'zone-lost',
+          [...backendZones][0] ?? '',
+          `all back ends of ${row.model} are in this zone`,
+        );
     }
   }
 
-  #trial(emptied: readonly string[]): TrialOutcome {
-    return this.#trialOf(this.#table, emptied);
+  #simulate(emptied: readonly string[]): TrialOutcome {
+    return this.#simulateTable(this.#table, emptied);
   }
 
-  #trialOf(table: Table, emptied: readonly string[]): TrialOutcome {
+  #simulateTable(table: Table, emptied: readonly string[]): TrialOutcome {
     const runners: RunnerView[] = [];
     for (const { machine, report, isReachable } of this.#fleet.runners)
       runners.push({
@@ -244,10 +254,10 @@
   return `${intent.verb} ${intent.model}${intent.adapter === '' ? '' : ` ${intent.adapter}`} at ${intent.runner}`;
 }
 
-/** Whether the earlier row takes everything that the later one could. */
+/** Whether the earlier row matches every request that the later one matches. */
 function covers(later: Row, earlier: Row): boolean {
   if (earlier.type !== later.type) return false;
-  // Plain back ends take whatever model a request names.
+  // Plain back ends serve requests for any model.
   if (earlier.model.startsWith('@')) return true;
   if (!earlier.model.endsWith('*')) return earlier.model === later.model;
   return later.model.replace(/\*$/, '').startsWith(earlier.model.slice(0, -1));
