--- a/src/common/listen.ts
+++ b/src/common/listen.ts
@@ -1,20 +1,20 @@
 import type { Server } from 'node:net';
 
-/** "10.0.0.1:7000" as host and port. */
+/** Splits an address like "10.0.0.1:7000" or "[::1]:7000" into host and port. */
 export function parseAddress(address: string): { readonly host: string; readonly port: number } {
-  const at = address.lastIndexOf(':');
+  const separator = address.lastIndexOf(':');
   return {
-    host: address.slice(0, at).replace(/^\[(.*)\]$/, '$1'),
-    port: Number(address.slice(at + 1)),
+    host: address.slice(0, separator).replace(/^\[(.*)\]$/, '$1'),
+    port: Number(address.slice(separator + 1)),
   };
 }
 
-/** Opens a port and returns its number, or fails as the system says. */
+/** Binds a server to an address and returns its port number; rejects with the error of the system. */
 export async function bindServer(server: Server, address: string): Promise<number> {
   const { host, port } = parseAddress(address);
-  await new Promise<void>((done: () => void, fail: (thrown: Error) => void) => {
-    server.once('error', fail);
-    server.listen(port, host, done);
+  await new Promise<void>((resolve: () => void, reject: (thrown: Error) => void) => {
+    server.once('error', reject);
+    server.listen(port, host, resolve);
   });
   const bound = server.address();
   return typeof bound === 'object' && bound !== null ? bound.port : port;
--- a/src/common/log.ts
+++ b/src/common/log.ts
@@ -1,6 +1,6 @@
 import { destination, pino, stdTimeFunctions, type Logger } from 'pino';
 
-/** Lines go straight to standard error, without a worker. */
+/** Creates a logger that writes synchronously to standard error, without a worker thread. */
 export function makeLog(program: string, id: string): Logger {
   return pino(
     { base: { program, id }, level: 'info', timestamp: stdTimeFunctions.isoTime },
--- a/src/common/program-command.ts
+++ b/src/common/program-command.ts
@@ -3,23 +3,28 @@
 import { reasonOf } from './errors.js';
 import { readSettings } from './settings.js';
 
-/** Flags that every program takes; each setting of the file may also be given as a flag. */
+/** Flags of every program; each setting of the file may also be given as a flag. */
 export const PROGRAM_FLAGS = {
-  settings: Flags.string({ description: 'settings file (JSON); flags go before it' }),
-  listen: Flags.string({ description: 'own address, an IP number and a port' }),
+  settings: Flags.string({ description: 'settings file (JSON); flags take precedence over it' }),
+  listen: Flags.string({ description: 'own address: an IP address and a port' }),
   zone: Flags.string({ description: 'own zone' }),
 } as const;
 
+/** Flags of programs that connect to the seeds. */
 export const SEED_FLAGS = {
-  seed: Flags.string({ description: 'address of a seed; give it three times', multiple: true }),
+  seed: Flags.string({
+    description: 'address of a seed; must be given three times',
+    multiple: true,
+  }),
 } as const;
 
+/** Base class of the commands that run a program until it is stopped. */
 export abstract class ProgramCommand extends Command {
-  /** Checks the settings before any port opens: every fault is one line, and the exit code is 2. */
+  /** Checks the settings before any port opens. If there are faults, it prints each on a line and exits with code 2. */
   protected parseSettings<T, S>(shape: Struct<T, S>, flags: Readonly<Record<string, unknown>>): T {
-    const { settings: path, seed, ...given } = flags;
+    const { settings: path, seed, ...flagValues } = flags;
     const { settings, faults } = readSettings(shape, typeof path === 'string' ? path : undefined, {
-      ...given,
+      ...flagValues,
       ...(seed === undefined ? {} : { seeds: seed }),
     });
     if (settings !== undefined && faults.length === 0) return settings;
@@ -27,7 +32,7 @@
     return this.exit(2);
   }
 
-  /** A port that cannot be opened ends the program with 1 and a line that says which. */
+  /** Starts the program. If that fails, as for a port that is in use, it prints the reason and exits with code 1. */
   protected async startOrExit(start: () => Promise<void>): Promise<void> {
     try {
       await start();
--- a/src/common/reply-server.test.ts
+++ b/src/common/reply-server.test.ts
@@ -4,7 +4,7 @@
 
 const FAILED: HttpReply = { status: 400, body: '{"error":"failed"}' };
 
-/** What one call to a server with this to say gets. */
+/** Starts a server with these settings and returns its response to one request. */
 async function replyOf(
   settings: Pick<ReplyServerSettings, 'handle' | 'retryAfterSeconds'>,
 ): Promise<CallReply> {
@@ -17,32 +17,32 @@
   }
 }
 
-async function sayText(): Promise<HttpReply> {
+async function replyText(): Promise<HttpReply> {
   return { status: 200, body: 'größer', contentType: 'text/plain' };
 }
-async function sayJson(): Promise<HttpReply> {
+async function replyJson(): Promise<HttpReply> {
   return { status: 200, body: '{}' };
 }
-async function sayNoLeader(): Promise<HttpReply> {
+async function replyUnavailable(): Promise<HttpReply> {
   return { status: 503, body: '{}' };
 }
 async function fail(): Promise<HttpReply> {
   throw new Error('the body is not JSON');
 }
-test('a reply goes out whole with its length and type', async () => {
-  const text = await replyOf({ handle: sayText });
+test('a response has its content type and length', async () => {
+  const text = await replyOf({ handle: replyText });
   expect([text.status, text.body]).toEqual([200, 'größer']);
   expect(text.headers).toMatchObject({ 'content-type': 'text/plain', 'content-length': '8' });
-  const json = await replyOf({ handle: sayJson, retryAfterSeconds: 2 });
+  const json = await replyOf({ handle: replyJson, retryAfterSeconds: 2 });
   expect(json.headers['content-type']).toBe('application/json');
   expect(json.headers['retry-after']).toBeUndefined();
 });
-test('when to come back is told with status 503, and only where it is set', async () => {
-  const told = await replyOf({ handle: sayNoLeader, retryAfterSeconds: 2 });
-  expect([told.status, told.headers['retry-after']]).toEqual([503, '2']);
-  expect((await replyOf({ handle: sayNoLeader })).headers['retry-after']).toBeUndefined();
+test('the header retry-after is sent with status 503 only, and only if it is set', async () => {
+  const withHeader = await replyOf({ handle: replyUnavailable, retryAfterSeconds: 2 });
+  expect([withHeader.status, withHeader.headers['retry-after']]).toEqual([503, '2']);
+  expect((await replyOf({ handle: replyUnavailable })).headers['retry-after']).toBeUndefined();
 });
-test('a call that fails gets the reply to failures', async () => {
+test('a request whose handler fails gets the response to failures', async () => {
   const failed = await replyOf({ handle: fail });
   expect([failed.status, failed.body]).toEqual([400, FAILED.body]);
 });
--- a/src/common/settings.test.ts
+++ b/src/common/settings.test.ts
@@ -3,7 +3,7 @@
 function keyOf(fault: string): string {
   return fault.split(':')[0] ?? '';
 }
-test('every fault of the settings is named', () => {
+test('every fault of the settings is reported', () => {
   const { faults } = readSettings(TableAgentSettingsShape, undefined, {
     listen: 'localhost:1',
     feed: '127.0.0.1:99999',
@@ -13,7 +13,7 @@
   });
   expect(faults.map(keyOf)).toEqual(['listen', 'feed', 'zone', 'seeds', 'more']);
 });
-test('what is not given takes its default', () => {
+test('a setting that is not given has its default', () => {
   const { settings, faults } = readSettings(TableProxySettingsShape, undefined, {
     listen: '127.0.0.1:8080',
     link: '127.0.0.1:7001',
--- a/src/common/shutdown.ts
+++ b/src/common/shutdown.ts
@@ -1,7 +1,7 @@
 /** Resolves at the first SIGTERM or SIGINT. */
 export function untilStopped(): Promise<void> {
-  return new Promise((done: () => void) => {
-    process.once('SIGTERM', done);
-    process.once('SIGINT', done);
+  return new Promise((resolve: () => void) => {
+    process.once('SIGTERM', resolve);
+    process.once('SIGINT', resolve);
   });
 }
