--- a/src/common/clock.ts
+++ b/src/common/clock.ts
@@ -1,6 +1,6 @@
 import { moment, type Moment } from './ids.js';
 
-/** The monotonic clock of this process: it goes on through freezes, and wall-clock jumps do not touch it. */
+/** The monotonic clock of this process: it advances while the process is frozen, and ignores jumps of the wall clock. */
 export function monotonicNow(): Moment {
   return moment(performance.now());
 }
--- a/src/common/errors.ts
+++ b/src/common/errors.ts
@@ -1,22 +1,22 @@
 /**
- * The errors of haretrack: one class for each thing that can go wrong, below a common base.
+ * The errors of haretrack: one class for each kind of failure, derived from a common base class.
  *
- * A caller tells them apart by class (`instanceof`). What leaves the process (answers, logs, metrics) carries the stable
- * `code` of the class, and the HTTP response that the table below gives for that code.
+ * Callers distinguish them by class (`instanceof`). Responses, logs and metrics carry the stable `code` of the class, and
+ * responses have the HTTP status that the table below gives for that code.
  */
 import VError from 'verror';
 
-/** The HTTP response by which an error or a rejection is answered. */
+/** The HTTP response to a request that fails with an error or is rejected. */
 export interface ErrorResponse {
   /** HTTP status. */
   readonly status: number;
-  /** Seconds after which the client may come back; 0 leaves the header `Retry-After` out. */
+  /** Seconds after which the client may retry; with 0 there is no `Retry-After` header. */
   readonly retryAfterSeconds: number;
-  /** Whether the work may have been done all the same: such a response never claims that it was rejected. */
+  /** Whether the work may have been done nevertheless: such a response never claims that the request was rejected. */
   readonly isOutcomeUnknown: boolean;
 }
 
-/** The closed list of codes, with the response that each leads to. Codes are stable: operators' programs read them. */
+/** All codes, each with its response. Codes are stable, since programs of operators read them. */
 export const ERROR_RESPONSES = {
   malformed: { status: 400, retryAfterSeconds: 0, isOutcomeUnknown: false },
   unmapped: { status: 404, retryAfterSeconds: 0, isOutcomeUnknown: false },
@@ -47,9 +47,9 @@
 /** A stable code of an error or of a rejection. */
 export type ErrorCode = keyof typeof ERROR_RESPONSES;
 
-/** The base of all errors of haretrack. Its message says what went wrong in one line. */
+/** The base class of all errors of haretrack. Its message describes the failure in one line. */
 export abstract class HaretrackError extends VError {
-  /** The same for every instance of a class, in every version of haretrack. */
+  /** The stable code: the same for every instance of a class, in every version of haretrack. */
   abstract readonly code: ErrorCode;
 
   constructor(message: string, cause?: Error) {
@@ -57,53 +57,53 @@
     this.name = new.target.name;
   }
 
-  /** The HTTP response by which this error is answered. */
+  /** The HTTP response to a request that fails with this error. */
   get response(): ErrorResponse {
     return ERROR_RESPONSES[this.code];
   }
 }
 
-/** A request, document or stored text that does not have the form it must have. The caller has to mend it. */
+/** A request, document or stored text is malformed. The caller has to correct it. */
 export class MalformedRequestError extends HaretrackError {
   readonly code = 'malformed';
 }
 
-/** A change was made from a version that is no longer in force. The caller reads the newest one and makes it anew. */
+/** A change is based on a version that is no longer in force. The caller reads the newest one and repeats the change. */
 export class VersionConflictError extends HaretrackError {
   readonly code = 'base-lost';
 }
 
-/** No leader is known, or it could not be reached in time; nothing was done. The caller tries again, at any node. */
+/** No leader is known, or it could not be reached in time; nothing was done. The caller may retry at any node. */
 export class NoLeaderError extends HaretrackError {
   readonly code = 'no-leader';
 }
 
-/** Whether a change was accepted cannot be told. The caller asks for it by its id, or reads the newest version. */
+/** It is unknown whether a change was accepted. The caller queries its outcome by id, or reads the newest version. */
 export class OutcomeUnknownError extends HaretrackError {
   readonly code = 'unsure-edit';
 }
 
-/** Bytes from another node that are no frame or no message of ours. The connection they came on is closed. */
+/** Bytes from another node that are not a valid frame or message. The connection that they came on is closed. */
 export class MalformedFrameError extends HaretrackError {
   readonly code = 'bad-frame';
 }
 
-/** A stored file whose digest or form is wrong. What it held is restored from the other replicas. */
+/** A stored file has a wrong digest or format. Its content is restored from the other replicas. */
 export class CorruptFileError extends HaretrackError {
   readonly code = 'bad-file';
 }
 
-/** The disk did not take a write, which may be there in part. The write is tried again. */
+/** A write to the disk failed and may have been done in part. The write is retried. */
 export class DiskWriteError extends HaretrackError {
   readonly code = 'disk-write';
 }
 
-/** What went wrong, as one line, whatever was thrown. */
+/** The message of a thrown value, which need not be an `Error`. */
 export function reasonOf(thrown: unknown): string {
   return thrown instanceof Error ? thrown.message : String(thrown);
 }
 
-/** The error that was thrown, where it is one of ours; anything else came of input that could not be worked on. */
+/** Returns a thrown `HaretrackError` unchanged; anything else counts as caused by malformed input. */
 export function toHaretrackError(thrown: unknown): HaretrackError {
   return thrown instanceof HaretrackError ? thrown : new MalformedRequestError(reasonOf(thrown));
 }
--- a/src/common/incarnation.ts
+++ b/src/common/incarnation.ts
@@ -1,14 +1,14 @@
 import { randomInt, randomUUID } from 'node:crypto';
 
 /**
- * Where a process begins to count what it asks and passes on: apart from all its former incarnations, whose returns
- * may still be on their way to the same address.
+ * A random number from which a process numbers its requests. It differs from that of earlier processes at the same address,
+ * so that late replies to their requests are not taken for replies to new ones.
  */
 export function newIncarnation(): number {
   return randomInt(2 ** 47);
 }
 
-/** An id for an edit that its sender gave none. */
+/** A new id for an edit that was sent without one. */
 export function newEditId(): string {
   return randomUUID();
 }
--- a/src/common/json.ts
+++ b/src/common/json.ts
@@ -1,7 +1,7 @@
 import { MalformedRequestError } from './errors.js';
 import type { Shape } from './wire.js';
 
-/** JSON text of a given shape, or nothing. */
+/** Parses JSON text; returns undefined if it is not JSON or does not have the shape. */
 export function parseAs<T>(shape: Shape<T>, text: string): T | undefined {
   let raw: unknown;
   try {
@@ -12,8 +12,9 @@
   return shape.is(raw) ? raw : undefined;
 }
 
-export function mustParseAs<T>(shape: Shape<T>, text: string, what: string): T {
+/** Parses JSON text; throws a `MalformedRequestError` that names `subject` if it is not JSON or does not have the shape. */
+export function mustParseAs<T>(shape: Shape<T>, text: string, subject: string): T {
   const value = parseAs(shape, text);
-  if (value === undefined) throw new MalformedRequestError(`${what} is not what it should be`);
+  if (value === undefined) throw new MalformedRequestError(`${subject} is not what it should be`);
   return value;
 }
--- a/src/common/messages.test.ts
+++ b/src/common/messages.test.ts
@@ -2,7 +2,7 @@
 import { type Message, SHAPES, decodeMessage, encodeMessage } from './messages.js';
 import { Codec, Wire } from './wire.js';
 import { string, type } from 'superstruct';
-test('messages come back as they were sent', () => {
+test('a decoded message equals the encoded one', () => {
   const report = { owner: 'a', version: 3, links: [{ peer: 'b', score: 0.25, alive: true }] };
   const ping: Message = { kind: 'ping', nonce: 7, epoch: 4, reports: [report], leader: 'a' };
   expect(decodeMessage(encodeMessage(ping))).toEqual(ping);
@@ -15,7 +15,7 @@
   };
   expect(decodeMessage(encodeMessage(write))).toEqual(write);
 });
-test('messages of an older and a newer build read each other', () => {
+test('messages of an older version can be decoded by a newer one, and the reverse', () => {
   const older = new Codec(new Wire(), 'news', type({ topic: string() }));
   const newer = new Codec(new Wire(), 'news', SHAPES.update);
   expect(newer.decode(older.encode({ topic: 'table' }))).toEqual({
@@ -28,7 +28,7 @@
     topic: 'x',
   });
 });
-test('garbage is a bad frame', () => {
+test('invalid bytes are rejected as a malformed frame', () => {
   expect(() => {
     decodeMessage(Buffer.from([4, 10, 255, 1]));
   }).toThrow(/undecodable/);
--- a/src/common/messages.ts
+++ b/src/common/messages.ts
@@ -2,19 +2,19 @@
 import { MalformedFrameError } from './errors.js';
 import { Codec, Wire, type Shape } from './wire.js';
 
-const Link = type({ peer: string(), score: number(), alive: boolean() });
-/** One node's scores of its links, versioned by its owner alone. */
-export const Report = type({ owner: string(), version: number(), links: array(Link) });
-const Copy = type({
+const LinkShape = type({ peer: string(), score: number(), alive: boolean() });
+/** The scores that a node gives its links to other nodes; only that node, the owner, increments the version. */
+export const Report = type({ owner: string(), version: number(), links: array(LinkShape) });
+const StoredReplicaShape = type({
   part: string(),
   epoch: number(),
   count: number(),
   body: string(),
   sound: boolean(),
 });
-const Have = type({ topic: string(), epoch: number(), count: number() });
-const ControlNode = type({ id: string(), zone: string() });
-const Member = type({
+const KnownVersionShape = type({ topic: string(), epoch: number(), count: number() });
+const ControlNodeShape = type({ id: string(), zone: string() });
+const MemberVersionShape = type({
   id: string(),
   zone: string(),
   address: string(),
@@ -22,14 +22,14 @@
   count: number(),
 });
 
-/** Everything the processes say to each other. Fields are only ever added at the end of a shape. */
+/** The shapes of all messages between processes. New fields go at the end of a shape: their order gives the wire numbers. */
 export const SHAPES = {
   hello: type({ id: string(), role: string(), zone: string() }),
   ping: type({ nonce: number(), epoch: number(), reports: array(Report), leader: string() }),
   pong: type({ nonce: number(), epoch: number(), reports: array(Report), standing: string() }),
   propose: type({ epoch: number(), reports: array(Report) }),
   defer: type({ epoch: number(), reports: array(Report) }),
-  /** `sentAt` is the leader's own monotonic clock, in milliseconds; it means nothing to anybody else. */
+  /** `sentAt` is a time on the monotonic clock of the leader, in milliseconds; other nodes cannot interpret it. */
   victory: type({
     epoch: number(),
     reports: array(Report),
@@ -46,7 +46,7 @@
     epoch: number(),
     nonce: number(),
     sound: boolean(),
-    copies: array(Copy),
+    copies: array(StoredReplicaShape),
     standing: string(),
   }),
   write: type({ part: string(), epoch: number(), count: number(), body: string() }),
@@ -55,7 +55,7 @@
     epoch: number(),
     count: number(),
     good: boolean(),
-    members: array(Member),
+    members: array(MemberVersionShape),
   }),
   digest: type({ nonce: number(), low: number(), high: number(), digest: string() }),
   digestReply: type({
@@ -65,7 +65,7 @@
     same: boolean(),
     sound: boolean(),
   }),
-  quorumRead: type({ nonce: number(), members: array(Member) }),
+  quorumRead: type({ nonce: number(), members: array(MemberVersionShape) }),
   quorumReadReply: type({ nonce: number(), epoch: number(), count: number(), marks: number() }),
   update: type({ topic: string(), epoch: number(), count: number(), body: string() }),
   join: type({
@@ -76,12 +76,16 @@
     lost: string(),
   }),
   assignParent: type({ parent: string() }),
-  freshnessRequest: type({ nonce: number(), have: array(Have), members: array(string()) }),
+  freshnessRequest: type({
+    nonce: number(),
+    have: array(KnownVersionShape),
+    members: array(string()),
+  }),
   freshnessReply: type({ nonce: number(), epoch: number(), count: number(), marks: number() }),
   ack: type({ epoch: number(), count: number() }),
-  acked: type({ members: array(Member) }),
+  acked: type({ members: array(MemberVersionShape) }),
   demand: type({ body: string() }),
-  /** With the epoch that the sender follows and the last `sentAt` that it heard of that leader: a bound on the order's age. */
+  /** `epoch` is the one that the sender follows, `leaderTime` the last `sentAt` of its leader: they bound the order's age. */
   command: type({
     id: number(),
     verb: string(),
@@ -91,7 +95,7 @@
   }),
   commandReply: type({ id: number(), status: number(), body: string() }),
   released: type({ epoch: number() }),
-  /** A control node that is no voter, or hears of no leader, with the configuration it knows. */
+  /** Sent by a control node that is not a voter or knows no leader, with the version of its configuration. */
   announce: type({
     id: string(),
     zone: string(),
@@ -100,14 +104,14 @@
     isFirst: boolean(),
     isSound: boolean(),
   }),
-  /** The voters with their zones, whom they follow, and the newest configuration there. */
+  /** The voters with their zones, their leader, and the version of the newest configuration. */
   controlNodes: type({
-    controlNodes: array(ControlNode),
+    controlNodes: array(ControlNodeShape),
     leader: string(),
     epoch: number(),
     count: number(),
   }),
-  /** What changed of a topic since the count `from` of the same epoch. */
+  /** The change of a topic since the version with count `from` of the same epoch. */
   delta: type({
     topic: string(),
     epoch: number(),
@@ -115,33 +119,44 @@
     count: number(),
     body: string(),
   }),
-  /** A voter that is told to stop, and the leader's answer: whether it may, since its seat is taken over or nobody is there to take it. */
+  /**
+   * Sent by a voter that is to stop. The reply of the leader allows it once another node has replaced it as a voter, or if
+   * there is none to do so.
+   */
   leave: type({ id: string() }),
   leaveReply: type({ mayStop: boolean() }),
   /**
-   * Ids of runners that the platform has listed as leaving, told past the leader while it reads no list. Between voters it
-   * also says that its sender has just read the list; then it may name nobody.
+   * Ids of runners that the platform lists as draining. They are distributed without the leader while the leader does not
+   * read the list. Between voters the message also says that its sender has just read the list; then it may be empty.
    */
   leaving: type({ runners: array(string()) }),
 } as const;
 
 type Shapes = typeof SHAPES;
+/** The kind of a message. */
 export type MessageKind = keyof Shapes;
+/** The fields of a message of kind `K`. */
 export type Body<K extends MessageKind> = Infer<Shapes[K]>;
+/** A message of any kind. */
 export type Message = { [K in MessageKind]: { readonly kind: K } & Readonly<Body<K>> }[MessageKind];
+/** The scores that a node gives its links. */
 export type ScoreReport = Infer<typeof Report>;
-export type StoredReplica = Infer<typeof Copy>;
-export type KnownVersion = Infer<typeof Have>;
-export type ControlNodeZone = Infer<typeof ControlNode>;
-export type MemberVersion = Infer<typeof Member>;
+/** A replica of one partition as a node has stored it. */
+export type StoredReplica = Infer<typeof StoredReplicaShape>;
+/** The newest version of a topic that a node knows. */
+export type KnownVersion = Infer<typeof KnownVersionShape>;
+/** A control node and its zone. */
+export type ControlNodeZone = Infer<typeof ControlNodeShape>;
+/** A member and the version of the configuration that it has acknowledged. */
+export type MemberVersion = Infer<typeof MemberVersionShape>;
 
-interface Coder {
+interface MessageCodec {
   encode(message: Message): Uint8Array;
   decode(bytes: Uint8Array): Message;
 }
 
 const wire = new Wire();
-const coders = new Map<string, Coder>();
+const codecs = new Map<string, MessageCodec>();
 
 function isMessage(value: unknown, kind: string): value is Message {
   return typeof value === 'object' && value !== null && 'kind' in value && value.kind === kind;
@@ -161,23 +176,24 @@
     if (!isMessage(value, kind)) throw new MalformedFrameError(`not a ${kind}`);
     return value;
   }
-  coders.set(kind, { encode, decode });
+  codecs.set(kind, { encode, decode });
 }
 
 for (const [kind, shape] of Object.entries<Shape<object>>(SHAPES)) register(kind, shape);
 
 const kinds = Object.keys(SHAPES);
 
-/** A frame is one byte for the kind's place in the table, then the message. */
+/** Encodes a message as one byte, the index of its kind in `SHAPES`, and its protobuf form. */
 export function encodeMessage(message: Message): Buffer {
-  const coder = coders.get(message.kind);
-  if (!coder) throw new MalformedFrameError(`unknown kind ${message.kind}`);
-  return Buffer.concat([Buffer.from([kinds.indexOf(message.kind)]), coder.encode(message)]);
+  const messageCodec = codecs.get(message.kind);
+  if (!messageCodec) throw new MalformedFrameError(`unknown kind ${message.kind}`);
+  return Buffer.concat([Buffer.from([kinds.indexOf(message.kind)]), messageCodec.encode(message)]);
 }
 
+/** Decodes a message; throws a `MalformedFrameError` if the kind is unknown or the fields do not fit it. */
 export function decodeMessage(bytes: Uint8Array): Message {
   const kind = kinds[bytes[0] ?? 255];
-  const coder = kind === undefined ? undefined : coders.get(kind);
-  if (!coder) throw new MalformedFrameError(`unknown kind ${bytes[0]}`);
-  return coder.decode(bytes.subarray(1));
+  const messageCodec = kind === undefined ? undefined : codecs.get(kind);
+  if (!messageCodec) throw new MalformedFrameError(`unknown kind ${bytes[0]}`);
+  return messageCodec.decode(bytes.subarray(1));
 }
--- a/src/common/quorum.ts
+++ b/src/common/quorum.ts
@@ -1,32 +1,36 @@
 import type { NodeId } from './ids.js';
 
-/** Who votes. During a swap two sets stand side by side, and a majority is one of both. */
+/** The voters. While a voter is being replaced there are two sets, and a majority needs a majority of each. */
 export class Quorum {
   readonly #sets: readonly (readonly NodeId[])[];
   readonly #all: readonly NodeId[];
 
-  constructor(...setCount: readonly (readonly NodeId[])[]) {
-    this.#sets = setCount;
-    this.#all = [...new Set(setCount.flat())].sort();
+  constructor(...sets: readonly (readonly NodeId[])[]) {
+    this.#sets = sets;
+    this.#all = [...new Set(sets.flat())].sort();
   }
 
+  /** All voters of all sets, sorted, each once. */
   get all(): readonly NodeId[] {
     return this.#all;
   }
 
-  /** Two while a swap is under way. */
+  /** Number of sets: two while a voter is being replaced, else one; 0 if there are no voters. */
   get sets(): number {
     return this.#sets.length;
   }
 
+  /** The sets as text, for logs and status. */
   get text(): string {
     return this.#sets.join(' | ');
   }
 
+  /** Whether the node is a voter of any set. */
   includes(id: NodeId): boolean {
     return this.#all.includes(id);
   }
 
+  /** Whether the nodes include a majority of each set. */
   isMajority(ids: ReadonlySet<NodeId>): boolean {
     return (
       this.#sets.length > 0 &&
@@ -34,16 +38,16 @@
     );
   }
 
-  /** Whether these alone, without `me`, meet every majority that could ever have included `me`. */
+  /** Whether the nodes, without `me`, intersect every majority that can have included `me`. */
   coversWithout(me: NodeId, ids: ReadonlySet<NodeId>): boolean {
     const others = new Set(ids);
     others.delete(me);
     return this.#sets.every((set) => {
-      // A set we never voted in decided nothing with us: what any majority of it holds is all there is.
+      // `me` was never a voter of this set, so a majority of the set has all that the set decided.
       if (!set.includes(me)) return set.filter(others.has, others).length * 2 > set.length;
       const majority = Math.floor(set.length / 2) + 1;
       const absent = set.length - set.filter(others.has, others).length;
-      // What is unread, `me` apart, must be too few to have made a majority together with `me`.
+      // The nodes that were not read, with `me`, must be too few for a majority.
       return absent < majority;
     });
   }
--- a/src/common/serial-queue.ts
+++ b/src/common/serial-queue.ts
@@ -1,18 +1,19 @@
 import Denque from 'denque';
 
-/** The one owner of a table: commands wait in order and are worked through one after the other, never nested. */
+/** Runs commands one after the other in the order of submission, never nested, so that state has a single writer. */
 export class SerialQueue {
   readonly #pending = new Denque<() => void>();
-  #isWorking = false;
+  #isRunning = false;
 
+  /** Runs a command at once, or after the pending ones if it is called from within a command. */
   submit(command: () => void): void {
     this.#pending.push(command);
-    if (this.#isWorking) return;
-    this.#isWorking = true;
+    if (this.#isRunning) return;
+    this.#isRunning = true;
     try {
       for (let next = this.#pending.shift(); next; next = this.#pending.shift()) next();
     } finally {
-      this.#isWorking = false;
+      this.#isRunning = false;
     }
   }
 }
--- a/src/common/sliding-maximum.test.ts
+++ b/src/common/sliding-maximum.test.ts
@@ -5,19 +5,19 @@
 
 const WINDOW_MS = 100;
 
-test('a larger value holds at once, a smaller one once the larger has left the window', () => {
+test('a larger value counts at once, a smaller one when the larger has left the window', () => {
   const maximum = new SlidingMaximum(WINDOW_MS);
   expect(maximum.value(moment(0))).toBe(0);
   maximum.set(moment(0), 9);
   maximum.set(moment(500), 3);
-  // It was in force until 500, however long before it was set.
+  // The value 9 was current until 500, so it leaves the window at 600.
   expect(maximum.value(moment(599))).toBe(9);
   expect(maximum.value(moment(600))).toBe(3);
   maximum.set(moment(610), 7);
   expect(maximum.value(moment(610))).toBe(7);
 });
 
-test('it is the largest of all values in force within the window', () => {
+test('the maximum is that of all values that were current within the window', () => {
   const steps = fc.array(fc.tuple(fc.nat(40), fc.nat(9)), { minLength: 1, maxLength: 60 });
   fc.assert(
     fc.property(steps, (drawn) => {
--- a/src/common/wire.ts
+++ b/src/common/wire.ts
@@ -2,7 +2,7 @@
 import { Struct } from 'superstruct';
 import { MalformedFrameError } from './errors.js';
 
-/** What is needed of a superstruct shape; unlike Struct itself it may stand for a narrower one. */
+/** The members of a superstruct `Struct` that are used here. Unlike `Struct`, it is covariant in `T`. */
 export interface Shape<T> {
   readonly type: string;
   readonly schema: unknown;
@@ -10,14 +10,15 @@
 }
 
 /**
- * Turns superstruct shapes into protobuf types, so that each message is written down once:
- * the shape gives the TypeScript type and the check, and its field order gives the wire numbers.
- * A field is only ever added at the end; an older message then decodes with that field's default.
+ * Converts superstruct shapes to protobuf types, so that each message is defined once: the shape gives the TypeScript type
+ * and the validation, and the order of its fields gives the field numbers. New fields go at the end; a message of an older
+ * version then decodes with their defaults.
  */
 export class Wire {
   readonly #root = new protobuf.Root();
   readonly #types = new Map<string, protobuf.Type>();
 
+  /** Returns the protobuf type of a shape, created on first use. Throws a `TypeError` for shapes without a protobuf form. */
   define(name: string, shape: Shape<unknown>): protobuf.Type {
     const known = this.#types.get(name);
     if (known) return known;
@@ -28,7 +29,7 @@
     if (typeof schema !== 'object' || schema === null) throw new TypeError(`${name} has no fields`);
     const fields: [string, unknown][] = Object.entries(schema);
     for (const [index, [key, value]] of fields.entries()) {
-      if (!(value instanceof Struct)) throw new TypeError(`${name}.${key} is no shape`);
+      if (!(value instanceof Struct)) throw new TypeError(`${name}.${key} is not a shape`);
       type.add(this.#field(`${name}_${key}`, key, index + 1, value));
     }
     return type;
@@ -48,11 +49,11 @@
     if (shape.type === 'number') return 'double';
     if (shape.type === 'boolean') return 'bool';
     if (shape.type === 'type') return this.define(path, shape).name;
-    throw new TypeError(`${path}: no wire form for ${shape.type}`);
+    throw new TypeError(`${path}: no protobuf type for ${shape.type}`);
   }
 }
 
-/** One message kind: its protobuf type and the check of what is decoded. */
+/** Encodes and decodes messages of one kind; decoded ones are validated. */
 export class Codec<T extends object> {
   readonly #type: protobuf.Type;
   readonly #shape: Shape<T>;
@@ -62,10 +63,12 @@
     this.#shape = shape;
   }
 
+  /** Encodes a message in protobuf form. */
   encode(value: T): Uint8Array {
     return this.#type.encode(this.#type.fromObject(value)).finish();
   }
 
+  /** Decodes a message; throws a `MalformedFrameError` if the bytes or the fields are invalid. */
   decode(bytes: Uint8Array): T {
     let raw: unknown;
     try {
@@ -77,7 +80,7 @@
       );
     }
     if (!this.#shape.is(raw))
-      throw new MalformedFrameError(`${this.#type.name} has fields of the wrong kind`);
+      throw new MalformedFrameError(`${this.#type.name} has fields of the wrong type`);
     return raw;
   }
 }
