--- a/src/metrics/exposition.test.ts
+++ b/src/metrics/exposition.test.ts
@@ -9,7 +9,7 @@
   return line !== '' && !line.startsWith('#');
 }
 
-test('families are told in the text form, in their order', async () => {
+test('families are rendered in the text format, in the given order', async () => {
   const families = [
     counterFamily('example_writes_total', 'Writes.', 3),
     gaugeFamily('example_ready', 'Whether it is ready.', true),
@@ -28,12 +28,12 @@
   expect(body).toContain('# TYPE example_writes_total counter');
   expect(body).toContain('# HELP example_ready Whether it is ready.');
 });
-test('nothing is kept from one ask to the next', async () => {
+test('no values carry over from one rendering to the next', async () => {
   const families = [counterFamily('example_writes_total', 'Writes.', 3)];
   const first = await renderMetrics(families);
-  // Registered twice in one registry it would fail, and added up it would tell 6.
+  // A second registration in the same registry would fail, and a sum would be 6.
   expect(await renderMetrics(families)).toEqual(first);
 });
-test('no metrics are collected beside those given', async () => {
+test('no other metrics are collected than the given ones', async () => {
   expect((await renderMetrics([])).body.trim()).toBe('');
 });
--- a/src/metrics/exposition.ts
+++ b/src/metrics/exposition.ts
@@ -1,6 +1,6 @@
 /**
- * Metrics as data, and their text form for a Prometheus server. What a process counts lives in plain classes; the metrics
- * library is loaded and filled only when somebody asks, and forgotten after it.
+ * Metrics as data, and their text format for a Prometheus server. Processes count in plain classes; the metrics library is
+ * loaded on the first request for metrics, and its registry is created anew for each request.
  */
 
 import type { Exposition, MetricFamily } from './metric-family.js';
@@ -12,12 +12,12 @@
   return { kind: 'counter', name, help, samples: [{ labels: [], value }] };
 }
 
-/** A gauge without labels; a flag is told as 0 or 1. */
+/** A gauge without labels; a boolean becomes 0 or 1. */
 export function gaugeFamily(name: string, help: string, value: number | boolean): MetricFamily {
   return { kind: 'gauge', name, help, samples: [{ labels: [], value: Number(value) }] };
 }
 
-/** A metric with one label, and one sample for each value of it. */
+/** A metric with one label, and one sample for each value of the label. */
 export function labelledFamily<Value extends string>(
   kind: MetricFamily['kind'],
   name: string,
@@ -34,10 +34,10 @@
   };
 }
 
-/** Renders all families in the text form. */
+/** Renders all families in the Prometheus text format. */
 export async function renderMetrics(families: readonly MetricFamily[]): Promise<Exposition> {
-  // Not at the start: a process that nobody asks neither loads the library nor keeps it in memory. The module is one of
-  // ours, since a bundle gives a library of the older module kind no named exports when it is imported on demand.
+  // Imported on demand: a process without requests for metrics does not load the library. The library is wrapped in a module
+  // of this project because a bundle gives a CommonJS library no named exports when it is imported dynamically.
   const { prometheusText } = await import('./prometheus-text.js');
   return prometheusText(families);
 }
--- a/src/metrics/metric-family.ts
+++ b/src/metrics/metric-family.ts
@@ -1,4 +1,4 @@
-/** Metrics as plain data, before any library puts them into a text form. */
+/** Metrics as plain data, independent of the metrics library. */
 
 /** One label of a sample. */
 export interface MetricLabel {
@@ -12,7 +12,7 @@
   readonly value: number;
 }
 
-/** A metric with all of its samples. Counters only grow while a process runs, gauges go either way. */
+/** A metric with all of its samples. Counters only increase while a process runs; gauges may also decrease. */
 export interface MetricFamily {
   readonly kind: 'counter' | 'gauge';
   readonly name: string;
@@ -20,7 +20,7 @@
   readonly samples: readonly MetricSample[];
 }
 
-/** The text form, with the content type to send it under. */
+/** Rendered metrics, with their content type. */
 export interface Exposition {
   readonly contentType: string;
   readonly body: string;
--- a/src/metrics/write-latency.test.ts
+++ b/src/metrics/write-latency.test.ts
@@ -1,7 +1,7 @@
 import { expect, test } from 'vitest';
 import { secondsOf, WriteLatency } from './write-latency.js';
 
-test('writes are summed, and the oldest under way shows', () => {
+test('durations are summed, and the age of the oldest write under way is reported', () => {
   const writes = new WriteLatency();
   const quick = writes.begin(1000);
   const hung = writes.begin(1010);
@@ -19,13 +19,13 @@
   writes.end(hung, 3010, 'done');
   expect(writes.figures(3010)).toMatchObject({ done: 2, slow: 2, underWay: 0, oldestMs: 0 });
 });
-test('a write ends once', () => {
+test('a second end of the same write is ignored', () => {
   const writes = new WriteLatency();
   const id = writes.begin(0);
   writes.end(id, 5, 'done');
   writes.end(id, 9, 'failed');
   expect(writes.figures(10)).toMatchObject({ done: 1, failed: 0, totalMs: 5 });
 });
-test('durations are told in seconds', () => {
+test('milliseconds are converted to seconds', () => {
   expect(secondsOf(1500)).toBe(1.5);
 });
