--- a/src/operator/edit-commands.ts
+++ b/src/operator/edit-commands.ts
@@ -1,4 +1,4 @@
-/** Commands that change the table, the zones that take work, and the voters. */
+/** Commands that change the table, the evacuated zones and the voters. */
 import { readFileSync } from 'node:fs';
 import { Args, Flags } from '@oclif/core';
 import { reasonOf } from '../common/errors.js';
@@ -7,35 +7,35 @@
 
 const BASE_FLAG = {
   base: Flags.integer({
-    description: 'the table this edit was made from; the present one if left out',
+    description: 'number of the table that this edit is based on; default: the table in force',
   }),
 } as const;
 
-/** A cell's value as typed on the command line: words of the columns, numbers, or else text. */
-function valueOf(text: string): string | number | boolean {
+/** Parses the value of a cell as given on the command line: a keyword of a column, a number, or else text. */
+function parseValue(text: string): string | number | boolean {
   if (text === 'true' || text === 'repeatable' || text === 'stream') return true;
   if (text === 'false' || text === 'once' || text === 'whole') return false;
   return text !== '' && Number.isFinite(Number(text)) ? Number(text) : text;
 }
 
-/** A command whose change is made from a certain table. */
+/** A command whose change is based on a certain table. */
 abstract class EditCommand extends OperatorCommand {
-  /** The number of the table that a change is made from: the given one, or that of the table now in force. */
+  /** The number of the table that a change is based on: the given one, or that of the table in force. */
   protected async base(apis: readonly string[], given: number | undefined): Promise<number> {
     const base = given ?? (await this.operator(apis).tableNumber());
     if (base === undefined) {
-      process.stderr.write('turned-away: the present table could not be read\n');
+      process.stderr.write('turned-away: the table in force could not be read\n');
       return this.exit(1);
     }
     return base;
   }
 }
 
-/** Puts a complete table in force. Fails where another one is in force than it was made from. */
+/** Puts a complete table in force. Fails if the table in force is not the one that the change is based on. */
 export class PutCommand extends EditCommand {
   static override aliases = ['word:put'];
   static override deprecateAliases = true;
-  static override description = 'put a whole table, written in the mapping language, in force';
+  static override description = 'put a complete table, written in the mapping language, in force';
   static override args = {
     file: Args.string({ required: true, description: 'file in the mapping language' }),
   };
@@ -78,7 +78,7 @@
     const { args, flags } = await this.parse(SetCommand);
     const base = await this.base(flags.api, flags.base);
     const { row, column } = args;
-    const value = column === 'type' || column === 'model' ? args.value : valueOf(args.value);
+    const value = column === 'type' || column === 'model' ? args.value : parseValue(args.value);
     this.printReply(
       await this.operator(flags.api).edit('PATCH', '/table/cell', { base, row, column, value }),
       flags.json,
@@ -90,7 +90,7 @@
 export class RowsCommand extends EditCommand {
   static override aliases = ['word:rows'];
   static override deprecateAliases = true;
-  static override description = 'put and remove rows, leaving the rest of the table as it is';
+  static override description = 'put and remove rows, and leave the rest of the table unchanged';
   static override flags = {
     ...OPERATOR_FLAGS,
     ...BASE_FLAG,
@@ -127,7 +127,7 @@
 export class EvacuateCommand extends OperatorCommand {
   static override aliases = ['word:empty'];
   static override deprecateAliases = true;
-  static override description = 'empty a zone: no new work goes there once this returns';
+  static override description = 'evacuate a zone: no new work goes there once this returns';
   static override args = { zone: Args.string({ required: true }) };
   static override flags = OPERATOR_FLAGS;
 
@@ -148,7 +148,7 @@
 export class RestoreCommand extends OperatorCommand {
   static override aliases = ['word:fill'];
   static override deprecateAliases = true;
-  static override description = 'let an emptied zone have work again';
+  static override description = 'let an evacuated zone get work again';
   static override args = { zone: Args.string({ required: true }) };
   static override flags = OPERATOR_FLAGS;
 
@@ -165,12 +165,12 @@
   }
 }
 
-/** Asks for the outcome of an edit. One that has not been accepted by then is closed, and never accepted later. */
+/** Queries the outcome of an edit. An edit that has not been accepted yet is closed, and will not be accepted later. */
 export class EditStatusCommand extends OperatorCommand {
   static override aliases = ['word:edit'];
   static override deprecateAliases = true;
   static override description =
-    'ask what became of an edit whose outcome was unsure; one not accepted by now never will be';
+    'query an edit whose outcome was unknown; one that is not accepted yet will never be accepted';
   static override args = { id: Args.string({ required: true }) };
   static override flags = OPERATOR_FLAGS;
 
@@ -187,14 +187,14 @@
   }
 }
 
-/** Replaces one voter by another control node. */
+/** Replaces a voter by another control node. */
 export class ReplaceVoterCommand extends OperatorCommand {
   static override aliases = ['word:swap'];
   static override deprecateAliases = true;
-  static override description = 'let a new control node vote in place of another';
+  static override description = 'replace a voter by another control node';
   static override args = {
-    old: Args.string({ required: true, description: 'address of the voter to go' }),
-    new: Args.string({ required: true, description: 'address of the one to come' }),
+    old: Args.string({ required: true, description: 'address of the voter to replace' }),
+    new: Args.string({ required: true, description: 'address of the new voter' }),
   };
   static override flags = OPERATOR_FLAGS;
 
@@ -207,17 +207,17 @@
   }
 }
 
-/** Starts a new cluster from nodes that lost their disks, as a last resort: what only the lost disks held is gone. */
+/** Starts a new cluster from nodes that lost their disks, as a last resort: data that only the lost disks held is lost. */
 export class ForceNewClusterCommand extends OperatorCommand {
   static override aliases = ['word:found'];
   static override deprecateAliases = true;
   static override description =
-    'found anew at nodes that lost everything, although members still hold a configuration';
+    'start a new cluster from nodes that lost all data, although members still hold a configuration';
   static override flags = OPERATOR_FLAGS;
 
   async run(): Promise<void> {
     const { flags } = await this.parse(ForceNewClusterCommand);
-    // Each blank node needs the command; a node that still holds its state answers so and does nothing.
+    // Every node without state needs the command; a node that still holds its state replies so and does nothing.
     for (const api of flags.api)
       this.printReply(await this.operator([api]).request('POST', '/found', {}), flags.json);
   }
--- a/src/operator/import-command.ts
+++ b/src/operator/import-command.ts
@@ -3,12 +3,12 @@
 import { importOpenApi } from '../policy/open-api.js';
 import { reasonOf } from '../common/errors.js';
 
-/** Prints the paths of an OpenAPI file as mappings of the policy language. */
+/** Prints the operations of an OpenAPI file as mappings of the mapping language. */
 export class ImportCommand extends Command {
   static override aliases = ['word:import'];
   static override deprecateAliases = true;
   static override description =
-    'print the mappings of an OpenAPI file in the mapping language; rows are for you to write';
+    'print the mappings of an OpenAPI file in the mapping language; the rows have to be added by hand';
   static override args = {
     file: Args.string({ required: true, description: 'OpenAPI file, JSON or YAML' }),
   };
--- a/src/operator/operator-command.ts
+++ b/src/operator/operator-command.ts
@@ -1,8 +1,8 @@
-/** What all commands of operators share: flags, the API client, and how replies are printed. */
+/** The common part of all operator commands: flags, the API client, and the output of replies. */
 import { Command, Flags } from '@oclif/core';
 import { Operator, type OperatorReply } from './operator.js';
 
-/** Flags of every command of operators. */
+/** Flags of every operator command. */
 export const OPERATOR_FLAGS = {
   api: Flags.string({
     description: "address of a control node's API; may be given several times",
@@ -11,17 +11,17 @@
     delimiter: ',',
     required: true,
   }),
-  json: Flags.boolean({ description: 'print what came back as JSON', default: false }),
+  json: Flags.boolean({ description: 'print the reply as JSON', default: false }),
 } as const;
 
-/** A command of operators. It exits with 0 where it was done, 1 rejected, 2 called wrongly, 3 where the outcome is unknown. */
+/** An operator command. Exit codes: 0 done, 1 rejected, 2 usage error, 3 outcome unknown. */
 export abstract class OperatorCommand extends Command {
   /** A client of the given API addresses. */
   protected operator(apis: readonly string[]): Operator {
     return new Operator(apis);
   }
 
-  /** Prints a reply, and exits with the code that belongs to it unless the request was done. */
+  /** Prints a reply; exits with 1 or 3 unless the request was done. */
   protected printReply(reply: OperatorReply, isJson: boolean): void {
     const { status, value } = reply;
     const isDone = status >= 200 && status < 300;
@@ -31,7 +31,9 @@
     if (isDone) return;
     if (value['outcome'] !== 'unsure') this.exit(1);
     if (!isJson)
-      process.stderr.write(`ask again with: haretrack operator edit ${textOf(value['id'])}\n`);
+      process.stderr.write(
+        `query the outcome with: haretrack operator edit ${textOf(value['id'])}\n`,
+      );
     this.exit(3);
   }
 
@@ -44,7 +46,7 @@
   }
 }
 
-/** A value out of a JSON object, as text. */
+/** A value of a JSON object as text; text itself is not quoted. */
 export function textOf(value: unknown): string {
   if (value === undefined) return 'undefined';
   return typeof value === 'string' ? value : JSON.stringify(value);
@@ -57,7 +59,7 @@
     : `accepted: table ${textOf(number)} is in force`;
 }
 
-/** One fault of a rejected table, at its row and cell, or at its line and column in the text. */
+/** One fault of a rejected table, with its row and cell, or its line and column in the text. */
 function faultLine(fault: unknown): string {
   if (typeof fault !== 'object' || fault === null) return textOf(fault);
   const { row, cell, text, line, column }: Record<string, unknown> = { ...fault };
--- a/src/operator/show-commands.ts
+++ b/src/operator/show-commands.ts
@@ -3,7 +3,7 @@
 import { IntentShape, PlacesShape } from '../placement/shapes.js';
 import { OPERATOR_FLAGS, OperatorCommand } from './operator-command.js';
 
-/** The answer of `GET /status`, as far as it is printed; its names are those of the API. */
+/** The fields of the reply to `GET /status` that are printed; the names are those of the API. */
 const StatusShape = type({
   me: string(),
   standing: string(),
@@ -44,27 +44,27 @@
   }
 }
 
-/** Prints the leader's view of the cluster, or that of any node where no leader answers. */
+/** Prints the state of the cluster as the leader sees it, or as another node does if no leader replies. */
 export class StatusCommand extends OperatorCommand {
   static override aliases = ['word:status'];
   static override deprecateAliases = true;
   static override description =
-    'show leader, epoch, scores, parts, members, pairs, and who waits and why';
+    'show the leader, epoch, scores, partitions, members, replicas, and the models that wait for a load';
   static override flags = OPERATOR_FLAGS;
 
   async run(): Promise<void> {
     const { flags } = await this.parse(StatusCommand);
     const operator = this.operator(flags.api);
-    let returned = await operator.request('GET', '/status');
-    // The leader's own view has the pairs and waits; any node knows who leads.
+    let reply = await operator.request('GET', '/status');
+    // Only the status of the leader has the replicas and the waiting models; every node knows the leader.
     for (const api of flags.api) {
-      if (returned.value['me'] === returned.value['leader']) break;
+      if (reply.value['me'] === reply.value['leader']) break;
       const other = await this.operator([api]).request('GET', '/status');
-      if (other.status === 200) returned = other;
+      if (other.status === 200) reply = other;
     }
-    const { value } = returned;
-    if (returned.status !== 200 || flags.json || !StatusShape.is(value)) {
-      this.printReply(returned, flags.json);
+    const { value } = reply;
+    if (reply.status !== 200 || flags.json || !StatusShape.is(value)) {
+      this.printReply(reply, flags.json);
       return;
     }
     this.#print(value, value);
@@ -77,8 +77,8 @@
     if (status.standing !== 'sound')
       this.log(
         status.membersHoldState
-          ? 'blank, but members hold a configuration: see operator force-new-cluster'
-          : 'not counting yet',
+          ? 'without state, but members hold a configuration: see operator force-new-cluster'
+          : 'not yet counted in majorities',
       );
     this.log(
       `serving ${status.serving}, may order ${status.mayOrder}, lease left ${status.leaseLeftMs} ms`,
--- a/src/operator/table-command.test.ts
+++ b/src/operator/table-command.test.ts
@@ -1,8 +1,8 @@
 import { expect, test } from 'vitest';
 import type { Live } from '../placement/live.js';
 import { liveText } from './table-command.js';
-test('the live table says who serves each row and who waits for what', () => {
-  const nobody = { runner: '', zone: '', isReady: false };
+test('the live table shows the runners of each model and the models that wait', () => {
+  const noReplica = { runner: '', zone: '', isReady: false };
   const live: Live = {
     number: 4,
     emptied: ['south'],
@@ -25,8 +25,8 @@
         model: 'm-1',
         rows: ['check/m-*'],
         rate: 0.05,
-        primary: nobody,
-        understudy: nobody,
+        primary: noReplica,
+        understudy: noReplica,
         wait: 'primary waits for room',
         waitMs: 12_400,
       },
--- a/src/operator/table-command.ts
+++ b/src/operator/table-command.ts
@@ -1,4 +1,4 @@
-/** The command that prints the table in force, with its placement where wanted. */
+/** The command that prints the table in force, with its placement on request. */
 import { setTimeout } from 'node:timers/promises';
 import { Flags } from '@oclif/core';
 import { array, number, string, type } from 'superstruct';
@@ -14,7 +14,7 @@
   voters: array(array(string())),
 });
 const POLL_INTERVAL_MS = 500;
-/** The placement counts as stable once nothing was under way and nothing changed in so many polls in a row. */
+/** Number of successive polls without a change or an order under way after which the placement counts as stable. */
 const STABLE_POLLS = 6;
 
 /** Prints the table as text, or each row with the runners that serve it and the models that wait for a load. */
@@ -22,20 +22,20 @@
   static override aliases = ['word:table'];
   static override deprecateAliases = true;
   static override description =
-    'print the table in force; with --live, each row with its places, its demand and who waits for what';
+    'print the table in force; with --live, each row with its replicas, its demand and the models that wait';
   static override flags = {
     ...OPERATOR_FLAGS,
     live: Flags.boolean({
       default: false,
-      description: 'print each row beside primary, understudy, zones, demand and waits',
+      description: 'print each row with primary, understudy, zones, demand and waiting models',
     }),
     watch: Flags.boolean({
       default: false,
-      description: 'like --live, printed anew at each change until the placement has settled',
+      description: 'like --live, printed again at each change until the placement has settled',
     }),
     seconds: Flags.integer({
       default: 120,
-      description: 'with --watch: the longest; exit code 1 if it has not settled by then',
+      description: 'with --watch: timeout in seconds; exit code 1 if the placement has not settled',
     }),
   };
 
@@ -50,10 +50,10 @@
       if (live) this.log(flags.json ? JSON.stringify(live) : liveText(live));
       return;
     }
-    const returned = await this.operator(flags.api).request('GET', '/table');
-    const { value } = returned;
-    if (returned.status !== 200 || flags.json || !TableReplyShape.is(value)) {
-      this.printReply(returned, flags.json);
+    const reply = await this.operator(flags.api).request('GET', '/table');
+    const { value } = reply;
+    if (reply.status !== 200 || flags.json || !TableReplyShape.is(value)) {
+      this.printReply(reply, flags.json);
       return;
     }
     this.log(
@@ -63,15 +63,15 @@
   }
 
   async #fetchLive(api: readonly string[], isJson: boolean): Promise<Live | undefined> {
-    const returned = await this.operator(api).request('GET', '/live');
-    const value: unknown = returned.value;
+    const reply = await this.operator(api).request('GET', '/live');
+    const value: unknown = reply.value;
     if (LiveShape.is(value)) return value;
-    this.printReply(returned, isJson);
+    this.printReply(reply, isJson);
     return undefined;
   }
 
   async #watch(api: readonly string[], seconds: number, isJson: boolean): Promise<void> {
-    let before = '';
+    let previousPlaces = '';
     let stablePolls = 0;
     for (
       let poll = 0;
@@ -80,11 +80,12 @@
     ) {
       const live = await this.#fetchLive(api, isJson);
       if (!live) return;
-      // Demand changes all the time; the placement is what is watched.
+      // Only changes of the placement count: demand changes all the time.
       const places = placesText(live);
-      if (places !== before) this.log(isJson ? JSON.stringify(live) : `${liveText(live)}\n`);
-      stablePolls = places === before && live.underWay === 0 ? stablePolls + 1 : 0;
-      before = places;
+      if (places !== previousPlaces)
+        this.log(isJson ? JSON.stringify(live) : `${liveText(live)}\n`);
+      stablePolls = places === previousPlaces && live.underWay === 0 ? stablePolls + 1 : 0;
+      previousPlaces = places;
       await setTimeout(POLL_INTERVAL_MS);
     }
     if (stablePolls >= STABLE_POLLS) {
@@ -107,7 +108,7 @@
   return `  ${model.model}  ${replicaText(model.primary)} / ${replicaText(model.understudy)}  ${model.rate.toFixed(1)}/s${wait}`;
 }
 
-/** Each row with the models that it serves; a model that several rows want stands under the first of them. */
+/** The table as text: each row with the models that it serves. A model of several rows is listed under the first of them. */
 export function liveText(live: Live): string {
   const lines = [
     `table ${live.number}, emptied zones: ${live.emptied.join(' ') || 'none'}, orders under way: ${live.underWay}`,
@@ -127,14 +128,14 @@
       lines.push(modelText(model));
     }
     if (own.length === 0)
-      lines.push('  no model of the weight store, or all stand under rows above');
+      lines.push('  no model in the weight store, or all are listed under rows above');
   }
   const waits = live.models.filter((model) => model.wait !== '').map((model) => model.model);
-  lines.push(waits.length === 0 ? 'nobody waits' : `waiting: ${waits.join(' ')}`);
+  lines.push(waits.length === 0 ? 'no model waits' : `waiting: ${waits.join(' ')}`);
   return lines.join('\n');
 }
 
-/** Differs whenever the table, the evacuated zones or the placement changed. */
+/** A text that differs whenever the table, the evacuated zones or the placement differ. */
 function placesText(live: Live): string {
   const parts: string[] = [String(live.number), live.emptied.join(' ')];
   for (const model of live.models)
