--- a/src/policy/language.ts
+++ b/src/policy/language.ts
@@ -13,6 +13,7 @@
   [cell: string]: string | number | boolean;
 }
 
+/** The result of compiling a text: the table, which is empty if there are faults, and the faults. */
 export interface Compiled {
   readonly table: Table;
   readonly faults: readonly Fault[];
@@ -26,7 +27,7 @@
 }
 
 /**
- * The mapping language: one statement a line, '#' begins a comment.
+ * A compiler of the mapping language: one statement per line; '#' begins a comment. Use an instance for one text only.
  *
  *   map METHOD PATH to TYPE
  *   row TYPE MODEL [weight N] [take N/s] [late N(ms|s|m)] [once|repeatable] [whole|stream]
@@ -35,60 +36,62 @@
   readonly #faults: Fault[] = [];
   readonly #mappings: unknown[] = [];
   readonly #rows: RowDraft[] = [];
-  readonly #places = new Map<string, number>();
+  readonly #lineNumbers = new Map<string, number>();
 
+  /** Compiles a text. Faults are returned, not thrown. */
   compile(text: string): Compiled {
     for (const [index, line] of text.split(/\r?\n/).entries()) {
       const tokens = tokensOf(line);
-      if (tokens.length > 0) this.#statement({ number: index + 1, tokens });
+      if (tokens.length > 0) this.#parseStatement({ number: index + 1, tokens });
     }
     if (this.#faults.length > 0) return { table: EMPTY_TABLE, faults: this.#faults };
     const checked = checkTable({ mappings: this.#mappings, rows: this.#rows });
-    return { table: checked.table, faults: checked.faults.map(this.#placed, this) };
+    return { table: checked.table, faults: checked.faults.map(this.#withLine, this) };
   }
 
-  /** Gives a fault of the checked table the line it came from. */
-  #placed(fault: Fault): Fault {
-    const line = this.#places.get(fault.row);
+  /** Adds the line number to a fault of the checked table. */
+  #withLine(fault: Fault): Fault {
+    const line = this.#lineNumbers.get(fault.row);
     return line === undefined ? fault : { ...fault, line, column: 1 };
   }
 
-  #fault(line: Line, token: Token | undefined, cell: string, text: string): void {
+  #addFault(line: Line, token: Token | undefined, cell: string, text: string): void {
     const last = line.tokens[line.tokens.length - 1];
     const column = token?.column ?? (last ? last.column + last.text.length : 1);
     this.#faults.push({ row: `line ${line.number}`, cell, text, line: line.number, column });
   }
 
-  #statement(line: Line): void {
+  #parseStatement(line: Line): void {
     const [head] = line.tokens;
-    if (head?.text === 'map') this.#map(line);
-    else if (head?.text === 'row') this.#row(line);
+    if (head?.text === 'map') this.#parseMapping(line);
+    else if (head?.text === 'row') this.#parseRow(line);
     else
-      this.#fault(
+      this.#addFault(
         line,
         head,
         'statement',
-        `'${head?.text ?? ''}' begins no statement; expected 'map' or 'row'`,
+        `'${head?.text ?? ''}' is not a statement; expected 'map' or 'row'`,
       );
   }
 
-  #map(line: Line): void {
+  #parseMapping(line: Line): void {
     const [, method, path, to, type, extra] = line.tokens;
     if (!method || !path || !to || !type) {
-      this.#fault(line, undefined, 'mapping', "expected 'map METHOD PATH to TYPE'");
+      this.#addFault(line, undefined, 'mapping', "expected 'map METHOD PATH to TYPE'");
       return;
     }
-    if (to.text !== 'to') this.#fault(line, to, 'mapping', `expected 'to', found '${to.text}'`);
-    if (extra) this.#fault(line, extra, 'mapping', `'${extra.text}' is more than a mapping holds`);
-    this.#places.set(`mappings[${this.#mappings.length}]`, line.number);
-    this.#places.set(`${method.text} ${path.text}`, line.number);
+    if (to.text !== 'to') this.#addFault(line, to, 'mapping', `expected 'to', found '${to.text}'`);
+    if (extra)
+      this.#addFault(line, extra, 'mapping', `'${extra.text}' is unexpected after a mapping`);
+    this.#lineNumbers.set(`mappings[${this.#mappings.length}]`, line.number);
+    this.#lineNumbers.set(`${method.text} ${path.text}`, line.number);
     this.#mappings.push({ method: method.text, path: path.text, type: type.text });
   }
 
-  #row(line: Line): void {
+  #parseRow(line: Line): void {
     const [, type, model, ...rest] = line.tokens;
     if (!type || !model) {
-      this.#fault(line, undefined, 'row', "expected 'row TYPE MODEL …'");
+      this.#addFault(line, undefined, 'row', "expected 'row TYPE MODEL …'");
       return;
     }
     const row: RowDraft = {
@@ -102,15 +105,15 @@
     };
     const given = new Set<string>();
     for (let index = 0; index < rest.length; index += 1) {
-      const word = rest[index];
-      if (!word) break;
+      const keyword = rest[index];
+      if (!keyword) break;
       const cell =
         { once: 'repeatable', repeatable: 'repeatable', whole: 'stream', stream: 'stream' }[
-          word.text
-        ] ?? word.text;
-      if (given.has(cell)) this.#fault(line, word, cell, `${cell} is given twice`);
+          keyword.text
+        ] ?? keyword.text;
+      if (given.has(cell)) this.#addFault(line, keyword, cell, `${cell} is given twice`);
       given.add(cell);
-      switch (word.text) {
+      switch (keyword.text) {
         case 'once':
           row['repeatable'] = false;
           break;
@@ -125,67 +128,91 @@
           break;
         case 'weight':
           index += 1;
-          this.#number(line, word, rest[index], 'weight', /^(\d+)$/, row, 'weight', one);
+          this.#parseNumber(
+            line,
+            keyword,
+            rest[index],
+            'weight',
+            /^(\d+)$/,
+            row,
+            'weight',
+            unitFactor,
+          );
           break;
         case 'take':
           index += 1;
-          this.#number(line, word, rest[index], 'take', /^(\d+(?:\.\d+)?)\/s$/, row, 'take', one);
+          this.#parseNumber(
+            line,
+            keyword,
+            rest[index],
+            'take',
+            /^(\d+(?:\.\d+)?)\/s$/,
+            row,
+            'take',
+            unitFactor,
+          );
           break;
         case 'late':
           index += 1;
-          this.#number(
+          this.#parseNumber(
             line,
-            word,
+            keyword,
             rest[index],
             'late',
             /^(\d+(?:\.\d+)?)(ms|s|m)$/,
             row,
             'lateMs',
-            millis,
+            millisecondsPer,
           );
           break;
         default:
-          this.#fault(line, word, 'row', `'${word.text}' is no cell of a row`);
+          this.#addFault(line, keyword, 'row', `'${keyword.text}' is not a cell of a row`);
       }
     }
-    this.#places.set(`rows[${this.#rows.length}]`, line.number);
-    if (!this.#places.has(rowKey({ type: type.text, model: model.text })))
-      this.#places.set(rowKey({ type: type.text, model: model.text }), line.number);
+    this.#lineNumbers.set(`rows[${this.#rows.length}]`, line.number);
+    if (!this.#lineNumbers.has(rowKey({ type: type.text, model: model.text })))
+      this.#lineNumbers.set(rowKey({ type: type.text, model: model.text }), line.number);
     this.#rows.push(row);
   }
 
-  #number(
+  #parseNumber(
     line: Line,
-    word: Token,
+    keyword: Token,
     token: Token | undefined,
     cell: string,
-    form: RegExp,
+    pattern: RegExp,
     row: RowDraft,
     key: string,
     factor: (unit: string | undefined) => number,
   ): void {
-    const match = token ? form.exec(token.text) : null;
+    const match = token ? pattern.exec(token.text) : null;
     if (!match) {
-      this.#fault(line, token, cell, `'${token?.text ?? ''}' is no value for ${word.text}`);
+      this.#addFault(
+        line,
+        token,
+        cell,
+        `'${token?.text ?? ''}' is not a valid value for ${keyword.text}`,
+      );
       return;
     }
     row[key] = Number(match[1]) * factor(match[2]);
   }
 }
 
-function one(): number {
+function unitFactor(): number {
   return 1;
 }
 
-function millis(unit: string | undefined): number {
+function millisecondsPer(unit: string | undefined): number {
   return unit === 'ms' ? 1 : unit === 's' ? 1000 : 60_000;
 }
 
+/** Compiles a text of the mapping language. Faults are returned, not thrown. */
 export function compile(text: string): Compiled {
   return new Compiler().compile(text);
 }
 
-/** The table in the language again; compiling it gives the same table. */
+/** Prints a table in the mapping language; compiling the text gives the same table. */
 export function printTable(table: Table): string {
   const lines: string[] = [];
   for (const mapping of table.mappings)
--- a/src/policy/open-api.test.ts
+++ b/src/policy/open-api.test.ts
@@ -20,7 +20,7 @@
     },
   },
 };
-test('operations become mappings', async () => {
+test('operations are converted to mappings', async () => {
   expect(await importOpenApi(document)).toEqual({
     mappings: [
       { method: 'POST', path: '/v1/checks', type: 'file-check' },
@@ -30,6 +30,6 @@
     skipped: ['GET /v1/notes'],
   });
 });
-test('a document that is none is turned away', async () => {
+test('an invalid document is rejected', async () => {
   await expect(importOpenApi({ openapi: '3.0.3', paths: {} })).rejects.toThrow(/no sound OpenAPI/);
 });
--- a/src/policy/open-api.ts
+++ b/src/policy/open-api.ts
@@ -5,16 +5,16 @@
 
 const DocumentShape = type({ paths: record(string(), unknown()) });
 const METHODS = ['get', 'post', 'put', 'delete'] as const;
-const UPPER = { get: 'GET', post: 'POST', put: 'PUT', delete: 'DELETE' } as const;
+const UPPER_CASE = { get: 'GET', post: 'POST', put: 'PUT', delete: 'DELETE' } as const;
 
-function fieldOf(value: unknown, key: string): unknown {
+function propertyOf(value: unknown, key: string): unknown {
   return typeof value === 'object' && value !== null && Object.hasOwn(value, key)
     ? Object.entries(value).find((entry) => entry[0] === key)?.[1]
     : undefined;
 }
 
-function nameOf(text: string): string {
-  return text
+function typeNameFrom(candidate: string): string {
+  return candidate
     .replace(/([a-z0-9])([A-Z])/g, '$1-$2')
     .toLowerCase()
     .replace(/[^a-z0-9]+/g, '-')
@@ -22,19 +22,22 @@
     .slice(0, 63);
 }
 
-/** The request type of an operation: what it says itself, else its first tag, else its own id. */
+/** The request type of an operation: its `x-haretrack-type`, else its first tag, else its `operationId`; empty if none. */
 function typeOf(operation: unknown): string {
-  const own = fieldOf(operation, 'x-haretrack-type');
-  const tags = fieldOf(operation, 'tags');
-  const id = fieldOf(operation, 'operationId');
-  for (const text of [own, Array.isArray(tags) ? tags[0] : undefined, id]) {
-    const name = typeof text === 'string' ? nameOf(text) : '';
+  const declaredType = propertyOf(operation, 'x-haretrack-type');
+  const tags = propertyOf(operation, 'tags');
+  const id = propertyOf(operation, 'operationId');
+  for (const candidate of [declaredType, Array.isArray(tags) ? tags[0] : undefined, id]) {
+    const name = typeof candidate === 'string' ? typeNameFrom(candidate) : '';
     if (name !== '') return name;
   }
   return '';
 }
 
-/** Mappings of an OpenAPI document, as file, JSON or YAML; paths end in * where their first parameter stands. */
+/**
+ * Converts the operations of an OpenAPI document, given as a file name, a text (JSON or YAML) or an object, to mappings. Paths
+ * are cut at their first parameter and end in * there. Throws a `MalformedRequestError` if the document is invalid.
+ */
 export async function importOpenApi(
   source: string | Record<string, unknown>,
 ): Promise<{ readonly mappings: readonly Mapping[]; readonly skipped: readonly string[] }> {
@@ -51,18 +54,18 @@
   const skipped: string[] = [];
   for (const [path, item] of Object.entries(document.paths)) {
     const parameter = path.indexOf('{');
-    const plain = parameter < 0 ? path : `${path.slice(0, parameter)}*`;
+    const pathPattern = parameter < 0 ? path : `${path.slice(0, parameter)}*`;
     for (const method of METHODS) {
-      const operation = fieldOf(item, method);
+      const operation = propertyOf(item, method);
       if (operation === undefined) continue;
       const name = typeOf(operation);
-      const key = `${UPPER[method]} ${plain}`;
-      // Two paths that differ after their first parameter alone are one mapping here; the first one stands.
+      const key = `${UPPER_CASE[method]} ${pathPattern}`;
+      // Paths that differ only after their first parameter become the same mapping; the first one is used.
       if (name === '' || mappings.has(key)) {
-        skipped.push(`${UPPER[method]} ${path}`);
+        skipped.push(`${UPPER_CASE[method]} ${path}`);
         continue;
       }
-      mappings.set(key, { method: UPPER[method], path: plain, type: name });
+      mappings.set(key, { method: UPPER_CASE[method], path: pathPattern, type: name });
     }
   }
   return { mappings: [...mappings.values()], skipped };
--- a/src/policy/table-index.test.ts
+++ b/src/policy/table-index.test.ts
@@ -3,41 +3,41 @@
 import { type Mapping, type Row, type Table, matchesModel } from './table.js';
 import { indexOf } from './table-index.js';
 
-/** As the rules say it, by walking everything. */
-function slowRow(table: Table, type: string, model: string): Row | undefined {
+/** The reference implementations: linear scans of the table. */
+function scanForRow(table: Table, type: string, model: string): Row | undefined {
   for (const row of table.rows)
     if (row.type === type && (row.model.startsWith('@') || matchesModel(row.model, model)))
       return row;
   return undefined;
 }
-function slowMapping(table: Table, method: string, path: string): Mapping | undefined {
+function scanForMapping(table: Table, method: string, path: string): Mapping | undefined {
   let best: Mapping | undefined;
   for (const mapping of table.mappings)
     if (
       mapping.method === method &&
       matchesModel(mapping.path, path) &&
-      (!best || reach(mapping) > reach(best))
+      (!best || matchLength(mapping) > matchLength(best))
     )
       best = mapping;
   return best;
 }
-function reach(mapping: Mapping): number {
+function matchLength(mapping: Mapping): number {
   return mapping.path.endsWith('*') ? mapping.path.length - 1 : mapping.path.length;
 }
-function slowWeight(table: Table, model: string): number {
-  let most = 0;
+function scanForWeight(table: Table, model: string): number {
+  let maxWeight = 0;
   for (const row of table.rows)
     if (!row.model.startsWith('@') && matchesModel(row.model, model))
-      most = Math.max(most, row.weight);
-  return most;
+      maxWeight = Math.max(maxWeight, row.weight);
+  return maxWeight;
 }
-function name(seeded: InstanceType<typeof Seeded>): string {
+function randomName(seeded: InstanceType<typeof Seeded>): string {
   let text = '';
   for (let length = 1 + seeded.below(3); length > 0; length -= 1)
     text += seeded.pick(['a', 'b']) ?? '';
   return text;
 }
-test('what the index finds is what walking the table finds', () => {
+test('the index finds the same as a scan of the table', () => {
   for (let seed = 1; seed <= 60; seed += 1) {
     const seeded = new Seeded(seed);
     const rows: Row[] = [];
@@ -46,10 +46,10 @@
       const model = seeded.isLikely(0.08)
         ? '@k'
         : seeded.isLikely(0.4)
-          ? `${name(seeded)}*`
+          ? `${randomName(seeded)}*`
           : seeded.isLikely(0.1)
             ? '*'
-            : name(seeded);
+            : randomName(seeded);
       rows.push({
         type: seeded.pick(['s', 't']) ?? 's',
         model,
@@ -61,20 +61,20 @@
       });
       mappings.push({
         method: seeded.pick(['GET', 'POST'] as const) ?? 'GET',
-        path: `/${name(seeded)}${seeded.isLikely(0.5) ? '*' : ''}`,
+        path: `/${randomName(seeded)}${seeded.isLikely(0.5) ? '*' : ''}`,
         type: 's',
       });
     }
     const table: Table = { mappings, rows };
     for (let index = 0; index < 40; index += 1) {
-      const asked = name(seeded);
+      const lookup = randomName(seeded);
       for (const type of ['s', 't', 'u'])
-        expect(indexOf(table).row(type, asked)).toBe(slowRow(table, type, asked));
-      expect(indexOf(table).weight(asked)).toBe(slowWeight(table, asked));
-      const found = indexOf(table).mapping('GET', `/${asked}`);
-      const slow = slowMapping(table, 'GET', `/${asked}`);
-      expect(found === undefined ? undefined : reach(found)).toBe(
-        slow === undefined ? undefined : reach(slow),
+        expect(indexOf(table).row(type, lookup)).toBe(scanForRow(table, type, lookup));
+      expect(indexOf(table).weight(lookup)).toBe(scanForWeight(table, lookup));
+      const found = indexOf(table).mapping('GET', `/${lookup}`);
+      const scanned = scanForMapping(table, 'GET', `/${lookup}`);
+      expect(found === undefined ? undefined : matchLength(found)).toBe(
+        scanned === undefined ? undefined : matchLength(scanned),
       );
     }
   }
--- a/src/policy/table-index.ts
+++ b/src/policy/table-index.ts
@@ -1,17 +1,17 @@
 import type { Mapping, Row, Table } from './table-shape.js';
 
-interface Placed<T> {
+interface Ordered<T> {
   readonly order: number;
   readonly item: T;
 }
 
-/** Finds a name among exact names and prefixes ending in *, without walking them all. */
-class Names<T> {
-  readonly #exact = new Map<string, Placed<T>>();
-  readonly #prefixes = new Map<string, Placed<T>>();
+/** Looks up a name among exact names and prefixes that end in *, without a scan of all of them. */
+class PatternMap<T> {
+  readonly #exact = new Map<string, Ordered<T>>();
+  readonly #prefixes = new Map<string, Ordered<T>>();
   #count = 0;
 
-  /** The first under a name stays. */
+  /** Adds an item; the first item of a name takes precedence. */
   add(name: string, item: T): void {
     const list = name.endsWith('*') ? this.#prefixes : this.#exact;
     const key = name.endsWith('*') ? name.slice(0, -1) : name;
@@ -19,9 +19,9 @@
     this.#count += 1;
   }
 
-  /** All that fit, the longest prefix last. */
-  fitting(name: string): Placed<T>[] {
-    const list: Placed<T>[] = [];
+  /** All items that match the name, from the shortest prefix to the longest, an exact match last. */
+  matching(name: string): Ordered<T>[] {
+    const list: Ordered<T>[] = [];
     for (let length = 0; length <= name.length; length += 1) {
       const found = this.#prefixes.get(name.slice(0, length));
       if (found) list.push(found);
@@ -32,68 +32,70 @@
   }
 }
 
-/** One table, read once for all requests: however many rows it has, drawing one costs no more than the name is long. */
+/** An index of a table. The cost of a lookup grows with the length of the name, not with the number of rows. */
 export class TableIndex {
-  readonly #mappings = new Map<string, Names<Mapping>>();
-  readonly #rows = new Map<string, Names<Row>>();
-  readonly #plain = new Map<string, Row>();
-  readonly #firsts = new Map<string, Row>();
+  readonly #mappings = new Map<string, PatternMap<Mapping>>();
+  readonly #rows = new Map<string, PatternMap<Row>>();
+  readonly #plainRows = new Map<string, Row>();
+  readonly #firstRows = new Map<string, Row>();
   /** Weights by model, over all types. */
-  readonly #weights = new Names<Row>();
+  readonly #weights = new PatternMap<Row>();
   readonly #heaviest = new Map<string, Row>();
 
   constructor(table: Table) {
     for (const mapping of table.mappings)
-      namesOf(this.#mappings, mapping.method).add(mapping.path, mapping);
+      patternMapOf(this.#mappings, mapping.method).add(mapping.path, mapping);
     for (const row of table.rows) {
-      if (!this.#firsts.has(row.type)) this.#firsts.set(row.type, row);
+      if (!this.#firstRows.has(row.type)) this.#firstRows.set(row.type, row);
       if (row.model.startsWith('@')) {
-        // Whatever its type names goes there; rows behind it are never reached.
-        if (!this.#plain.has(row.type)) this.#plain.set(row.type, row);
+        // A row of plain back ends serves all models of its type, so later rows of the type are never used.
+        if (!this.#plainRows.has(row.type)) this.#plainRows.set(row.type, row);
         continue;
       }
-      if (!this.#plain.has(row.type)) namesOf(this.#rows, row.type).add(row.model, row);
+      if (!this.#plainRows.has(row.type)) patternMapOf(this.#rows, row.type).add(row.model, row);
       const heaviest = this.#heaviest.get(row.model);
       if (!heaviest || row.weight > heaviest.weight) this.#heaviest.set(row.model, row);
     }
     for (const row of this.#heaviest.values()) this.#weights.add(row.model, row);
   }
 
-  /** The longest path is the most particular one, whatever the order of lines; a path in full goes before a prefix. */
+  /** The mapping with the longest matching path, whatever their order; an exact path takes precedence over a prefix. */
   mapping(method: string, path: string): Mapping | undefined {
-    const fitting = this.#mappings.get(method)?.fitting(path) ?? [];
-    return fitting[fitting.length - 1]?.item;
+    const matches = this.#mappings.get(method)?.matching(path) ?? [];
+    return matches[matches.length - 1]?.item;
   }
 
-  /** The first row that fits, as the operator ordered them. */
+  /** The first matching row, in the order of the table. */
   row(type: string, model: string): Row | undefined {
-    let first: Placed<Row> | undefined;
-    for (const placed of this.#rows.get(type)?.fitting(model) ?? [])
-      if (!first || placed.order < first.order) first = placed;
-    return first?.item ?? this.#plain.get(type);
+    let first: Ordered<Row> | undefined;
+    for (const match of this.#rows.get(type)?.matching(model) ?? [])
+      if (!first || match.order < first.order) first = match;
+    return first?.item ?? this.#plainRows.get(type);
   }
 
+  /** The first row of a type. */
   firstOf(type: string): Row | undefined {
-    return this.#firsts.get(type);
+    return this.#firstRows.get(type);
   }
 
-  /** The most that any row gives a model; 0 if none wants it. */
+  /** The maximum weight of all rows that match a model; 0 if there is none. */
   weight(model: string): number {
-    let most = 0;
-    for (const { item } of this.#weights.fitting(model)) most = Math.max(most, item.weight);
-    return most;
+    let maxWeight = 0;
+    for (const { item } of this.#weights.matching(model))
+      maxWeight = Math.max(maxWeight, item.weight);
+    return maxWeight;
   }
 }
 
-function namesOf<T>(map: Map<string, Names<T>>, key: string): Names<T> {
-  const names = map.get(key) ?? new Names<T>();
-  map.set(key, names);
-  return names;
+function patternMapOf<T>(map: Map<string, PatternMap<T>>, key: string): PatternMap<T> {
+  const patternMap = map.get(key) ?? new PatternMap<T>();
+  map.set(key, patternMap);
+  return patternMap;
 }
 
 const INDEXES = new WeakMap<Table, TableIndex>();
 
-/** Made once for each table, since tables are never changed in place. */
+/** The index of a table. It is cached for each table object, since tables are immutable. */
 export function indexOf(table: Table): TableIndex {
   const known = INDEXES.get(table);
   if (known) return known;
--- a/src/policy/table.test.ts
+++ b/src/policy/table.test.ts
@@ -10,10 +10,10 @@
   repeatable: false,
   stream: true,
 };
-function placeOf(fault: Fault): string {
+function positionOf(fault: Fault): string {
   return `${fault.row}.${fault.cell}`;
 }
-test('every fault is named by row and cell at once', () => {
+test('all faults are returned, each with its row and cell', () => {
   const { faults } = checkTable({
     mappings: [],
     rows: [
@@ -21,14 +21,14 @@
       { ...row, model: 'x y', lateMs: 1 },
     ],
   });
-  expect(faults.map(placeOf)).toEqual(['rows[0].weight', 'rows[1].model', 'rows[1].lateMs']);
+  expect(faults.map(positionOf)).toEqual(['rows[0].weight', 'rows[1].model', 'rows[1].lateMs']);
   const second = checkTable({
     mappings: [{ method: 'GET', path: '/a', type: 'none' }],
     rows: [row, row],
   });
-  expect(second.faults.map(placeOf)).toEqual(['check/m-*.model', 'GET /a.type']);
+  expect(second.faults.map(positionOf)).toEqual(['check/m-*.model', 'GET /a.type']);
 });
-test('rows are found in order, mappings by the longest path', () => {
+test('the first matching row is found, and the mapping with the longest path', () => {
   const table = checkTable({
     mappings: [
       { method: 'GET', path: '/a/*', type: 'check' },
--- a/src/policy/table.ts
+++ b/src/policy/table.ts
@@ -4,7 +4,7 @@
 
 export * from './table-shape.js';
 
-/** One fault of a table, named by where it stands: a row and its cell, or a line and its column. */
+/** One fault of a table and its position: a row and its cell, or a line and its column. */
 export interface Fault {
   readonly row: string;
   readonly cell: string;
@@ -13,11 +13,12 @@
   readonly column?: number;
 }
 
+/** The key of a row, which identifies it within a table. */
 export function rowKey(row: { readonly type: string; readonly model: string }): string {
   return `${row.type}/${row.model}`;
 }
 
-function faultPlace(path: readonly unknown[]): { row: string; cell: string } {
+function faultPosition(path: readonly unknown[]): { row: string; cell: string } {
   const [list, index, cell] = path;
   return {
     row: index === undefined ? String(list ?? 'table') : `${String(list)}[${String(index)}]`,
@@ -25,7 +26,7 @@
   };
 }
 
-/** Checks a whole table and names every fault at once. */
+/** Checks a whole table and returns all faults; if the shape is wrong, the table is empty. */
 export function checkTable(raw: unknown): {
   readonly table: Table;
   readonly faults: readonly Fault[];
@@ -33,8 +34,8 @@
   const [error, table] = TableShape.validate(raw);
   if (error instanceof StructError || !table) {
     const faults: Fault[] = [];
-    for (const item of error?.failures() ?? [])
-      faults.push({ ...faultPlace(item.path), text: item.message });
+    for (const failure of error?.failures() ?? [])
+      faults.push({ ...faultPosition(failure.path), text: failure.message });
     return { table: EMPTY_TABLE, faults };
   }
   const faults: Fault[] = [];
@@ -47,31 +48,33 @@
       faults.push({ row: key, cell: 'model', text: 'another row has the same type and model' });
     seen.add(key);
   }
-  const paths = new Set<string>();
+  const endpoints = new Set<string>();
   for (const mapping of table.mappings) {
-    const name = `${mapping.method} ${mapping.path}`;
-    if (paths.has(name))
+    const endpoint = `${mapping.method} ${mapping.path}`;
+    if (endpoints.has(endpoint))
       faults.push({
-        row: name,
+        row: endpoint,
         cell: 'path',
         text: 'another mapping has the same method and path',
       });
-    paths.add(name);
+    endpoints.add(endpoint);
     if (!types.has(mapping.type))
-      faults.push({ row: name, cell: 'type', text: `no row has the type ${mapping.type}` });
+      faults.push({ row: endpoint, cell: 'type', text: `no row has the type ${mapping.type}` });
   }
   return { table, faults };
 }
 
+/** Whether a model matches the pattern of a row: an exact endpoint, or a prefix that ends in *. */
 export function matchesModel(pattern: string, model: string): boolean {
   return pattern.endsWith('*') ? model.startsWith(pattern.slice(0, -1)) : pattern === model;
 }
 
-/** The first row that fits, as the operator ordered them. */
+/** The first matching row, in the order of the table. */
 export function findRow(table: Table, type: string, model: string): Row | undefined {
   return indexOf(table).row(type, model);
 }
 
+/** The mapping with the longest path that matches the method and path. */
 export function findMapping(table: Table, method: string, path: string): Mapping | undefined {
   return indexOf(table).mapping(method, path);
 }
