--- a/src/commands.ts
+++ b/src/commands.ts
@@ -25,7 +25,7 @@
 import { MutantCommand } from './simulation/mutants/mutant-command.js';
 import { TableCommand } from './operator/table-command.js';
 
-/** Every subcommand of the one binary. */
+/** All subcommands of the `haretrack` binary. */
 export const COMMANDS = {
   check: CheckCommand,
   proxy: ProxyCommand,
--- a/src/route/routing.ts
+++ b/src/route/routing.ts
@@ -1,32 +1,39 @@
-/** The operators' routing as the product knows it: which requests go to which service, and what each service is. */
+/** The routing configuration: which requests go to which service, and the properties of each service. */
+
+/** The share of the requests of a route that goes to a service. */
 export interface Split {
   readonly service: string;
   readonly weight: number;
 }
 
-/** What may be repeated: `safe` any time, `unsafe` never, `stream` only where it is resumable and goes on after its last event. */
+/**
+ * Whether requests of a route may be retried: `safe` ones always, `unsafe` ones never. A `stream` may be retried only if it is
+ * resumable; it then continues after its last event.
+ */
 export type RouteKind = 'safe' | 'unsafe' | 'stream';
 
+/** A route: the requests that it matches, and how they are handled. */
 export interface Route {
   readonly name: string;
   readonly host: string;
   readonly prefix: string;
   readonly kind: RouteKind;
-  /** The longest that operators want a request held, ms. */
+  /** Maximum duration of a request, in milliseconds. */
   readonly timeoutMs: number;
-  /** The time inside which an answer earns its full worth, ms; to the first event for streams. */
+  /** Latency within which a response has its full value, in milliseconds; for streams, the latency of the first event. */
   readonly latencyTargetMs: number;
-  /** The longest pause between events of a stream that keeps it in time, ms. */
+  /** Maximum gap between events with which a stream still counts as in time, in milliseconds. */
   readonly gapTargetMs: number;
-  /** 0 is highest. */
+  /** The priority; 0 is the highest. */
   readonly priority: number;
   readonly splits: readonly Split[];
-  /** The most runners that one request may be sent to. */
+  /** Maximum number of runners that one request may be sent to. */
   readonly maxAttempts: number;
   readonly isSticky: boolean;
   readonly isResumable: boolean;
 }
 
+/** A model that the runners of a service can load, with its resource needs. */
 export interface EngineModel {
   readonly name: string;
   readonly sizeMb: number;
@@ -35,18 +42,19 @@
   readonly adapterSizeMb: number;
 }
 
-/** What every runner of a service of many models is. */
+/** The properties of each runner of a service that serves many models. */
 export interface Engine {
   readonly slots: number;
   readonly cacheTokens: number;
   readonly models: readonly EngineModel[];
-  /** Room for weights and adapters together, MB. */
+  /** Capacity for weights and adapters together, in megabytes. */
   readonly capacityMb: number;
   readonly adapterSlots: number;
-  /** Loads from the weight store a second over all runners. */
+  /** Maximum rate of loads from the weight store per second, over all runners. */
   readonly loadsPerSecond: number;
 }
 
+/** A service that requests are routed to; `engine` is undefined unless it serves many models. */
 export interface Service {
   readonly name: string;
   readonly healthPath: string;
@@ -56,6 +64,7 @@
   readonly engine: Engine | undefined;
 }
 
+/** Limits on client connections and requests. */
 export interface Limits {
   readonly maxHeaderBytes: number;
   readonly maxBodyBytes: number;
@@ -63,33 +72,34 @@
   readonly idleMs: number;
 }
 
+/** The routing configuration of a deployment. */
 export interface Routing {
-  /** The operators' own number; it goes up in uneven steps. */
+  /** The version number that operators assign; it increases, but not always by 1. */
   readonly version: number;
   readonly routes: readonly Route[];
   readonly services: readonly Service[];
   readonly limits: Limits;
 }
 
-/** One fault of a configuration, by the item and field it stands in. */
+/** One fault of a configuration, with its item and field. */
 export interface RoutingFault {
   readonly item: string;
   readonly field: string;
   readonly text: string;
 }
 
-/** How a deployment writes its configuration; the only part of it that knows the words is the adapter. */
+/** The adapter for the format in which a deployment writes its configuration; only the adapter knows its terms. */
 export interface ConfigDialect {
-  /** Reads a whole document; every fault of shape is named. */
+  /** Parses a whole document; returns all faults of its shape. */
   read(text: string): {
     readonly routing: Routing | undefined;
     readonly faults: readonly RoutingFault[];
   };
-  /** The whole document that a change makes of another, or undefined where the change cannot be read. */
+  /** Applies a change to a document and returns the new document; undefined if the change cannot be parsed. */
   amend(text: string, change: string): string | undefined;
 }
 
-/** What no configuration may say, whatever its dialect. */
+/** Checks the rules for configurations in every dialect; `current` is the version in force. */
 export function checkRouting(routing: Routing, current: number): RoutingFault[] {
   const faults: RoutingFault[] = [];
   if (!Number.isSafeInteger(routing.version) || routing.version <= current)
@@ -104,17 +114,21 @@
       faults.push({ item: service.name, field: 'name', text: 'two services have this name' });
     services.add(service.name);
   }
-  const places = new Map<string, string>();
+  const routesByPrefix = new Map<string, string>();
   const names = new Set<string>();
   for (const route of routing.routes) {
     if (names.has(route.name))
       faults.push({ item: route.name, field: 'name', text: 'two routes have this name' });
     names.add(route.name);
-    const place = `${route.host.toLowerCase()} ${route.prefix}`;
-    const other = places.get(place);
+    const hostAndPrefix = `${route.host.toLowerCase()} ${route.prefix}`;
+    const other = routesByPrefix.get(hostAndPrefix);
     if (other !== undefined)
-      faults.push({ item: route.name, field: 'prefix', text: `has the place of ${other}` });
-    places.set(place, route.name);
+      faults.push({
+        item: route.name,
+        field: 'prefix',
+        text: `has the same host and prefix as ${other}`,
+      });
+    routesByPrefix.set(hostAndPrefix, route.name);
     let weight = 0;
     for (const split of route.splits) {
       weight += split.weight;
@@ -129,7 +143,7 @@
   return faults;
 }
 
-/** Finds the route of a request: of its host's routes the one with the longest prefix of the path. */
+/** Finds the route of a request: of the routes of its host, the one with the longest matching prefix. */
 export class RouteIndex {
   readonly #hosts = new Map<string, Map<string, Route>>();
   readonly #services = new Map<string, Service>();
@@ -144,11 +158,15 @@
     for (const service of routing.services) this.#services.set(service.name, service);
   }
 
+  /** The service with this name. */
   service(name: string): Service | undefined {
     return this.#services.get(name);
   }
 
-  /** Prefixes begin and end with a slash, so that only the slashes of the path are looked at, the last one first. */
+  /**
+   * The route of a request. Prefixes begin and end with a slash, so only the parts of the path that end in a slash are looked
+   * up, the longest first.
+   */
   match(host: string, path: string): Route | undefined {
     const prefixes =
       this.#hosts.get(host.toLowerCase()) ??
