--- a/src/architecture.test.ts
+++ b/src/architecture.test.ts
@@ -9,12 +9,12 @@
 const LAYERS = 'Layers';
 const MODULES = 'Where to find what';
 
-/** The text of the page from a heading to the next one of the same depth. */
+/** The text of the page between a heading and the next one of the same level. */
 function sectionOf(heading: string): string {
   return PAGE.split(`\n## ${heading}\n`)[1]?.split('\n## ')[0] ?? '';
 }
 
-/** The tables of modules: the folders that each heading names, and the files below it. */
+/** The tables of modules: the folders that each heading lists, and the files of the table below it. */
 function moduleTables(): { readonly folders: string[]; readonly files: string[] }[] {
   const tables = [];
   for (const table of sectionOf(MODULES).split('\n### ').slice(1)) {
@@ -30,7 +30,7 @@
   return names;
 }
 
-/** The layer of each folder below `src/`, as the page tells it; `.` is `src/` itself. */
+/** The layer of each folder below `src/` according to the page; `.` is `src/` itself. */
 function layers(): Map<string, number> {
   const layerOf = new Map<string, number>();
   for (const [, layer = '', folders = ''] of sectionOf(LAYERS).matchAll(/^\| (\d+) \|(.*)\|$/gm))
@@ -38,7 +38,7 @@
   return layerOf;
 }
 
-/** Folders below `src/` with the folders that their files import from, without tests and what supports them. */
+/** Folders below `src/` with the folders that their files import from, without tests and test helpers. */
 function folderImports(): Map<string, Set<string>> {
   const imports = new Map<string, Set<string>>();
   for (const entry of readdirSync(SOURCES, { withFileTypes: true, recursive: true })) {
@@ -71,9 +71,9 @@
     expect(folders.length).toBeGreaterThan(0);
     expect(files.length).toBeGreaterThan(0);
     for (const file of files) {
-      let isThere = false;
-      for (const folder of folders) isThere ||= existsSync(join(SOURCES, folder, file));
-      if (!isThere) missing.push(`${folders.join()}: ${file}`);
+      let exists = false;
+      for (const folder of folders) exists ||= existsSync(join(SOURCES, folder, file));
+      if (!exists) missing.push(`${folders.join()}: ${file}`);
     }
   }
   expect(missing).toEqual([]);
@@ -113,7 +113,7 @@
   expect(upward).toEqual([]);
 }
 
-test('every module that the architecture page names is in its folder', checkModules);
-test('every path that the architecture page names exists', checkPaths);
+test('every module on the architecture page exists in its folder', checkModules);
+test('every path on the architecture page exists', checkPaths);
 test('the architecture page has a layer and a table for every folder', checkFolders);
-test('folders import from the layers below them alone', checkLayers);
+test('folders import from lower layers only', checkLayers);
--- a/src/glossary.test.ts
+++ b/src/glossary.test.ts
@@ -6,7 +6,7 @@
 const SOURCES = dirname(fileURLToPath(import.meta.url));
 const GLOSSARY = join(SOURCES, '..', 'docs', 'glossary.md');
 const USERS_SECTION = 'Our plain words and the terms of the field';
-/** Pairs in the users' list. */
+/** Number of pairs of terms in the list of the users. */
 const USERS_PAIRS = 53;
 
 /** The rows of the first table below a heading, as cells. */
@@ -18,14 +18,14 @@
   return rows.slice(2);
 }
 
-test('every file that the glossary names for a term exists', () => {
+test('every file that the glossary lists for a term exists', () => {
   const missing: string[] = [];
   for (const [word = '', , , where = ''] of rowsOf(USERS_SECTION))
     for (const [, file = ''] of where.matchAll(/`([^`]+)`/g))
       if (!existsSync(join(SOURCES, file))) missing.push(`${word}: ${file}`);
   expect(missing).toEqual([]);
 });
-test('the glossary has a row for each pair of the users', () => {
+test('the glossary has a row for each pair of terms in the list of the users', () => {
   const rows = rowsOf(USERS_SECTION);
   expect(rows).toHaveLength(USERS_PAIRS);
   for (const [word, term] of rows) {
--- a/src/imports.test.ts
+++ b/src/imports.test.ts
@@ -6,7 +6,7 @@
 
 const SOURCE = dirname(fileURLToPath(import.meta.url));
 
-/** Which files of the product each of its files imports, of types alone as well; tests left out. */
+/** The files that each source file imports, including type imports, without tests. */
 function importsOf(root: string): Map<string, string[]> {
   const imports = new Map<string, string[]>();
   for (const entry of readdirSync(root, { withFileTypes: true, recursive: true })) {
@@ -22,8 +22,8 @@
   return imports;
 }
 
-/** The same between folders. */
-function foldersOf(imports: ReadonlyMap<string, readonly string[]>): Map<string, string[]> {
+/** The imports between folders. */
+function folderImportsOf(imports: ReadonlyMap<string, readonly string[]>): Map<string, string[]> {
   const folders = new Map<string, string[]>();
   for (const [file, targets] of imports) {
     const known = folders.get(dirname(file)) ?? [];
@@ -34,35 +34,35 @@
   return folders;
 }
 
-/** One circle for each place where a walk comes back to where it has been. */
-function circlesIn(arrows: ReadonlyMap<string, readonly string[]>): string[] {
-  const circles: string[] = [];
+/** The import cycles: one for each edge at which a depth-first search comes back to its own path. */
+function cyclesIn(edges: ReadonlyMap<string, readonly string[]>): string[] {
+  const cycles: string[] = [];
   const done = new Set<string>();
   function visit(name: string, path: readonly string[]): void {
     if (path.includes(name)) {
-      circles.push([...path.slice(path.indexOf(name)), name].join(' -> '));
+      cycles.push([...path.slice(path.indexOf(name)), name].join(' -> '));
       return;
     }
     if (done.has(name)) return;
-    for (const next of arrows.get(name) ?? []) visit(next, [...path, name]);
+    for (const next of edges.get(name) ?? []) visit(next, [...path, name]);
     done.add(name);
   }
-  for (const name of arrows.keys()) visit(name, []);
-  return circles;
+  for (const name of edges.keys()) visit(name, []);
+  return cycles;
 }
-test('a circle of imports is found', () => {
-  const arrows = new Map([
+test('a cycle of imports is found', () => {
+  const edges = new Map([
     ['a', ['b']],
     ['b', ['c']],
     ['c', ['b']],
   ]);
-  expect(circlesIn(arrows)).toEqual(['b -> c -> b']);
+  expect(cyclesIn(edges)).toEqual(['b -> c -> b']);
 });
-test('no file imports itself by way of others', () => {
+test('there is no cycle of imports between files', () => {
   const imports = importsOf(SOURCE);
   expect(imports.size).toBeGreaterThan(100);
-  expect(circlesIn(imports)).toEqual([]);
+  expect(cyclesIn(imports)).toEqual([]);
 });
-test('no folder imports itself by way of others', () => {
-  expect(circlesIn(foldersOf(importsOf(SOURCE)))).toEqual([]);
+test('there is no cycle of imports between folders', () => {
+  expect(cyclesIn(folderImportsOf(importsOf(SOURCE)))).toEqual([]);
 });
--- a/src/pages.test.ts
+++ b/src/pages.test.ts
@@ -5,7 +5,7 @@
 
 const ROOT = join(dirname(fileURLToPath(import.meta.url)), '..');
 
-/** The pages that are written for readers, by their path from the root. */
+/** The documentation pages, by their path from the root. */
 function pages(): string[] {
   const found = ['README.md', 'CONTRIBUTING.md', 'bench/README.md', 'test-data/README.md'];
   for (const entry of readdirSync(join(ROOT, 'docs'), { withFileTypes: true, recursive: true }))
@@ -13,8 +13,8 @@
   return found;
 }
 
-/** Names of the glossary that are still to come into the code. */
-const TO_COME = '## Names being changed';
+/** Below this heading the glossary lists names that the code does not have yet. */
+const PLANNED_NAMES_HEADING = '## Names being changed';
 
 /** Folders that paths on the pages may be relative to. */
 const BASES = ['.', 'src', 'src/simulation', 'docs', 'bench'];
@@ -30,7 +30,7 @@
   return readFileSync(join(ROOT, page), 'utf8');
 }
 
-/** The anchors of a page's headings, as they are made where pages are shown. */
+/** The anchors of the headings of a page, in the form that Markdown viewers generate. */
 function anchorsOf(page: string): string[] {
   return [...textOf(page).matchAll(/^#+ (.+)$/gm)].map(([, heading = '']) =>
     heading
@@ -40,43 +40,43 @@
   );
 }
 
-test('every link between the pages leads to a file, and to a heading where it names one', () => {
+test('every link between pages leads to an existing file and heading', () => {
   const broken: string[] = [];
   for (const page of pages())
     for (const [, link = ''] of textOf(page).matchAll(/\]\(([^)\s]+)\)/g)) {
       if (/^[a-z]+:/.test(link)) continue;
       const [path = '', anchor] = link.split('#');
       const target = path === '' ? page : join(dirname(page), path);
-      const isThere =
+      const exists =
         existsSync(join(ROOT, target)) &&
         (anchor === undefined || anchorsOf(target).includes(anchor));
-      if (!isThere) broken.push(`${page}: ${link}`);
+      if (!exists) broken.push(`${page}: ${link}`);
     }
   expect(broken).toEqual([]);
 });
 
-test('the index names every page of docs/', () => {
+test('the index lists every page of docs/', () => {
   const index = textOf('docs/README.md');
-  const unnamed = pages().filter(
+  const unlisted = pages().filter(
     (page) =>
       page.startsWith('docs/') &&
       page !== 'docs/README.md' &&
       !index.includes(`(${relative('docs', page)})`),
   );
-  expect(unnamed).toEqual([]);
+  expect(unlisted).toEqual([]);
 });
 
-test('every source file that a page names exists', () => {
+test('every source file that a page mentions exists', () => {
   const names = new Set(['src', 'platform', 'bench', 'docs', 'bin'].flatMap(fileNames));
   const missing: string[] = [];
   for (const page of pages()) {
-    const [text = ''] = textOf(page).split(TO_COME);
+    const [text = ''] = textOf(page).split(PLANNED_NAMES_HEADING);
     for (const [, name = ''] of text.matchAll(/`([\w./-]+\.(?:ts|mjs|sh|md))`/g)) {
       const isPath = name.includes('/');
-      const isThere = isPath
+      const exists = isPath
         ? BASES.some((base) => existsSync(join(ROOT, base, name)))
         : names.has(name) || existsSync(join(ROOT, name));
-      if (!isThere) missing.push(`${page}: ${name}`);
+      if (!exists) missing.push(`${page}: ${name}`);
     }
   }
   expect(missing).toEqual([]);
