--- a/src/common/ids.ts
+++ b/src/common/ids.ts
@@ -7,7 +7,7 @@
 export type NodeId = string & { readonly kindOfId: 'node' };
 /** The name of a partition of the replicated state. */
 export type PartitionName = string & { readonly kindOfId: 'partition' };
-/** An epoch of the election; see `isElecting`. */
+/** An epoch of the election; see `isElectionEpoch`. */
 export type Epoch = number & { readonly kindOfNumber: 'epoch' };
 /** A point in time, in milliseconds on the monotonic clock of this process; not comparable between machines. */
 export type Moment = number & { readonly kindOfNumber: 'moment' };
