--- a/src/agent/agent-core.ts
+++ b/src/agent/agent-core.ts
@@ -196,7 +196,7 @@
 
   #onControlNodes(now: Moment, message: Body<'controlNodes'>): void {
     this.#session.onReply(now);
-    this.#lag.onNamed(now, message, this.#relay.version('config'));
+    this.#lag.onAnnounced(now, message, this.#relay.version('config'));
     this.#controlNodes.setZones(message.controlNodes);
     // A control node that knows no leader may be partitioned from the others, and then receives no updates.
     this.#session.onLeader(message.leader);
@@ -204,7 +204,7 @@
       this.#leaveControlNode(now);
       return;
     }
-    if (this.#controlNodes.chooseCloser(now)) {
+    if (this.#controlNodes.chooseInOwnZone(now)) {
       this.#onSessionMoved(now);
       return;
     }
--- a/src/agent/configuration-lag.ts
+++ b/src/agent/configuration-lag.ts
@@ -7,7 +7,7 @@
   #behindSince: Moment | undefined;
 
   /** A control node announced the version of its configuration; the agent has version `known`. */
-  onNamed(now: Moment, { epoch, count }: Version, known: Version): void {
+  onAnnounced(now: Moment, { epoch, count }: Version, known: Version): void {
     const wasBehind = this.versions(known) > 0;
     if (compareVersions({ epoch, count }, this.#newest) > 0) this.#newest = { epoch, count };
     if (!wasBehind) this.#behindSince = now;
--- a/src/agent/control-node-choice.ts
+++ b/src/agent/control-node-choice.ts
@@ -96,7 +96,7 @@
    * Chooses a node of the own zone if the current one is in another zone, since traffic between zones has a cost. Returns
    * whether the choice changed.
    */
-  chooseCloser(now: Moment): boolean {
+  chooseInOwnZone(now: Moment): boolean {
     if (this.isInOwnZone(this.current)) return false;
     const closer = this.#nodes.findIndex((id) => this.isInOwnZone(id) && !this.#isAvoided(now, id));
     if (closer < 0) return false;
--- a/src/common/ids.ts
+++ b/src/common/ids.ts
@@ -51,15 +51,15 @@
 }
 
 /** Whether an election is held in this epoch: odd epochs are elections, even ones belong to a leader. */
-export function isElecting(epoch: Epoch): boolean {
+export function isElectionEpoch(epoch: Epoch): boolean {
   return epoch % 2 === 1;
 }
 /** The next epoch after this one that is an election. */
-export function nextElecting(epoch: Epoch): Epoch {
+export function nextElectionEpoch(epoch: Epoch): Epoch {
   return epochOf(epoch % 2 === 1 ? epoch + 2 : epoch + 1);
 }
 /** This epoch if it belongs to a leader, else the next one. */
-export function nextLeading(epoch: Epoch): Epoch {
+export function nextLeaderEpoch(epoch: Epoch): Epoch {
   return epochOf(epoch % 2 === 0 ? epoch : epoch + 1);
 }
 /** The point in time `millis` milliseconds after `at`. */
--- a/src/common/messages.ts
+++ b/src/common/messages.ts
@@ -4,7 +4,11 @@
 
 const LinkShape = type({ peer: string(), score: number(), alive: boolean() });
 /** The scores that a node gives its links to other nodes; only that node, the owner, increments the version. */
-export const Report = type({ owner: string(), version: number(), links: array(LinkShape) });
+export const ScoreReportShape = type({
+  owner: string(),
+  version: number(),
+  links: array(LinkShape),
+});
 const StoredReplicaShape = type({
   part: string(),
   epoch: number(),
@@ -25,20 +29,35 @@
 /** The shapes of all messages between processes. New fields go at the end of a shape: their order gives the wire numbers. */
 export const SHAPES = {
   hello: type({ id: string(), role: string(), zone: string() }),
-  ping: type({ nonce: number(), epoch: number(), reports: array(Report), leader: string() }),
-  pong: type({ nonce: number(), epoch: number(), reports: array(Report), standing: string() }),
-  propose: type({ epoch: number(), reports: array(Report) }),
-  defer: type({ epoch: number(), reports: array(Report) }),
+  ping: type({
+    nonce: number(),
+    epoch: number(),
+    reports: array(ScoreReportShape),
+    leader: string(),
+  }),
+  pong: type({
+    nonce: number(),
+    epoch: number(),
+    reports: array(ScoreReportShape),
+    standing: string(),
+  }),
+  propose: type({ epoch: number(), reports: array(ScoreReportShape) }),
+  defer: type({ epoch: number(), reports: array(ScoreReportShape) }),
   /** `sentAt` is a time on the monotonic clock of the leader, in milliseconds; other nodes cannot interpret it. */
   victory: type({
     epoch: number(),
-    reports: array(Report),
+    reports: array(ScoreReportShape),
     nonce: number(),
     quorum: array(string()),
     sentAt: number(),
   }),
-  granted: type({ epoch: number(), wait: number(), nonce: number(), reports: array(Report) }),
-  behind: type({ epoch: number(), reports: array(Report) }),
+  granted: type({
+    epoch: number(),
+    wait: number(),
+    nonce: number(),
+    reports: array(ScoreReportShape),
+  }),
+  behind: type({ epoch: number(), reports: array(ScoreReportShape) }),
   renew: type({ epoch: number(), nonce: number(), quorum: array(string()), sentAt: number() }),
   renewed: type({ epoch: number(), nonce: number() }),
   read: type({ epoch: number(), nonce: number(), parts: array(string()) }),
@@ -140,7 +159,7 @@
 /** A message of any kind. */
 export type Message = { [K in MessageKind]: { readonly kind: K } & Readonly<Body<K>> }[MessageKind];
 /** The scores that a node gives its links. */
-export type ScoreReport = Infer<typeof Report>;
+export type ScoreReport = Infer<typeof ScoreReportShape>;
 /** A replica of one partition as a node has stored it. */
 export type StoredReplica = Infer<typeof StoredReplicaShape>;
 /** The newest version of a topic that a node knows. */
--- a/src/election/candidacy.ts
+++ b/src/election/candidacy.ts
@@ -1,4 +1,10 @@
-import { isElecting, nextElecting, type Epoch, type Moment, type NodeId } from '../common/ids.js';
+import {
+  isElectionEpoch,
+  nextElectionEpoch,
+  type Epoch,
+  type Moment,
+  type NodeId,
+} from '../common/ids.js';
 import type { ScoreReport } from '../common/messages.js';
 import type { LeaderRole } from './leader-role.js';
 import type { ProposalTiming } from './proposal-timing.js';
@@ -44,7 +50,7 @@
     const state = this.#state;
     this.#electionsStarted += 1;
     state.resetToRole('proposing');
-    state.adoptEpoch(nextElecting(state.epoch), now);
+    state.adoptEpoch(nextElectionEpoch(state.epoch), now);
     state.ranking.propose();
     state.startElectionTimeout(now, 1);
     for (const peer of state.others) this.#propose(peer);
@@ -65,11 +71,11 @@
     const state = this.#state;
     state.peerMonitor.scores.merge(reports);
     if (!state.mayVote || !state.quorum.includes(from)) return;
-    const isLeaderElected = state.leader !== undefined && !isElecting(state.epoch);
+    const isLeaderElected = state.leader !== undefined && !isElectionEpoch(state.epoch);
     if (isLeaderElected && !state.quorumMembers.has(from)) this.#onOutsiderProposal(now, epoch);
     else if (epoch < state.epoch) this.#onOlderProposal(from, isLeaderElected);
     else if (epoch > state.epoch) this.#onNewerProposal(now, from, epoch, reports);
-    else if (isElecting(epoch)) this.#onRivalProposal(now, from, reports);
+    else if (isElectionEpoch(epoch)) this.#onRivalProposal(now, from, reports);
   }
 
   /** Counts a deferral to this voter's proposal; it wins immediately when all live voters have deferred. */
--- a/src/election/elector.ts
+++ b/src/election/elector.ts
@@ -1,4 +1,4 @@
-import { epochOf, nextElecting, type Epoch, type Moment, type NodeId } from '../common/ids.js';
+import { epochOf, nextElectionEpoch, type Epoch, type Moment, type NodeId } from '../common/ids.js';
 import type { Message } from '../common/messages.js';
 import type { Quorum } from '../common/quorum.js';
 import { Candidacy } from './candidacy.js';
@@ -108,7 +108,7 @@
     const state = this.#state;
     if (mayVote && !state.mayVote && record.epoch > 0) {
       // This node may have granted that epoch before it lost its disk, so it must not grant it again.
-      state.epoch = nextElecting(epochOf(Math.max(record.epoch, state.epoch)));
+      state.epoch = nextElectionEpoch(epochOf(Math.max(record.epoch, state.epoch)));
       state.grants.assumeUnknownLease(now);
       // The current leader learns from the reply to its renewal that it must move to this node's epoch. If this node
       // led instead, no orders could be sent until the lease of that leader has expired.
--- a/src/election/follower-role.ts
+++ b/src/election/follower-role.ts
@@ -1,5 +1,5 @@
 import {
-  isElecting,
+  isElectionEpoch,
   later,
   moment,
   nodeId,
@@ -90,7 +90,7 @@
 
   #isWinner(from: NodeId, epoch: Epoch): boolean {
     const { mayVote, quorum } = this.#state;
-    return mayVote && quorum.includes(from) && !isElecting(epoch);
+    return mayVote && quorum.includes(from) && !isElectionEpoch(epoch);
   }
 
   #follow(now: Moment, from: NodeId, epoch: Epoch, message: VictoryMessage | RenewMessage): void {
--- a/src/election/leader-role.ts
+++ b/src/election/leader-role.ts
@@ -1,4 +1,4 @@
-import { nextLeading, type Epoch, type Moment, type NodeId } from '../common/ids.js';
+import { nextLeaderEpoch, type Epoch, type Moment, type NodeId } from '../common/ids.js';
 import type { Message } from '../common/messages.js';
 import type { VoterState } from './voter-state.js';
 
@@ -18,7 +18,7 @@
     const state = this.#state;
     const { me } = state;
     const members = new Set(state.ranking.deferrals);
-    state.adoptEpoch(nextLeading(state.epoch), now);
+    state.adoptEpoch(nextLeaderEpoch(state.epoch), now);
     state.role = 'won';
     state.leader = me;
     state.quorumMembers = members;
--- a/src/placement/placer.ts
+++ b/src/placement/placer.ts
@@ -1,6 +1,6 @@
 import type { Moment } from '../common/ids.js';
 import { matchesModel, rowKey } from '../policy/table.js';
-import { indexOf } from '../policy/table-index.js';
+import { tableIndexOf } from '../policy/table-index.js';
 import { Demand } from './demand.js';
 import { ResidencyTimes } from './residency-times.js';
 import { IntentLog } from './intent-log.js';
@@ -174,7 +174,7 @@
   #desiredModels(now: Moment, input: PlanInput): DesiredModel[] {
     const desired: DesiredModel[] = [];
     for (const { name, size } of input.catalog.models) {
-      const weight = indexOf(input.table).weight(name);
+      const weight = tableIndexOf(input.table).weight(name);
       if (weight === 0) continue;
       const rate = this.demand.rate(now, unitKey(name, ''));
       const worth = weight * (rate + MIN_WORTH_RATE_PER_SECOND);
--- a/src/policy/table-index.test.ts
+++ b/src/policy/table-index.test.ts
@@ -1,7 +1,7 @@
 import { expect, test } from 'vitest';
 import { Seeded } from '../rehearsal/seeded.js';
 import { type Mapping, type Row, type Table, matchesModel } from './table.js';
-import { indexOf } from './table-index.js';
+import { tableIndexOf } from './table-index.js';
 
 /** The reference implementations: linear scans of the table. */
 function scanForRow(table: Table, type: string, model: string): Row | undefined {
@@ -69,9 +69,9 @@
     for (let index = 0; index < 40; index += 1) {
       const lookup = randomName(seeded);
       for (const type of ['s', 't', 'u'])
-        expect(indexOf(table).row(type, lookup)).toBe(scanForRow(table, type, lookup));
-      expect(indexOf(table).weight(lookup)).toBe(scanForWeight(table, lookup));
-      const found = indexOf(table).mapping('GET', `/${lookup}`);
+        expect(tableIndexOf(table).row(type, lookup)).toBe(scanForRow(table, type, lookup));
+      expect(tableIndexOf(table).weight(lookup)).toBe(scanForWeight(table, lookup));
+      const found = tableIndexOf(table).mapping('GET', `/${lookup}`);
       const scanned = scanForMapping(table, 'GET', `/${lookup}`);
       expect(found === undefined ? undefined : matchLength(found)).toBe(
         scanned === undefined ? undefined : matchLength(scanned),
--- a/src/policy/table-index.ts
+++ b/src/policy/table-index.ts
@@ -74,7 +74,7 @@
   }
 
   /** The first row of a type. */
-  firstOf(type: string): Row | undefined {
+  firstRowOf(type: string): Row | undefined {
     return this.#firstRows.get(type);
   }
 
@@ -96,7 +96,7 @@
 const INDEXES = new WeakMap<Table, TableIndex>();
 
 /** The index of a table. It is cached for each table object, since tables are immutable. */
-export function indexOf(table: Table): TableIndex {
+export function tableIndexOf(table: Table): TableIndex {
   const known = INDEXES.get(table);
   if (known) return known;
   const index = new TableIndex(table);
--- a/src/policy/table.ts
+++ b/src/policy/table.ts
@@ -1,5 +1,5 @@
 import { StructError } from 'superstruct';
-import { indexOf } from './table-index.js';
+import { tableIndexOf } from './table-index.js';
 import { EMPTY_TABLE, TableShape, type Mapping, type Row, type Table } from './table-shape.js';
 
 export * from './table-shape.js';
@@ -71,10 +71,10 @@
 
 /** The first matching row, in the order of the table. */
 export function findRow(table: Table, type: string, model: string): Row | undefined {
-  return indexOf(table).row(type, model);
+  return tableIndexOf(table).row(type, model);
 }
 
 /** The mapping with the longest path that matches the method and path. */
 export function findMapping(table: Table, method: string, path: string): Mapping | undefined {
-  return indexOf(table).mapping(method, path);
+  return tableIndexOf(table).mapping(method, path);
 }
--- a/src/proxy/policy-router.ts
+++ b/src/proxy/policy-router.ts
@@ -1,4 +1,4 @@
-import { indexOf } from '../policy/table-index.js';
+import { tableIndexOf } from '../policy/table-index.js';
 import type { ErrorCode } from '../common/errors.js';
 import { later, type Moment } from '../common/ids.js';
 import type { Version } from '../common/version.js';
@@ -179,7 +179,7 @@
   needsModel(method: string, path: string): boolean | undefined {
     const mapping = this.#view.mappingOf(method, path);
     if (!mapping) return undefined;
-    const model = indexOf(this.#view.table).firstOf(mapping.type)?.model ?? '';
+    const model = tableIndexOf(this.#view.table).firstRowOf(mapping.type)?.model ?? '';
     return !isPlainService(model);
   }
 
--- a/src/simulation/exhaustive/replica.ts
+++ b/src/simulation/exhaustive/replica.ts
@@ -10,7 +10,7 @@
 import {
   epochOf,
   nodeId,
-  nextElecting,
+  nextElectionEpoch,
   partitionName,
   type NodeId,
   type Moment,
@@ -235,7 +235,7 @@
     if (!this.#isRepairing || this.#repairWaits.size > 0) return;
     this.#isRepairing = false;
     const known = epochOf(Math.max(this.#repairEpoch, this.#epoch));
-    this.#epoch = this.#mistake === 'grant-forgotten' ? known - 1 : nextElecting(known);
+    this.#epoch = this.#mistake === 'grant-forgotten' ? known - 1 : nextElectionEpoch(known);
     this.#settlesAt = this.#voteCount + 1;
     this.#keepVote();
   }
