--- a/src/compatibility/commands.test.ts
+++ b/src/compatibility/commands.test.ts
@@ -4,9 +4,9 @@
 
 type CommandClass = (typeof COMMANDS)[keyof typeof COMMANDS];
 
-/** What scripts of operators depend on; help texts and the aliases of former names are left out. */
+/** The parts of a command that operators' scripts depend on, without help texts and aliases for former names. */
 function interfaceOf(command: CommandClass): object {
-  // A command that takes none has no such list.
+  // `args` and `flags` are undefined for a command without any.
   const args = Object.entries({ ...command.args }).map(([name, arg]) => {
     const { required, options } = arg;
     return [name, { required, options, default: arg.default }];
--- a/src/compatibility/counters.test.ts
+++ b/src/compatibility/counters.test.ts
@@ -9,15 +9,15 @@
 
 const SOURCES = join(dirname(fileURLToPath(import.meta.url)), '..');
 const TEST_SUPPORT = /^(rehearsal|simulation|compatibility)\b/;
-const COUNTED = /ounters\.(?:add|set)\(\s*(?:'([^']+)'|`([^`]+)`|([^)]*\?[^)]*))/g;
+const COUNTER_CALLS = /ounters\.(?:add|set)\(\s*(?:'([^']+)'|`([^`]+)`|([^)]*\?[^)]*))/g;
 
-/** Names of counters in the sources of the programs; what they are completed by while a program runs is a star. */
+/** Names of the counters in the programs' sources; a star stands for each part that is filled in at run time. */
 function counterNames(): string[] {
   const names = new Set<string>();
   for (const file of readdirSync(SOURCES, { recursive: true, encoding: 'utf8' })) {
     if (!file.endsWith('.ts') || file.endsWith('.test.ts') || TEST_SUPPORT.test(file)) continue;
     const text = readFileSync(join(SOURCES, file), 'utf8');
-    for (const [, plain, template, choice = ''] of text.matchAll(COUNTED)) {
+    for (const [, plain, template, choice = ''] of text.matchAll(COUNTER_CALLS)) {
       if (plain !== undefined) names.add(plain);
       if (template !== undefined) names.add(template.replaceAll(/\$\{[^}]*\}/g, '*'));
       for (const [, name = ''] of choice.matchAll(/'([^']+)'/g)) names.add(name);
@@ -30,8 +30,8 @@
   expectGolden('operators/counters.json', counterNames());
 });
 
-test('what the names of counters are completed by stays', () => {
-  // Typed lists: a value of another name does not compile. `orders.*`, `refused.*`
+test('the variable parts of counter names stay the same', () => {
+  // The types make a renamed value a compile error. They complete `orders.*` and `refused.*`.
   const outcomes: readonly OrderOutcome[] = ['taken', 'turnedAway', 'unsure', 'unsent'];
   const reasons: Readonly<Record<RejectReason, true>> = {
     'no-config': true,
@@ -45,7 +45,7 @@
   expect(Object.keys(reasons)).toHaveLength(6);
 });
 
-test('the codes of errors keep their names, statuses and hints to come back', () => {
+test('the error codes keep their names, statuses and retry-after values', () => {
   const codes = Object.entries(ERROR_RESPONSES).map(
     ([code, { status, retryAfterSeconds, isOutcomeUnknown }]) => [
       code,
--- a/src/compatibility/frames.test.ts
+++ b/src/compatibility/frames.test.ts
@@ -43,15 +43,15 @@
     exchange.close();
   });
 
-  test('a listener greets who calls, and repeats an empty frame while there is nothing to say', async () => {
+  test('a listener sends a hello on a new connection, and an empty frame as keepalive while idle', async () => {
     const peer = await RawPeer.dial(`127.0.0.1:${port}`);
     const expected = Buffer.concat([bytesOf(golden.hello), bytesOf(golden.keepalive)]);
-    await waitFor('a greeting and a keepalive', () => peer.bytes.length >= expected.length);
+    await waitFor('a hello and a keepalive', () => peer.bytes.length >= expected.length);
     expect(peer.bytes.subarray(0, expected.length).toString('hex')).toBe(expected.toString('hex'));
     peer.close();
   });
 
-  test('a caller greets first and then sends what was queued, in order', async () => {
+  test('a dialing process sends a hello first and then the queued messages in order', async () => {
     const listener = new RawListener();
     const address = `127.0.0.1:${await listener.listen('127.0.0.1:0')}`;
     for (const message of SENT) exchange.send(address, message);
@@ -62,13 +62,13 @@
     listener.close();
   });
 
-  test('frames are read whatever pieces they come in, keepalives between them', async () => {
+  test('frames are read from chunks of any size, with keepalives between them', async () => {
     const peer = await RawPeer.dial(`127.0.0.1:${port}`);
     const frames = [golden.helloOfProxy, golden.keepalive];
     for (const { frame } of golden.messages) frames.push(frame, golden.keepalive);
     const bytes = bytesOf(frames.join(''));
-    for (let at = 0; at < bytes.length; at += 7) {
-      peer.write(bytes.subarray(at, at + 7));
+    for (let offset = 0; offset < bytes.length; offset += 7) {
+      peer.write(bytes.subarray(offset, offset + 7));
       await new Promise((resolve) => setImmediate(resolve));
     }
     await waitFor('all messages', () => incoming.length >= golden.messages.length);
@@ -83,17 +83,17 @@
     peer.close();
   });
 
-  test('what comes before a greeting is ignored, and a frame of more than 64 MiB ends the connection', async () => {
+  test('messages before a hello are ignored, and a frame of more than 64 MiB closes the connection', async () => {
     const peer = await RawPeer.dial(`127.0.0.1:${port}`);
     const [first] = golden.messages;
     peer.write(bytesOf(first?.frame ?? ''));
     peer.write(Buffer.from([0x04, 0x00, 0x00, 0x01]));
-    await waitFor('the end of the connection', () => peer.isClosed);
+    await waitFor('the close of the connection', () => peer.isClosed);
     expect(incoming).toEqual([]);
-    expect(faults.map(({ code: kind }) => kind)).toEqual(['bad-frame']);
+    expect(faults.map(({ code }) => code)).toEqual(['bad-frame']);
   });
 
-  test('the committed messages are the ones sent here', () => {
+  test('the golden messages are the ones that this test sends', () => {
     expect(golden.messages.map(({ message }) => message)).toEqual(SENT);
   });
 });
--- a/src/compatibility/messages.test.ts
+++ b/src/compatibility/messages.test.ts
@@ -25,11 +25,11 @@
 
 const golden = readGolden(GoldenShape, 'wire/messages.json');
 
-test('the kinds of messages keep their numbers on the wire', () => {
+test('the message kinds keep their numbers on the wire', () => {
   expect(Object.keys(SHAPES).slice(0, golden.kinds.length)).toEqual(golden.kinds);
 });
 
-test('every kind of message has bytes of an earlier build', () => {
+test('every message kind has samples of an earlier build', () => {
   const covered = new Set<string>(golden.messages.map(({ message }) => message.kind));
   expect([...covered]).toEqual(Object.keys(SHAPES));
 });
--- a/src/compatibility/metrics.test.ts
+++ b/src/compatibility/metrics.test.ts
@@ -6,7 +6,7 @@
 import type { WriteFigures } from '../metrics/write-latency.js';
 import { expectGoldenText } from './testing/golden.js';
 
-/** Every number differs from the others, so that no two metrics can be exchanged unseen. */
+/** All numbers differ, so that the test detects two metrics that are swapped. */
 const CONTROL: ControlMetrics = {
   epoch: 8,
   isLeaderKnown: true,
--- a/src/compatibility/settings.test.ts
+++ b/src/compatibility/settings.test.ts
@@ -9,11 +9,11 @@
 const SEEDS = ['10.0.0.1:7000', '10.0.1.1:7000', '10.0.2.1:7000'];
 const NODE = { listen: '10.0.0.1:7000', zone: 'north' };
 
-/** All that a shape accepts, and what it fills in. */
+/** The shape of each program's settings, and minimal settings that it accepts. */
 const SHAPES = {
   control: {
     shape: TableControlSettingsShape,
-    least: {
+    minimal: {
       ...NODE,
       api: '10.0.0.1:7001',
       seeds: SEEDS,
@@ -24,17 +24,17 @@
   },
   agent: {
     shape: TableAgentSettingsShape,
-    least: { ...NODE, feed: '127.0.0.1:7004', seeds: SEEDS },
+    minimal: { ...NODE, feed: '127.0.0.1:7004', seeds: SEEDS },
   },
-  proxy: { shape: TableProxySettingsShape, least: { ...NODE, link: '127.0.0.1:7004' } },
+  proxy: { shape: TableProxySettingsShape, minimal: { ...NODE, link: '127.0.0.1:7004' } },
 } as const;
 
-test('the settings files keep their keys, which of them are required, and the defaults', () => {
+test('the settings files keep their keys, required keys and defaults', () => {
   const seen: Record<string, object> = {};
-  for (const [program, { shape, least }] of Object.entries(SHAPES)) {
+  for (const [program, { shape, minimal }] of Object.entries(SHAPES)) {
     const [missing] = shape.validate({}, { coerce: true });
     const required = missing?.failures().map(({ path }) => path.join('.'));
-    const [error, settings] = shape.validate(least, { coerce: true });
+    const [error, settings] = shape.validate(minimal, { coerce: true });
     expect(error).toBeUndefined();
     seen[program] = { keys: Object.keys(shape.schema), required, settings };
   }
@@ -42,8 +42,8 @@
 });
 
 test('an unknown key of a settings file is a fault', () => {
-  for (const { shape, least } of Object.values(SHAPES)) {
-    const [error] = shape.validate({ ...least, unknown: 1 }, { coerce: true });
+  for (const { shape, minimal } of Object.values(SHAPES)) {
+    const [error] = shape.validate({ ...minimal, unknown: 1 }, { coerce: true });
     expect(error?.failures().map(({ path }) => path.join('.'))).toEqual(['unknown']);
   }
 });
--- a/src/compatibility/stored-state.test.ts
+++ b/src/compatibility/stored-state.test.ts
@@ -15,7 +15,7 @@
 import type { StoredPartition } from '../state/store.js';
 import { expectGolden, TEST_DATA } from './testing/golden.js';
 
-/** Data folders that control nodes left when they were killed, after some hundred orders and a change of the voters. */
+/** Data folders of control nodes that were killed after some hundred operator commands and a change of voters. */
 const FOLDERS = [
   'deployed/leader',
   'deployed/follower',
@@ -26,17 +26,17 @@
   'table/joined',
 ];
 
-const temporary: string[] = [];
+const temporaryFolders: string[] = [];
 let faults: HaretrackError[] = [];
 
 afterEach(async () => {
   faults = [];
-  for (const path of temporary.splice(0)) await rm(path, { recursive: true, force: true });
+  for (const path of temporaryFolders.splice(0)) await rm(path, { recursive: true, force: true });
 });
 
 async function temporaryFolder(): Promise<string> {
   const path = await mkdtemp(join(tmpdir(), 'stored-state-'));
-  temporary.push(path);
+  temporaryFolders.push(path);
   return path;
 }
 
@@ -50,21 +50,21 @@
   return new FileStore(path, (fault) => faults.push(fault));
 }
 
-async function readFolder(folder: string): Promise<readonly StoredPartition[]> {
+async function readStored(folder: string): Promise<readonly StoredPartition[]> {
   return storeAt(await copyOf(folder)).readAll();
 }
 
-function byPartition(a: StoredPartition, b: StoredPartition): number {
+function comparePartitions(a: StoredPartition, b: StoredPartition): number {
   return a.partition < b.partition ? -1 : 1;
 }
 
 function partitionOf(stored: readonly StoredPartition[], name: string): StoredPartition {
   const found = stored.find(({ partition }) => partition === name);
-  if (!found) throw new Error(`no part ${name}`);
+  if (!found) throw new Error(`no partition ${name}`);
   return found;
 }
 
-/** The files of a part's versions, the newest first. */
+/** The files of a partition's versions, newest first. */
 async function versionsOf(path: string, partition: string): Promise<string[]> {
   const names = await readdir(join(path, partition));
   const numbered = names.map((name) => ({ name, numbers: name.split('.').map(Number) }));
@@ -81,11 +81,11 @@
 }
 
 describe.each(FOLDERS)('the data folder %s of an earlier build', (folder) => {
-  test('opens with the same parts, versions and bodies', async () => {
-    const stored = [...(await readFolder(folder))].sort(byPartition);
+  test('is read with the same partitions, versions and bodies', async () => {
+    const stored = [...(await readStored(folder))].sort(comparePartitions);
     const seen = stored.map(({ partition, version, body, isIntact }) => {
       const { epoch, count } = version;
-      // A part that nothing was written to yet is stored empty.
+      // A partition without any content yet is stored empty.
       const content: unknown = body === '' ? null : JSON.parse(body);
       return { part: partition, epoch, count, intact: isIntact, content };
     });
@@ -96,7 +96,7 @@
     expectGolden(`stored/${folder}.json`, seen);
   });
 
-  test('is written again as the same files', async () => {
+  test('is written to a new folder as the same files', async () => {
     const source = await copyOf(folder);
     const target = await temporaryFolder();
     const stored = await storeAt(source).readAll();
@@ -111,15 +111,15 @@
     }
   });
 
-  test('has a configuration that is decoded and encoded without loss', async () => {
-    const { body } = partitionOf(await readFolder(folder), CONFIG_PARTITION);
+  test('has a configuration that can be decoded and encoded without loss', async () => {
+    const { body } = partitionOf(await readStored(folder), CONFIG_PARTITION);
     const document = decodeConfigDoc(body);
     expect(document?.edits.length).toBeGreaterThan(100);
     expect(document && encodeConfigDoc(document)).toBe(body);
   });
 
   test('has placements that can be read', async () => {
-    const stored = await readFolder(folder);
+    const stored = await readStored(folder);
     const models = new Set<string>();
     for (const partition of allPartitions()) {
       if (partition === CONFIG_PARTITION) continue;
@@ -132,13 +132,13 @@
     expect(models.size).toBeGreaterThan(5);
   });
 
-  test('has a record of votes that counts, and is stored again as it was', async () => {
-    const stored = await readFolder(folder);
+  test('has a sound vote record that is stored again unchanged', async () => {
+    const stored = await readStored(folder);
     const { version, body } = partitionOf(stored, VOTE_RECORD);
     const votes = readVotes(stored);
     expect(votes.status).toBe('sound');
     expect(votes.count).toBe(version.count);
-    if (!votes.record) throw new Error('no record of votes');
+    if (!votes.record) throw new Error('no vote record');
 
     const effects = new EffectQueue();
     const storage = new VoteStorage(effects, votes.count, votes.record.grantEpoch);
@@ -148,7 +148,7 @@
   });
 });
 
-test('a configuration with two sets of voters is read while they change', async () => {
+test('a joint configuration is read with both sets of voters', async () => {
   const path = await copyOf('deployed/follower');
   await rm(await newestOf(path, CONFIG_PARTITION));
   const { version, body } = partitionOf(await storeAt(path).readAll(), CONFIG_PARTITION);
@@ -161,14 +161,14 @@
     '127.114.57.12:7660',
     '127.114.57.25:7660',
   ]);
-  // A majority of the new voters alone decides nothing.
+  // A majority of the new voters alone is no quorum.
   const north = nodeId('127.114.57.10:7660');
   const next = nodeId('127.114.57.25:7660');
   expect(quorum?.isMajority(new Set([north, next]))).toBe(false);
   expect(quorum?.isMajority(new Set([north, nodeId('127.114.57.12:7660')]))).toBe(true);
 });
 
-describe('damage to the files of an earlier build is detected', () => {
+describe('damaged files of an earlier build are detected', () => {
   const damages: readonly (readonly [string, (path: string, file: string) => Promise<void>])[] = [
     [
       'a changed byte in the body',
@@ -179,7 +179,7 @@
       },
     ],
     [
-      'a file that is cut off',
+      'a truncated file',
       async (_path, file) => {
         const text = await readFile(file, 'utf8');
         await writeFile(file, text.slice(0, -10));
@@ -187,13 +187,13 @@
     ],
     ['an empty file', async (_path, file) => writeFile(file, '')],
     [
-      'a file under another version',
+      'a file with another version in its name',
       async (_path, file) => rename(file, file.replace(/\d+\.json$/, '9999.json')),
     ],
   ];
 
   test.each(damages)(
-    '%s: the version before it is shown, and does not count',
+    '%s: the previous version is read and reported as not intact',
     async (_name, damage) => {
       const path = await copyOf('deployed/leader');
       const before = partitionOf(await storeAt(path).readAll(), CONFIG_PARTITION);
@@ -202,11 +202,11 @@
       expect(before.isIntact).toBe(true);
       expect(after.isIntact).toBe(false);
       expect(after.version).toEqual({ epoch: 2, count: 108 });
-      expect(faults.map(({ code: kind }) => kind)).toEqual(['bad-file']);
+      expect(faults.map(({ code }) => code)).toEqual(['bad-file']);
     },
   );
 
-  test('a part without any intact version is empty and does not count', async () => {
+  test('a partition without an intact version is empty and reported as not intact', async () => {
     const path = await copyOf('deployed/leader');
     for (const file of await versionsOf(path, CONFIG_PARTITION)) await writeFile(file, '{}');
     const { version, body, isIntact } = partitionOf(
@@ -220,7 +220,7 @@
     });
   });
 
-  test('a damaged record of votes makes the replica a lost one', async () => {
+  test('with a damaged vote record the votes are lost', async () => {
     const path = await copyOf('deployed/leader');
     await writeFile(await newestOf(path, VOTE_RECORD), '{}');
     expect(readVotes(await storeAt(path).readAll())).toMatchObject({
@@ -230,22 +230,22 @@
   });
 
   test.each(['epoch', 'grantEpoch', 'grantLeader', 'isFree'])(
-    'a record of votes whose %s is of another type makes the replica a lost one',
+    'with a vote record whose %s has another type the votes are lost',
     async (field) => {
-      const stored = await readFolder('deployed/leader');
+      const stored = await readStored('deployed/leader');
       const { body, ...file } = partitionOf(stored, VOTE_RECORD);
       const record: unknown = JSON.parse(body);
       expect(record).toHaveProperty(field);
-      const spoiled = body.replace(new RegExp(`"${field}":[^,}]+`), `"${field}":[]`);
-      expect(readVotes([{ ...file, body: spoiled }]).status).toBe('lost');
+      const damagedBody = body.replace(new RegExp(`"${field}":[^,}]+`), `"${field}":[]`);
+      expect(readVotes([{ ...file, body: damagedBody }]).status).toBe('lost');
       expect(readVotes([{ ...file, body }]).status).toBe('sound');
     },
   );
 
   test.each(['number', 'table', 'emptied', 'edits', 'voters', 'routing', 'editColumns'])(
-    'a configuration whose %s is of another type is not decoded',
+    'a configuration whose %s has another type is not decoded',
     async (field) => {
-      const { body } = partitionOf(await readFolder('deployed/leader'), CONFIG_PARTITION);
+      const { body } = partitionOf(await readStored('deployed/leader'), CONFIG_PARTITION);
       const content: object = JSON.parse(body);
       expect(content).toHaveProperty(field);
       expect(decodeConfigDoc(JSON.stringify({ ...content, [field]: 'wrong' }))).toBeUndefined();
@@ -253,13 +253,13 @@
     },
   );
 
-  test('a missing record of votes beside other parts makes the replica a lost one', async () => {
+  test('with other partitions but no vote record the votes are lost', async () => {
     const path = await copyOf('deployed/leader');
     await rm(join(path, VOTE_RECORD), { recursive: true });
     expect(readVotes(await storeAt(path).readAll())).toMatchObject({ status: 'lost', count: 0 });
   });
 
-  test('a file that was being written aside is ignored', async () => {
+  test('an incomplete temporary file is ignored', async () => {
     const path = await copyOf('deployed/leader');
     const file = await newestOf(path, CONFIG_PARTITION);
     await writeFile(file.replace(/\d+\.json$/, '9999.json.aside'), '{"part":"con');
--- a/src/compatibility/table-bodies.test.ts
+++ b/src/compatibility/table-bodies.test.ts
@@ -38,20 +38,20 @@
   })),
   adapters: [{ name: 'receipt-00-a0', model: 'receipt-00', size: 1 }],
 };
-const OUTSIDE_MS = 20;
+const EXTERNAL_REPLY_MS = 20;
 const LOAD_MS = 300;
 
-/** Runners that carry out every order, the list of machines and the weight store's catalogue. */
-class TableOutside implements Outside {
+/** Simulates runners that execute every order, the list of machines and the weight store's catalog. */
+class TableExternalSystems implements Outside {
   readonly #holds = new Map<string, Map<string, Hold>>();
 
   perform(now: Moment, effect: ControlEffect, schedule: Schedule): void {
     switch (effect.do) {
       case 'askMachines':
-        schedule(OUTSIDE_MS, (core, at) => core.onMachines(at, MACHINES));
+        schedule(EXTERNAL_REPLY_MS, (core, at) => core.onMachines(at, MACHINES));
         break;
       case 'askCatalog':
-        schedule(OUTSIDE_MS, (core, at) => core.onCatalog(at, CATALOG));
+        schedule(EXTERNAL_REPLY_MS, (core, at) => core.onCatalog(at, CATALOG));
         break;
       case 'askReport': {
         const holds = [...this.#holdsOf(effect.runner).values()];
@@ -63,7 +63,9 @@
           upMs: now + 9000,
           holds,
         };
-        schedule(OUTSIDE_MS, (core, at) => core.onRunnerReport(at, effect.runner, now, report));
+        schedule(EXTERNAL_REPLY_MS, (core, at) =>
+          core.onRunnerReport(at, effect.runner, now, report),
+        );
         break;
       }
       case 'order': {
@@ -72,7 +74,7 @@
         const key = `${model}/${adapter}`;
         if (verb === 'unload') holds.delete(key);
         else holds.set(key, { model, adapter, size, state: 'loading', running: 0 });
-        schedule(OUTSIDE_MS, (core, at) => core.onOrderOutcome(at, id, 'taken'));
+        schedule(EXTERNAL_REPLY_MS, (core, at) => core.onOrderOutcome(at, id, 'taken'));
         schedule(LOAD_MS, () => {
           const hold = holds.get(key);
           if (hold) hold.state = 'ready';
@@ -111,13 +113,13 @@
     nodes,
     settings: () => CONTROL_DEFAULTS,
     vote: VOTE_DEFAULTS,
-    outside: new TableOutside(),
+    outside: new TableExternalSystems(),
     demand: demandAt,
     isDeployed: false,
   });
 }
 
-/** Of the stored configuration: its number, an edit that was accepted, and one that was asked about and closed. */
+/** The number of the stored configuration, and the ids of an accepted edit and of one that a query closed. */
 const STORED_NUMBER = 79;
 const ACCEPTED_EDIT = 'bc2c2d07-2948-4247-8ecb-3d085d7c9c8f';
 const CLOSED_EDIT = 'closed-119';
@@ -137,8 +139,8 @@
   stream: true,
 };
 
-/** Every kind of command, at the leader and by way of a follower; those that are refused as well. */
-function giveCommands(cluster: RecordedCluster, base: number): void {
+/** Sends every kind of command, alternately to the leader and to a follower; some of them are rejected. */
+function sendCommands(cluster: RecordedCluster, base: number): void {
   const leader = cluster.leader();
   const follower = cluster.follower();
   const row = 'check/receipt-*';
@@ -175,10 +177,10 @@
   }
 }
 
-describe('control nodes on the data folders of an earlier build, by the table of policies', () => {
+describe('control nodes with a policy table on data folders of an earlier build', () => {
   let cluster: RecordedCluster;
   let voters: readonly string[];
-  let restored: object;
+  let restoredAnswers: object;
 
   beforeAll(async () => {
     cluster = await startCluster();
@@ -188,24 +190,24 @@
     const read: unknown = JSON.parse(cluster.command(leader, 'read', {}).body);
     const accepted = cluster.command(leader, 'edit', { id: ACCEPTED_EDIT });
     const closed = cluster.command(leader, 'edit', { id: CLOSED_EDIT });
-    restored = { read, accepted, closed };
-    giveCommands(cluster, STORED_NUMBER);
+    restoredAnswers = { read, accepted, closed };
+    sendCommands(cluster, STORED_NUMBER);
     cluster.run(5000);
   });
 
-  test('elect a leader among the stored voters', () => {
+  test('elect a leader with the stored voters', () => {
     expect(voters).toEqual(NODES.map(({ id }) => id).sort());
   });
 
-  test('serve the stored table and know the stored edits', () => {
-    expectGolden('stored/table-answers.json', restored);
+  test('serve the stored policy table and recognize the stored edits', () => {
+    expectGolden('stored/table-answers.json', restoredAnswers);
   });
 
-  test('write, send and answer the same JSON texts', () => {
+  test('write, send and answer the same JSON bodies', () => {
     expectGolden('wire/table-bodies.json', cluster.bodies);
   });
 
-  test('feed the proxy beside an agent with the same messages', () => {
+  test('have the agent send the same messages to its proxy', () => {
     expectGolden('wire/table-feed.json', cluster.feed);
   });
 });
