--- a/src/compatibility/testing/raw-peer.ts
+++ b/src/compatibility/testing/raw-peer.ts
@@ -3,12 +3,12 @@
 import { decodeMessage, encodeMessage, type Message } from '../../common/messages.js';
 
 const LENGTH_BYTES = 4;
-/** A process gives a connection up on which nothing came for 1500 ms. */
-const KEEPALIVE_MS = 400;
-const POLL_MS = 10;
-const LIMIT_MS = 20_000;
+/** Below the 1500 ms without data after which a process closes a connection. */
+const KEEPALIVE_INTERVAL_MS = 400;
+const POLL_INTERVAL_MS = 10;
+const WAIT_TIMEOUT_MS = 20_000;
 
-/** A message as a frame: its length in four bytes, the highest first, then its bytes. */
+/** Encodes a message as a frame: its length as four bytes, big-endian, then its bytes. */
 export function frameOf(message: Message): Buffer {
   const body = encodeMessage(message);
   const length = Buffer.alloc(LENGTH_BYTES);
@@ -16,15 +16,15 @@
   return Buffer.concat([length, body]);
 }
 
-/** Waits for something to hold; throws if it does not in time. */
-export async function waitFor(what: string, holds: () => boolean): Promise<void> {
-  for (let waitedMs = 0; !holds(); waitedMs += POLL_MS) {
-    if (waitedMs > LIMIT_MS) throw new Error(`waited in vain: ${what}`);
-    await new Promise((resolve) => setTimeout(resolve, POLL_MS));
+/** Waits until `condition` is true; throws an error with `description` if that takes too long. */
+export async function waitFor(description: string, condition: () => boolean): Promise<void> {
+  for (let waitedMs = 0; !condition(); waitedMs += POLL_INTERVAL_MS) {
+    if (waitedMs > WAIT_TIMEOUT_MS) throw new Error(`timed out waiting for ${description}`);
+    await new Promise((resolve) => setTimeout(resolve, POLL_INTERVAL_MS));
   }
 }
 
-/** One end of a connection between processes, without any of the product's transport. */
+/** One end of a connection between processes, independent of the product's transport code. */
 export class RawPeer {
   readonly #socket: Socket;
   #bytes = Buffer.alloc(0);
@@ -45,7 +45,7 @@
     });
   }
 
-  /** Connects to a process that listens. */
+  /** Connects to a listening process; rejects if the connection fails. */
   static async dial(address: string): Promise<RawPeer> {
     const peer = new RawPeer(connect(parseAddress(address)));
     await new Promise<void>((resolve, reject) => {
@@ -55,6 +55,7 @@
     return peer;
   }
 
+  /** Whether the connection has been closed or has failed. */
   get isClosed(): boolean {
     return this.#isClosed;
   }
@@ -64,7 +65,7 @@
     return this.#bytes;
   }
 
-  /** The messages received so far, keepalives left out. */
+  /** The messages received so far, without keepalives. */
   get messages(): Message[] {
     const messages: Message[] = [];
     for (let rest = this.#bytes; rest.length >= LENGTH_BYTES;) {
@@ -76,39 +77,43 @@
     return messages;
   }
 
+  /** Sends raw bytes. */
   write(bytes: Uint8Array): void {
     this.#socket.write(bytes);
   }
 
+  /** Sends a message as a frame. */
   send(message: Message): void {
     this.write(frameOf(message));
   }
 
-  /** Says who this end is, and keeps the connection alive from here on. */
+  /** Sends a hello message, then sends keepalives until the connection is closed. */
   greet(id: string, role: string, zone: string): void {
     this.send({ kind: 'hello', id, role, zone });
     this.#keepalives = setInterval(() => {
       this.write(Buffer.alloc(LENGTH_BYTES));
-    }, KEEPALIVE_MS);
+    }, KEEPALIVE_INTERVAL_MS);
   }
 
-  /** Waits for a message of that kind and returns the first one. */
+  /** Waits for a message of `kind` and returns the first one received; throws if none arrives in time. */
   async receive<K extends Message['kind']>(kind: K): Promise<Extract<Message, { kind: K }>> {
     const isOfKind = (message: Message): message is Extract<Message, { kind: K }> =>
       message.kind === kind;
     await waitFor(`a message ${kind}`, () => this.messages.some(isOfKind));
-    const found = this.messages.find(isOfKind);
-    if (!found) throw new Error(`no message ${kind}`);
-    return found;
+    const received = this.messages.find(isOfKind);
+    if (!received) throw new Error(`no message ${kind}`);
+    return received;
   }
 
+  /** Closes the connection at once. */
   close(): void {
     this.#socket.destroy();
   }
 }
 
-/** A port at which processes call; it greets none of them by itself. */
+/** Listens for connections of processes; sends nothing on them by itself. */
 export class RawListener {
+  /** The accepted connections, in order. */
   readonly peers: RawPeer[] = [];
   readonly #server: Server;
 
@@ -118,11 +123,12 @@
     });
   }
 
+  /** Listens at `address` and returns the port. */
   async listen(address: string): Promise<number> {
     return bindServer(this.#server, address);
   }
 
-  /** Waits for the first process that calls. */
+  /** Waits for a connection and returns the first one; throws if there is none in time. */
   async accept(): Promise<RawPeer> {
     await waitFor('a connection', () => this.peers.length > 0);
     const [peer] = this.peers;
@@ -130,6 +136,7 @@
     return peer;
   }
 
+  /** Closes all connections and stops listening. */
   close(): void {
     for (const peer of this.peers) peer.close();
     this.#server.close();
--- a/src/compatibility/testing/recorded-cluster.ts
+++ b/src/compatibility/testing/recorded-cluster.ts
@@ -1,3 +1,4 @@
+/** Records the JSON bodies of a cluster on virtual time, for comparison with those of an earlier build. */
 import { AgentCore } from '../../agent/agent-core.js';
 import { moment, type Moment } from '../../common/ids.js';
 import { decodeMessage, encodeMessage, type Message } from '../../common/messages.js';
@@ -6,62 +7,65 @@
 import type { VoteSettings } from '../../election/vote-settings.js';
 import type { StoredPartition } from '../../state/store.js';
 
-/** A control node at its start. */
+/** A control node at start-up. */
 export interface RecordedNode {
   readonly id: string;
   readonly zone: string;
-  /** What it finds on its disk. */
+  /** The partitions on its disk. */
   readonly stored: readonly StoredPartition[];
 }
 
-/** An input that reaches a control node after a delay, in milliseconds. */
+/** Schedules an input to a control node after a delay in milliseconds. */
 export type Schedule = (delayMs: number, input: (core: ControlCore, now: Moment) => void) => void;
 
-/** The platform, the runners and the weight store: carries out what the cores ask of them. */
+/** Simulates the systems outside the cluster: the platform, the runners and the weight store. */
 export interface Outside {
+  /** Performs an effect of a control node; `schedule` returns the result to it. */
   perform(now: Moment, effect: ControlEffect, schedule: Schedule): void;
 }
 
-/** What differs between the two ways to run a cluster. */
+/** Options of a recorded cluster, which differ between routes and a policy table. */
 export interface RecordedPlan {
   readonly nodes: readonly RecordedNode[];
-  /** Made anew for each node, since a deployment's planner is its node's alone. */
+  /** Creates new settings for each node, since nodes must not share a planner. */
   settings(): Omit<ControlSettings, 'me' | 'zone' | 'seeds' | 'incarnation'>;
   readonly vote: VoteSettings;
   readonly outside: Outside;
-  /** The body in which the proxy reports its demand at that time. */
+  /** The body of the proxy's demand report at `now`. */
   demand(now: Moment): string;
-  /** Whether agents run as in a deployment by routes. */
+  /** Whether the agent runs as in a deployment with routes. */
   readonly isDeployed: boolean;
 }
 
-/** An operator's answer. */
+/** The reply to an operator's command. */
 export interface Answer {
   readonly status: number;
   readonly body: string;
 }
 
-interface Timed {
+interface ScheduledEvent {
   readonly at: number;
   readonly run: () => void;
 }
 
 const STEP_MS = 10;
-const TICK_MS = 50;
+const CONTROL_TICK_MS = 50;
 const AGENT_TICK_MS = 100;
-const NETWORK_MS = 10;
-const DISK_MS = 20;
+const NETWORK_DELAY_MS = 10;
+const DISK_WRITE_MS = 20;
 const PROXY_TICK_MS = 500;
-const ANSWER_LIMIT_MS = 8000;
-const AGENT = '10.0.0.1:7661';
+const ANSWER_TIMEOUT_MS = 8000;
+const AGENT_ID = '10.0.0.1:7661';
+/** The id of the simulated proxy beside the agent. */
 export const PROXY = 'flow@10.0.0.1:8080';
-/** So many texts of one sort are kept at first, later ones only where their structure is new. */
-const FIRST_SAMPLES = 3;
+/** The first texts of a kind are all recorded, later ones only if their structure is new. */
+const UNFILTERED_SAMPLES = 3;
+/** Maximum number of recorded texts of a kind. */
 const MAX_SAMPLES = 40;
-/** Messages to the proxy that are kept. */
-const MAX_FEED = 60;
+/** Maximum number of recorded messages to the proxy. */
+const MAX_FEED_MESSAGES = 60;
 
-/** The structure of a JSON value as a text: its keys, the types of its values, and which of its lists are empty. */
+/** Describes the structure of a JSON value as text: its keys, the types of its values, and which lists are empty. */
 function structureOf(value: unknown): string {
   if (Array.isArray(value)) return `[${[...new Set(value.map(structureOf))].sort().join()}]`;
   if (typeof value !== 'object' || value === null) return typeof value;
@@ -75,13 +79,13 @@
 }
 
 /**
- * Control cores, an agent core and the proxy beside it on virtual time, with fixed delays. Every message passes through
- * its wire form, and the JSON texts that the processes write and send are recorded.
+ * Runs control cores, an agent core and a simulated proxy beside it on virtual time with fixed delays. Every message is
+ * encoded and decoded, and the JSON texts that the processes write and send are recorded.
  */
 export class RecordedCluster {
-  /** Distinct JSON texts by the sort of message, stored part or answer that carried them, in order. */
+  /** Distinct JSON texts in order, by the kind of the message, stored partition or answer that carried them. */
   readonly bodies: Record<string, string[]> = {};
-  /** What the agent sent to the proxy beside it, bodies left out. */
+  /** Messages from the agent to the proxy beside it, without bodies. */
   readonly feed: object[] = [];
   readonly #plan: RecordedPlan;
   readonly #cores = new Map<string, ControlCore>();
@@ -89,8 +93,8 @@
   readonly #zones = new Map<string, string>();
   readonly #answers = new Map<number, Answer>();
   readonly #structures = new Map<string, Set<string>>();
-  readonly #held = new Map<string, { epoch: number; count: number }>();
-  #events: Timed[] = [];
+  readonly #proxyVersions = new Map<string, { epoch: number; count: number }>();
+  #events: ScheduledEvent[] = [];
   #now = 0;
   #commandId = 0;
   #proxyNonce = 0;
@@ -105,7 +109,7 @@
     }
     this.#agent = new AgentCore(
       {
-        me: AGENT,
+        me: AGENT_ID,
         zone: plan.nodes[0]?.zone ?? '',
         seeds,
         freshnessBoundMs: 2500,
@@ -116,39 +120,43 @@
     );
   }
 
+  /** The virtual time. */
   get now(): Moment {
     return moment(this.#now);
   }
 
+  /** The core of a node; throws if there is no such node. */
   core(id: string): ControlCore {
     const core = this.#cores.get(id);
     if (!core) throw new Error(`no node ${id}`);
     return core;
   }
 
-  /** The node that leads and has taken over the state; throws if there is none. */
+  /** The id of the leader that has recovered the state and serves; throws if there is none. */
   leader(): string {
     for (const [id, core] of this.#cores) if (core.isServing) return id;
     throw new Error('no leader');
   }
 
+  /** The id of a node other than the leader; throws if there is no leader. */
   follower(): string {
     const leader = this.leader();
     for (const id of this.#cores.keys()) if (id !== leader) return id;
     throw new Error('no follower');
   }
 
+  /** Advances the virtual time. */
   run(durationMs: number): void {
     for (const end = this.#now + durationMs; this.#now < end;) this.#step();
   }
 
-  /** Sends a command to a node's own API and waits for the answer; throws if none comes in time. */
+  /** Sends a command to a node and advances the virtual time until the answer; throws if there is none in time. */
   command(id: string, verb: string, body: object): Answer {
     this.#commandId += 1;
     const commandId = this.#commandId;
     this.core(id).onCommand(this.now, commandId, verb, JSON.stringify(body));
     this.#drain(id);
-    for (const end = this.#now + ANSWER_LIMIT_MS; this.#now < end; this.#step()) {
+    for (const end = this.#now + ANSWER_TIMEOUT_MS; this.#now < end; this.#step()) {
       const answer = this.#answers.get(commandId);
       if (!answer) continue;
       this.#record(`answer to ${verb}`, `${answer.status} ${answer.body}`);
@@ -162,7 +170,7 @@
     const due = this.#events.filter(({ at }) => at <= this.#now);
     this.#events = this.#events.filter(({ at }) => at > this.#now);
     for (const { run } of due) run();
-    if (this.#now % TICK_MS === 0)
+    if (this.#now % CONTROL_TICK_MS === 0)
       for (const [id, core] of this.#cores) {
         core.tick(this.now);
         this.#drain(id);
@@ -178,34 +186,34 @@
     this.#events.push({ at: this.#now + delayMs, run });
   }
 
-  #record(sort: string, text: string): void {
-    const samples = (this.bodies[sort] ??= []);
+  #record(kind: string, text: string): void {
+    const samples = (this.bodies[kind] ??= []);
     if (samples.length >= MAX_SAMPLES || samples.includes(text)) return;
-    const structures = this.#structuresOf(sort);
+    const structures = this.#structuresOf(kind);
     const structure = structureOfText(text);
-    if (samples.length >= FIRST_SAMPLES && structures.has(structure)) return;
+    if (samples.length >= UNFILTERED_SAMPLES && structures.has(structure)) return;
     structures.add(structure);
     samples.push(text);
   }
 
-  #structuresOf(sort: string): Set<string> {
-    const structures = this.#structures.get(sort) ?? new Set<string>();
-    this.#structures.set(sort, structures);
+  #structuresOf(kind: string): Set<string> {
+    const structures = this.#structures.get(kind) ?? new Set<string>();
+    this.#structures.set(kind, structures);
     return structures;
   }
 
   #drain(id: string): void {
-    for (const effect of this.core(id).drain()) this.#carryOut(id, effect);
+    for (const effect of this.core(id).drain()) this.#perform(id, effect);
   }
 
-  #carryOut(id: string, effect: ControlEffect): void {
+  #perform(id: string, effect: ControlEffect): void {
     switch (effect.do) {
       case 'send':
         this.#send(id, effect.to, effect.message);
         break;
       case 'store':
         this.#record(`stored ${effect.partition}`, effect.body);
-        this.#schedule(DISK_MS, () => {
+        this.#schedule(DISK_WRITE_MS, () => {
           this.core(id).onPersisted(this.now, effect.partition, effect.version);
           this.#drain(id);
         });
@@ -226,13 +234,13 @@
 
   #drainAgent(): void {
     for (const effect of this.#agent.drain())
-      if (effect.do === 'send') this.#send(AGENT, effect.to, effect.message);
+      if (effect.do === 'send') this.#send(AGENT_ID, effect.to, effect.message);
   }
 
   #send(from: string, to: string, message: Message): void {
     this.#recordMessage(message);
     const bytes = encodeMessage(message);
-    this.#schedule(NETWORK_MS, () => {
+    this.#schedule(NETWORK_DELAY_MS, () => {
       this.#deliver(from, to, decodeMessage(bytes));
     });
   }
@@ -249,7 +257,7 @@
   #deliver(from: string, to: string, message: Message): void {
     if (to === PROXY) {
       this.#receiveAtProxy(message);
-    } else if (to === AGENT) {
+    } else if (to === AGENT_ID) {
       this.#agent.onMessage(this.now, from, from === PROXY ? 'flow' : 'mind', message);
       this.#drainAgent();
     } else if (this.#cores.has(to)) {
@@ -259,19 +267,19 @@
   }
 
   #receiveAtProxy(message: Message): void {
-    if (this.feed.length < MAX_FEED)
+    if (this.feed.length < MAX_FEED_MESSAGES)
       this.feed.push('body' in message ? { ...message, body: undefined } : message);
     if (message.kind !== 'update' && message.kind !== 'delta') return;
     const { topic, epoch, count } = message;
-    this.#held.set(topic, { epoch, count });
-    if (topic === 'config') this.#send(PROXY, AGENT, { kind: 'ack', epoch, count });
+    this.#proxyVersions.set(topic, { epoch, count });
+    if (topic === 'config') this.#send(PROXY, AGENT_ID, { kind: 'ack', epoch, count });
   }
 
   #tickProxy(): void {
     this.#proxyNonce += 1;
-    const have = [...this.#held].map(([topic, version]) => ({ topic, ...version }));
+    const have = [...this.#proxyVersions].map(([topic, version]) => ({ topic, ...version }));
     const nonce = this.#proxyNonce;
-    this.#send(PROXY, AGENT, { kind: 'freshnessRequest', nonce, have, members: [] });
-    this.#send(PROXY, AGENT, { kind: 'demand', body: this.#plan.demand(this.now) });
+    this.#send(PROXY, AGENT_ID, { kind: 'freshnessRequest', nonce, have, members: [] });
+    this.#send(PROXY, AGENT_ID, { kind: 'demand', body: this.#plan.demand(this.now) });
   }
 }
--- a/src/compatibility/testing/stored-folder.ts
+++ b/src/compatibility/testing/stored-folder.ts
@@ -5,7 +5,7 @@
 import type { StoredPartition } from '../../state/store.js';
 import { TEST_DATA } from './golden.js';
 
-/** Reads a committed data folder by way of a temporary copy; throws if any of its files is damaged. */
+/** Reads a data folder of the golden files from a temporary copy; throws if any of its files is damaged. */
 export async function readStoredFolder(folder: string): Promise<readonly StoredPartition[]> {
   const path = await mkdtemp(join(tmpdir(), 'stored-folder-'));
   try {
