--- a/src/compatibility/testing/recorded-cluster.ts
+++ b/src/compatibility/testing/recorded-cluster.ts
@@ -87,7 +87,7 @@
   readonly bodies: Record<string, string[]> = {};
   /** Messages from the agent to the proxy beside it, without bodies. */
   readonly feed: object[] = [];
-  readonly #plan: RecordedPlan;
+  readonly #options: RecordedPlan;
   readonly #cores = new Map<string, ControlCore>();
   readonly #agent: AgentCore;
   readonly #zones = new Map<string, string>();
@@ -99,22 +99,28 @@
   #commandId = 0;
   #proxyNonce = 0;
 
-  constructor(plan: RecordedPlan) {
-    this.#plan = plan;
-    const seeds = plan.nodes.map(({ id }) => id);
-    for (const [index, { id, zone, stored }] of plan.nodes.entries()) {
-      const settings = { ...plan.settings(), me: id, zone, seeds, incarnation: 1000 * (index + 1) };
-      this.#cores.set(id, new ControlCore(settings, stored, this.now, plan.vote));
+  constructor(options: RecordedPlan) {
+    this.#options = options;
+    const seeds = options.nodes.map(({ id }) => id);
+    for (const [index, { id, zone, stored }] of options.nodes.entries()) {
+      const settings = {
+        ...options.settings(),
+        me: id,
+        zone,
+        seeds,
+        incarnation: 1000 * (index + 1),
+      };
+      this.#cores.set(id, new ControlCore(settings, stored, this.now, options.vote));
       this.#zones.set(id, zone);
     }
     this.#agent = new AgentCore(
       {
         me: AGENT_ID,
-        zone: plan.nodes[0]?.zone ?? '',
+        zone: options.nodes[0]?.zone ?? '',
         seeds,
         freshnessBoundMs: 2500,
         incarnation: 7,
-        isDeployed: plan.isDeployed,
+        isDeployed: options.isDeployed,
       },
       this.now,
     );
@@ -222,7 +228,7 @@
         this.#answers.set(effect.id, { status: effect.status, body: effect.body });
         break;
       default:
-        this.#plan.outside.perform(this.now, effect, (delayMs, input) => {
+        this.#options.outside.perform(this.now, effect, (delayMs, input) => {
           this.#schedule(delayMs, () => {
             input(this.core(id), this.now);
             this.#drain(id);
@@ -280,6 +286,6 @@
     const have = [...this.#proxyVersions].map(([topic, version]) => ({ topic, ...version }));
     const nonce = this.#proxyNonce;
     this.#send(PROXY, AGENT_ID, { kind: 'freshnessRequest', nonce, have, members: [] });
-    this.#send(PROXY, AGENT_ID, { kind: 'demand', body: this.#plan.demand(this.now) });
+    this.#send(PROXY, AGENT_ID, { kind: 'demand', body: this.#options.demand(this.now) });
   }
 }
