--- a/src/compatibility/table-bodies.test.ts
+++ b/src/compatibility/table-bodies.test.ts
@@ -5,9 +5,9 @@
 import type { Catalog, Hold, Machines } from '../placement/shapes.js';
 import { expectGolden } from './testing/golden.js';
 import {
-  PROXY,
+  PROXY_ID,
   RecordedCluster,
-  type Outside,
+  type ExternalSystems,
   type RecordedNode,
   type Schedule,
 } from './testing/recorded-cluster.js';
@@ -42,7 +42,7 @@
 const LOAD_MS = 300;
 
 /** Simulates runners that execute every order, the list of machines and the weight store's catalog. */
-class TableExternalSystems implements Outside {
+class TableExternalSystems implements ExternalSystems {
   readonly #holds = new Map<string, Map<string, Hold>>();
 
   perform(now: Moment, effect: ControlEffect, schedule: Schedule): void {
@@ -95,7 +95,7 @@
 
 function demandAt(now: Moment): string {
   return JSON.stringify({
-    flow: PROXY,
+    flow: PROXY_ID,
     units: [
       { model: 'receipt-00', adapter: '', count: 12 },
       { model: 'receipt-00', adapter: 'receipt-00-a0', count: 3 },
@@ -113,7 +113,7 @@
     nodes,
     settings: () => CONTROL_DEFAULTS,
     vote: VOTE_DEFAULTS,
-    outside: new TableExternalSystems(),
+    externalSystems: new TableExternalSystems(),
     demand: demandAt,
     isDeployed: false,
   });
--- a/src/compatibility/testing/raw-peer.ts
+++ b/src/compatibility/testing/raw-peer.ts
@@ -88,7 +88,7 @@
   }
 
   /** Sends a hello message, then sends keepalives until the connection is closed. */
-  greet(id: string, role: string, zone: string): void {
+  sendHello(id: string, role: string, zone: string): void {
     this.send({ kind: 'hello', id, role, zone });
     this.#keepalives = setInterval(() => {
       this.write(Buffer.alloc(LENGTH_BYTES));
--- a/src/compatibility/testing/recorded-cluster.ts
+++ b/src/compatibility/testing/recorded-cluster.ts
@@ -19,18 +19,18 @@
 export type Schedule = (delayMs: number, input: (core: ControlCore, now: Moment) => void) => void;
 
 /** Simulates the systems outside the cluster: the platform, the runners and the weight store. */
-export interface Outside {
+export interface ExternalSystems {
   /** Performs an effect of a control node; `schedule` returns the result to it. */
   perform(now: Moment, effect: ControlEffect, schedule: Schedule): void;
 }
 
 /** Options of a recorded cluster, which differ between routes and a policy table. */
-export interface RecordedPlan {
+export interface RecordedClusterOptions {
   readonly nodes: readonly RecordedNode[];
   /** Creates new settings for each node, since nodes must not share a planner. */
   settings(): Omit<ControlSettings, 'me' | 'zone' | 'seeds' | 'incarnation'>;
   readonly vote: VoteSettings;
-  readonly outside: Outside;
+  readonly externalSystems: ExternalSystems;
   /** The body of the proxy's demand report at `now`. */
   demand(now: Moment): string;
   /** Whether the agent runs as in a deployment with routes. */
@@ -57,7 +57,7 @@
 const ANSWER_TIMEOUT_MS = 8000;
 const AGENT_ID = '10.0.0.1:7661';
 /** The id of the simulated proxy beside the agent. */
-export const PROXY = 'flow@10.0.0.1:8080';
+export const PROXY_ID = 'flow@10.0.0.1:8080';
 /** The first texts of a kind are all recorded, later ones only if their structure is new. */
 const UNFILTERED_SAMPLES = 3;
 /** Maximum number of recorded texts of a kind. */
@@ -87,7 +87,7 @@
   readonly bodies: Record<string, string[]> = {};
   /** Messages from the agent to the proxy beside it, without bodies. */
   readonly feed: object[] = [];
-  readonly #options: RecordedPlan;
+  readonly #options: RecordedClusterOptions;
   readonly #cores = new Map<string, ControlCore>();
   readonly #agent: AgentCore;
   readonly #zones = new Map<string, string>();
@@ -99,7 +99,7 @@
   #commandId = 0;
   #proxyNonce = 0;
 
-  constructor(options: RecordedPlan) {
+  constructor(options: RecordedClusterOptions) {
     this.#options = options;
     const seeds = options.nodes.map(({ id }) => id);
     for (const [index, { id, zone, stored }] of options.nodes.entries()) {
@@ -228,7 +228,7 @@
         this.#answers.set(effect.id, { status: effect.status, body: effect.body });
         break;
       default:
-        this.#options.outside.perform(this.now, effect, (delayMs, input) => {
+        this.#options.externalSystems.perform(this.now, effect, (delayMs, input) => {
           this.#schedule(delayMs, () => {
             input(this.core(id), this.now);
             this.#drain(id);
@@ -261,10 +261,10 @@
   }
 
   #deliver(from: string, to: string, message: Message): void {
-    if (to === PROXY) {
+    if (to === PROXY_ID) {
       this.#receiveAtProxy(message);
     } else if (to === AGENT_ID) {
-      this.#agent.onMessage(this.now, from, from === PROXY ? 'flow' : 'mind', message);
+      this.#agent.onMessage(this.now, from, from === PROXY_ID ? 'flow' : 'mind', message);
       this.#drainAgent();
     } else if (this.#cores.has(to)) {
       this.core(to).onMessage(this.now, from, message, this.#zones.get(from));
@@ -278,14 +278,14 @@
     if (message.kind !== 'update' && message.kind !== 'delta') return;
     const { topic, epoch, count } = message;
     this.#proxyVersions.set(topic, { epoch, count });
-    if (topic === 'config') this.#send(PROXY, AGENT_ID, { kind: 'ack', epoch, count });
+    if (topic === 'config') this.#send(PROXY_ID, AGENT_ID, { kind: 'ack', epoch, count });
   }
 
   #tickProxy(): void {
     this.#proxyNonce += 1;
     const have = [...this.#proxyVersions].map(([topic, version]) => ({ topic, ...version }));
     const nonce = this.#proxyNonce;
-    this.#send(PROXY, AGENT_ID, { kind: 'freshnessRequest', nonce, have, members: [] });
-    this.#send(PROXY, AGENT_ID, { kind: 'demand', body: this.#options.demand(this.now) });
+    this.#send(PROXY_ID, AGENT_ID, { kind: 'freshnessRequest', nonce, have, members: [] });
+    this.#send(PROXY_ID, AGENT_ID, { kind: 'demand', body: this.#options.demand(this.now) });
   }
 }
