--- a/vitest.mutation.config.ts
+++ b/vitest.mutation.config.ts
@@ -4,11 +4,10 @@
 const SLOW_TESTS = [
   'src/control/cluster-restart.test.ts',
   'src/control/config-size.test.ts',
-  'src/control/leaving-watch.test.ts',
   'src/control/slow-links.test.ts',
   'src/control/voter-repair.test.ts',
-  'src/control/voter-swaps.test.ts',
-  'src/control/voter-troubles.test.ts',
+  'src/control/voter-replacements.test.ts',
+  'src/control/voter-faults.test.ts',
 ];
 
 /** The fast tests of the folders that mutation testing (stryker.config.json) is run over. */
