--- a/src/simulation/history/diagnosis.ts
+++ b/src/simulation/history/diagnosis.ts
@@ -11,15 +11,15 @@
 import { isZoneLegal, zoneCandidateOf, type ZoneCandidate, type ZoneRun } from './zone-search.js';
 
 /**
- * Names the rule that an illegal run breaks where no few records show it by themselves: one requirement at a time is
- * dropped, and the first one without which the run is legal is the broken one.
+ * Names the rule that an illegal run breaks if no small set of records proves a violation. One requirement at a time is
+ * dropped; the first one without which the run is legal is the broken rule.
  */
 
 function optional(candidate: Candidate): Candidate {
   return { ...candidate, isRequired: false };
 }
 
-function atAnyLaterMoment(candidate: Candidate): Candidate {
+function withoutEffectDeadline(candidate: Candidate): Candidate {
   return candidate.isRequired ? candidate : { ...candidate, effectBy: Infinity };
 }
 
@@ -33,7 +33,7 @@
   return records;
 }
 
-function isUnsettled(change: KnownChange): boolean {
+function isUnresolved(change: KnownChange): boolean {
   return change.acceptedAt === undefined && change.refusals.length === 0;
 }
 
@@ -41,8 +41,8 @@
   return change.acceptedAt !== undefined;
 }
 
-/** The refusal of a change on that version that a run without it does not need to explain. */
-function culprit(
+/** Returns a refusal of a change based on version `base`, or of any change if there is none on it. */
+function unexplainedRefusal(
   run: RegisterRun,
   base: number,
 ): { readonly change: Candidate; readonly refusal: Refusal } | undefined {
@@ -56,7 +56,7 @@
 }
 
 function refusalViolation(run: RegisterRun, base: number): Violation | undefined {
-  const found = culprit(run, base);
+  const found = unexplainedRefusal(run, base);
   if (!found) return undefined;
   const { change, refusal } = found;
   const { record: order, endedAt: refusedAt } = refusal;
@@ -64,9 +64,9 @@
   return { rule: 'refused-for-a-winner-that-never-was', order, base: change.base, refusedAt };
 }
 
-/** The first read, going up the versions, that no document of the chain explains. */
-function mismatchedRead(run: RegisterRun): Violation | undefined {
-  const reads = [...run.reads].sort(byReadVersion);
+/** The first read, in ascending order of versions, that no document of the chain explains. */
+function mismatchedReadViolation(run: RegisterRun): Violation | undefined {
+  const reads = [...run.reads].sort(compareReadVersions);
   for (const [count, read] of reads.entries()) {
     if (searchRegister({ ...run, reads: reads.slice(0, count + 1) }).isLegal) continue;
     return { rule: 'read-not-as-sent', read: read.id, version: readVersion(read) };
@@ -74,17 +74,17 @@
   return undefined;
 }
 
-function byReadVersion(left: ReadRecord, right: ReadRecord): number {
+function compareReadVersions(left: ReadRecord, right: ReadRecord): number {
   return readVersion(left) - readVersion(right);
 }
 
-/** The read without which the run is legal, if there is one and it is not the last. */
-function staleRead(run: RegisterRun): Violation | undefined {
+/** The read without which the register's run is legal, if there is one and it is not the last read. */
+function staleReadViolation(run: RegisterRun): Violation | undefined {
   let lastSentAt = -Infinity;
   for (const read of run.reads) lastSentAt = Math.max(lastSentAt, read.sentAt);
   for (const read of run.reads) {
     if (read.sentAt === lastSentAt) continue;
-    const others = run.reads.filter((other) => isOtherThan(read, other));
+    const others = run.reads.filter((other) => isDifferent(read, other));
     if (searchRegister({ ...run, reads: others }).isLegal) {
       return { rule: 'stale-read', read: read.id, part: REGISTER_PART };
     }
@@ -92,46 +92,52 @@
   return undefined;
 }
 
-function isOtherThan<T>(one: T, other: T): boolean {
+function isDifferent<T>(one: T, other: T): boolean {
   return one !== other;
 }
 
-/** So many reads are left out one by one; of more, only those near the version where the search ends. */
-const MAX_TRIED_READS = 50;
+/**
+ * At most this many reads are left out one by one; if there are more, only those from the version where the search
+ * stopped.
+ */
+const MAX_OMITTED_READS = 50;
 
-function nearReads(run: RegisterRun, reached: number): readonly ReadRecord[] {
-  if (run.reads.length <= MAX_TRIED_READS) return run.reads;
+function readsToOmit(run: RegisterRun, reached: number): readonly ReadRecord[] {
+  if (run.reads.length <= MAX_OMITTED_READS) return run.reads;
   const near: ReadRecord[] = [];
   for (const read of run.reads) if (readVersion(read) >= reached) near.push(read);
-  return near.slice(0, MAX_TRIED_READS);
+  return near.slice(0, MAX_OMITTED_READS);
 }
 
-/** The broken rule of a register's run that is not legal. */
+/** Returns the rule that an illegal run of the register breaks; `reached` is the version where its search stopped. */
 export function diagnoseRegister(run: RegisterRun, reached: number): Violation {
-  const late: RegisterRun = { ...run, candidates: run.candidates.map(atAnyLaterMoment) };
-  if (searchRegister(late).isLegal) {
-    return { rule: 'late-configuration', orders: recordsOf(run.candidates.filter(isUnsettled)) };
+  const unbounded: RegisterRun = { ...run, candidates: run.candidates.map(withoutEffectDeadline) };
+  if (searchRegister(unbounded).isLegal) {
+    return { rule: 'late-configuration', orders: recordsOf(run.candidates.filter(isUnresolved)) };
   }
-  const misread = searchRegister({ ...run, amend: undefined }).isLegal
-    ? mismatchedRead(run)
+  const mismatch = searchRegister({ ...run, amend: undefined }).isLegal
+    ? mismatchedReadViolation(run)
     : undefined;
-  if (misread) return misread;
-  const unrefused: RegisterRun = { ...run, candidates: run.candidates.map(withoutRefusals) };
-  if (searchRegister(unrefused).isLegal) {
+  if (mismatch) return mismatch;
+  const withoutRefusedAttempts: RegisterRun = {
+    ...run,
+    candidates: run.candidates.map(withoutRefusals),
+  };
+  if (searchRegister(withoutRefusedAttempts).isLegal) {
     const violation = refusalViolation(run, reached);
     if (violation) return violation;
   }
-  const stale = staleRead({ ...run, reads: nearReads(run, reached) });
+  const stale = staleReadViolation({ ...run, reads: readsToOmit(run, reached) });
   if (stale) return stale;
-  const unbound: RegisterRun = { ...run, candidates: run.candidates.map(optional) };
-  if (searchRegister(unbound).isLegal) {
+  const withoutRequirements: RegisterRun = { ...run, candidates: run.candidates.map(optional) };
+  if (searchRegister(withoutRequirements).isLegal) {
     const orders = recordsOf(run.candidates.filter(isAccepted));
     return { rule: 'lost-accepted', orders, part: REGISTER_PART };
   }
   return { rule: 'not-linearizable', part: REGISTER_PART };
 }
 
-/** The run as the search takes it. */
+/** Builds the input of the register search from the changes and reads of a history. */
 export function registerRun(
   changes: readonly KnownChange[],
   reads: readonly ReadRecord[],
@@ -140,19 +146,19 @@
   return { candidates: changes.map(candidateOf), reads, amend };
 }
 
-/** The orders, and copies of those of one kind that may take effect at any later moment. */
-function withCopies(
+/** The orders, with additional copies of those of one kind that may take effect at any later time. */
+function withLateCopies(
   orders: readonly ZoneCandidate[],
   kind: ZoneCandidate['kind'],
 ): ZoneCandidate[] {
   const all = [...orders];
   for (const order of orders) {
-    if (order.kind === kind) all.push(copyFrom(kind, order.copies[0]?.sentAt ?? -Infinity));
+    if (order.kind === kind) all.push(lateCopyAfter(kind, order.copies[0]?.sentAt ?? -Infinity));
   }
   return all;
 }
 
-function copyFrom(kind: ZoneCandidate['kind'], sentAt: number): ZoneCandidate {
+function lateCopyAfter(kind: ZoneCandidate['kind'], sentAt: number): ZoneCandidate {
   const effectBy = Infinity;
   return { kind, copies: [{ sentAt, effectBy }], effectBy, isRequired: false, isRepeatable: true };
 }
@@ -167,13 +173,13 @@
   return records;
 }
 
-/** The read without which the run is legal, if there is one and it is not the last. */
-function staleZoneRead(run: ZoneRun, part: Part): Violation | undefined {
+/** The read without which the zone's run is legal, if there is one and it is not the last read. */
+function staleZoneReadViolation(run: ZoneRun, part: Part): Violation | undefined {
   let last: ZoneRead | undefined;
   for (const read of run.reads) if (!last || read.sentAt > last.sentAt) last = read;
   for (const read of run.reads) {
     if (read === last) continue;
-    const others = run.reads.filter((other) => isOtherThan(read, other));
+    const others = run.reads.filter((other) => isDifferent(read, other));
     if (isZoneLegal({ ...run, reads: others }))
       return { rule: 'stale-read', read: read.record, part };
   }
@@ -187,21 +193,21 @@
   return accepted;
 }
 
-/** The broken rule of a zone's run that is not legal. */
+/** Returns the rule that an illegal run of a zone breaks. */
 export function diagnoseZone(view: ZoneView): Violation {
   const { zone, reads } = view;
   const part: Part = { kind: 'zone', zone };
   const orders = view.orders.map(zoneCandidateOf);
-  if (isZoneLegal({ orders: withCopies(orders, 'evacuate'), reads })) {
+  if (isZoneLegal({ orders: withLateCopies(orders, 'evacuate'), reads })) {
     return { rule: 'late-evacuation', zone, orders: recordsOfKind(view, 'evacuate') };
   }
-  const stale = staleZoneRead({ orders, reads }, part);
+  const stale = staleZoneReadViolation({ orders, reads }, part);
   if (stale) return stale;
-  if (isZoneLegal({ orders: withCopies(orders, 'restore'), reads })) {
+  if (isZoneLegal({ orders: withLateCopies(orders, 'restore'), reads })) {
     return { rule: 'late-restore', zone, orders: recordsOfKind(view, 'restore') };
   }
-  // Explained by orders that had no effect, or by an evacuation that was forgotten.
-  const forgotten = [...orders.map(optionalZoneOrder), copyFrom('restore', -Infinity)];
+  // The run is legal if accepted orders had no effect, or if an evacuation was lost.
+  const forgotten = [...orders.map(optionalZoneOrder), lateCopyAfter('restore', -Infinity)];
   if (isZoneLegal({ orders: forgotten, reads })) {
     return { rule: 'lost-accepted', orders: acceptedRecords(view), part };
   }
--- a/src/simulation/history/history-check.property.test.ts
+++ b/src/simulation/history/history-check.property.test.ts
@@ -4,26 +4,29 @@
 import { checkHistory } from './history-check.js';
 import {
   amendModel,
-  playModel,
+  runModel,
   withOrder,
   withRead,
   type AttemptPlan,
   type StepPlan,
 } from './model-runs.js';
 import { settingsOf, viewOf, type KnownZoneOrder } from './orders.js';
-import { isRegisterLegalByTrying, isZoneLegalByTrying } from './reference-search.js';
+import { isRegisterLegalExhaustive, isZoneLegalExhaustive } from './reference-search.js';
 import type { HistoryRule, Violation } from './violation.js';
 
-/** Runs of the sequential model are always accepted; each kind of damage to one is found under its name. */
+/**
+ * Histories of the sequential model are always accepted; each kind of violation added to one is reported under its
+ * rule.
+ */
 
-const RUNS = 300;
-const ID = 1_000_000;
+const RUN_COUNT = 300;
+const ID_OFFSET = 1_000_000;
 const PAUSE_MS = 10_000;
 
 const attemptPlan: fc.Arbitrary<AttemptPlan> = fc.record({
-  lagMs: fc.oneof(fc.integer({ min: 0, max: 300 }), fc.integer({ min: 0, max: 3500 })),
-  answerMs: fc.integer({ min: 0, max: 300 }),
-  isAnswerLost: fc.integer({ min: 0, max: 3 }).map(isZero),
+  deliveryDelayMs: fc.oneof(fc.integer({ min: 0, max: 300 }), fc.integer({ min: 0, max: 3500 })),
+  replyDelayMs: fc.integer({ min: 0, max: 300 }),
+  isReplyLost: fc.integer({ min: 0, max: 3 }).map(isZero),
   isLost: fc.integer({ min: 0, max: 7 }).map(isZero),
 });
 
@@ -60,7 +63,7 @@
 
 function lastRead(history: History): ReadRecord {
   const last = history.reads.at(-1);
-  if (!last) throw new Error('a run of the model ends with a read');
+  if (!last) throw new Error('a run of the model must end with a read');
   return last;
 }
 
@@ -69,7 +72,7 @@
 }
 
 function readAt(sentAt: number, from: ReadRecord): ReadRecord {
-  return { ...from, id: ID + sentAt, sentAt, endedAt: sentAt + 1 };
+  return { ...from, id: ID_OFFSET + sentAt, sentAt, endedAt: sentAt + 1 };
 }
 
 function putOn(history: History, text: string): PutOrder {
@@ -82,7 +85,7 @@
   order: OrderRecord['order'],
   attempts: readonly Attempt[],
 ): OrderRecord {
-  return { id: ID + id, operator: 'other', order, attempts };
+  return { id: ID_OFFSET + id, operator: 'other', order, attempts };
 }
 
 function expectRule(history: History, rules: readonly HistoryRule[]): void {
@@ -92,20 +95,20 @@
   expect(rules).toContain(found[0]);
 }
 
-function acceptModel(steps: StepPlan[]): void {
-  expect(check(playModel(steps))).toEqual([]);
+function acceptModelRun(steps: StepPlan[]): void {
+  expect(check(runModel(steps))).toEqual([]);
 }
 test('every run of the sequential model is accepted', () => {
-  fc.assert(fc.property(plans, acceptModel), { numRuns: RUNS * 4 });
+  fc.assert(fc.property(plans, acceptModelRun), { numRuns: RUN_COUNT * 4 });
 });
 
 function refuseAccepted(steps: StepPlan[], pick: number): void {
-  const history = playModel(steps);
+  const history = runModel(steps);
   const accepted = history.orders.filter(wasAccepted);
   const chosen = accepted[pick % Math.max(1, accepted.length)];
   if (!chosen) return;
   const late = endOf(history) + PAUSE_MS;
-  const orders = history.orders.map((order) => refuseAgain(chosen, late, order));
+  const orders = history.orders.map((order) => withLateRefusal(chosen, late, order));
   expectRule({ ...history, orders }, ['refused-after-accepted']);
 }
 function wasAccepted(order: OrderRecord): boolean {
@@ -114,17 +117,17 @@
 function isAccepted({ outcome }: Attempt): boolean {
   return outcome === 'accepted';
 }
-function refuseAgain(chosen: OrderRecord, at: number, order: OrderRecord): OrderRecord {
+function withLateRefusal(chosen: OrderRecord, at: number, order: OrderRecord): OrderRecord {
   return order === chosen
     ? { ...order, attempts: [...order.attempts, attempt(at, 'refused')] }
     : order;
 }
-test('a refusal of what was accepted is found', () => {
-  fc.assert(fc.property(plans, fc.nat(1000), refuseAccepted), { numRuns: RUNS });
+test('a refusal of an accepted order is reported', () => {
+  fc.assert(fc.property(plans, fc.nat(1000), refuseAccepted), { numRuns: RUN_COUNT });
 });
 
-function acceptLoser(steps: StepPlan[], pick: number): void {
-  const history = playModel(steps);
+function acceptRival(steps: StepPlan[], pick: number): void {
+  const history = runModel(steps);
   const winners = history.orders.filter(isAcceptedChange);
   const winner = winners[pick % Math.max(1, winners.length)];
   if (!winner || (winner.order.kind !== 'put' && winner.order.kind !== 'patch')) return;
@@ -136,12 +139,12 @@
 function isAcceptedChange(order: OrderRecord): boolean {
   return wasAccepted(order) && (order.order.kind === 'put' || order.order.kind === 'patch');
 }
-test('a second acceptance on one base is found', () => {
-  fc.assert(fc.property(plans, fc.nat(1000), acceptLoser), { numRuns: RUNS });
+test('a second acceptance on one base version is reported', () => {
+  fc.assert(fc.property(plans, fc.nat(1000), acceptRival), { numRuns: RUN_COUNT });
 });
 
-function refuseForNobody(steps: StepPlan[]): void {
-  const history = playModel(steps);
+function refuseWithoutWinner(steps: StepPlan[]): void {
+  const history = runModel(steps);
   const late = endOf(history) + PAUSE_MS;
   const loser = record(1, putOn(history, 'refused'), [attempt(late, 'refused')]);
   const rival = record(2, putOn(history, 'never in force'), [attempt(late, 'unclear')]);
@@ -149,23 +152,23 @@
   const seen = withRead(refused, readAt(late + PAUSE_MS, lastRead(history)));
   expectRule(seen, ['refused-for-a-winner-that-never-was']);
 }
-test('a refusal for a winner that never was is found', () => {
-  fc.assert(fc.property(plans, refuseForNobody), { numRuns: RUNS });
+test('a refusal without a competing order that took effect is reported', () => {
+  fc.assert(fc.property(plans, refuseWithoutWinner), { numRuns: RUN_COUNT });
 });
 
 function loseAccepted(steps: StepPlan[]): void {
-  const history = playModel(steps);
+  const history = runModel(steps);
   const late = endOf(history) + PAUSE_MS;
   const lost = record(1, putOn(history, 'lost'), [attempt(late, 'accepted')]);
   const read = readAt(late + PAUSE_MS, lastRead(history));
   expectRule(withRead(withOrder(history, lost), read), ['lost-accepted']);
 }
-test('the loss of an accepted order is found', () => {
-  fc.assert(fc.property(plans, loseAccepted), { numRuns: RUNS });
+test('the loss of an accepted order is reported', () => {
+  fc.assert(fc.property(plans, loseAccepted), { numRuns: RUN_COUNT });
 });
 
 function readOld(steps: StepPlan[]): void {
-  const history = playModel(steps);
+  const history = runModel(steps);
   const late = endOf(history) + PAUSE_MS;
   const last = lastRead(history);
   const order = putOn(history, 'newest');
@@ -175,12 +178,12 @@
   const right = readAt(late + 2 * PAUSE_MS, { ...last, document });
   expectRule(withRead(withRead(withOrder(history, newest), old), right), ['stale-read']);
 }
-test('a read of an old configuration is found', () => {
-  fc.assert(fc.property(plans, readOld), { numRuns: RUNS });
+test('a read of an outdated configuration is reported', () => {
+  fc.assert(fc.property(plans, readOld), { numRuns: RUN_COUNT });
 });
 
-function readOther(steps: StepPlan[], pick: number): void {
-  const history = playModel(steps);
+function readAltered(steps: StepPlan[], pick: number): void {
+  const history = runModel(steps);
   const chosen = history.reads[pick % history.reads.length];
   if (!chosen?.document) return;
   const document = { ...chosen.document, text: `${chosen.document.text}, altered` };
@@ -190,12 +193,12 @@
 function replaceRead(chosen: ReadRecord, replacement: ReadRecord, read: ReadRecord): ReadRecord {
   return read === chosen ? replacement : read;
 }
-test('a document that nobody sent is found', () => {
-  fc.assert(fc.property(plans, fc.nat(1000), readOther), { numRuns: RUNS });
+test('a document that no operator sent is reported', () => {
+  fc.assert(fc.property(plans, fc.nat(1000), readAltered), { numRuns: RUN_COUNT });
 });
 
 function evacuateLate(steps: StepPlan[], isRestoreAccepted: boolean): void {
-  const history = playModel(steps);
+  const history = runModel(steps);
   const late = endOf(history) + PAUSE_MS;
   const first = record(1, { kind: 'evacuate', zone: 'north' }, [attempt(late, 'accepted')]);
   const restored = late + PAUSE_MS;
@@ -211,22 +214,22 @@
 function isSouth(zone: string): boolean {
   return zone === 'south';
 }
-test('a late copy of an evacuation is found, and no copy is needed where the end is unclear', () => {
-  fc.assert(fc.property(plans, fc.boolean(), evacuateLate), { numRuns: RUNS });
+test('a late copy of an evacuation is reported, but not if the outcome of the restore is unclear', () => {
+  fc.assert(fc.property(plans, fc.boolean(), evacuateLate), { numRuns: RUN_COUNT });
 });
 
-/** Few enough for trying every ordering. */
+/** Few enough steps for an exhaustive search. */
 const smallPlans = fc.array(stepPlan, { maxLength: 8 });
 
-const damage = fc.record({
+const mutation = fc.record({
   target: fc.constantFrom('outcome', 'early answer', 'read', 'lost attempt'),
   pick: fc.nat(1000),
   other: fc.nat(1000),
   outcome: fc.constantFrom('accepted', 'refused', 'unclear'),
 });
-type Damage = typeof damage extends fc.Arbitrary<infer T> ? T : never;
+type Mutation = typeof mutation extends fc.Arbitrary<infer T> ? T : never;
 
-function damaged(history: History, { target, pick, other, outcome }: Damage): History {
+function mutated(history: History, { target, pick, other, outcome }: Mutation): History {
   if (target === 'read') {
     const chosen = history.reads[pick % history.reads.length] ?? lastRead(history);
     const { document, evacuated } = history.reads[other % history.reads.length] ?? chosen;
@@ -255,18 +258,18 @@
   };
 }
 
-class Count {
+class VerdictCounts {
   legal = 0;
   illegal = 0;
 }
 
-function judgeDamaged(count: Count, steps: StepPlan[], harm: Damage): void {
-  const history = damaged(playModel(steps), harm);
+function compareMutated(count: VerdictCounts, steps: StepPlan[], harm: Mutation): void {
+  const history = mutated(runModel(steps), harm);
   const view = viewOf(history, settingsOf(OPTIONS));
-  let isLegal = isRegisterLegalByTrying(view.changes, history.reads, amendModel);
+  let isLegal = isRegisterLegalExhaustive(view.changes, history.reads, amendModel);
   for (const zone of view.zones) {
     const isRefused = zone.orders.some(wasRefused);
-    isLegal = isLegal && !isRefused && isZoneLegalByTrying(zone);
+    isLegal = isLegal && !isRefused && isZoneLegalExhaustive(zone);
   }
   if (isLegal) count.legal += 1;
   else count.illegal += 1;
@@ -275,16 +278,16 @@
 function wasRefused(order: KnownZoneOrder): boolean {
   return order.refusals.length > 0;
 }
-test('a damaged run is rejected, but where trying every ordering shows that it is still legal', () => {
-  const count = new Count();
+test('a mutated history is rejected unless an exhaustive search shows that it is still legal', () => {
+  const count = new VerdictCounts();
   fc.assert(
-    fc.property(smallPlans, damage, (steps: StepPlan[], harm: Damage) =>
-      judgeDamaged(count, steps, harm),
+    fc.property(smallPlans, mutation, (steps: StepPlan[], harm: Mutation) =>
+      compareMutated(count, steps, harm),
     ),
     {
-      numRuns: RUNS * 5,
+      numRuns: RUN_COUNT * 5,
     },
   );
-  expect(count.legal).toBeGreaterThan(RUNS / 4);
-  expect(count.illegal).toBeGreaterThan(RUNS / 4);
+  expect(count.legal).toBeGreaterThan(RUN_COUNT / 4);
+  expect(count.illegal).toBeGreaterThan(RUN_COUNT / 4);
 });
--- a/src/simulation/history/history-reference.property.test.ts
+++ b/src/simulation/history/history-reference.property.test.ts
@@ -4,17 +4,17 @@
 import { registerRun } from './diagnosis.js';
 import { checkHistory } from './history-check.js';
 import { settingsOf, viewOf } from './orders.js';
-import { isRegisterLegalByTrying, isZoneLegalByTrying } from './reference-search.js';
-import { judgeRegister } from './register-rules.js';
+import { isRegisterLegalExhaustive, isZoneLegalExhaustive } from './reference-search.js';
+import { checkRegisterRules } from './register-rules.js';
 import { searchRegister } from './register-search.js';
 import { isZoneLegal, zoneCandidateOf } from './zone-search.js';
 
-/** The searches against a plain one that tries every ordering, on small random histories, legal or not. */
+/** Compares the searches with an exhaustive search of all orderings on small random histories, legal and illegal. */
 
-const RUNS = 4000;
+const RUN_COUNT = 4000;
 const OPTIONS = { lateMs: 3, silenceMs: 2, amend: amendOnce };
 
-/** A change cannot be applied to a document that ends as it does. */
+/** A change can't be applied to a document that ends with the text of the change. */
 function amendOnce(document: string, change: string): string | undefined {
   return document.endsWith(change) ? undefined : `${document}+${change}`;
 }
@@ -37,10 +37,10 @@
   { minLength: 1, maxLength: 2 },
 );
 
-/** Of those that nobody waits for some are taken all the same. */
-function takenLate(tries: Attempt[], afterMs: number | undefined): Attempt[] {
+/** Marks the unanswered attempts as started late by a node, `afterMs` after they were sent. */
+function withLateStarts(attempts: Attempt[], afterMs: number | undefined): Attempt[] {
   const taken: Attempt[] = [];
-  for (const attempt of tries) {
+  for (const attempt of attempts) {
     const isLate = afterMs !== undefined && attempt.endedAt === undefined;
     taken.push(isLate ? { ...attempt, takenLateAt: attempt.sentAt + afterMs } : attempt);
   }
@@ -49,10 +49,10 @@
 
 const zoneAttempts = fc
   .tuple(attempts, fc.option(fc.integer({ min: 2, max: 8 }), { nil: undefined }))
-  .map(takenLateOf);
+  .map(zoneAttemptsOf);
 
-function takenLateOf([tries, afterMs]: [Attempt[], number | undefined]): Attempt[] {
-  return takenLate(tries, afterMs);
+function zoneAttemptsOf([attempts, afterMs]: [Attempt[], number | undefined]): Attempt[] {
+  return withLateStarts(attempts, afterMs);
 }
 
 const change: fc.Arbitrary<Order> = fc.record({
@@ -63,16 +63,16 @@
   isInvalid: fc.integer({ min: 0, max: 9 }).map(isZero),
 });
 
-/** Of a chain that may hold together, so that many of the histories are legal. */
-const link: fc.Arbitrary<Order> = fc
+/** A change whose version follows its base directly, so that many of the histories are legal. */
+const chainedChange: fc.Arbitrary<Order> = fc
   .tuple(
     fc.constantFrom('put', 'put', 'patch'),
     fc.integer({ min: 0, max: 2 }),
     fc.constantFrom('p', 'q'),
   )
-  .map(linkOf);
+  .map(chainedChangeOf);
 
-function linkOf([kind, base, text]: ['put' | 'patch', number, string]): Order {
+function chainedChangeOf([kind, base, text]: ['put' | 'patch', number, string]): Order {
   return { kind, base, version: base + 1, text, isInvalid: false };
 }
 
@@ -112,15 +112,15 @@
   return value === 0;
 }
 
-type Sketch = [[Order, Attempt[]][], ReadPlan[]];
+type HistoryPlan = [[Order, Attempt[]][], ReadPlan[]];
 
-function historyOf([orders, reads]: Sketch): History {
+function historyOf([orders, reads]: HistoryPlan): History {
   return { orders: orders.map(recordOf), reads: reads.map(readOf) };
 }
 
 const registerHistory = fc
   .tuple(
-    fc.array(fc.tuple(fc.oneof(link, link, change), attempts), { maxLength: 5 }),
+    fc.array(fc.tuple(fc.oneof(chainedChange, chainedChange, change), attempts), { maxLength: 5 }),
     fc.array(readPlan, { maxLength: 3 }),
   )
   .map(historyOf);
@@ -132,25 +132,25 @@
   )
   .map(historyOf);
 
-class Verdicts {
+class VerdictCounts {
   legal = 0;
   illegal = 0;
 
-  note(isLegal: boolean): void {
+  add(isLegal: boolean): void {
     if (isLegal) this.legal += 1;
     else this.illegal += 1;
   }
 }
 
-function compareRegister(verdicts: Verdicts, history: History): void {
+function compareRegister(verdicts: VerdictCounts, history: History): void {
   const settings = settingsOf(OPTIONS);
   const { changes } = viewOf(history, settings);
-  const isLegal = isRegisterLegalByTrying(changes, history.reads, amendOnce);
-  verdicts.note(isLegal);
+  const isLegal = isRegisterLegalExhaustive(changes, history.reads, amendOnce);
+  verdicts.add(isLegal);
   const found = searchRegister(registerRun(changes, history.reads, settings.amend));
   expect(found.isLegal).toBe(isLegal);
-  // What a few records show must be true of the whole.
-  if (isLegal) expect(judgeRegister(changes, history.reads, settings.amend)).toEqual([]);
+  // A violation shown by a few records must make the whole run illegal.
+  if (isLegal) expect(checkRegisterRules(changes, history.reads, settings.amend)).toEqual([]);
   else
     expect(
       checkHistory({ ...history, reads: history.reads.map(withoutZones) }, OPTIONS),
@@ -159,33 +159,33 @@
 function withoutZones(read: ReadRecord): ReadRecord {
   return { ...read, evacuated: undefined };
 }
-test('the search of the register says what trying every ordering says', () => {
-  const verdicts = new Verdicts();
+test('the search of the register agrees with the exhaustive search', () => {
+  const verdicts = new VerdictCounts();
   fc.assert(
     fc.property(registerHistory, (history: History) => compareRegister(verdicts, history)),
     {
-      numRuns: RUNS,
+      numRuns: RUN_COUNT,
     },
   );
-  expect(verdicts.legal).toBeGreaterThan(RUNS / 20);
-  expect(verdicts.illegal).toBeGreaterThan(RUNS / 20);
+  expect(verdicts.legal).toBeGreaterThan(RUN_COUNT / 20);
+  expect(verdicts.illegal).toBeGreaterThan(RUN_COUNT / 20);
 });
 
-function compareZones(verdicts: Verdicts, history: History): void {
+function compareZones(verdicts: VerdictCounts, history: History): void {
   const [zone] = viewOf(history, settingsOf(OPTIONS)).zones;
   if (!zone) return;
-  const isLegal = isZoneLegalByTrying(zone);
-  verdicts.note(isLegal);
+  const isLegal = isZoneLegalExhaustive(zone);
+  verdicts.add(isLegal);
   expect(isZoneLegal({ orders: zone.orders.map(zoneCandidateOf), reads: zone.reads })).toBe(
     isLegal,
   );
 }
-test('the search of a zone says what trying every ordering says', () => {
-  const verdicts = new Verdicts();
+test('the search of a zone agrees with the exhaustive search', () => {
+  const verdicts = new VerdictCounts();
   fc.assert(
     fc.property(zoneHistory, (history: History) => compareZones(verdicts, history)),
-    { numRuns: RUNS },
+    { numRuns: RUN_COUNT },
   );
-  expect(verdicts.legal).toBeGreaterThan(RUNS / 20);
-  expect(verdicts.illegal).toBeGreaterThan(RUNS / 20);
+  expect(verdicts.legal).toBeGreaterThan(RUN_COUNT / 20);
+  expect(verdicts.illegal).toBeGreaterThan(RUN_COUNT / 20);
 });
--- a/src/simulation/history/intervals.ts
+++ b/src/simulation/history/intervals.ts
@@ -1,26 +1,28 @@
 /**
- * Finite unions of closed intervals of time: the moments at which an event of a history may have happened.
- * A union is kept sorted and without overlaps.
+ * Finite unions of closed time intervals: the times at which an event of a history may have happened. The intervals of
+ * a union are sorted and don't overlap.
  */
 
+/** A closed time interval, ms. */
 export interface Interval {
   readonly from: number;
   readonly to: number;
 }
 
+/** A union of intervals: sorted, without overlaps. */
 export type Intervals = readonly Interval[];
 
-function byStart(left: Interval, right: Interval): number {
+function compareStarts(left: Interval, right: Interval): number {
   return left.from - right.from;
 }
 
-/** Joins any number of intervals; those that end before they begin are left out. */
+/** Returns the union of intervals in any order; those that end before they start are ignored. */
 export function unionOf(intervals: Iterable<Interval>): Intervals {
   const sorted: Interval[] = [];
   for (const interval of intervals) {
     if (interval.from <= interval.to) sorted.push(interval);
   }
-  sorted.sort(byStart);
+  sorted.sort(compareStarts);
   const joined: Interval[] = [];
   for (const interval of sorted) {
     const last = joined.at(-1);
@@ -31,7 +33,7 @@
   return joined;
 }
 
-/** The part of a union that lies between two moments, both included. */
+/** Returns the part of a union that lies between two times, both included. */
 export function clip(intervals: Intervals, from: number, to: number): Intervals {
   const parts: Interval[] = [];
   for (const interval of intervals) {
--- a/src/simulation/history/model-runs.ts
+++ b/src/simulation/history/model-runs.ts
@@ -10,20 +10,22 @@
 } from './history.js';
 
 /**
- * Legal histories for the tests of the checker: concurrent operators send orders, with delayed copies and lost
- * answers, to a server that is the sequential model itself.
+ * Generates legal histories for tests of the checker: concurrent operators send orders, with delayed copies and lost
+ * replies, to a server that implements the sequential model itself.
  */
 
+/** What happens to one attempt of a step. */
 export interface AttemptPlan {
-  /** From its sending until the server carries it out. */
-  readonly lagMs: number;
-  /** From there until the answer is back. */
-  readonly answerMs: number;
-  readonly isAnswerLost: boolean;
+  /** From sending the attempt until the server applies it. */
+  readonly deliveryDelayMs: number;
+  /** From applying the attempt until the reply reaches the operator. */
+  readonly replyDelayMs: number;
+  readonly isReplyLost: boolean;
   /** The attempt never reaches the server. */
   readonly isLost: boolean;
 }
 
+/** One order or read of an operator. */
 export interface StepPlan {
   readonly operator: number;
   readonly thinkMs: number;
@@ -31,13 +33,14 @@
   readonly zone: string;
   readonly versionStep: number;
   readonly isInvalid: boolean;
-  /** Repeats the operator's last change of the register instead of a new one. */
+  /** Whether the step repeats the operator's last change of the register instead of sending a new one. */
   readonly isRepeat: boolean;
   readonly attempts: readonly AttemptPlan[];
 }
 
-export const MODEL_SILENCE_MS = 1000;
-const EMPTY = '';
+/** How long an operator of the model waits for a reply. */
+export const MODEL_TIMEOUT_MS = 1000;
+const EMPTY_DOCUMENT = '';
 
 interface Event {
   readonly at: number;
@@ -59,52 +62,53 @@
   last: PutOrder | PatchOrder | undefined;
 }
 
-/** How the model's documents change. */
+/** Applies a patch to a document of the model. */
 export function amendModel(document: string, change: string): string {
   return `${document}+${change}`;
 }
 
-/** The sequential model itself: what the checker compares with. */
+/** The sequential model that the checker compares histories with. */
 class Model {
   version = 0;
   text: string | undefined;
   readonly zones = new Set<string>();
-  readonly #carriedOut = new Set<string>();
-  readonly #settled = new Set<MutableRecord>();
+  readonly #applied = new Set<string>();
+  readonly #acknowledged = new Set<MutableRecord>();
 
-  take(record: MutableRecord): AttemptOutcome {
+  apply(record: MutableRecord): AttemptOutcome {
     const { order } = record;
     if (order.kind === 'put' || order.kind === 'patch') return this.#change(order);
-    // Each copy does its work, as nothing tells copies apart; none is under way after the operator knows.
-    if (this.#settled.has(record)) return 'accepted';
+    // Each copy takes effect, because copies can't be distinguished; none does after the operator got the acceptance.
+    if (this.#acknowledged.has(record)) return 'accepted';
     if (order.kind === 'evacuate') this.zones.add(order.zone);
     else this.zones.delete(order.zone);
     return 'accepted';
   }
 
-  settle(record: MutableRecord): void {
-    this.#settled.add(record);
+  markAcknowledged(record: MutableRecord): void {
+    this.#acknowledged.add(record);
   }
 
   #change(order: PutOrder | PatchOrder): AttemptOutcome {
     const identity = `${order.kind} ${order.base} ${order.text}`;
-    if (this.#carriedOut.has(identity)) return 'accepted';
+    if (this.#applied.has(identity)) return 'accepted';
     if (order.isInvalid || order.base !== this.version) return 'refused';
-    this.#carriedOut.add(identity);
+    this.#applied.add(identity);
     this.version = order.version;
-    this.text = order.kind === 'put' ? order.text : amendModel(this.text ?? EMPTY, order.text);
+    this.text =
+      order.kind === 'put' ? order.text : amendModel(this.text ?? EMPTY_DOCUMENT, order.text);
     return 'accepted';
   }
 }
 
-/** Plays the plans of all operators against the model and records what they saw. */
+/** Runs the plans of all operators against the model and records the history that they observe. */
 class ModelRun {
   readonly #model = new Model();
   readonly #events: Event[] = [];
   readonly #records: MutableRecord[] = [];
   readonly #reads: ReadRecord[] = [];
   #now = 0;
-  #count = 0;
+  #lastId = 0;
 
   play(plans: readonly StepPlan[]): History {
     const operators = new Map<number, Operator>();
@@ -113,7 +117,7 @@
       operators.set(plan.operator, operator);
       operator.plans.push(plan);
     }
-    for (const operator of operators.values()) this.#next(operator);
+    for (const operator of operators.values()) this.#startNextStep(operator);
     for (let event = this.#events.shift(); event; event = this.#events.shift()) {
       this.#now = event.at;
       event.run();
@@ -123,18 +127,18 @@
     return { orders: this.#records, reads: this.#reads };
   }
 
-  #at(at: number, run: () => void): void {
-    this.#count += 1;
-    this.#events.push({ at, order: this.#count, run });
-    this.#events.sort(byMoment);
+  #schedule(at: number, run: () => void): void {
+    this.#lastId += 1;
+    this.#events.push({ at, order: this.#lastId, run });
+    this.#events.sort(compareEvents);
   }
 
   #read(operator: string, sentAt: number, endedAt: number): ReadRecord {
     const { version, text, zones } = this.#model;
     const document = text === undefined ? undefined : { version, text };
-    this.#count += 1;
+    this.#lastId += 1;
     return {
-      id: this.#count,
+      id: this.#lastId,
       operator,
       node: 'model',
       sentAt,
@@ -144,21 +148,26 @@
     };
   }
 
-  #next(operator: Operator): void {
+  #startNextStep(operator: Operator): void {
     const plan = operator.plans.shift();
-    if (plan) this.#at(this.#now + plan.thinkMs, () => this.#begin(operator, plan));
+    if (plan) this.#schedule(this.#now + plan.thinkMs, () => this.#startStep(operator, plan));
   }
 
-  #begin(operator: Operator, plan: StepPlan): void {
+  #startStep(operator: Operator, plan: StepPlan): void {
     const order = this.#orderOf(operator, plan);
     if (!order) {
-      this.#beginRead(operator, plan);
+      this.#startRead(operator, plan);
       return;
     }
-    this.#count += 1;
-    const record: MutableRecord = { id: this.#count, operator: operator.name, order, attempts: [] };
+    this.#lastId += 1;
+    const record: MutableRecord = {
+      id: this.#lastId,
+      operator: operator.name,
+      order,
+      attempts: [],
+    };
     this.#records.push(record);
-    this.#attempt(operator, plan, record, 0);
+    this.#sendAttempt(operator, plan, record, 0);
   }
 
   #orderOf(operator: Operator, plan: StepPlan): Order | undefined {
@@ -166,59 +175,62 @@
     if (kind === 'read') return undefined;
     if (kind === 'evacuate' || kind === 'restore') return { kind, zone };
     if (plan.isRepeat && operator.last) return operator.last;
-    this.#count += 1;
+    this.#lastId += 1;
     const base = operator.knownVersion;
     const version = base + plan.versionStep;
-    operator.last = { kind, base, version, text: `text ${this.#count}`, isInvalid };
+    operator.last = { kind, base, version, text: `text ${this.#lastId}`, isInvalid };
     return operator.last;
   }
 
-  #beginRead(operator: Operator, plan: StepPlan): void {
+  #startRead(operator: Operator, plan: StepPlan): void {
     const [attempt] = plan.attempts;
     const sentAt = this.#now;
-    this.#at(sentAt + (attempt?.lagMs ?? 0), () => this.#takeRead(operator, sentAt, attempt));
+    this.#schedule(sentAt + (attempt?.deliveryDelayMs ?? 0), () =>
+      this.#performRead(operator, sentAt, attempt),
+    );
   }
 
-  #takeRead(operator: Operator, sentAt: number, attempt: AttemptPlan | undefined): void {
-    const endedAt = this.#now + (attempt?.answerMs ?? 0);
+  #performRead(operator: Operator, sentAt: number, attempt: AttemptPlan | undefined): void {
+    const endedAt = this.#now + (attempt?.replyDelayMs ?? 0);
     const read = this.#read(operator.name, sentAt, endedAt);
-    this.#at(endedAt, () => this.#endRead(operator, read));
+    this.#schedule(endedAt, () => this.#completeRead(operator, read));
   }
 
-  #endRead(operator: Operator, read: ReadRecord): void {
+  #completeRead(operator: Operator, read: ReadRecord): void {
     this.#reads.push(read);
     operator.knownVersion = read.document?.version ?? 0;
-    this.#next(operator);
+    this.#startNextStep(operator);
   }
 
-  #attempt(operator: Operator, plan: StepPlan, record: MutableRecord, index: number): void {
+  #sendAttempt(operator: Operator, plan: StepPlan, record: MutableRecord, index: number): void {
     const attempt = plan.attempts[index];
     if (!attempt) {
-      this.#next(operator);
+      this.#startNextStep(operator);
       return;
     }
     const sentAt = this.#now;
-    const carriedOutAt = sentAt + attempt.lagMs;
-    const answeredAt = carriedOutAt + attempt.answerMs;
-    const isInTime = answeredAt <= sentAt + MODEL_SILENCE_MS;
-    if (!attempt.isLost) this.#at(carriedOutAt, () => this.#carryOut(record, carriedOutAt));
-    if (attempt.isLost || attempt.isAnswerLost || !isInTime) {
-      this.#at(sentAt + MODEL_SILENCE_MS, () =>
-        this.#giveUp(operator, plan, record, index, sentAt),
+    const carriedOutAt = sentAt + attempt.deliveryDelayMs;
+    const answeredAt = carriedOutAt + attempt.replyDelayMs;
+    const isInTime = answeredAt <= sentAt + MODEL_TIMEOUT_MS;
+    if (!attempt.isLost)
+      this.#schedule(carriedOutAt, () => this.#applyAttempt(record, carriedOutAt));
+    if (attempt.isLost || attempt.isReplyLost || !isInTime) {
+      this.#schedule(sentAt + MODEL_TIMEOUT_MS, () =>
+        this.#timeOutAttempt(operator, plan, record, index, sentAt),
       );
       return;
     }
-    // Carried out before it is answered: events of one moment run in the order in which they were made.
-    this.#at(answeredAt, () => this.#answer(operator, record, sentAt, carriedOutAt));
+    // Applied before it is answered: events with equal times run in the order in which they were scheduled.
+    this.#schedule(answeredAt, () => this.#completeAttempt(operator, record, sentAt, carriedOutAt));
   }
 
   readonly #outcomes = new Map<string, AttemptOutcome>();
 
-  #carryOut(record: MutableRecord, at: number): void {
-    this.#outcomes.set(`${record.id} ${at}`, this.#model.take(record));
+  #applyAttempt(record: MutableRecord, at: number): void {
+    this.#outcomes.set(`${record.id} ${at}`, this.#model.apply(record));
   }
 
-  #giveUp(
+  #timeOutAttempt(
     operator: Operator,
     plan: StepPlan,
     record: MutableRecord,
@@ -226,18 +238,23 @@
     sentAt: number,
   ): void {
     record.attempts.push({ node: 'model', sentAt, endedAt: undefined, outcome: 'unclear' });
-    this.#attempt(operator, plan, record, index + 1);
+    this.#sendAttempt(operator, plan, record, index + 1);
   }
 
-  #answer(operator: Operator, record: MutableRecord, sentAt: number, carriedOutAt: number): void {
+  #completeAttempt(
+    operator: Operator,
+    record: MutableRecord,
+    sentAt: number,
+    carriedOutAt: number,
+  ): void {
     const outcome = this.#outcomes.get(`${record.id} ${carriedOutAt}`) ?? 'unclear';
     record.attempts.push({ node: 'model', sentAt, endedAt: this.#now, outcome });
     const { order } = record;
-    if (outcome === 'accepted') this.#model.settle(record);
+    if (outcome === 'accepted') this.#model.markAcknowledged(record);
     if (outcome === 'accepted' && (order.kind === 'put' || order.kind === 'patch')) {
       operator.knownVersion = order.version;
     }
-    this.#next(operator);
+    this.#startNextStep(operator);
   }
 }
 
@@ -245,20 +262,21 @@
   return { name: `operator ${number}`, plans: [], knownVersion: 0, last: undefined };
 }
 
-function byMoment(left: Event, right: Event): number {
+function compareEvents(left: Event, right: Event): number {
   return left.at - right.at || left.order - right.order;
 }
 
-export function playModel(plans: readonly StepPlan[]): History {
+/** Runs plans against the sequential model and returns the history, which is legal and ends with a read. */
+export function runModel(plans: readonly StepPlan[]): History {
   return new ModelRun().play(plans);
 }
 
-/** The records of a history with one more order. */
+/** Returns a history with one additional order. */
 export function withOrder(history: History, record: OrderRecord): History {
   return { ...history, orders: [...history.orders, record] };
 }
 
-/** The records of a history with one more read. */
+/** Returns a history with one additional read. */
 export function withRead(history: History, read: ReadRecord): History {
   return { ...history, reads: [...history.reads, read] };
 }
--- a/src/simulation/history/orders.ts
+++ b/src/simulation/history/orders.ts
@@ -1,40 +1,43 @@
 import type { Attempt, History, OrderRecord, PatchOrder, PutOrder, ReadRecord } from './history.js';
 
 /**
- * The records of a history as the checker judges them: copies of one order brought together, and for each order the
- * span in which it may take effect.
+ * Prepares the records of a history for the checker: groups the copies of each order and determines the time span in
+ * which each order may take effect.
  */
 
-/** How a change alters the text of the document that it builds on; nothing where it cannot be applied to it. */
+/** Applies a change to the text of its base document; returns undefined if it can't be applied to it. */
 export type Amend = (document: string, change: string) => string | undefined;
 
+/** Options of the history checker; all of them have defaults. */
 export interface HistoryOptions {
-  /** How long after its last attempt ended an order without a clear answer may still take effect. */
+  /** How long after the end of its last attempt an order without a definite answer may still take effect. */
   readonly lateMs?: number;
-  /** When the operator gives up an attempt that is not answered. */
-  readonly silenceMs?: number;
-  /** Without it the text of a changed document is not judged, only that all reads of it agree. */
+  /** How long the operator waits for the answer to an attempt. */
+  readonly attemptTimeoutMs?: number;
+  /** If it is missing, the text of a patched document isn't checked, only that all reads of it agree. */
   readonly amend?: Amend;
 }
 
+/** Options of the checker with all defaults filled in. */
 export interface CheckSettings {
   readonly lateMs: number;
-  readonly silenceMs: number;
+  readonly attemptTimeoutMs: number;
   readonly amend: Amend | undefined;
 }
 
-const LATE_MS = 4000;
-const SILENCE_MS = 1000;
+const DEFAULT_LATE_MS = 4000;
+const DEFAULT_ATTEMPT_TIMEOUT_MS = 1000;
 
+/** Returns the options with their defaults filled in. */
 export function settingsOf(options: HistoryOptions): CheckSettings {
   return {
-    lateMs: options.lateMs ?? LATE_MS,
-    silenceMs: options.silenceMs ?? SILENCE_MS,
+    lateMs: options.lateMs ?? DEFAULT_LATE_MS,
+    attemptTimeoutMs: options.attemptTimeoutMs ?? DEFAULT_ATTEMPT_TIMEOUT_MS,
     amend: options.amend,
   };
 }
 
-/** An attempt that was refused; the moment of the refusal lies inside it. */
+/** An attempt that was refused; the decision to refuse was made between its start and its end. */
 export interface Refusal {
   readonly record: number;
   readonly sentAt: number;
@@ -44,45 +47,47 @@
 /** One attempt as a copy that may take effect once. */
 export interface OrderCopy {
   readonly sentAt: number;
-  /** It has taken effect by then, or never does. */
+  /** The latest time at which the copy may take effect. */
   readonly effectBy: number;
 }
 
-/** One order with all that is known of its attempts. */
+/** An order with everything that the history shows about its attempts. */
 export interface KnownOrder {
-  /** The ids of its records: the same order may stand in several. */
+  /** The ids of its records; several records may contain the same order. */
   readonly records: readonly number[];
-  /** One for each attempt, the first sent first. */
+  /** One for each attempt, in the order of sending. */
   readonly copies: readonly OrderCopy[];
   readonly firstSentAt: number;
-  /** When the operator first knew that it was accepted. */
+  /** When the operator first got an acceptance; undefined if never. */
   readonly acceptedAt: number | undefined;
   readonly refusals: readonly Refusal[];
-  /** It has taken effect by then, or never does; but for copies that were taken late. */
+  /** The latest time at which the order may take effect, except for copies that a node started late. */
   readonly effectBy: number;
 }
 
-/** An order for the register, known by its kind, its base and its text. */
+/** An order for the register, identified by its kind, base and text. */
 export interface KnownChange extends KnownOrder {
   readonly kind: 'put' | 'patch';
   readonly base: number;
   readonly version: number;
   readonly text: string;
-  /** Not above its base, or wrong by itself: to be refused at any time. */
+  /** Whether the order must always be refused: its version isn't above its base, or it is invalid by itself. */
   readonly isInvalid: boolean;
 }
 
-/** An evacuation or the end of one. Each record is an order of its own: the same words may be meant anew. */
+/** An evacuation or a restore. Each record is a separate order: an operator may send the same text as a new order. */
 export interface KnownZoneOrder extends KnownOrder {
   readonly kind: 'evacuate' | 'restore';
 }
 
+/** The orders and reads of one zone. */
 export interface ZoneView {
   readonly zone: string;
   readonly orders: readonly KnownZoneOrder[];
   readonly reads: readonly ZoneRead[];
 }
 
+/** A read as an observation of one zone. */
 export interface ZoneRead {
   readonly record: number;
   readonly sentAt: number;
@@ -90,28 +95,35 @@
   readonly isEvacuated: boolean;
 }
 
+/** A history, separated into the changes of the register and the zones. */
 export interface HistoryView {
   readonly changes: readonly KnownChange[];
   readonly zones: readonly ZoneView[];
 }
 
-function bySending(left: OrderCopy, right: OrderCopy): number {
+function compareSendTimes(left: OrderCopy, right: OrderCopy): number {
   return left.sentAt - right.sentAt;
 }
 
-/** What an operator knows bounds all copies but those that a node took for a waiting caller's, which it could not know. */
+/**
+ * The operator's knowledge limits when a copy may take effect, except for a copy that a node started late because it
+ * could not know that the caller had disconnected.
+ */
 function copyOf(attempt: Attempt, effectBy: number, settings: CheckSettings): OrderCopy {
   const { sentAt, takenLateAt } = attempt;
-  const lateBy = takenLateAt === undefined ? -Infinity : takenLateAt + settings.lateMs;
-  return { sentAt, effectBy: Math.max(effectBy, lateBy) };
+  const lateEffectBy = takenLateAt === undefined ? -Infinity : takenLateAt + settings.lateMs;
+  return { sentAt, effectBy: Math.max(effectBy, lateEffectBy) };
 }
 
-/** Nothing where no definite answer reached the operator. */
-function definiteEnd(attempt: Attempt, outcome: 'accepted' | 'refused'): number | undefined {
+/** When the attempt ended with this outcome; undefined if it had another outcome or no answer. */
+function definiteEndTime(attempt: Attempt, outcome: 'accepted' | 'refused'): number | undefined {
   return attempt.outcome === outcome ? attempt.endedAt : undefined;
 }
 
-function knownOf(records: readonly OrderRecord[], settings: CheckSettings): KnownOrder | undefined {
+function knownOrderOf(
+  records: readonly OrderRecord[],
+  settings: CheckSettings,
+): KnownOrder | undefined {
   const sent: Attempt[] = [];
   const refusals: Refusal[] = [];
   let acceptedAt = Infinity;
@@ -119,9 +131,9 @@
   for (const { id, attempts } of records) {
     for (const attempt of attempts) {
       sent.push(attempt);
-      acceptedAt = Math.min(acceptedAt, definiteEnd(attempt, 'accepted') ?? Infinity);
-      lastEnd = Math.max(lastEnd, attempt.endedAt ?? attempt.sentAt + settings.silenceMs);
-      const refusedAt = definiteEnd(attempt, 'refused');
+      acceptedAt = Math.min(acceptedAt, definiteEndTime(attempt, 'accepted') ?? Infinity);
+      lastEnd = Math.max(lastEnd, attempt.endedAt ?? attempt.sentAt + settings.attemptTimeoutMs);
+      const refusedAt = definiteEndTime(attempt, 'refused');
       if (refusedAt !== undefined)
         refusals.push({ record: id, sentAt: attempt.sentAt, endedAt: refusedAt });
     }
@@ -129,7 +141,7 @@
   const effectBy = Math.min(acceptedAt, lastEnd + settings.lateMs);
   const copies: OrderCopy[] = [];
   for (const attempt of sent) copies.push(copyOf(attempt, effectBy, settings));
-  copies.sort(bySending);
+  copies.sort(compareSendTimes);
   const [first] = copies;
   if (!first) return undefined;
   return {
@@ -163,7 +175,7 @@
   }
   const changes: KnownChange[] = [];
   for (const { order, records } of byIdentity.values()) {
-    const known = knownOf(records, settings);
+    const known = knownOrderOf(records, settings);
     if (!known) continue;
     const { kind, base, version, text } = order;
     const isInvalid = order.isInvalid || version <= base;
@@ -182,12 +194,12 @@
 }
 
 function zoneReads(zone: string, reads: readonly ReadRecord[]): ZoneRead[] {
-  const seen: ZoneRead[] = [];
+  const zoneReads: ZoneRead[] = [];
   for (const { id, sentAt, endedAt, evacuated } of reads) {
     if (evacuated)
-      seen.push({ record: id, sentAt, endedAt, isEvacuated: evacuated.includes(zone) });
+      zoneReads.push({ record: id, sentAt, endedAt, isEvacuated: evacuated.includes(zone) });
   }
-  return seen;
+  return zoneReads;
 }
 
 function zoneView(zone: string, history: History, settings: CheckSettings): ZoneView {
@@ -195,12 +207,13 @@
   for (const record of history.orders) {
     const { order } = record;
     if ((order.kind !== 'evacuate' && order.kind !== 'restore') || order.zone !== zone) continue;
-    const known = knownOf([record], settings);
+    const known = knownOrderOf([record], settings);
     if (known) orders.push({ ...known, kind: order.kind });
   }
   return { zone, orders, reads: zoneReads(zone, history.reads) };
 }
 
+/** Groups the records of a history by order, and separates the register from the zones. */
 export function viewOf(history: History, settings: CheckSettings): HistoryView {
   const zones: ZoneView[] = [];
   for (const zone of zoneNames(history)) zones.push(zoneView(zone, history, settings));
@@ -208,8 +221,8 @@
 }
 
 /**
- * Whether the order may ever be in force. One that was refused and never accepted may not, not even by an earlier copy:
- * its operator was told for certain that it is not.
+ * Whether the order may ever take effect. An order that was refused and never accepted may not, not even through an
+ * earlier copy: a refusal assures the operator that the order isn't in force.
  */
 export function mayTakeEffect(order: KnownOrder): boolean {
   return order.acceptedAt !== undefined || order.refusals.length === 0;
--- a/src/simulation/history/possible-texts.ts
+++ b/src/simulation/history/possible-texts.ts
@@ -1,35 +1,36 @@
 import type { Amend, KnownChange } from './orders.js';
 
 /**
- * Which texts the document of a version may have, whoever made it: also orders that must not be in force count, so
- * that a document in force can be traced to the order that made it.
+ * The texts that the document of each version may have. Orders that must never be in force count as well, so that a
+ * document in force can be traced to the order that produced it.
  */
 
-/** Beyond so many texts of one version any text passes. */
+/** If a version has more possible texts than this, any text counts as possible. */
 const MAX_TEXTS = 64;
 
-function byVersion(left: KnownChange, right: KnownChange): number {
+function compareVersions(left: KnownChange, right: KnownChange): number {
   return left.version - right.version;
 }
 
+/** Determines for each version which texts the orders of a history may have produced. */
 export class PossibleTexts {
   readonly #amend: Amend | undefined;
-  /** Nothing for a version whose text is not known. */
+  /** Undefined for a version whose texts are unknown. */
   readonly #texts = new Map<number, Set<string> | undefined>([[0, new Set([''])]]);
 
   constructor(changes: readonly KnownChange[], amend: Amend | undefined) {
     this.#amend = amend;
-    for (const change of [...changes].sort(byVersion)) {
+    for (const change of [...changes].sort(compareVersions)) {
       if (change.version > change.base) this.#add(change);
     }
   }
 
-  /** Whether this change may have made a document with that text. */
-  mayMake(change: KnownChange, text: string): boolean {
-    return this.#madeBy(change)?.has(text) ?? true;
+  /** Whether this change may have produced a document with that text. */
+  mayProduce(change: KnownChange, text: string): boolean {
+    return this.#producedBy(change)?.has(text) ?? true;
   }
 
-  /** Whether the base of this change may have a text that it cannot be applied to. */
+  /** Whether the base of this change may have a text to which the change can't be applied. */
   mayFail(change: KnownChange): boolean {
     if (change.kind === 'put' || !this.#amend) return false;
     const bases = this.#texts.get(change.base);
@@ -39,7 +40,7 @@
   }
 
   #add(change: KnownChange): void {
-    const made = this.#madeBy(change);
+    const made = this.#producedBy(change);
     const texts = this.#texts.has(change.version)
       ? this.#texts.get(change.version)
       : new Set<string>();
@@ -51,7 +52,7 @@
     this.#texts.set(change.version, texts);
   }
 
-  #madeBy(change: KnownChange): Set<string> | undefined {
+  #producedBy(change: KnownChange): Set<string> | undefined {
     if (change.kind === 'put') return new Set([change.text]);
     if (!this.#amend) return undefined;
     if (!this.#texts.has(change.base)) return new Set();
--- a/src/simulation/history/reference-search.ts
+++ b/src/simulation/history/reference-search.ts
@@ -2,12 +2,12 @@
 import { mayTakeEffect, type Amend, type KnownChange, type ZoneView } from './orders.js';
 
 /**
- * A plain search that tries every ordering of the steps of a run: the reference that tests hold the fast searches
- * against, for small runs only. It goes through the moments at which spans begin and end; at each of them any open
- * step may be taken, in any order, before the spans that end there are closed.
+ * An exhaustive search that tries every ordering of the steps of a run: the reference with which tests compare the fast
+ * searches, for small runs only. It visits the times at which spans start and end in ascending order; at each of them
+ * any step with an open span may be taken, in any order, before the spans that end there are closed.
  */
 
-/** A step that a run takes at some moment of its span, if the state at that moment lets it. */
+/** A step that a run takes at some time within its span, if the state at that time allows it. */
 interface Step<State> {
   readonly from: number;
   readonly to: number;
@@ -15,7 +15,7 @@
   readonly after: (state: State) => State | undefined;
 }
 
-class PlainSearch<State> {
+class ExhaustiveSearch<State> {
   readonly #steps: readonly Step<State>[];
   readonly #keyOf: (state: State) => string;
   readonly #moments: readonly number[];
@@ -54,7 +54,7 @@
 interface RegisterState {
   readonly version: number;
   readonly text: string;
-  readonly taken: readonly KnownChange[];
+  readonly applied: readonly KnownChange[];
 }
 
 function textAfter(amend: Amend, change: KnownChange, state: RegisterState): string | undefined {
@@ -66,10 +66,10 @@
   change: KnownChange,
   state: RegisterState,
 ): RegisterState | undefined {
-  if (state.version !== change.base || state.taken.includes(change)) return undefined;
+  if (state.version !== change.base || state.applied.includes(change)) return undefined;
   const text = textAfter(amend, change, state);
   if (text === undefined) return undefined;
-  return { version: change.version, text, taken: [...state.taken, change] };
+  return { version: change.version, text, applied: [...state.applied, change] };
 }
 
 function afterRefusal(
@@ -77,7 +77,7 @@
   change: KnownChange,
   state: RegisterState,
 ): RegisterState | undefined {
-  if (state.taken.includes(change)) return undefined;
+  if (state.applied.includes(change)) return undefined;
   const isLegal = state.version !== change.base || textAfter(amend, change, state) === undefined;
   return isLegal ? state : undefined;
 }
@@ -88,14 +88,14 @@
   return isSame ? state : undefined;
 }
 
-function registerKey({ version, text, taken }: RegisterState): string {
+function registerKey({ version, text, applied: taken }: RegisterState): string {
   const records: number[] = [];
   for (const change of taken) records.push(...change.records);
   return `${version} ${text} ${records.sort(ascending).join()}`;
 }
 
-/** Whether some ordering explains a run of the register. */
-export function isRegisterLegalByTrying(
+/** Whether some ordering explains a run of the register. Takes exponential time. */
+export function isRegisterLegalExhaustive(
   changes: readonly KnownChange[],
   reads: readonly ReadRecord[],
   amend: Amend,
@@ -127,28 +127,28 @@
       after: (state) => afterRead(read, state),
     });
   }
-  return new PlainSearch(steps, registerKey).isLegal({ version: 0, text: '', taken: [] });
+  return new ExhaustiveSearch(steps, registerKey).isLegal({ version: 0, text: '', applied: [] });
 }
 
-function afterCopy(wants: boolean): boolean {
-  return wants;
+function afterCopy(flag: boolean): boolean {
+  return flag;
 }
 
 function afterFlagRead(isEvacuated: boolean, flag: boolean): boolean | undefined {
   return isEvacuated === flag ? flag : undefined;
 }
 
-/** Whether some ordering explains a run of one zone. */
-export function isZoneLegalByTrying({ orders, reads }: ZoneView): boolean {
+/** Whether some ordering explains a run of one zone. Takes exponential time. */
+export function isZoneLegalExhaustive({ orders, reads }: ZoneView): boolean {
   const steps: Step<boolean>[] = [];
   for (const { kind, copies, firstSentAt, acceptedAt } of orders) {
-    const wants = kind === 'evacuate';
+    const target = kind === 'evacuate';
     for (const { sentAt: from, effectBy: to } of copies) {
-      const after = () => afterCopy(wants);
+      const after = () => afterCopy(target);
       if (from <= to) steps.push({ from, to, isRequired: false, after });
     }
     if (acceptedAt === undefined) continue;
-    const after = (flag: boolean) => afterFlagRead(wants, flag);
+    const after = (flag: boolean) => afterFlagRead(target, flag);
     steps.push({ from: firstSentAt, to: acceptedAt, isRequired: true, after });
   }
   for (const { sentAt, endedAt, isEvacuated } of reads) {
@@ -159,5 +159,5 @@
       after: (flag) => afterFlagRead(isEvacuated, flag),
     });
   }
-  return new PlainSearch(steps, String).isLegal(false);
+  return new ExhaustiveSearch(steps, String).isLegal(false);
 }
--- a/src/simulation/history/register-rules.ts
+++ b/src/simulation/history/register-rules.ts
@@ -5,9 +5,9 @@
 import { REGISTER_PART, type Violation } from './violation.js';
 
 /**
- * Rules of the register that a few records break by themselves. Each of these findings proves that the run is not
- * linearizable; they are there to name the fault and to point at its records. Whether a run is legal is for the
- * search to say.
+ * Rules of the register whose violation a few records prove by themselves. Each violation proves that the run isn't
+ * linearizable, names the fault and identifies its records. No violation doesn't prove that the run is legal: the
+ * search decides that.
  */
 
 interface KnownVersion {
@@ -17,15 +17,15 @@
 
 const NO_CONFIGURATION = 0;
 
-function byMoment(left: KnownVersion, right: KnownVersion): number {
+function compareTimes(left: KnownVersion, right: KnownVersion): number {
   return left.at - right.at;
 }
 
-function byBase(left: KnownChange, right: KnownChange): number {
+function compareBases(left: KnownChange, right: KnownChange): number {
   return left.base - right.base;
 }
 
-function bySending(left: ReadRecord, right: ReadRecord): number {
+function compareSendTimes(left: ReadRecord, right: ReadRecord): number {
   return left.sentAt - right.sentAt;
 }
 
@@ -37,9 +37,9 @@
   readonly #changes: readonly KnownChange[];
   readonly #reads: readonly ReadRecord[];
   readonly #texts: PossibleTexts;
-  /** When the operators first knew of each version that it was or had been in force. */
+  /** When operators first knew that each version was or had been in force. */
   readonly #knownAt = new Map<number, number>([[NO_CONFIGURATION, -Infinity]]);
-  readonly #found: Violation[] = [];
+  readonly #violations: Violation[] = [];
   readonly #reported = new Set<Refusal>();
 
   constructor(
@@ -48,50 +48,51 @@
     amend: Amend | undefined,
   ) {
     this.#texts = new PossibleTexts(changes, amend);
-    this.#changes = [...changes].sort(byBase);
-    this.#reads = [...reads].sort(bySending);
+    this.#changes = [...changes].sort(compareBases);
+    this.#reads = [...reads].sort(compareSendTimes);
     for (const { version, acceptedAt } of changes) {
-      if (acceptedAt !== undefined) this.#know(version, acceptedAt);
+      if (acceptedAt !== undefined) this.#noteKnown(version, acceptedAt);
     }
-    for (const read of reads) this.#know(readVersion(read), read.endedAt);
+    for (const read of reads) this.#noteKnown(readVersion(read), read.endedAt);
   }
 
-  judge(): Violation[] {
-    this.#judgeAcceptances();
+  check(): Violation[] {
+    this.#checkAcceptances();
     for (const change of this.#changes) {
-      if (!change.isInvalid) this.#judgeRefusals(change);
+      if (!change.isInvalid) this.#checkRefusals(change);
     }
-    for (const read of this.#reads) this.#judgeDocument(read);
-    this.#judgeAgreement();
-    this.#judgeAge();
-    return this.#found;
+    for (const read of this.#reads) this.#checkDocument(read);
+    this.#checkReadAgreement();
+    this.#checkStaleness();
+    return this.#violations;
   }
 
-  #know(version: number, at: number): void {
+  #noteKnown(version: number, at: number): void {
     this.#knownAt.set(version, Math.min(this.#knownAt.get(version) ?? Infinity, at));
   }
 
-  #judgeAcceptances(): void {
+  #checkAcceptances(): void {
     const accepted = new Map<number, KnownChange>();
     for (const change of this.#changes) {
       if (change.acceptedAt === undefined) continue;
       if (change.isInvalid) {
-        this.#found.push({ rule: 'invalid-accepted', order: firstRecord(change) });
+        this.#violations.push({ rule: 'invalid-accepted', order: firstRecord(change) });
         continue;
       }
       const other = accepted.get(change.base);
       accepted.set(change.base, change);
       if (!other) continue;
       const orders = [firstRecord(other), firstRecord(change)];
-      this.#found.push({ rule: 'two-accepted-on-one-base', base: change.base, orders });
+      this.#violations.push({ rule: 'two-accepted-on-one-base', base: change.base, orders });
     }
   }
 
-  #judgeRefusals(change: KnownChange): void {
+  #checkRefusals(change: KnownChange): void {
     for (const refusal of change.refusals) {
       const baseKnownAt = this.#knownAt.get(change.base) ?? Infinity;
       if (change.acceptedAt !== undefined) {
-        // Before its own base is in force an order may be refused; afterwards only if another one won.
+        // An order may be refused before its base is in force; afterwards only if another order on that base took
+        // effect.
         const isLegal = refusal.sentAt <= Math.min(baseKnownAt, change.acceptedAt);
         if (!isLegal) this.#reportRefusal(change, refusal, hasEarlierCopy(change, refusal));
       } else if (baseKnownAt < refusal.sentAt && !this.#mayHaveLost(change, refusal)) {
@@ -106,19 +107,29 @@
     this.#reported.add(refusal);
     const { record: order, endedAt: refusedAt } = refusal;
     const { base } = change;
-    if (isAfterAcceptance) this.#found.push({ rule: 'refused-after-accepted', order, refusedAt });
-    else this.#found.push({ rule: 'refused-for-a-winner-that-never-was', order, base, refusedAt });
+    if (isAfterAcceptance)
+      this.#violations.push({ rule: 'refused-after-accepted', order, refusedAt });
+    else
+      this.#violations.push({
+        rule: 'refused-for-a-winner-that-never-was',
+        order,
+        base,
+        refusedAt,
+      });
   }
 
   #mayHaveBeenRead(change: KnownChange): boolean {
     for (const { document } of this.#reads) {
       if (document?.version !== change.version) continue;
-      if (this.#texts.mayMake(change, document.text)) return true;
+      if (this.#texts.mayProduce(change, document.text)) return true;
     }
     return false;
   }
 
-  /** Whether the change may be wrong for its base, or another may have replaced that before the refusal. */
+  /**
+   * Whether the change may be inapplicable to its base, or another change may have replaced the base before the
+   * refusal.
+   */
   #mayHaveLost(change: KnownChange, refusal: Refusal): boolean {
     if (this.#texts.mayFail(change)) return true;
     for (const read of this.#reads) {
@@ -133,24 +144,24 @@
     return hasRival;
   }
 
-  #judgeDocument(read: ReadRecord): void {
+  #checkDocument(read: ReadRecord): void {
     const { document } = read;
     if (!document) return;
     const makers: KnownChange[] = [];
     for (const change of this.#changes) {
-      if (change.version === document.version && this.#texts.mayMake(change, document.text)) {
+      if (change.version === document.version && this.#texts.mayProduce(change, document.text)) {
         makers.push(change);
       }
     }
     const [maker] = makers;
     if (!maker) {
-      this.#found.push({ rule: 'read-not-as-sent', read: read.id, version: document.version });
+      this.#violations.push({ rule: 'read-not-as-sent', read: read.id, version: document.version });
       return;
     }
     const possible = makers.filter(isPossible);
-    if (possible.length === 0) this.#reportMaker(read, makers.find(isValid) ?? maker);
+    if (possible.length === 0) this.#reportIllegalOrigin(read, makers.find(isValid) ?? maker);
     else if (possible.every((change) => this.#hasLost(change))) {
-      this.#found.push({
+      this.#violations.push({
         rule: 'losing-in-force',
         read: read.id,
         order: firstRecord(possible[0] ?? maker),
@@ -158,10 +169,10 @@
     }
   }
 
-  /** What was read is in force by a change that never may be. */
-  #reportMaker(read: ReadRecord, maker: KnownChange): void {
+  /** Reports that a document was read that only changes that must never be in force can have produced. */
+  #reportIllegalOrigin(read: ReadRecord, maker: KnownChange): void {
     if (maker.isInvalid) {
-      this.#found.push({ rule: 'invalid-in-force', read: read.id, order: firstRecord(maker) });
+      this.#violations.push({ rule: 'invalid-in-force', read: read.id, order: firstRecord(maker) });
       return;
     }
     for (const refusal of maker.refusals) {
@@ -169,7 +180,7 @@
       this.#reportRefusal(maker, refusal, true);
       return;
     }
-    this.#found.push({ rule: 'losing-in-force', read: read.id, order: firstRecord(maker) });
+    this.#violations.push({ rule: 'losing-in-force', read: read.id, order: firstRecord(maker) });
   }
 
   #hasLost(change: KnownChange): boolean {
@@ -180,28 +191,28 @@
     return false;
   }
 
-  /** Reads of one version bring one text. */
-  #judgeAgreement(): void {
+  /** All reads of a version must return the same text. */
+  #checkReadAgreement(): void {
     const texts = new Map<number, string | undefined>();
     for (const read of this.#reads) {
       const version = readVersion(read);
       const text = read.document?.text;
       if (texts.has(version) && texts.get(version) !== text) {
-        this.#found.push({ rule: 'read-not-as-sent', read: read.id, version });
+        this.#violations.push({ rule: 'read-not-as-sent', read: read.id, version });
       }
       texts.set(version, text);
     }
   }
 
-  /** No read is older than what was known when it began. */
-  #judgeAge(): void {
+  /** No read may return an older version than was known when the read started. */
+  #checkStaleness(): void {
     const known: KnownVersion[] = [];
     for (const [version, at] of this.#knownAt) known.push({ version, at });
-    known.sort(byMoment);
+    known.sort(compareTimes);
     const last = this.#reads.at(-1);
     const lost = last === undefined ? [] : this.#lostBefore(last);
     if (lost.length > 0)
-      this.#found.push({ rule: 'lost-accepted', orders: lost, part: REGISTER_PART });
+      this.#violations.push({ rule: 'lost-accepted', orders: lost, part: REGISTER_PART });
     let next = 0;
     let newest = NO_CONFIGURATION;
     for (const read of this.#reads) {
@@ -210,11 +221,11 @@
         next += 1;
       }
       if (readVersion(read) >= newest || (read === last && lost.length > 0)) continue;
-      this.#found.push({ rule: 'stale-read', read: read.id, part: REGISTER_PART });
+      this.#violations.push({ rule: 'stale-read', read: read.id, part: REGISTER_PART });
     }
   }
 
-  /** Orders that were accepted before the last read and are newer than what it brought. */
+  /** Orders that were accepted before the last read and are newer than the version that it returned. */
   #lostBefore(last: ReadRecord): number[] {
     const lost: number[] = [];
     for (const change of this.#changes) {
@@ -235,16 +246,16 @@
   return change.records[0] ?? -1;
 }
 
-/** Whether a copy of the order was under way before the attempt that was refused. */
+/** Whether a copy of the order was sent before the attempt that was refused. */
 function hasEarlierCopy(change: KnownChange, refusal: Refusal): boolean {
   return change.firstSentAt < refusal.sentAt;
 }
 
-/** All findings; none says nothing about whether the run is legal. */
-export function judgeRegister(
+/** Returns all violations that a few records prove. An empty result doesn't mean that the run is legal. */
+export function checkRegisterRules(
   changes: readonly KnownChange[],
   reads: readonly ReadRecord[],
   amend: Amend | undefined,
 ): Violation[] {
-  return new RegisterRules(changes, reads, amend).judge();
+  return new RegisterRules(changes, reads, amend).check();
 }
--- a/src/simulation/history/register-search.ts
+++ b/src/simulation/history/register-search.ts
@@ -3,48 +3,51 @@
 import { mayTakeEffect, type Amend, type KnownChange, type Refusal } from './orders.js';
 
 /**
- * Decides whether a run of the register of configurations is linearizable, exactly.
+ * Decides exactly whether a run of the register of configurations is linearizable.
  *
- * A general search (Wing and Gong, Lowe) tries orderings of overlapping operations and remembers the states that led
- * nowhere. Here compare-and-set leaves little to try: versions only rise and each order names the version that it
- * replaces, so the orders in force form a chain, and reads and refusals speak of when a link of it stood. The search
- * goes up the versions and remembers for each document the moments at which it may have come into force. What follows
- * depends on nothing else, so that each document is looked at once. The moments form a union of closed intervals:
+ * A general search (Wing and Gong, Lowe) tries orderings of overlapping operations and remembers the states that
+ * failed. Compare-and-set leaves few orderings: versions only increase and each order names the version that it
+ * replaces, so the orders in force form a chain, and reads and refusals constrain when each version of it was in force.
+ * The search visits the versions in ascending order and stores for each document the times at which it may have come
+ * into force. The rest of the search depends on nothing else, so each document is visited once. The times form a union
+ * of closed intervals:
  *
- * - a read of a version bounds its beginning from above and its end from below;
- * - an order takes effect between its first sending and the end of its span;
- * - a refusal from `a` to `b` of an order that builds on version `v` needs a moment in between at which `v` was not in
- *   force: `v` began at `a` or later, or it was replaced by `b`. For the order that itself replaced `v` only the first
- *   will do.
+ * - a read of a version bounds its start from above and its end from below;
+ * - an order takes effect between its first attempt and the end of its span;
+ * - a refusal between `a` and `b` of an order based on version `v` needs a time in that interval at which `v` was not
+ *   in force: `v` came into force at `a` or later, or was replaced at `b` or earlier. For the order that itself
+ *   replaced `v`, only the first case is possible.
  */
 
-/** A change as the search takes it; relaxed ones tell which rule a run breaks. */
+/** A change as an input of the search; relaxed candidates show which rule a run breaks. */
 export interface Candidate extends KnownChange {
   readonly isRequired: boolean;
   readonly isPossible: boolean;
 }
 
+/** The input of the search: the changes and reads of the register. */
 export interface RegisterRun {
   readonly candidates: readonly Candidate[];
   readonly reads: readonly ReadRecord[];
   readonly amend: Amend | undefined;
 }
 
+/** The result of the search. */
 export interface SearchOutcome {
   readonly isLegal: boolean;
-  /** The highest version that could come into force with all before it explained. */
+  /** The highest version that may have come into force with everything before it explained. */
   readonly reached: number;
 }
 
-/** A document that may have been in force, and since when. */
+/** A document that may have been in force, with the times at which it may have come into force. */
 interface Node {
   readonly version: number;
-  /** Nothing before the first configuration, and where a change's effect on the text is not known. */
+  /** Undefined before the first configuration, and if the effect of a change on the text is unknown. */
   readonly text: string | undefined;
   readonly moments: Interval[];
 }
 
-/** What the reads of one version say about when it was in force. */
+/** What the reads of one version show about its text and about when it was in force. */
 interface VersionReads {
   readonly text: string | undefined;
   readonly doAgree: boolean;
@@ -60,11 +63,13 @@
 };
 const FIRST_VERSION = 0;
 
+/** Returns a change as a candidate without relaxations. */
 export function candidateOf(change: KnownChange): Candidate {
   const isRequired = change.acceptedAt !== undefined;
   return { ...change, isRequired, isPossible: !change.isInvalid && mayTakeEffect(change) };
 }
 
+/** Returns the version of the document that was read, or 0 if there was no configuration yet. */
 export function readVersion(read: ReadRecord): number {
   return read.document?.version ?? FIRST_VERSION;
 }
@@ -73,7 +78,7 @@
   return left - right;
 }
 
-/** How many numbers of a sorted list lie below a bound. */
+/** Returns how many numbers of a sorted list are below a bound. */
 function countBelow(sorted: readonly number[], bound: number): number {
   let low = 0;
   let high = sorted.length;
@@ -104,7 +109,7 @@
       if (candidate.isRequired) requiredBases.push(candidate.base);
     }
     this.#requiredBases = requiredBases.sort(ascending);
-    for (const read of run.reads) this.#noteRead(read);
+    for (const read of run.reads) this.#addRead(read);
     this.#readVersions = [...this.#reads.keys()].sort(ascending);
   }
 
@@ -115,19 +120,19 @@
     }
     const first = this.#reads.get(FIRST_VERSION) ?? NO_READS;
     if (first.text === undefined && first.doAgree) {
-      this.#enter(FIRST_VERSION, undefined, [{ from: -Infinity, to: -Infinity }]);
+      this.#addNode(FIRST_VERSION, undefined, [{ from: -Infinity, to: -Infinity }]);
     }
     for (const version of [...versions].sort(ascending)) {
       for (const node of this.#nodes.get(version)?.values() ?? []) {
         this.#reached = version;
         if (this.#mayBeLast(node)) return { isLegal: true, reached: version };
-        this.#leave(node);
+        this.#expand(node);
       }
     }
     return { isLegal: false, reached: this.#reached };
   }
 
-  #noteRead(read: ReadRecord): void {
+  #addRead(read: ReadRecord): void {
     const version = readVersion(read);
     const text = read.document?.text;
     const before = this.#reads.get(version);
@@ -139,7 +144,7 @@
     });
   }
 
-  #enter(version: number, text: string | undefined, moments: Intervals): void {
+  #addNode(version: number, text: string | undefined, moments: Intervals): void {
     const nodes = this.#nodes.get(version) ?? new Map<string | undefined, Node>();
     this.#nodes.set(version, nodes);
     const node = nodes.get(text);
@@ -147,7 +152,7 @@
     else nodes.set(text, { version, text, moments: [...moments] });
   }
 
-  /** Whether all that was seen is explained with this document as the last one. */
+  /** Whether everything observed is explained if this document is the last one. */
   #mayBeLast(node: Node): boolean {
     if (countBelow(this.#requiredBases, node.version) < this.#requiredBases.length) return false;
     if ((this.#readVersions.at(-1) ?? FIRST_VERSION) > node.version) return false;
@@ -157,7 +162,7 @@
     return clip(node.moments, notBefore, Infinity).length > 0;
   }
 
-  #leave(node: Node): void {
+  #expand(node: Node): void {
     for (const winner of this.#byBase.get(node.version) ?? []) {
       if (!winner.isPossible || this.#isAnySkipped(node.version, winner)) continue;
       const text = this.#textOf(node, winner);
@@ -166,7 +171,7 @@
       if (reads.text !== undefined && text.known !== undefined && reads.text !== text.known)
         continue;
       const moments = this.#effectMoments(node, winner, reads);
-      if (moments.length > 0) this.#enter(winner.version, text.known, moments);
+      if (moments.length > 0) this.#addNode(winner.version, text.known, moments);
     }
   }
 
@@ -191,7 +196,7 @@
     return known === undefined ? 'not applicable' : { known };
   }
 
-  /** The refusals of orders on this document that need an explanation; those of `winner` are left out. */
+  /** The refusals of orders on this document that need an explanation, without those of `winner`. */
   #refusalsOn(node: Node, winner: Candidate | undefined): Refusal[] {
     const refusals: Refusal[] = [];
     for (const change of this.#byBase.get(node.version) ?? []) {
@@ -201,7 +206,7 @@
     return refusals;
   }
 
-  /** When `winner` may have replaced the document. */
+  /** Returns the times at which `winner` may have replaced the document. */
   #effectMoments(node: Node, winner: Candidate, reads: VersionReads): Intervals {
     const earliest = Math.max(
       winner.firstSentAt,
@@ -213,7 +218,8 @@
     const refusals = this.#refusalsOn(node, winner);
     const moments: Interval[] = [];
     for (const { from, to } of clip(node.moments, notBefore, Infinity)) {
-      // Later beginnings of the document explain more refusals; between two of their sendings nothing changes.
+      // The later the document starts, the more refusals it explains; only the send times of refusals make a
+      // difference.
       const beginnings = [from];
       for (const { sentAt } of refusals) if (sentAt > from && sentAt <= to) beginnings.push(sentAt);
       for (const beginning of beginnings) {
@@ -228,7 +234,7 @@
   }
 }
 
-/** Whether some sequence of the orders explains every acceptance, refusal and read. */
+/** Searches for a sequence of the orders that explains every acceptance, refusal and read. */
 export function searchRegister(run: RegisterRun): SearchOutcome {
   return new RegisterSearch(run).search();
 }
--- a/src/simulation/history/zone-search.ts
+++ b/src/simulation/history/zone-search.ts
@@ -1,53 +1,58 @@
 import type { KnownZoneOrder, OrderCopy, ZoneRead } from './orders.js';
 
 /**
- * Decides whether a run of one zone is linearizable, exactly: a flag that evacuations set and their ends clear.
+ * Decides exactly whether a run of one zone is linearizable. The zone is a flag that evacuations set and restores
+ * clear.
  *
- * Nothing on the wire tells copies of such an order apart, so that each copy is one that may take effect; all of them
- * do before the operator first knows that the order was accepted, but for those that a node could not know to be late.
+ * Copies of such an order can't be distinguished on the wire, so each copy may take effect. A copy takes effect before
+ * the operator first knows that the order was accepted, unless a node could not know that the copy was late.
  *
- * The search goes through the moments at which spans begin and end, and keeps every state that the zone may be in. Two
- * facts keep these few. A copy that finds the flag as it wants it changes nothing, so a read or an order whose value
- * the flag has at any moment of its span is explained for good, and only changes of the flag are choices. All copies
- * that may make a change are then alike but for the ends of their spans: the one that ends soonest is used up, which
- * leaves the most for later.
+ * The search visits the times at which spans start and end, and keeps every state that the zone may be in. Two facts
+ * keep the states few. A copy that finds the flag at its own value changes nothing, so a read or an order is explained
+ * once the flag has its value at any time of its span, and only changes of the flag are choices. All copies that may
+ * make a change then differ only in the ends of their spans: using the one that ends first leaves the most options for
+ * later.
  */
 
+/** The input of the search: the orders and reads of one zone. */
+
 export interface ZoneRun {
   readonly orders: readonly ZoneCandidate[];
   readonly reads: readonly ZoneRead[];
 }
 
+/** An order as an input of the search; relaxed candidates show which rule a run breaks. */
 export interface ZoneCandidate extends Pick<KnownZoneOrder, 'kind' | 'effectBy'> {
-  /** The first sent first; each may take effect once. */
+  /** In the order of sending; each may take effect once. */
   readonly copies: readonly OrderCopy[];
   readonly isRequired: boolean;
-  /** Set where the order may take effect any number of times: a relaxation that tells which rule a run breaks. */
+  /** Whether the order may take effect any number of times: a relaxation that shows which rule a run breaks. */
   readonly isRepeatable: boolean;
 }
 
+/** Returns an order as a candidate without relaxations. */
 export function zoneCandidateOf(order: KnownZoneOrder): ZoneCandidate {
   const { kind, copies, effectBy, acceptedAt } = order;
   return { kind, copies, effectBy, isRequired: acceptedAt !== undefined, isRepeatable: false };
 }
 
-/** Something that wants the flag at one value at some moment of its span. */
+/** A span in which the flag has, or may be set to, a value at some time. */
 interface Claim {
-  readonly wants: boolean;
+  readonly value: boolean;
   readonly from: number;
   readonly to: number;
   /** Whether the run is illegal if the flag never has that value in the span. */
   readonly isRequired: boolean;
-  /** Whether it may set the flag itself. */
+  /** Whether the claim may set the flag itself. */
   readonly isChange: boolean;
   readonly isRepeatable: boolean;
 }
 
 interface State {
   readonly flag: boolean;
-  /** Open claims that the flag has met. */
-  readonly met: ReadonlySet<number>;
-  /** Open changes that have been made. */
+  /** Open claims whose value the flag has had. */
+  readonly satisfied: ReadonlySet<number>;
+  /** Open claims that have changed the flag. */
   readonly used: ReadonlySet<number>;
 }
 
@@ -57,10 +62,10 @@
   readonly isOpening: boolean;
 }
 
-/** An order is one claim that it took effect, where that is known, and a change for each of its copies. */
+/** Returns the claims of an order: that it took effect, if that is required, and a possible change for each copy. */
 function orderClaims(order: ZoneCandidate): Claim[] {
   const { kind, copies, effectBy, isRequired, isRepeatable } = order;
-  const claim = { wants: kind === 'evacuate', isRepeatable };
+  const claim = { value: kind === 'evacuate', isRepeatable };
   const claims: Claim[] = [];
   const [first] = copies;
   if (isRequired && first) {
@@ -78,13 +83,13 @@
   for (const { isEvacuated, sentAt, endedAt } of run.reads) {
     const span = { from: sentAt, to: endedAt };
     const read = { isRequired: true, isChange: false, isRepeatable: false };
-    claims.push({ wants: isEvacuated, ...span, ...read });
+    claims.push({ value: isEvacuated, ...span, ...read });
   }
   return claims;
 }
 
-/** At one moment spans open before others close: what touches may overlap. */
-function byMoment(left: Edge, right: Edge): number {
+/** At equal times spans open before others close, because spans that touch may overlap. */
+function compareEdges(left: Edge, right: Edge): number {
   return left.at - right.at || Number(right.isOpening) - Number(left.isOpening);
 }
 
@@ -93,7 +98,7 @@
   for (const [claim, { from, to }] of claims.entries()) {
     edges.push({ at: from, claim, isOpening: true }, { at: to, claim, isOpening: false });
   }
-  return edges.sort(byMoment);
+  return edges.sort(compareEdges);
 }
 
 class ZoneSearch {
@@ -103,79 +108,87 @@
 
   constructor(run: ZoneRun) {
     this.#claims = claimsOf(run);
-    this.#keep({ flag: false, met: new Set(), used: new Set() });
+    this.#addState({ flag: false, satisfied: new Set(), used: new Set() });
   }
 
   isLegal(): boolean {
     for (const { claim, isOpening } of edgesOf(this.#claims)) {
-      if (isOpening) this.#begin(claim);
-      else this.#end(claim);
+      if (isOpening) this.#openClaim(claim);
+      else this.#closeClaim(claim);
       if (this.#states.size === 0) return false;
     }
     return true;
   }
 
-  #keep(state: State): boolean {
-    const key = `${state.flag} ${[...state.met].sort().join()} ${[...state.used].sort().join()}`;
+  #addState(state: State): boolean {
+    const key = `${state.flag} ${[...state.satisfied].sort().join()} ${[...state.used].sort().join()}`;
     if (this.#states.has(key)) return false;
     this.#states.set(key, state);
     return true;
   }
 
-  /** A claim opens; from now on the flag may change by it. */
-  #begin(claim: number): void {
+  /** Opens a claim: from now on it may change the flag. */
+  #openClaim(claim: number): void {
     this.#open.add(claim);
     const before = [...this.#states.values()];
     this.#states = new Map();
     const fresh: State[] = [];
     for (const state of before) {
-      const met = this.#met(state.flag, state.met);
-      const next: State = { ...state, met };
-      if (this.#keep(next)) fresh.push(next);
+      const met = this.#satisfiedBy(state.flag, state.satisfied);
+      const next: State = { ...state, satisfied: met };
+      if (this.#addState(next)) fresh.push(next);
     }
     for (let state = fresh.pop(); state; state = fresh.pop()) {
-      const changed = this.#change(state);
-      if (changed && this.#keep(changed)) fresh.push(changed);
+      const changed = this.#changeFlag(state);
+      if (changed && this.#addState(changed)) fresh.push(changed);
     }
   }
 
-  #end(claim: number): void {
+  #closeClaim(claim: number): void {
     this.#open.delete(claim);
     const before = [...this.#states.values()];
     this.#states = new Map();
     const isRequired = this.#claims[claim]?.isRequired ?? false;
-    for (const { flag, met, used } of before) {
+    for (const { flag, satisfied: met, used } of before) {
       if (isRequired && !met.has(claim)) continue;
-      this.#keep({ flag, met: without(met, claim), used: without(used, claim) });
+      this.#addState({ flag, satisfied: without(met, claim), used: without(used, claim) });
     }
   }
 
-  /** With the flag at this value, what wants it so is met. */
-  #met(flag: boolean, before: ReadonlySet<number>): ReadonlySet<number> {
+  /** Adds the open claims that a flag with this value satisfies. */
+  #satisfiedBy(flag: boolean, before: ReadonlySet<number>): ReadonlySet<number> {
     const met = new Set(before);
     for (const open of this.#open) {
       const claim = this.#claims[open];
-      if (claim?.isRequired && claim.wants === flag) met.add(open);
+      if (claim?.isRequired && claim.value === flag) met.add(open);
     }
     return met;
   }
 
-  /** The flag turned by the open change that ends soonest; nothing if no change is left that turns it. */
-  #change(state: State): State | undefined {
+  /** The state after the open change that ends first has changed the flag; undefined if no such change is left. */
+  #changeFlag(state: State): State | undefined {
     let soonest: number | undefined;
     let end = Infinity;
     for (const open of this.#open) {
       const claim = this.#claims[open];
-      if (!claim?.isChange || claim.wants === state.flag || state.used.has(open)) continue;
+      if (!claim?.isChange || claim.value === state.flag || state.used.has(open)) continue;
       if (claim.isRepeatable)
-        return { ...state, flag: claim.wants, met: this.#met(claim.wants, state.met) };
+        return {
+          ...state,
+          flag: claim.value,
+          satisfied: this.#satisfiedBy(claim.value, state.satisfied),
+        };
       if (soonest !== undefined && claim.to >= end) continue;
       soonest = open;
       end = claim.to;
     }
     if (soonest === undefined) return undefined;
     const flag = !state.flag;
-    return { flag, met: this.#met(flag, state.met), used: new Set(state.used).add(soonest) };
+    return {
+      flag,
+      satisfied: this.#satisfiedBy(flag, state.satisfied),
+      used: new Set(state.used).add(soonest),
+    };
   }
 }
 
