--- a/src/simulation/history/model-runs.ts
+++ b/src/simulation/history/model-runs.ts
@@ -75,6 +75,7 @@
   readonly #applied = new Set<string>();
   readonly #acknowledged = new Set<MutableRecord>();
 
+  /** Applies one copy of an order and returns the outcome. */
   apply(record: MutableRecord): AttemptOutcome {
     const { order } = record;
     if (order.kind === 'put' || order.kind === 'patch') return this.#change(order);
@@ -85,6 +86,7 @@
     return 'accepted';
   }
 
+  /** Notes that the operator got an acceptance, after which no copy of the order takes effect. */
   markAcknowledged(record: MutableRecord): void {
     this.#acknowledged.add(record);
   }
@@ -110,7 +112,8 @@
   #now = 0;
   #lastId = 0;
 
-  play(plans: readonly StepPlan[]): History {
+  /** Runs all plans to their end and returns the history. */
+  execute(plans: readonly StepPlan[]): History {
     const operators = new Map<number, Operator>();
     for (const plan of plans) {
       const operator = operators.get(plan.operator) ?? newOperator(plan.operator);
@@ -268,7 +271,7 @@
 
 /** Runs plans against the sequential model and returns the history, which is legal and ends with a read. */
 export function runModel(plans: readonly StepPlan[]): History {
-  return new ModelRun().play(plans);
+  return new ModelRun().execute(plans);
 }
 
 /** Returns a history with one additional order. */
--- a/src/simulation/history/orders.ts
+++ b/src/simulation/history/orders.ts
@@ -194,12 +194,12 @@
 }
 
 function zoneReads(zone: string, reads: readonly ReadRecord[]): ZoneRead[] {
-  const zoneReads: ZoneRead[] = [];
+  const observations: ZoneRead[] = [];
   for (const { id, sentAt, endedAt, evacuated } of reads) {
     if (evacuated)
-      zoneReads.push({ record: id, sentAt, endedAt, isEvacuated: evacuated.includes(zone) });
+      observations.push({ record: id, sentAt, endedAt, isEvacuated: evacuated.includes(zone) });
   }
-  return zoneReads;
+  return observations;
 }
 
 function zoneView(zone: string, history: History, settings: CheckSettings): ZoneView {
--- a/src/simulation/history/reference-search.ts
+++ b/src/simulation/history/reference-search.ts
@@ -29,6 +29,7 @@
     this.#moments = [...moments].sort(ascending);
   }
 
+  /** Whether the remaining steps can be taken from a state, starting at the time with this index. */
   isLegal(state: State, index = 0, done: ReadonlySet<number> = new Set()): boolean {
     const now = this.#moments[index];
     if (now === undefined) return true;
--- a/src/simulation/history/register-rules.ts
+++ b/src/simulation/history/register-rules.ts
@@ -56,6 +56,7 @@
     for (const read of reads) this.#noteKnown(readVersion(read), read.endedAt);
   }
 
+  /** Returns all violations. */
   check(): Violation[] {
     this.#checkAcceptances();
     for (const change of this.#changes) {
@@ -147,40 +148,44 @@
   #checkDocument(read: ReadRecord): void {
     const { document } = read;
     if (!document) return;
-    const makers: KnownChange[] = [];
+    const producers: KnownChange[] = [];
     for (const change of this.#changes) {
       if (change.version === document.version && this.#texts.mayProduce(change, document.text)) {
-        makers.push(change);
+        producers.push(change);
       }
     }
-    const [maker] = makers;
-    if (!maker) {
+    const [producer] = producers;
+    if (!producer) {
       this.#violations.push({ rule: 'read-not-as-sent', read: read.id, version: document.version });
       return;
     }
-    const possible = makers.filter(isPossible);
-    if (possible.length === 0) this.#reportIllegalOrigin(read, makers.find(isValid) ?? maker);
+    const possible = producers.filter(isPossible);
+    if (possible.length === 0) this.#reportIllegalOrigin(read, producers.find(isValid) ?? producer);
     else if (possible.every((change) => this.#hasLost(change))) {
       this.#violations.push({
         rule: 'losing-in-force',
         read: read.id,
-        order: firstRecord(possible[0] ?? maker),
+        order: firstRecord(possible[0] ?? producer),
       });
     }
   }
 
   /** Reports that a document was read that only changes that must never be in force can have produced. */
-  #reportIllegalOrigin(read: ReadRecord, maker: KnownChange): void {
-    if (maker.isInvalid) {
-      this.#violations.push({ rule: 'invalid-in-force', read: read.id, order: firstRecord(maker) });
+  #reportIllegalOrigin(read: ReadRecord, producer: KnownChange): void {
+    if (producer.isInvalid) {
+      this.#violations.push({
+        rule: 'invalid-in-force',
+        read: read.id,
+        order: firstRecord(producer),
+      });
       return;
     }
-    for (const refusal of maker.refusals) {
-      if (!hasEarlierCopy(maker, refusal)) continue;
-      this.#reportRefusal(maker, refusal, true);
+    for (const refusal of producer.refusals) {
+      if (!hasEarlierCopy(producer, refusal)) continue;
+      this.#reportRefusal(producer, refusal, true);
       return;
     }
-    this.#violations.push({ rule: 'losing-in-force', read: read.id, order: firstRecord(maker) });
+    this.#violations.push({ rule: 'losing-in-force', read: read.id, order: firstRecord(producer) });
   }
 
   #hasLost(change: KnownChange): boolean {
--- a/src/simulation/history/register-search.ts
+++ b/src/simulation/history/register-search.ts
@@ -113,6 +113,7 @@
     this.#readVersions = [...this.#reads.keys()].sort(ascending);
   }
 
+  /** Visits the documents in ascending order of versions until one may be the last. */
   search(): SearchOutcome {
     const versions = new Set<number>([FIRST_VERSION]);
     for (const candidates of this.#byBase.values()) {
--- a/src/simulation/history/zone-search.ts
+++ b/src/simulation/history/zone-search.ts
@@ -15,7 +15,6 @@
  */
 
 /** The input of the search: the orders and reads of one zone. */
-
 export interface ZoneRun {
   readonly orders: readonly ZoneCandidate[];
   readonly reads: readonly ZoneRead[];
@@ -111,6 +110,7 @@
     this.#addState({ flag: false, satisfied: new Set(), used: new Set() });
   }
 
+  /** Whether some state explains all claims. */
   isLegal(): boolean {
     for (const { claim, isOpening } of edgesOf(this.#claims)) {
       if (isOpening) this.#openClaim(claim);
