--- a/src/simulation/mutants/agent-mutants.ts
+++ b/src/simulation/mutants/agent-mutants.ts
@@ -3,10 +3,10 @@
 import type { Message } from '../../common/messages.js';
 import { isNewer } from '../../common/version.js';
 
-/** Agents that hold configuration wrongly. */
+/** Mutants of agents that handle configuration updates incorrectly. */
 
-/** Takes any configuration that it is told for a newer one. */
-export class TakesOlder extends AgentCore {
+/** Accepts any received configuration as a newer one. */
+export class AcceptsOlderConfig extends AgentCore {
   override onMessage(now: Moment, from: string, role: string, message: Message): void {
     super.onMessage(now, from, role, this.#asNewer(message));
   }
--- a/src/simulation/mutants/aimed-schedules.ts
+++ b/src/simulation/mutants/aimed-schedules.ts
@@ -2,8 +2,8 @@
 import type { Fault, Target, When } from '../faults.js';
 
 /**
- * Schedules of faults for mutants that show in a narrow window alone: the faults that open the window, with moments
- * that a seed varies.
+ * Fault schedules for mutants whose fault shows only in a narrow time window: the faults that open the window, with
+ * times that vary by seed.
  */
 
 const LEADER: Target = { kind: 'role', role: 'leader' };
@@ -12,7 +12,7 @@
 const ROUND_MS = 9000;
 const ROUNDS = 2;
 
-function place(index: number): Target {
+function nodeAt(index: number): Target {
   return { kind: 'place', place: index };
 }
 
@@ -28,7 +28,7 @@
   return { kind: 'kill', target, when: at(from), forMs };
 }
 
-/** Cut off from all other control nodes, silently. */
+/** Partitions a node from all other control nodes; messages are dropped silently. */
 function cut(target: Target, from: number, forMs: number): Fault {
   const shape = { direction: 'both', style: 'silent', besides: 0, withAgents: false } as const;
   return { kind: 'cut', target, when: at(from), forMs, ...shape };
@@ -46,7 +46,7 @@
   return [freeze(LEADER, from, random.between(5000, 6500))];
 }
 
-/** A leader stands still for so long that another one takes orders, and then reads what waited for it. */
+/** A leader is frozen for so long that another one takes orders; then it processes the messages that waited for it. */
 export function frozenLeaders(random: Seeded): Fault[] {
   return rounds(random, frozenLeaderRound);
 }
@@ -55,7 +55,7 @@
   return [cut(LEADER, from, random.between(5000, 6500))];
 }
 
-/** A leader is cut off from the other control nodes, and not from runners and operators. */
+/** A leader is partitioned from the other control nodes, but not from runners and operators. */
 export function cutLeaders(random: Seeded): Fault[] {
   return rounds(random, cutLeaderRound);
 }
@@ -63,11 +63,14 @@
 function slowLeaderRound(random: Seeded, from: number): Fault[] {
   const delayMs = Math.round(random.between(1800, 2800));
   const slow = { kind: 'slowLinks', target: LEADER, when: at(from), forMs: 5000, delayMs } as const;
-  // Another one serves after 1.5 s; what the first one wrote until then arrives up to two seconds later.
+  // Another leader serves after 1.5 s; writes that the first one sent until then arrive up to two seconds later.
   return [slow, kill(LEADER, from + random.between(2400, 3000), 1500)];
 }
 
-/** What a leader says takes so long that another one serves when it arrives; that one is lost before it writes again. */
+/**
+ * Messages of a leader take so long that another one serves when they arrive; that leader is killed before it writes
+ * again.
+ */
 export function slowLeaders(random: Seeded): Fault[] {
   return rounds(random, slowLeaderRound);
 }
@@ -77,7 +80,7 @@
   for (let node = 0; node < 3; node += 1) {
     faults.push({
       kind: 'disk',
-      target: place(node),
+      target: nodeAt(node),
       when: at(from),
       forMs: 4000,
       trouble: 'stalled',
@@ -89,12 +92,14 @@
   return faults;
 }
 
-/** All disks stall, a leader is elected meanwhile if votes are spoken all the same, and all lose power. */
+/**
+ * All disks stall, a leader is elected meanwhile if votes are sent before they are synced, and all nodes lose power.
+ */
 export function stalledVotes(random: Seeded): Fault[] {
   return rounds(random, stalledVotesRound);
 }
 
-function behindRepairRound(random: Seeded, from: number): Fault[] {
+function repairWithLaggingVoterRound(random: Seeded, from: number): Fault[] {
   const lossAt = from + random.between(1500, 2500);
   const wipe = {
     kind: 'wipe',
@@ -103,16 +108,18 @@
     forMs: 800,
     othersLosePower: false,
   } as const;
-  return [cut(place(2), from, lossAt - from + 300), freeze(LEADER, lossAt + 5, 6500), wipe];
+  return [cut(nodeAt(2), from, lossAt - from + 300), freeze(LEADER, lossAt + 5, 6500), wipe];
 }
 
-/** One voter is behind; one of the two that took orders meanwhile stands still, and the other's disk is lost. */
-export function repairBesideOneBehind(random: Seeded): Fault[] {
-  return rounds(random, behindRepairRound);
+/** One voter lags; of the two that took orders meanwhile, one is frozen and the other loses its disk. */
+export function repairWithLaggingVoter(random: Seeded): Fault[] {
+  return rounds(random, repairWithLaggingVoterRound);
 }
 
-/** A voter is silent and a spare is there; the one other voter is cut off as the spare is let in. */
-export function swapBesideCut(random: Seeded): Fault[] {
+/**
+ * A voter is silent and a spare node is available; the other follower is partitioned while the spare becomes a voter.
+ */
+export function voterReplacementDuringCut(random: Seeded): Fault[] {
   const from = FIRST_ROUND_MS + random.between(0, 500);
   const spare = {
     kind: 'replace',
@@ -121,7 +128,7 @@
     planned: true,
     oldReturns: false,
   } as const;
-  const silent = place(2);
+  const silent = nodeAt(2);
   return [
     { ...spare, target: silent },
     freeze(silent, from, 7000),
@@ -129,7 +136,7 @@
   ];
 }
 
-function unfilledRepairRound(random: Seeded, from: number): Fault[] {
+function repairThenLossRound(random: Seeded, from: number): Fault[] {
   const lossAt = from + random.between(1000, 1400);
   const after: When = {
     kind: 'after',
@@ -138,48 +145,51 @@
     delay: random.between(0, 10),
   };
   return [
-    cut(place(2), from, lossAt - from + 50),
-    { kind: 'wipe', target: place(1), when: at(lossAt), forMs: 600, othersLosePower: true },
-    { kind: 'kill', target: place(0), when: after, forMs: 5000 },
+    cut(nodeAt(2), from, lossAt - from + 50),
+    { kind: 'wipe', target: nodeAt(1), when: at(lossAt), forMs: 600, othersLosePower: true },
+    { kind: 'kill', target: nodeAt(0), when: after, forMs: 5000 },
   ];
 }
 
-/** One voter is behind, all lose power and another its disk; once that is repaired, the one that holds all is lost. */
+/**
+ * One voter lags, all lose power and another voter loses its disk; once that one is repaired, the only voter with all
+ * writes is killed.
+ */
 export function repairThenLoss(random: Seeded): Fault[] {
-  return rounds(random, unfilledRepairRound);
+  return rounds(random, repairThenLossRound);
 }
 
 function restartedVotersRound(random: Seeded, from: number): Fault[] {
   const faults = [cut(LEADER, from, 6500)];
   for (let node = 0; node < 3; node += 1) {
-    faults.push(kill(place(node), from + random.between(0, 100), 50));
+    faults.push(kill(nodeAt(node), from + random.between(0, 100), 50));
   }
   return faults;
 }
 
-/** A leader is cut off, and all voters restart at once. */
+/** A leader is partitioned, and all voters restart at once. */
 export function restartedVoters(random: Seeded): Fault[] {
   return rounds(random, restartedVotersRound);
 }
 
-function laggardRound(random: Seeded, from: number): Fault[] {
+function laggingVoterRound(random: Seeded, from: number): Fault[] {
   const lossAt = from + random.between(2000, 3500);
   return [
-    cut(place(0), from, lossAt - from),
+    cut(nodeAt(0), from, lossAt - from),
     kill(LEADER, lossAt, 6000),
     { kind: 'powerLossAll', when: at(lossAt + 10), forMs: 500, unsynced: 'kept' },
   ];
 }
 
-/** A voter that is behind is the first to be elected: the leader is down, and all others restart. */
-export function laggardElected(random: Seeded): Fault[] {
-  return rounds(random, laggardRound);
+/** A lagging voter is the first to be elected: the leader is down, and all others restart. */
+export function laggingVoterElected(random: Seeded): Fault[] {
+  return rounds(random, laggingVoterRound);
 }
 
-function tornElectionRound(random: Seeded, from: number): Fault[] {
+function delayedElectionRound(random: Seeded, from: number): Fault[] {
   const faults: Fault[] = [{ kind: 'killAll', when: at(from), forMs: 100 }];
   for (let node = 0; node < 3; node += 1) {
-    const target = place(node);
+    const target = nodeAt(node);
     faults.push({
       kind: 'slowLinks',
       target,
@@ -192,9 +202,9 @@
   return faults;
 }
 
-/** All restart at once, and what they say to each other takes its time. */
-export function tornElections(random: Seeded): Fault[] {
-  return rounds(random, tornElectionRound);
+/** All nodes restart at once, and their messages to each other are delayed. */
+export function delayedElections(random: Seeded): Fault[] {
+  return rounds(random, delayedElectionRound);
 }
 
 const SHORT_ROUND_MS = 4200;
@@ -207,13 +217,13 @@
   const faults: Fault[] = [];
   for (let count = 0; count < SHORT_ROUNDS; count += 1) {
     const from = FIRST_ROUND_MS + count * SHORT_ROUND_MS + random.between(0, 300);
-    // The first place is most often the leader, which holds the others up when it is lost.
-    faults.push(...round(random, from, place(1 + (count % 2))));
+    // The first node is most often the leader, whose loss would delay the others.
+    faults.push(...round(random, from, nodeAt(1 + (count % 2))));
   }
   return faults;
 }
 
-function heldCallsRound(random: Seeded, from: number, target: Target): Fault[] {
+function delayedCallsRound(random: Seeded, from: number, target: Target): Fault[] {
   const cutAt = from + random.between(850, 950);
   const callers = {
     kind: 'operatorCut',
@@ -224,7 +234,7 @@
   return [freeze(target, from, 2600), { ...callers, target }];
 }
 
-/** A node stands still with calls in its buffers, and their callers' closes don't reach it. */
-export function heldCalls(random: Seeded): Fault[] {
-  return shortRounds(random, heldCallsRound);
+/** A node is frozen with calls in its buffers, and their callers' closes don't reach it. */
+export function delayedCalls(random: Seeded): Fault[] {
+  return shortRounds(random, delayedCallsRound);
 }
--- a/src/simulation/mutants/election-mutants.ts
+++ b/src/simulation/mutants/election-mutants.ts
@@ -7,65 +7,65 @@
 import { VOTE_RECORD } from '../../state/partition-names.js';
 import type { StoredPartition } from '../../state/store.js';
 import type { ControlInputs } from '../core-build.js';
-import { InterceptedControl, type Heard } from './intercepted-control.js';
+import { InterceptedControl, type ReceivedMessage } from './intercepted-control.js';
 
 const VoteBodyShape = type({ epoch: number(), grantEpoch: number(), grantLeader: string() });
 
-/** Control nodes that elect, grant or hold leases wrongly. */
+/** Mutants of control nodes that elect leaders, or grant or hold leases, incorrectly. */
 
-/** Leaves no span without orders between two holders. */
-export class LeavesNoGap extends InterceptedControl {
+/** Leaves no gap without orders between two lease holders. */
+export class SkipsHandoverGap extends InterceptedControl {
   constructor(inputs: ControlInputs) {
     super({ ...inputs, vote: { ...inputs.vote, handoverGapMs: 0 } });
   }
 }
 
-/** Counts its own renewals as granted by everybody. */
+/** Counts its renewal requests as granted by every recipient. */
 export class RenewsItself extends InterceptedControl {
-  protected override carryOut(effect: ControlEffect): readonly ControlEffect[] {
+  protected override interceptEffect(effect: ControlEffect): readonly ControlEffect[] {
     if (effect.do === 'send' && effect.message.kind === 'renew') {
       const { epoch, nonce } = effect.message;
-      this.pretend(effect.to, { kind: 'renewed', epoch, nonce });
+      this.injectMessage(effect.to, { kind: 'renewed', epoch, nonce });
     }
     return [effect];
   }
 }
 
-/** Grants an epoch without telling how long older promises bind. */
-export class HidesPromises extends InterceptedControl {
-  protected override carryOut(effect: ControlEffect): readonly ControlEffect[] {
+/** Grants an epoch without reporting how long older promises remain binding. */
+export class OmitsLeaseWait extends InterceptedControl {
+  protected override interceptEffect(effect: ControlEffect): readonly ControlEffect[] {
     if (effect.do !== 'send' || effect.message.kind !== 'granted') return [effect];
     return [{ ...effect, message: { ...effect.message, wait: 0 } }];
   }
 }
 
-/** Defers to whoever proposes itself and grants an epoch to whoever asks, also to a second one. */
+/** Defers to any candidate and grants an epoch to any node that asks, even if another one holds it already. */
 export class GrantsTwice extends InterceptedControl {
-  protected override hear(from: string, message: Message): readonly Heard[] {
+  protected override interceptMessage(from: string, message: Message): readonly ReceivedMessage[] {
     const { record } = this.elector;
     if (message.kind === 'propose' && message.epoch === record.epoch) {
-      this.say(from, { kind: 'defer', epoch: message.epoch, reports: [] });
+      this.sendMessage(from, { kind: 'defer', epoch: message.epoch, reports: [] });
     } else if (message.kind === 'victory' && message.epoch === record.grantEpoch) {
       const { epoch, nonce } = message;
       if (record.grantLeader !== from)
-        this.say(from, { kind: 'granted', epoch, wait: 0, nonce, reports: [] });
+        this.sendMessage(from, { kind: 'granted', epoch, wait: 0, nonce, reports: [] });
     }
     return [{ from, message }];
   }
 }
 
-/** Takes the outcome of an election that a minority has deferred to. */
-export class WinsByOne extends InterceptedControl {
-  protected override carryOut(effect: ControlEffect): readonly ControlEffect[] {
+/** Leads after an election in which only a minority deferred to it: every node that it told counts as a grant. */
+export class WinsWithoutMajority extends InterceptedControl {
+  protected override interceptEffect(effect: ControlEffect): readonly ControlEffect[] {
     if (effect.do === 'send' && effect.message.kind === 'victory') {
       const { epoch, nonce } = effect.message;
-      this.pretend(effect.to, { kind: 'granted', epoch, wait: 0, nonce, reports: [] });
+      this.injectMessage(effect.to, { kind: 'granted', epoch, wait: 0, nonce, reports: [] });
     }
     return [effect];
   }
 }
 
-/** Forgets at a restart whom it granted its last epoch, and what it promised. */
+/** Forgets at a restart to which node it granted its last epoch, and what it promised. */
 export class ForgetsGrants extends InterceptedControl {
   constructor(inputs: ControlInputs) {
     super({ ...inputs, stored: inputs.stored.map(withoutGrant) });
@@ -79,60 +79,60 @@
   return { ...stored, body };
 }
 
-/** The wall clock is set back by so much, so often. */
-const STEP_MS = 4000;
-const STEP_EVERY_MS = 5000;
+/** By how much, and how often, the wall clock is set back and forth again. */
+const CLOCK_STEP_MS = 4000;
+const CLOCK_STEP_INTERVAL_MS = 5000;
 
-/** Measures its spans by a wall clock, which is set back and forth. */
+/** Measures leases by a wall clock that is set back and forth. */
 export class LeasesByWallClock extends InterceptedControl {
-  /** How far the wall clock is behind at the input that is being worked on. */
-  #behindMs = 0;
+  /** How far the wall clock was behind the monotonic clock at the current input. */
+  #clockLagMs = 0;
 
   constructor(inputs: ControlInputs) {
     super({ ...inputs, now: wallClock(inputs.now) });
   }
 
   override mayOrder(now: Moment): boolean {
-    return super.mayOrder(this.#read(now));
+    return super.mayOrder(this.#readWallClock(now));
   }
 
-  /** The sender of orders counts by a clock that runs evenly. */
+  /** The sender of orders uses the monotonic clock. */
   override leaseEnd(): Moment {
-    return moment(super.leaseEnd() + this.#behindMs);
+    return moment(super.leaseEnd() + this.#clockLagMs);
   }
 
   override tick(now: Moment): void {
-    super.tick(this.#read(now));
+    super.tick(this.#readWallClock(now));
   }
 
   override onMessage(now: Moment, from: string, message: Message, zone: string = ''): void {
-    super.onMessage(this.#read(now), from, message, zone);
+    super.onMessage(this.#readWallClock(now), from, message, zone);
   }
 
   override onDisconnect(now: Moment, from: string): void {
-    super.onDisconnect(this.#read(now), from);
+    super.onDisconnect(this.#readWallClock(now), from);
   }
 
   override onPersisted(now: Moment, partition: PartitionName, version: Version): void {
-    super.onPersisted(this.#read(now), partition, version);
+    super.onPersisted(this.#readWallClock(now), partition, version);
   }
 
   override onCommand(now: Moment, id: number, verb: string, body: string): void {
-    super.onCommand(this.#read(now), id, verb, body);
+    super.onCommand(this.#readWallClock(now), id, verb, body);
   }
 
   override retire(now: Moment): boolean {
-    return super.retire(this.#read(now));
+    return super.retire(this.#readWallClock(now));
   }
 
-  #read(now: Moment): Moment {
+  #readWallClock(now: Moment): Moment {
     const wall = wallClock(now);
-    this.#behindMs = now - wall;
+    this.#clockLagMs = now - wall;
     return wall;
   }
 }
 
 function wallClock(now: Moment): Moment {
-  const steps = Math.floor(now / STEP_EVERY_MS);
-  return moment(now - (steps % 2) * STEP_MS);
+  const steps = Math.floor(now / CLOCK_STEP_INTERVAL_MS);
+  return moment(now - (steps % 2) * CLOCK_STEP_MS);
 }
--- a/src/simulation/mutants/exchanged-parts.ts
+++ b/src/simulation/mutants/exchanged-parts.ts
@@ -4,21 +4,25 @@
 import { VoterPlan, type VoterPlanStep } from '../../control/voter-plan.js';
 
 /**
- * Wrong parts that a core makes for itself, so that they can't be handed to it: for the time of a run the method of the
- * class is exchanged. The product needs no opening for that.
+ * Mutants of components that a core creates itself, so that they can't be injected: a method of the class is patched
+ * for the duration of a run. This needs no injection point in the product code.
  */
 
+/** Restores the original methods. */
 export type Restore = () => void;
 
-/** Goes from one set of voters to the next in one step. */
+/** Changes from one set of voters to the next in one step, without a joint set. */
 export function withoutJointSet(): Restore {
   const { next } = VoterPlan.prototype;
-  function nextAtOnce(this: VoterPlan, ...inputs: Parameters<VoterPlan['next']>): VoterPlanStep {
-    const change = next.apply(this, inputs);
-    if (change.do !== 'voters') return change;
-    return { ...change, voters: change.voters.slice(-1) };
+  function nextWithoutJointSet(
+    this: VoterPlan,
+    ...inputs: Parameters<VoterPlan['next']>
+  ): VoterPlanStep {
+    const step = next.apply(this, inputs);
+    if (step.do !== 'voters') return step;
+    return { ...step, voters: step.voters.slice(-1) };
   }
-  VoterPlan.prototype.next = nextAtOnce;
+  VoterPlan.prototype.next = nextWithoutJointSet;
   return () => restoreNext(next);
 }
 
@@ -26,14 +30,14 @@
   VoterPlan.prototype.next = next;
 }
 
-/** The sets of a quorum, as its text names them. */
+/** The sets of voters of a quorum, parsed from its text. */
 function setsOf(quorum: Quorum): string[][] {
   const sets: string[][] = [];
   for (const set of quorum.text.split(' | ')) sets.push(set.split(','));
   return sets;
 }
 
-function exchangeMajority(isMajority: Quorum['isMajority']): Restore {
+function patchMajority(isMajority: Quorum['isMajority']): Restore {
   const before = Quorum.prototype.isMajority;
   Quorum.prototype.isMajority = isMajority;
   return () => restoreMajority(before);
@@ -43,24 +47,24 @@
   Quorum.prototype.isMajority = isMajority;
 }
 
-function hasMost(ids: ReadonlySet<string>, set: readonly string[]): boolean {
+function hasMajority(ids: ReadonlySet<string>, set: readonly string[]): boolean {
   return set.filter(ids.has, ids).length * 2 > set.length;
 }
 
-/** Of two sets side by side only the new one decides. */
-export function judgedByNewSetAlone(): Restore {
+/** In a joint set of voters, a majority of the new set alone decides. */
+export function majorityOfNewSetOnly(): Restore {
   function isMajority(this: Quorum, ids: ReadonlySet<NodeId>): boolean {
-    return hasMost(ids, setsOf(this).at(-1) ?? []);
+    return hasMajority(ids, setsOf(this).at(-1) ?? []);
   }
-  return exchangeMajority(isMajority);
+  return patchMajority(isMajority);
 }
 
-/** Of two sets side by side either one decides. */
-export function judgedByEitherSet(): Restore {
+/** In a joint set of voters, a majority of either set decides. */
+export function majorityOfEitherSet(): Restore {
   function isMajority(this: Quorum, ids: ReadonlySet<NodeId>): boolean {
-    return setsOf(this).some((set) => hasMost(ids, set));
+    return setsOf(this).some((set) => hasMajority(ids, set));
   }
-  return exchangeMajority(isMajority);
+  return patchMajority(isMajority);
 }
 
 /** Half of the voters count as a majority. */
@@ -71,11 +75,11 @@
   function isMajority(this: Quorum, ids: ReadonlySet<NodeId>): boolean {
     return setsOf(this).every((set) => hasHalf(ids, set));
   }
-  return exchangeMajority(isMajority);
+  return patchMajority(isMajority);
 }
 
-/** A voter that lost its disk leaves one unread that it may have decided with. */
-export function repairSkipsOne(): Restore {
+/** The repair of a voter that lost its disk leaves one voter unread with which it may have formed a majority. */
+export function repairSkipsOneVoter(): Restore {
   const before = Quorum.prototype.coversWithout;
   function coversWithout(this: Quorum, me: NodeId, ids: ReadonlySet<NodeId>): boolean {
     if (before.call(this, me, ids)) return true;
@@ -85,21 +89,21 @@
     return false;
   }
   Quorum.prototype.coversWithout = coversWithout;
-  return () => restoreCovers(before);
+  return () => restoreCoversWithout(before);
 }
 
-function restoreCovers(coversWithout: Quorum['coversWithout']): void {
+function restoreCoversWithout(coversWithout: Quorum['coversWithout']): void {
   Quorum.prototype.coversWithout = coversWithout;
 }
 
-function judgeNothing(): void {
-  /* Any age will do. */
+function acceptAnyAge(): void {
+  /* Any age is accepted. */
 }
 
-/** A node that stood still takes whatever waited for it meanwhile. */
-function ageAtNodeUnjudged(): Restore {
+/** A node that was frozen accepts all orders that waited for it, however old they are. */
+function withoutAgeCheckAtNode(): Restore {
   const before = CommandForwarding.prototype.checkAge;
-  CommandForwarding.prototype.checkAge = judgeNothing;
+  CommandForwarding.prototype.checkAge = acceptAnyAge;
   return () => restoreCheckAge(before);
 }
 
@@ -107,10 +111,10 @@
   CommandForwarding.prototype.checkAge = checkAge;
 }
 
-/** A leader takes orders that were passed on to it however long ago, and in whatever epoch. */
-function ageOnTheWayUnjudged(): Restore {
+/** A leader accepts forwarded orders however old they are, and from any epoch. */
+function withoutAgeCheckOnForwarding(): Restore {
   const before = CommandForwarding.prototype.checkForwarded;
-  CommandForwarding.prototype.checkForwarded = judgeNothing;
+  CommandForwarding.prototype.checkForwarded = acceptAnyAge;
   return () => restoreCheckForwarded(before);
 }
 
@@ -118,13 +122,13 @@
   CommandForwarding.prototype.checkForwarded = checkForwarded;
 }
 
-/** Orders that name no version are taken however old they are, wherever they waited. */
-export function ageUnjudged(): Restore {
-  const restoreNode = ageAtNodeUnjudged();
-  const restoreWay = ageOnTheWayUnjudged();
+/** Orders without a version are accepted however old they are, wherever they waited. */
+export function withoutAgeChecks(): Restore {
+  const restoreNode = withoutAgeCheckAtNode();
+  const restoreForwarding = withoutAgeCheckOnForwarding();
   function restore(): void {
     restoreNode();
-    restoreWay();
+    restoreForwarding();
   }
   return restore;
 }
--- a/src/simulation/mutants/intercepted-control.ts
+++ b/src/simulation/mutants/intercepted-control.ts
@@ -6,25 +6,25 @@
 import type { CommandAnswer } from '../../control/command-answers.js';
 import type { ControlInputs } from '../core-build.js';
 
-/** A message as the core is to hear it. */
-export interface Heard {
+/** A message that the core receives. */
+export interface ReceivedMessage {
   readonly from: string;
   readonly message: Message;
 }
 
-/** A command as the core is to take it. */
+/** A command that the core executes. */
 export interface Command {
   readonly verb: string;
   readonly body: string;
 }
 
 /**
- * A control core whose inputs and effects pass through hooks, for mutants: the core itself is the real one, and what is
- * wrong is done to what it hears, says, writes and answers. A hook may also make the core hear what nobody said.
+ * A control core whose inputs and effects pass through hooks, for mutants: the core itself is the real one, and the
+ * hooks alter what it receives, sends, writes and answers. A hook may also inject messages that no node sent.
  */
 export class InterceptedControl extends ControlCore {
   #now: Moment;
-  #own: ControlEffect[] = [];
+  #injectedEffects: ControlEffect[] = [];
 
   constructor({ settings, stored, now, vote }: ControlInputs) {
     super(settings, stored, now, vote);
@@ -38,24 +38,24 @@
 
   override onMessage(now: Moment, from: string, message: Message, zone: string = ''): void {
     this.#now = now;
-    for (const heard of this.hear(from, message)) {
-      if (heard.message.kind !== 'command') {
-        super.onMessage(now, heard.from, heard.message, zone);
+    for (const received of this.interceptMessage(from, message)) {
+      if (received.message.kind !== 'command') {
+        super.onMessage(now, received.from, received.message, zone);
         continue;
       }
-      const { id } = heard.message;
-      const command = this.take(heard.message);
-      const answer = this.answerOf(command);
-      if (answer) this.say(heard.from, { kind: 'commandReply', id, ...answer });
-      else super.onMessage(now, heard.from, { ...heard.message, ...command }, zone);
+      const { id } = received.message;
+      const command = this.interceptCommand(received.message);
+      const answer = this.answerInstead(command);
+      if (answer) this.sendMessage(received.from, { kind: 'commandReply', id, ...answer });
+      else super.onMessage(now, received.from, { ...received.message, ...command }, zone);
     }
   }
 
   override onCommand(now: Moment, id: number, verb: string, body: string): void {
     this.#now = now;
-    const command = this.take({ verb, body });
-    const answer = this.answerOf(command);
-    if (answer) this.#own.push({ do: 'reply', id, ...answer });
+    const command = this.interceptCommand({ verb, body });
+    const answer = this.answerInstead(command);
+    if (answer) this.#injectedEffects.push({ do: 'reply', id, ...answer });
     else super.onCommand(now, id, command.verb, command.body);
   }
 
@@ -65,55 +65,56 @@
   }
 
   override drain(): ControlEffect[] {
-    const carriedOut: ControlEffect[] = [];
-    for (let effects = this.#taken(); effects.length > 0; effects = this.#taken()) {
-      for (const effect of effects) carriedOut.push(...this.carryOut(effect));
+    const performed: ControlEffect[] = [];
+    for (let effects = this.#takeEffects(); effects.length > 0; effects = this.#takeEffects()) {
+      for (const effect of effects) performed.push(...this.interceptEffect(effect));
     }
-    return carriedOut;
+    return performed;
   }
 
-  #taken(): ControlEffect[] {
-    const own = this.#own;
-    this.#own = [];
-    return [...super.drain(), ...own];
+  #takeEffects(): ControlEffect[] {
+    const injected = this.#injectedEffects;
+    this.#injectedEffects = [];
+    return [...super.drain(), ...injected];
   }
 
-  /** The moment of the input that is being worked on. */
+  /** The time of the current input. */
   protected get now(): Moment {
     return this.#now;
   }
 
-  /** What the core hears in place of a message. */
-  protected hear(from: string, message: Message): readonly Heard[] {
+  /** Returns the messages that the core receives instead of a message. */
+  protected interceptMessage(from: string, message: Message): readonly ReceivedMessage[] {
     return [{ from, message }];
   }
 
-  /** What the core takes in place of an operator's command, its own or one passed on. */
-  protected take({ verb, body }: Command): Command {
+  /** Returns the command that the core executes instead of an operator's command, received directly or forwarded. */
+  protected interceptCommand({ verb, body }: Command): Command {
     return { verb, body };
   }
 
-  /** An answer given in place of the core's. */
-  protected answerOf(_command: Command): CommandAnswer | undefined {
+  /** Returns an answer to send instead of passing the command to the core; undefined to pass it on. */
+  protected answerInstead(_command: Command): CommandAnswer | undefined {
     return undefined;
   }
 
-  /** What is done in place of an effect. */
-  protected carryOut(effect: ControlEffect): readonly ControlEffect[] {
+  /** Returns the effects to perform instead of an effect of the core. */
+  protected interceptEffect(effect: ControlEffect): readonly ControlEffect[] {
     return [effect];
   }
 
-  /** Makes the core hear what nobody said. */
-  protected pretend(from: string, message: Message): void {
+  /** Makes the core receive a message that no node sent. */
+  protected injectMessage(from: string, message: Message): void {
     super.onMessage(this.#now, from, message);
   }
 
-  /** Tells the core at once that a write is on disk. */
-  protected pretendStored(partition: PartitionName, version: Version): void {
+  /** Reports to the core at once that a write is on disk. */
+  protected injectPersisted(partition: PartitionName, version: Version): void {
     super.onPersisted(this.#now, partition, version);
   }
 
-  protected say(to: string, message: Message): void {
-    this.#own.push({ do: 'send', to, message });
+  /** Sends a message as this node. */
+  protected sendMessage(to: string, message: Message): void {
+    this.#injectedEffects.push({ do: 'send', to, message });
   }
 }
--- a/src/simulation/mutants/mutant-hunt.ts
+++ b/src/simulation/mutants/mutant-hunt.ts
@@ -6,65 +6,66 @@
 import { SOUND_BUILD } from '../core-build.js';
 import { MUTANTS, type Mutant, type MutantName } from './mutants.js';
 
-/** Runs of a mutant, seed after seed, until one of its rules is seen broken. */
+/** Runs a mutant, seed after seed, until it breaks one of its rules. */
 
-export interface HuntResult {
+/** The result of testing a mutant; printed as JSON under these names. */
+export interface MutantResult {
   readonly mutant: MutantName;
-  /** The first seed that caught it; nothing if none did. */
+  /** The first seed that caught it; undefined if none did. */
   readonly caughtBy: number | undefined;
-  /** The rule that was broken there, and what was said of it. */
+  /** The rule that was broken under that seed, and the details of the violation; empty if no seed caught it. */
   readonly rule: string;
   readonly text: string;
-  /** Rules broken by earlier seeds, or beside, that do not name the fault. */
+  /** Rules that were broken as well, under this seed or earlier ones, but don't indicate the fault. */
   readonly otherRules: readonly string[];
   readonly seeds: number;
-  /** Seeds up to that one on which the sound build broke a rule. */
+  /** Seeds up to `caughtBy` under which the sound build broke a rule. */
   readonly unsoundSeeds: readonly number[];
 }
 
-const TROUBLE_MS = 16_000;
-const PACE_MS = 200;
-const FAULTS = 8;
-/** Schedules are drawn until enough faults of the wanted kinds have come up. */
-const MOST_DRAWS = 500;
-const DRAW_STEP = 100_000;
+const FAULT_PERIOD_MS = 16_000;
+const OPERATOR_INTERVAL_MS = 200;
+const FAULT_COUNT = 8;
+/** Schedules are drawn until they contain enough faults of the wanted kinds, at most this often. */
+const MAX_DRAWS = 500;
+const DRAW_SEED_STEP = 100_000;
 
-/** The options of a hunt's run: short, with operators that send much. */
-export function huntOptions(seed: number): SimulationOptions {
+/** Returns the options of a mutant's run: short, with a high rate of orders. */
+export function mutantOptions(seed: number): SimulationOptions {
   const nodes = seed % 3 === 0 ? 5 : 3;
   return {
     ...OPTION_DEFAULTS,
     seed,
     nodes,
-    troubleMs: TROUBLE_MS,
-    paceMs: PACE_MS,
+    troubleMs: FAULT_PERIOD_MS,
+    paceMs: OPERATOR_INTERVAL_MS,
     lossLimit: 'any',
   };
 }
 
-/** The mutant's own schedule, or one of its kinds alone. */
-export function huntSchedule(options: SimulationOptions, wanted: Mutant['faults']): Fault[] {
-  if (typeof wanted === 'function') return wanted(new Seeded(options.seed));
-  return drawnSchedule(options, wanted);
+/** Returns the mutant's own fault schedule, or a drawn one with only its kinds of faults. */
+export function mutantSchedule(options: SimulationOptions, faults: Mutant['faults']): Fault[] {
+  if (typeof faults === 'function') return faults(new Seeded(options.seed));
+  return drawnSchedule(options, faults);
 }
 
 function drawnSchedule(options: SimulationOptions, kinds: readonly FaultKind[]): Fault[] {
   const faults: Fault[] = [];
-  for (let draw = 0; draw < MOST_DRAWS && faults.length < FAULTS; draw += 1) {
-    const seed = options.seed + draw * DRAW_STEP;
+  for (let draw = 0; draw < MAX_DRAWS && faults.length < FAULT_COUNT; draw += 1) {
+    const seed = options.seed + draw * DRAW_SEED_STEP;
     for (const fault of drawSchedule({ ...options, seed })) {
-      if (kinds.includes(fault.kind) && faults.length < FAULTS) faults.push(fault);
+      if (kinds.includes(fault.kind) && faults.length < FAULT_COUNT) faults.push(fault);
     }
   }
   return faults;
 }
 
-/** One run of a mutant. */
+/** Runs a mutant under a seed. */
 export function runMutant(name: MutantName, seed: number): Outcome {
   const mutant: Mutant = MUTANTS[name];
-  const options = huntOptions(seed);
-  const schedule = huntSchedule(options, mutant.faults);
-  const restore = mutant.exchange?.();
+  const options = mutantOptions(seed);
+  const schedule = mutantSchedule(options, mutant.faults);
+  const restore = mutant.patch?.();
   try {
     return simulate(options, schedule, undefined, mutant.build?.() ?? SOUND_BUILD);
   } finally {
@@ -72,25 +73,25 @@
   }
 }
 
-/** The sound build on the same seed and schedule. */
-export function runSound(name: MutantName, seed: number): Outcome {
+/** Runs the sound build under the same seed and schedule as a mutant. */
+export function runSoundBuild(name: MutantName, seed: number): Outcome {
   const mutant: Mutant = MUTANTS[name];
-  const options = huntOptions(seed);
-  return simulate(options, huntSchedule(options, mutant.faults));
+  const options = mutantOptions(seed);
+  return simulate(options, mutantSchedule(options, mutant.faults));
 }
 
-/** Looks for the first of so many seeds that catches the mutant, and runs the sound build on the same ones. */
-export function hunt(name: MutantName, seeds: number): HuntResult {
+/** Runs a mutant under up to `seeds` seeds until one catches it, and the sound build under the same seeds. */
+export function testMutant(name: MutantName, seeds: number): MutantResult {
   const mutant: Mutant = MUTANTS[name];
-  const wanted = new Set<string>(mutant.rules);
+  const indicatingRules = new Set<string>(mutant.rules);
   const otherRules = new Set<string>();
   const unsoundSeeds: number[] = [];
   for (let seed = 1; seed <= seeds; seed += 1) {
-    if (runSound(name, seed).violations.length > 0) unsoundSeeds.push(seed);
+    if (runSoundBuild(name, seed).violations.length > 0) unsoundSeeds.push(seed);
     const { violations } = runMutant(name, seed);
     let found: { readonly rule: string; readonly text: string } | undefined;
     for (const violation of violations) {
-      if (wanted.has(violation.rule)) found ??= violation;
+      if (indicatingRules.has(violation.rule)) found ??= violation;
       else otherRules.add(violation.rule);
     }
     if (!found) continue;
--- a/src/simulation/mutants/mutants.test.ts
+++ b/src/simulation/mutants/mutants.test.ts
@@ -1,11 +1,11 @@
 import { expect, test } from 'vitest';
 import { Quorum } from '../../common/quorum.js';
 import { nodeId } from '../../common/ids.js';
-import { huntOptions, huntSchedule, runMutant, runSound } from './mutant-hunt.js';
+import { mutantOptions, mutantSchedule, runMutant, runSoundBuild } from './mutant-hunt.js';
 import { MUTANTS, type Mutant, type MutantName } from './mutants.js';
 import { halfIsMajority } from './exchanged-parts.js';
 
-/** Mutants that few seeds catch; all of them are run by hand with `haretrack simulation mutants`. */
+/** Mutants that a few seeds catch; `haretrack simulation mutants` runs all of them. */
 const QUICK = [
   'refusal-by-uncommitted',
   'identity-forgotten',
@@ -33,7 +33,7 @@
 function isCaught(name: MutantName): boolean {
   const mutant: Mutant = MUTANTS[name];
   for (let seed = 1; seed <= QUICK_SEEDS; seed += 1) {
-    expect(runSound(name, seed).violations).toEqual([]);
+    expect(runSoundBuild(name, seed).violations).toEqual([]);
     const broken = rulesBroken(name, seed);
     if (mutant.rules.some(broken.has, broken)) return true;
   }
@@ -42,17 +42,17 @@
 test.each(QUICK)('a build with %s is caught, and the sound build is clean', (name: MutantName) => {
   expect(isCaught(name)).toBe(true);
 });
-test('a schedule has faults of the wanted kinds alone, the same for the same seed', () => {
+test('a schedule has only faults of the wanted kinds, and the same ones for the same seed', () => {
   for (const { faults } of Object.values<Mutant>(MUTANTS)) {
-    const options = huntOptions(1);
-    const schedule = huntSchedule(options, faults);
+    const options = mutantOptions(1);
+    const schedule = mutantSchedule(options, faults);
     expect(schedule.length).toBeGreaterThan(0);
-    expect(huntSchedule(options, faults)).toEqual(schedule);
+    expect(mutantSchedule(options, faults)).toEqual(schedule);
     if (typeof faults === 'function') continue;
     for (const { kind } of schedule) expect(faults).toContain(kind);
   }
 });
-test('an exchanged part is put back', () => {
+test('a patched method is restored', () => {
   const quorum = new Quorum([nodeId('a'), nodeId('b'), nodeId('c')]);
   const restore = halfIsMajority();
   expect(quorum.isMajority(new Set([nodeId('a')]))).toBe(true);
--- a/src/simulation/mutants/mutants.ts
+++ b/src/simulation/mutants/mutants.ts
@@ -8,41 +8,41 @@
 import {
   cutLeaders,
   frozenLeaders,
-  heldCalls,
-  laggardElected,
-  repairBesideOneBehind,
+  delayedCalls,
+  laggingVoterElected,
+  repairWithLaggingVoter,
   repairThenLoss,
   restartedVoters,
   slowLeaders,
   stalledVotes,
-  swapBesideCut,
-  tornElections,
+  voterReplacementDuringCut,
+  delayedElections,
 } from './aimed-schedules.js';
-import { TakesOlder } from './agent-mutants.js';
+import { AcceptsOlderConfig } from './agent-mutants.js';
 import { SOUND_BUILD, type ControlInputs, type CoreBuild } from '../core-build.js';
 import {
   ForgetsGrants,
   GrantsTwice,
-  HidesPromises,
+  OmitsLeaseWait,
   LeasesByWallClock,
-  LeavesNoGap,
+  SkipsHandoverGap,
   RenewsItself,
-  WinsByOne,
+  WinsWithoutMajority,
 } from './election-mutants.js';
 import {
   AcknowledgesForwarded,
-  FollowerReads,
+  ReadsAtFollowers,
   ForgetsIdentity,
   IdentifiesByBase,
-  ReadsUnproved,
+  ReadsWithoutMajority,
   RefusesByUncommitted,
   RefusesUnclear,
-  RefusesUnproved,
+  RefusesWithoutMajority,
 } from './order-mutants.js';
 import {
   CountsOldDisk,
   CountsUnacknowledged,
-  CountsWiped,
+  CountsWipedDisk,
   KeepsIdentitiesInMemory,
   KeepsZonesInMemory,
   LeadsByOwnCopies,
@@ -53,33 +53,36 @@
   TakesDeposedWrites,
 } from './state-mutants.js';
 import {
-  ageUnjudged,
+  withoutAgeChecks,
   halfIsMajority,
-  judgedByEitherSet,
-  judgedByNewSetAlone,
-  repairSkipsOne,
+  majorityOfEitherSet,
+  majorityOfNewSetOnly,
+  repairSkipsOneVoter,
   withoutJointSet,
   type Restore,
 } from './exchanged-parts.js';
 
-/** Builds of the control side with one thing wrong each: a check that none of them fails proves nothing. */
+/** Builds of the control plane with one fault each: a check that never fails on any of them proves nothing. */
 
+/** The name of any rule that a run may break. */
 export type Rule = HistoryRule | StateRule;
 
+/** A build with one fault, and how to catch it. */
 export interface Mutant {
+  /** The fault in a few words, printed by the command. */
   readonly what: string;
-  /** The rules that name the fault; breaking any of them catches the mutant. */
+  /** The rules that indicate the fault; a violation of any of them catches the mutant. */
   readonly rules: readonly Rule[];
-  /** Under which faults it shows: kinds that are drawn, or a schedule of its own. */
-  readonly faults: readonly FaultKind[] | AimedSchedule;
-  /** Makes what one run takes its cores from. */
+  /** The injected faults that expose it: kinds to draw from, or a schedule of its own. */
+  readonly faults: readonly FaultKind[] | TargetedSchedule;
+  /** Creates the build whose cores one run uses. */
   readonly build?: () => CoreBuild;
-  /** Exchanges a part that cores make for themselves, until restored. */
-  readonly exchange?: () => Restore;
+  /** Patches a component that cores create themselves, until the returned function restores it. */
+  readonly patch?: () => Restore;
 }
 
-/** A schedule that a seed varies. */
-export type AimedSchedule = (random: Seeded) => Fault[];
+/** Draws a fault schedule that exposes one fault. */
+export type TargetedSchedule = (random: Seeded) => Fault[];
 
 type ControlClass = new (inputs: ControlInputs) => ControlCore;
 
@@ -103,20 +106,21 @@
 }
 
 function olderUpdateBuild(): CoreBuild {
-  function agent(settings: AgentSettings, now: Moment): TakesOlder {
-    return new TakesOlder(settings, now);
+  function agent(settings: AgentSettings, now: Moment): AcceptsOlderConfig {
+    return new AcceptsOlderConfig(settings, now);
   }
   return { ...SOUND_BUILD, agent };
 }
 
 const LEADER_LOSS = ['kill', 'powerLoss', 'freeze', 'cut'] as const;
 
+/** All mutants by name. */
 export const MUTANTS = {
   'refusal-unproved': {
     what: 'an order is refused without contact with a majority',
     rules: ['refused-after-accepted', 'refused-for-a-winner-that-never-was', 'losing-in-force'],
     faults: frozenLeaders,
-    build: builtBy(RefusesUnproved),
+    build: builtBy(RefusesWithoutMajority),
   },
   'refusal-by-uncommitted': {
     what: 'an order is refused for a winner that is not committed',
@@ -125,13 +129,13 @@
     build: builtBy(RefusesByUncommitted),
   },
   'identity-forgotten': {
-    what: 'an order sent again is judged by its base before its identity',
+    what: 'a repeated order is checked by its base before its identity',
     rules: ['refused-after-accepted'],
     faults: ['answersLost', 'operatorCut'],
     build: builtBy(ForgetsIdentity),
   },
   'identity-by-base': {
-    what: 'two different orders on one base are taken for the same',
+    what: 'two different orders on one base are treated as the same',
     rules: ['two-accepted-on-one-base'],
     faults: ['slowLinks'],
     build: builtBy(IdentifiesByBase),
@@ -155,7 +159,7 @@
     build: builtBy(RefusesUnclear),
   },
   'acknowledged-when-passed-on': {
-    what: 'a follower acknowledges an order as soon as it has passed it on',
+    what: 'a follower acknowledges an order as soon as it has forwarded it',
     rules: ['two-accepted-on-one-base', 'lost-accepted', 'stale-read'],
     faults: ['cut', 'freeze'],
     build: builtBy(AcknowledgesForwarded),
@@ -164,25 +168,25 @@
     what: 'a leader answers reads without contact with a majority',
     rules: ['stale-read'],
     faults: frozenLeaders,
-    build: builtBy(ReadsUnproved),
+    build: builtBy(ReadsWithoutMajority),
   },
   'reads-at-followers': {
-    what: 'followers answer reads by what they were told last',
+    what: 'followers answer reads from the last update they received',
     rules: ['stale-read'],
     faults: ['slowLinks', 'cut'],
-    build: builtBy(FollowerReads),
+    build: builtBy(ReadsAtFollowers),
   },
   'older-update-taken': {
-    what: 'an agent takes an older configuration for a newer one',
+    what: 'an agent accepts an older configuration as a newer one',
     rules: ['version-stepped-back'],
     faults: ['cut', 'freeze', 'slowLinks', 'agentCut', 'agentFreeze'],
     build: olderUpdateBuild,
   },
   'late-evacuation': {
-    what: 'evacuations are taken however old they are',
+    what: 'evacuations are accepted however old they are',
     rules: ['late-evacuation', 'late-restore'],
-    faults: heldCalls,
-    exchange: ageUnjudged,
+    faults: delayedCalls,
+    patch: withoutAgeChecks,
   },
   'configuration-unsynced': {
     what: 'a write is acknowledged before it is synced',
@@ -191,19 +195,19 @@
     build: builtBy(StoresConfigUnsynced),
   },
   'vote-unsynced': {
-    what: 'a vote is spoken before it is synced',
+    what: 'a vote is sent before it is synced',
     rules: ['two-leaders-in-one-epoch', 'two-holders', 'two-holders-with-one-fence'],
     faults: stalledVotes,
     build: builtBy(StoresVotesUnsynced),
   },
   'deposed-write-taken': {
-    what: 'a write of a deposed leader is taken as one of the present term',
+    what: 'a write of a deposed leader is accepted as one of the current term',
     rules: ['acknowledged-lost', 'lost-accepted', 'two-accepted-on-one-base', 'stale-read'],
     faults: slowLeaders,
     build: builtBy(TakesDeposedWrites),
   },
   'acknowledged-by-one': {
-    what: 'a write counts as held by everybody it was sent to',
+    what: 'a write counts as stored by every voter it was sent to',
     rules: ['acknowledged-lost', 'lost-accepted', 'two-accepted-on-one-base', 'stale-read'],
     faults: LEADER_LOSS,
     build: builtBy(CountsUnacknowledged),
@@ -219,82 +223,82 @@
       'two-holders',
     ],
     faults: LEADER_LOSS,
-    exchange: halfIsMajority,
+    patch: halfIsMajority,
   },
   'leads-by-own-copies': {
-    what: 'a new leader serves its own copies without reading a majority',
+    what: 'a new leader serves its own copies without reading from a majority',
     rules: ['lost-accepted', 'stale-read', 'acknowledged-lost', 'refused-after-accepted'],
-    faults: laggardElected,
+    faults: laggingVoterElected,
     build: builtBy(LeadsByOwnCopies),
   },
   'wiped-disk-counts': {
     what: 'a voter with an empty disk counts at once',
     rules: ['acknowledged-lost', 'lost-accepted', 'two-leaders-in-one-epoch', 'stale-read'],
-    faults: repairBesideOneBehind,
-    build: builtBy(CountsWiped),
+    faults: repairWithLaggingVoter,
+    build: builtBy(CountsWipedDisk),
   },
   'repaired-without-copies': {
-    what: 'a repaired voter counts without the copies that others hold',
+    what: 'a repaired voter counts without the copies of the other voters',
     rules: ['acknowledged-lost', 'lost-accepted', 'stale-read'],
     faults: repairThenLoss,
     build: builtBy(RepairsWithoutCopies),
   },
   'repair-skips-one': {
-    what: 'a repair leaves one unread that the voter may have decided with',
+    what: 'a repair skips a voter with which the repaired one may have formed a majority',
     rules: ['acknowledged-lost', 'lost-accepted', 'stale-read'],
-    faults: repairBesideOneBehind,
-    exchange: repairSkipsOne,
+    faults: repairWithLaggingVoter,
+    patch: repairSkipsOneVoter,
   },
   'old-disk-counts': {
-    what: 'a voter that starts from a disk of three seconds ago counts',
+    what: 'a voter that starts with the disk contents of three seconds ago counts',
     rules: ['acknowledged-lost', 'lost-accepted', 'stale-read', 'two-leaders-in-one-epoch'],
     faults: ['kill', 'powerLoss', 'powerLossAll', 'killAll'],
     build: oldDiskBuild,
   },
   'swap-without-joint-set': {
-    what: 'voters change in one step, without a set of both',
+    what: 'voters change in one step, without a joint set',
     rules: [
       'voters-without-majority',
       'acknowledged-lost',
       'lost-accepted',
       'two-leaders-in-one-epoch',
     ],
-    faults: swapBesideCut,
-    exchange: withoutJointSet,
+    faults: voterReplacementDuringCut,
+    patch: withoutJointSet,
   },
   'joint-by-new-set-alone': {
-    what: 'of two sets of voters the new one decides alone',
+    what: 'in a joint set of voters the new set alone decides',
     rules: [
       'voters-without-majority',
       'acknowledged-lost',
       'lost-accepted',
       'two-leaders-in-one-epoch',
     ],
-    faults: swapBesideCut,
-    exchange: judgedByNewSetAlone,
+    faults: voterReplacementDuringCut,
+    patch: majorityOfNewSetOnly,
   },
   'joint-by-either-set': {
-    what: 'of two sets of voters either decides',
+    what: 'in a joint set of voters either set decides',
     rules: [
       'voters-without-majority',
       'acknowledged-lost',
       'lost-accepted',
       'two-leaders-in-one-epoch',
     ],
-    faults: swapBesideCut,
-    exchange: judgedByEitherSet,
+    faults: voterReplacementDuringCut,
+    patch: majorityOfEitherSet,
   },
   'no-gap-between-holders': {
-    what: 'a new holder orders as soon as it leads',
+    what: 'a new lease holder sends orders as soon as it leads',
     rules: ['two-holders'],
     faults: LEADER_LOSS,
-    build: builtBy(LeavesNoGap),
+    build: builtBy(SkipsHandoverGap),
   },
   'promises-hidden': {
-    what: 'a grant does not tell how long an older promise binds',
+    what: 'a grant does not report how long an older promise is binding',
     rules: ['two-holders'],
     faults: LEADER_LOSS,
-    build: builtBy(HidesPromises),
+    build: builtBy(OmitsLeaseWait),
   },
   'renews-itself': {
     what: 'a leader renews its lease without a majority',
@@ -303,35 +307,37 @@
     build: builtBy(RenewsItself),
   },
   'grants-twice': {
-    what: 'a voter grants one epoch to two',
+    what: 'a voter grants one epoch to two nodes',
     rules: ['two-leaders-in-one-epoch'],
-    faults: tornElections,
+    faults: delayedElections,
     build: builtBy(GrantsTwice),
   },
   'wins-by-one': {
-    what: 'a winner counts everybody it told as one that granted',
+    what: 'a winner counts every node it told as a grant',
     rules: ['two-leaders-in-one-epoch', 'two-holders'],
     faults: [...LEADER_LOSS, 'slowLinks', 'powerLossAll'],
-    build: builtBy(WinsByOne),
+    build: builtBy(WinsWithoutMajority),
   },
   'grants-forgotten': {
-    what: 'a voter forgets at its restart whom it granted the epoch',
+    what: 'a voter forgets at a restart to which node it granted the epoch',
     rules: ['two-leaders-in-one-epoch', 'two-holders'],
     faults: restartedVoters,
     build: builtBy(ForgetsGrants),
   },
   'lease-by-wall-clock': {
-    what: 'spans are measured by a clock that is set back',
+    what: 'leases are measured by a clock that is set back',
     rules: ['two-holders', 'stale-read', 'lower-fence'],
     faults: cutLeaders,
     build: builtBy(LeasesByWallClock),
   },
 } as const satisfies Record<string, Mutant>;
 
+/** The name of a mutant. */
 export type MutantName = keyof typeof MUTANTS;
 
 function isMutantName(text: string): text is MutantName {
   return text in MUTANTS;
 }
 
+/** The names of all mutants. */
 export const MUTANT_NAMES: readonly MutantName[] = Object.keys(MUTANTS).filter(isMutantName);
--- a/src/simulation/mutants/order-mutants.ts
+++ b/src/simulation/mutants/order-mutants.ts
@@ -8,7 +8,7 @@
 import { CONFIG_PARTITION } from '../../state/partition-names.js';
 import { InterceptedControl, type Command } from './intercepted-control.js';
 
-/** Control nodes that answer operators' orders wrongly. */
+/** Mutants of control nodes that answer operators' orders incorrectly. */
 
 const CHANGES: ReadonlySet<string> = new Set(['configure', 'amend']);
 
@@ -29,7 +29,7 @@
   return edit.id === id;
 }
 
-/** The configuration as this leader has written it, committed or not; nothing at other nodes. */
+/** The configuration as this leader has written it, committed or not; undefined on other nodes. */
 function writtenDoc(core: InterceptedControl): ConfigDoc | undefined {
   if (!core.isServing) return undefined;
   return decodeConfigDoc(core.state.body(CONFIG_PARTITION));
@@ -41,9 +41,9 @@
   return update?.routing?.version ?? 0;
 }
 
-/** Refuses by the committed configuration as this leader knows it, without asking a majority. */
-export class RefusesUnproved extends InterceptedControl {
-  protected override answerOf(command: Command): CommandAnswer | undefined {
+/** Refuses orders by the committed configuration that this leader knows, without contacting a majority. */
+export class RefusesWithoutMajority extends InterceptedControl {
+  protected override answerInstead(command: Command): CommandAnswer | undefined {
     const change = changeOf(command);
     const doc = writtenDoc(this);
     if (!change || !doc || doc.edits.some((edit) => hasId(change.id, edit))) return undefined;
@@ -52,9 +52,9 @@
   }
 }
 
-/** Refuses by what is written but not committed. */
+/** Refuses orders by a configuration that is written but not committed. */
 export class RefusesByUncommitted extends InterceptedControl {
-  protected override answerOf(command: Command): CommandAnswer | undefined {
+  protected override answerInstead(command: Command): CommandAnswer | undefined {
     const change = changeOf(command);
     const doc = writtenDoc(this);
     if (!change || !doc || !this.state.isWriting(CONFIG_PARTITION)) return undefined;
@@ -64,11 +64,11 @@
   }
 }
 
-/** Judges each copy of an order by its base: its identity is forgotten. */
+/** Checks each copy of an order by its base, as if its identity were unknown. */
 export class ForgetsIdentity extends InterceptedControl {
   #copies = 0;
 
-  protected override take(command: Command): Command {
+  protected override interceptCommand(command: Command): Command {
     const change = changeOf(command);
     if (!change) return command;
     this.#copies += 1;
@@ -82,9 +82,9 @@
   }
 }
 
-/** Takes two different orders for the same where they build on one version. */
+/** Treats two different orders as the same if they have the same base version. */
 export class IdentifiesByBase extends InterceptedControl {
-  protected override take(command: Command): Command {
+  protected override interceptCommand(command: Command): Command {
     const change = changeOf(command);
     return change
       ? { ...command, body: JSON.stringify({ ...change, id: `on-${change.base}` }) }
@@ -92,29 +92,29 @@
   }
 }
 
-/** Tells the operator that an order was refused where its outcome is not known. */
+/** Reports an order to the operator as refused if its outcome is unknown. */
 export class RefusesUnclear extends InterceptedControl {
-  protected override carryOut(effect: ControlEffect): readonly ControlEffect[] {
+  protected override interceptEffect(effect: ControlEffect): readonly ControlEffect[] {
     if (effect.do !== 'reply' || !effect.body.includes('"unsure-edit"')) return [effect];
     return [{ ...effect, ...refusal(0, 0) }];
   }
 }
 
-/** A follower acknowledges an order as soon as it has passed it on. */
+/** Acknowledges an order on a follower as soon as it has been forwarded. */
 export class AcknowledgesForwarded extends InterceptedControl {
-  protected override answerOf(command: Command): CommandAnswer | undefined {
+  protected override answerInstead(command: Command): CommandAnswer | undefined {
     const change = changeOf(command);
     const { leader } = this.elector;
     if (!change || this.isServing || leader === undefined) return undefined;
     if (change.base !== committedVersion(this)) return undefined;
-    this.say(leader, { kind: 'command', id: -1, epoch: 0, leaderTime: 0, ...command });
+    this.sendMessage(leader, { kind: 'command', id: -1, epoch: 0, leaderTime: 0, ...command });
     return acceptedAnswer(change.id, 0, NO_VERSION);
   }
 }
 
-/** A leader answers reads by what it holds, without asking a majority. */
-export class ReadsUnproved extends InterceptedControl {
-  protected override answerOf({ verb }: Command): CommandAnswer | undefined {
+/** Answers reads on a leader from its own state, without contacting a majority. */
+export class ReadsWithoutMajority extends InterceptedControl {
+  protected override answerInstead({ verb }: Command): CommandAnswer | undefined {
     const body = this.relay.latest('config')?.body;
     return verb === 'read' && this.isServing && body !== undefined
       ? { status: 200, body }
@@ -122,9 +122,9 @@
   }
 }
 
-/** Any node answers reads by what it was told last. */
-export class FollowerReads extends InterceptedControl {
-  protected override answerOf({ verb }: Command): CommandAnswer | undefined {
+/** Answers reads on any node from the last update that it received. */
+export class ReadsAtFollowers extends InterceptedControl {
+  protected override answerInstead({ verb }: Command): CommandAnswer | undefined {
     const body = this.relay.latest('config')?.body;
     return verb === 'read' && body !== undefined ? { status: 200, body } : undefined;
   }
--- a/src/simulation/mutants/state-mutants.ts
+++ b/src/simulation/mutants/state-mutants.ts
@@ -7,66 +7,73 @@
 import { allPartitions, CONFIG_PARTITION, VOTE_RECORD } from '../../state/partition-names.js';
 import type { StoredPartition } from '../../state/store.js';
 import type { ControlInputs } from '../core-build.js';
-import { InterceptedControl, type Heard } from './intercepted-control.js';
+import { InterceptedControl, type ReceivedMessage } from './intercepted-control.js';
 
-/** Control nodes that keep or repair the replicated state wrongly. */
+/** Mutants of control nodes that store or repair the replicated state incorrectly. */
 
-/** Says that a write is on disk as soon as it begins. */
+/** Reports a write as on disk as soon as it starts. */
 abstract class StoresUnsynced extends InterceptedControl {
-  protected abstract isEarly(partition: PartitionName): boolean;
+  protected abstract isReportedEarly(partition: PartitionName): boolean;
 
-  protected override carryOut(effect: ControlEffect): readonly ControlEffect[] {
-    if (effect.do === 'store' && this.isEarly(effect.partition))
-      this.pretendStored(effect.partition, effect.version);
+  protected override interceptEffect(effect: ControlEffect): readonly ControlEffect[] {
+    if (effect.do === 'store' && this.isReportedEarly(effect.partition))
+      this.injectPersisted(effect.partition, effect.version);
     return [effect];
   }
 }
 
 /** Acknowledges the configuration before it is synced. */
 export class StoresConfigUnsynced extends StoresUnsynced {
-  protected override isEarly(partition: PartitionName): boolean {
+  protected override isReportedEarly(partition: PartitionName): boolean {
     return partition === CONFIG_PARTITION;
   }
 }
 
-/** Speaks of its votes before they are synced. */
+/** Sends its votes before they are synced. */
 export class StoresVotesUnsynced extends StoresUnsynced {
-  protected override isEarly(partition: PartitionName): boolean {
+  protected override isReportedEarly(partition: PartitionName): boolean {
     return partition === VOTE_RECORD;
   }
 }
 
-/** Counts every voter that a write was sent to as one that has it. */
+/** Counts every voter that a write was sent to as having stored it. */
 export class CountsUnacknowledged extends InterceptedControl {
-  protected override carryOut(effect: ControlEffect): readonly ControlEffect[] {
+  protected override interceptEffect(effect: ControlEffect): readonly ControlEffect[] {
     if (effect.do !== 'send' || effect.message.kind !== 'write') return [effect];
     const { part, epoch, count } = effect.message;
-    this.pretend(effect.to, { kind: 'writeReply', part, epoch, count, good: true, members: [] });
+    this.injectMessage(effect.to, {
+      kind: 'writeReply',
+      part,
+      epoch,
+      count,
+      good: true,
+      members: [],
+    });
     return [effect];
   }
 }
 
-/** Takes a write of an epoch that is over as the newest of the epoch granted here. */
+/** Accepts a write of a past epoch as the newest one of the epoch that this node has granted. */
 export class TakesDeposedWrites extends InterceptedControl {
-  protected override hear(from: string, message: Message): readonly Heard[] {
+  protected override interceptMessage(from: string, message: Message): readonly ReceivedMessage[] {
     const { grantEpoch } = this.elector.record;
     if (message.kind !== 'write' || message.epoch >= grantEpoch) return [{ from, message }];
-    // With the epoch alone mistaken, its count is most often below what the present leader has written since.
+    // With only the epoch changed, the count would usually be below that of the current leader's writes.
     const held = this.state.versionOf(partitionName(message.part));
     const count = Math.max(message.count, held.count);
     return [{ from, message: { ...message, epoch: grantEpoch, count } }];
   }
 }
 
-/** Begins to lead with its own copies, reading nobody else's. */
+/** Starts to lead with its own copies, without reading those of other nodes. */
 export class LeadsByOwnCopies extends InterceptedControl {
-  protected override carryOut(effect: ControlEffect): readonly ControlEffect[] {
+  protected override interceptEffect(effect: ControlEffect): readonly ControlEffect[] {
     if (effect.do !== 'send' || effect.message.kind !== 'read' || effect.message.epoch === 0) {
       return [effect];
     }
     const { epoch, nonce } = effect.message;
     const copies = allPartitions().map(emptyCopy);
-    this.pretend(effect.to, {
+    this.injectMessage(effect.to, {
       kind: 'readReply',
       epoch,
       nonce,
@@ -88,11 +95,11 @@
   return { part: partition, epoch: 0, count: 0, body: '', sound: true };
 }
 
-/** Alters the configuration before it is sent to others or written here. */
+/** Alters the configuration before it is sent to other nodes or written on this one. */
 abstract class AltersConfig extends InterceptedControl {
   protected abstract altered(doc: ConfigDoc): ConfigDoc;
 
-  protected override carryOut(effect: ControlEffect): readonly ControlEffect[] {
+  protected override interceptEffect(effect: ControlEffect): readonly ControlEffect[] {
     if (effect.do === 'store' && effect.partition === CONFIG_PARTITION) {
       return [{ ...effect, body: this.#alter(effect.body) }];
     }
@@ -108,30 +115,30 @@
   }
 }
 
-/** Keeps the identities of orders in the leader's memory alone. */
+/** Keeps the identities of orders only in the leader's memory. */
 export class KeepsIdentitiesInMemory extends AltersConfig {
   protected override altered(doc: ConfigDoc): ConfigDoc {
     return { ...doc, edits: [] };
   }
 }
 
-/** Keeps evacuations in the leader's memory alone. */
+/** Keeps evacuations only in the leader's memory. */
 export class KeepsZonesInMemory extends AltersConfig {
   protected override altered(doc: ConfigDoc): ConfigDoc {
     return { ...doc, emptied: [] };
   }
 }
 
-/** Counts as repaired without the copies that others hold. */
+/** Counts as repaired without the copies that other nodes hold. */
 export class RepairsWithoutCopies extends InterceptedControl {
-  protected override hear(from: string, message: Message): readonly Heard[] {
+  protected override interceptMessage(from: string, message: Message): readonly ReceivedMessage[] {
     if (message.kind !== 'readReply' || message.sound) return [{ from, message }];
     return [{ from, message: { ...message, copies: [] } }];
   }
 }
 
-/** A voter with an empty disk counts at once. */
-export class CountsWiped extends InterceptedControl {
+/** Counts as a voter at once although its disk is empty. */
+export class CountsWipedDisk extends InterceptedControl {
   constructor(inputs: ControlInputs) {
     const isFirst = inputs.settings.deployed?.isFirstStart ?? true;
     const isWiped = inputs.stored.length === 0 && !isFirst;
@@ -146,28 +153,29 @@
   isIntact: true,
 };
 
-/** A write with the moment of its beginning. */
-interface DatedPart {
+/** A write with the time at which it started. */
+interface TimedWrite {
   readonly at: number;
   readonly stored: StoredPartition;
 }
 
-/** What the processes of one run have written, for nodes that start from an older state than their newest. */
+/** The writes of all nodes of a run, for nodes that restart from an older state than their newest one. */
 export class Snapshots {
-  readonly #byNode = new Map<string, DatedPart[]>();
+  readonly #byNode = new Map<string, TimedWrite[]>();
 
-  note(node: string, at: number, stored: StoredPartition): void {
+  /** Adds a write of a node that started at `at`. */
+  add(node: string, at: number, stored: StoredPartition): void {
     const log = this.#byNode.get(node) ?? [];
     this.#byNode.set(node, log);
     log.push({ at, stored });
   }
 
-  /** What the node had on disk at that moment. */
+  /** Returns what the node had on disk at a time. */
   at(node: string, moment: number): readonly StoredPartition[] {
     const partitions = new Map<string, StoredPartition>();
     for (const { at, stored } of this.#byNode.get(node) ?? []) {
-      const known = partitions.get(stored.partition);
-      if (at <= moment && (!known || isNewer(stored.version, known.version)))
+      const newest = partitions.get(stored.partition);
+      if (at <= moment && (!newest || isNewer(stored.version, newest.version)))
         partitions.set(stored.partition, stored);
     }
     return [...partitions.values()];
@@ -176,7 +184,7 @@
 
 const SNAPSHOT_AGE_MS = 3000;
 
-/** Starts from a disk as it was three seconds before, and counts. */
+/** Restarts with its disk contents of three seconds ago, and counts as a voter. */
 export class CountsOldDisk extends InterceptedControl {
   readonly #snapshots: Snapshots;
   readonly #me: string;
@@ -189,10 +197,10 @@
     this.#me = me;
   }
 
-  protected override carryOut(effect: ControlEffect): readonly ControlEffect[] {
+  protected override interceptEffect(effect: ControlEffect): readonly ControlEffect[] {
     if (effect.do === 'store') {
       const { partition, version, body } = effect;
-      this.#snapshots.note(this.#me, this.now, { partition, version, body, isIntact: true });
+      this.#snapshots.add(this.#me, this.now, { partition, version, body, isIntact: true });
     }
     return [effect];
   }
