--- a/src/simulation/same-runs/dispatcher-run.ts
+++ b/src/simulation/same-runs/dispatcher-run.ts
@@ -10,17 +10,17 @@
 import { TraceDigest, type TraceLog } from './trace-digest.js';
 
 const STEPS = 4000;
-/** A process that ends early may not know its configuration yet. */
-const EARLY_STEPS = 200;
-const EARLY_SHARE = 0.1;
-const MOST_STEP_MS = 6;
+/** Steps and share of runs that end early: such a process may not have its configuration yet. */
+const SHORT_RUN_STEPS = 200;
+const SHORT_RUN_SHARE = 0.1;
+const MAX_STEP_MS = 6;
 const TICK_MS = 50;
-/** So long the process stands still now and then: no tick comes meanwhile. */
-const LEAST_STANDSTILL_MS = 160;
-const MOST_STANDSTILL_MS = 900;
-/** By then the proxy knows configuration and fleet. */
-const MOST_START_MS = 1000;
-const DEMAND_STEPS = 60;
+/** How long the process is paused now and then, without ticks. */
+const MIN_PAUSE_MS = 160;
+const MAX_PAUSE_MS = 900;
+/** The proxy has a configuration and a fleet by this time. */
+const MAX_START_MS = 1000;
+const STEPS_PER_REPORT = 60;
 const SETTINGS = {
   proxyId: 'flow@1',
   zone: 'zone-a',
@@ -28,18 +28,18 @@
   warmupExcess: 1.5,
   connectTimeoutMs: 400,
 } as const;
-/** Keeps what the dispatcher draws apart from what its surroundings draw. */
-const INNER_SEED = 1_000_003;
+/** Separates the random numbers of the dispatcher from those of its environment. */
+const DISPATCHER_SEED_OFFSET = 1_000_003;
 const NAME = 'dispatcher';
 
-/** A dispatcher alone with drawn requests, runners' answers, faults and words on the fleet. */
+/** A dispatcher alone with random requests, runner responses, faults and fleet updates. */
 class DispatcherRun {
   readonly #random: Seeded;
   readonly #digest: TraceDigest;
   readonly #dispatcher: Dispatcher;
   readonly #attempts: DrawnAttempts;
   readonly #fleet: DrawnFleet;
-  readonly #models: number;
+  readonly #modelCount: number;
   readonly #idle = new Set<string>();
   readonly #clients = new Set<number>();
   readonly #configureAt: number;
@@ -47,38 +47,38 @@
   #routing: Routing;
   #now = 0;
   #tickAt = 0;
-  #requests = 0;
+  #requestCount = 0;
 
   constructor(seed: number, digest: TraceDigest) {
     const random = new Seeded(seed);
-    const inner = new Seeded(seed + INNER_SEED);
+    const dispatcherRandom = new Seeded(seed + DISPATCHER_SEED_OFFSET);
     this.#random = random;
     this.#digest = digest;
-    this.#models = 2 + random.below(6);
-    this.#routing = drawRouting(random, 1, this.#models);
-    this.#fleet = new DrawnFleet(random, this.#models);
-    this.#configureAt = random.below(MOST_START_MS);
-    this.#fleetAt = random.below(MOST_START_MS);
+    this.#modelCount = 2 + random.below(6);
+    this.#routing = drawRouting(random, 1, this.#modelCount);
+    this.#fleet = new DrawnFleet(random, this.#modelCount);
+    this.#configureAt = random.below(MAX_START_MS);
+    this.#fleetAt = random.below(MAX_START_MS);
     this.#dispatcher = new Dispatcher({
       ...SETTINGS,
       hasIdleConnection: (address) => this.#idle.has(address),
-      random: () => inner.next(),
+      random: () => dispatcherRandom.next(),
     });
     this.#attempts = new DrawnAttempts(random, this.#dispatcher, digest);
   }
 
   run(): void {
-    const steps = this.#random.isLikely(EARLY_SHARE) ? EARLY_STEPS : STEPS;
+    const steps = this.#random.isLikely(SHORT_RUN_SHARE) ? SHORT_RUN_STEPS : STEPS;
     for (let step = 1; step <= steps; step += 1) {
-      this.#pass();
-      this.#act();
-      this.#obey();
-      if (step % DEMAND_STEPS === 0) this.#report();
+      this.#advanceTime();
+      this.#performAction();
+      this.#performEffects();
+      if (step % STEPS_PER_REPORT === 0) this.#report();
     }
     this.#dispatcher.startDraining();
     this.#report();
     this.#dispatcher.abortAll();
-    this.#obey();
+    this.#performEffects();
     this.#report();
   }
 
@@ -86,13 +86,13 @@
     return moment(this.#now);
   }
 
-  /** Time passes, with the ticks and the first words that are due. */
-  #pass(): void {
+  /** Advances the time and delivers the ticks and the first configuration and fleet when they are due. */
+  #advanceTime(): void {
     const random = this.#random;
     const before = this.#now;
-    this.#now += random.between(0, MOST_STEP_MS);
+    this.#now += random.between(0, MAX_STEP_MS);
     if (random.isLikely(0.001)) {
-      this.#now += random.between(LEAST_STANDSTILL_MS, MOST_STANDSTILL_MS);
+      this.#now += random.between(MIN_PAUSE_MS, MAX_PAUSE_MS);
     }
     if (this.#isDue(before, this.#configureAt)) this.#configure();
     if (this.#isDue(before, this.#fleetAt)) {
@@ -101,30 +101,30 @@
     if (this.#now < this.#tickAt) return;
     this.#tickAt = this.#now + TICK_MS;
     this.#dispatcher.tick(this.#at);
-    this.#obey();
+    this.#performEffects();
   }
 
   #isDue(before: number, due: number): boolean {
     return before <= due && due < this.#now;
   }
 
-  #act(): void {
+  #performAction(): void {
     const draw = this.#random.next();
-    if (draw < 0.14) this.#request();
-    else if (draw < 0.94) this.#attempts.goOn(this.#at);
-    else if (draw < 0.96) this.#leave();
-    else if (draw < 0.97) this.#flipIdle();
-    else if (this.#now > MOST_START_MS) this.#hearNews();
+    if (draw < 0.14) this.#sendRequest();
+    else if (draw < 0.94) this.#attempts.advance(this.#at);
+    else if (draw < 0.96) this.#disconnectClient();
+    else if (draw < 0.97) this.#toggleIdleConnection();
+    else if (this.#now > MAX_START_MS) this.#changeCluster();
   }
 
-  #request(): void {
-    this.#requests += 1;
-    const head: RequestHead = drawHead(this.#random, this.#requests, this.#models);
+  #sendRequest(): void {
+    this.#requestCount += 1;
+    const head: RequestHead = drawHead(this.#random, this.#requestCount, this.#modelCount);
     this.#clients.add(head.id);
     this.#dispatcher.onRequest(this.#at, head);
   }
 
-  #leave(): void {
+  #disconnectClient(): void {
     const id = this.#random.pick([...this.#clients]);
     if (id === undefined) return;
     this.#clients.delete(id);
@@ -132,19 +132,19 @@
     this.#dispatcher.onClientDisconnect(this.#at, id);
   }
 
-  #flipIdle(): void {
+  #toggleIdleConnection(): void {
     const address = this.#random.pick(this.#fleet.runners)?.address ?? '';
     if (!this.#idle.delete(address)) this.#idle.add(address);
   }
 
-  #hearNews(): void {
+  #changeCluster(): void {
     const draw = this.#random.next();
     if (draw < 0.75) {
       this.#fleet.change();
       this.#dispatcher.onFleet(this.#at, this.#fleet.fleet);
     } else if (draw < 0.9) {
       if (draw < 0.8) {
-        this.#routing = drawRouting(this.#random, this.#routing.version + 1, this.#models);
+        this.#routing = drawRouting(this.#random, this.#routing.version + 1, this.#modelCount);
       }
       this.#configure();
     } else {
@@ -159,21 +159,21 @@
     this.#dispatcher.onConfiguration(this.#at, this.#routing, evacuated);
   }
 
-  #obey(): void {
+  #performEffects(): void {
     for (const effect of this.#dispatcher.drainEffects()) {
       this.#digest.record(this.#now, NAME, 'effect', effectValues(effect));
-      this.#carryOut(effect);
+      this.#performEffect(effect);
     }
     if (this.#dispatcher.takeUrgentDemand()) this.#digest.record(this.#now, NAME, 'urgent', []);
   }
 
-  #carryOut(effect: DispatchEffect): void {
+  #performEffect(effect: DispatchEffect): void {
     switch (effect.do) {
       case 'send':
-        this.#attempts.begin(effect.id, effect.attempt);
+        this.#attempts.start(effect.id, effect.attempt);
         break;
       case 'forward':
-        this.#attempts.pass(effect.id);
+        this.#attempts.startResponse(effect.id);
         break;
       case 'cancel':
         this.#attempts.end(effect.id);
@@ -190,13 +190,13 @@
     const { counts, inFlight, isReady, isDraining } = this.#dispatcher;
     const values = [inFlight, isReady, isDraining, ...countValues(counts)];
     this.#digest.record(this.#now, NAME, 'counts', values);
-    // The demand goes to the leader as JSON: its names are on the wire.
+    // The demand goes to the leader as JSON: its names are part of the wire format.
     const demand = JSON.stringify(this.#dispatcher.takeDemandReport(this.#at));
     this.#digest.record(this.#now, NAME, 'demand', [demand]);
   }
 }
 
-/** Runs a dispatcher for a seed and digests all that it does. */
+/** Runs a dispatcher for a seed and returns the digest of everything it does. */
 export function runDispatcher(seed: number, log?: TraceLog): string {
   const digest = new TraceDigest(log);
   new DispatcherRun(seed, digest).run();
--- a/src/simulation/same-runs/dispatcher-values.ts
+++ b/src/simulation/same-runs/dispatcher-values.ts
@@ -2,7 +2,7 @@
 import type { DispatchEffect, RejectReason } from '../../proxy/dispatcher.js';
 import type { TraceValue } from '../../rehearsal/run-trace.js';
 
-/** The reasons as a trace names them, whatever the code calls them. */
+/** The names of the reasons in a trace, independent of the names in the code. */
 const REASONS: Readonly<Record<RejectReason, string>> = {
   'no-config': 'no configuration',
   'no-route': 'no route',
@@ -13,16 +13,16 @@
 };
 
 /**
- * What the dispatcher does, as a trace holds it: a word of the trace's own, then values in a fixed order. Where the
- * code's names change, only this mapping does; its words and the order of the values never change.
+ * Returns an effect of the dispatcher as a trace records it: a name defined by the trace, then values in a fixed order.
+ * If names in the code change, only this mapping changes; the names in the trace and the order of the values never do.
  */
 export function effectValues(effect: DispatchEffect): readonly TraceValue[] {
   switch (effect.do) {
     case 'send': {
       const { id, attempt, runner, address, timeLeftMs, urgency } = effect;
-      const { isBuffered, isResumable, needsNewConnection: isFresh } = effect;
-      const how = [timeLeftMs, urgency, isBuffered, isResumable, isFresh];
-      return ['send', id, attempt, runner, address, ...how];
+      const { isBuffered, isResumable, needsNewConnection: isNewConnection } = effect;
+      const details = [timeLeftMs, urgency, isBuffered, isResumable, isNewConnection];
+      return ['send', id, attempt, runner, address, ...details];
     }
     case 'reject':
       return ['reject', effect.id, REASONS[effect.reason], effect.retryAfterMs];
@@ -35,7 +35,7 @@
   }
 }
 
-/** What the dispatcher has counted, in a fixed order. */
+/** Returns the counters of the dispatcher in a fixed order. */
 export function countValues(counts: DispatchCounts): readonly TraceValue[] {
   const { requests, retries, refused, failed, resumed, misses, waits } = counts;
   return [requests, retries, refused, failed, resumed, misses, waits];
--- a/src/simulation/same-runs/drawn-attempts.ts
+++ b/src/simulation/same-runs/drawn-attempts.ts
@@ -11,7 +11,7 @@
   stage: Stage;
 }
 
-/** Heads of answers, the usual one several times; the shares of the rest are even. */
+/** Response headers to draw from: the usual ones several times, all others once. */
 const OK: ResponseHead = {
   status: 200,
   isUnprocessed: false,
@@ -28,7 +28,7 @@
   { status: 404, isUnprocessed: false, isGenuine: true, isEventStream: false },
 ];
 
-/** The attempts of a dispatcher that are under way, and what comes of them. */
+/** Draws the outcomes of a dispatcher's attempts in progress. */
 export class DrawnAttempts {
   readonly #random: Seeded;
   readonly #dispatcher: Dispatcher;
@@ -41,31 +41,33 @@
     this.#digest = digest;
   }
 
-  begin(id: number, attempt: number): void {
+  /** Adds an attempt that the dispatcher has started. */
+  start(id: number, attempt: number): void {
     this.#byId.set(id, { id, attempt, stage: 'chosen' });
   }
 
-  /** The answer's head was taken: what follows is passed on. */
-  pass(id: number): void {
+  /** The dispatcher accepted the response headers: the body is forwarded from now on. */
+  startResponse(id: number): void {
     const attempt = this.#byId.get(id);
     if (attempt) attempt.stage = 'answering';
   }
 
+  /** Removes the attempt of a request. */
   end(id: number): void {
     this.#byId.delete(id);
   }
 
-  /** Something comes of one attempt; now and then it is said of an earlier one, which is void. */
-  goOn(now: Moment): void {
+  /** Reports an event of one attempt; now and then it belongs to an earlier attempt, which is over. */
+  advance(now: Moment): void {
     const attempt = this.#random.pick([...this.#byId.values()]);
     if (!attempt) return;
-    if (this.#random.isLikely(0.03)) this.#sayVoid(now, attempt);
+    if (this.#random.isLikely(0.03)) this.#reportStaleAttempt(now, attempt);
     else if (attempt.stage === 'chosen') this.#connect(now, attempt);
-    else if (attempt.stage === 'written') this.#hearHead(now, attempt);
-    else this.#hearBody(now, attempt);
+    else if (attempt.stage === 'written') this.#receiveHeaders(now, attempt);
+    else this.#receiveBody(now, attempt);
   }
 
-  #sayVoid(now: Moment, { id, attempt }: DrawnAttempt): void {
+  #reportStaleAttempt(now: Moment, { id, attempt }: DrawnAttempt): void {
     const earlier = attempt - 1;
     this.#dispatcher.onHeaders(now, id, earlier, OK);
     this.#dispatcher.onData(now, id, earlier);
@@ -88,9 +90,9 @@
     else this.#dispatcher.onDisconnect(now, id, number, false);
   }
 
-  #hearHead(now: Moment, { id, attempt }: DrawnAttempt): void {
+  #receiveHeaders(now: Moment, { id, attempt }: DrawnAttempt): void {
     const draw = this.#random.next();
-    // A runner that says nothing for long is left to the ticks.
+    // The runner stays silent; the dispatcher's ticks handle the timeout.
     if (draw < 0.3) return;
     if (draw < 0.36) {
       this.end(id);
@@ -102,7 +104,7 @@
     this.#dispatcher.onHeaders(now, id, attempt, head);
   }
 
-  #hearBody(now: Moment, { id, attempt }: DrawnAttempt): void {
+  #receiveBody(now: Moment, { id, attempt }: DrawnAttempt): void {
     const draw = this.#random.next();
     if (draw < 0.6) {
       this.#dispatcher.onData(now, id, attempt);
--- a/src/simulation/same-runs/drawn-demand.ts
+++ b/src/simulation/same-runs/drawn-demand.ts
@@ -5,51 +5,55 @@
 
 type Unit = FleetDemand['units'][number];
 
-const MOST_COUNT = 8;
-const MOST_RUNNING = 40;
+const MAX_REQUEST_COUNT = 8;
+const MAX_RUNNING_REQUESTS = 40;
 
-/** What proxies ask for: few models much and the others little; which they are changes now and then. */
+/**
+ * Draws the demand reported by proxies: high for few models and low for the others; the hot models change now and then.
+ */
 export class DrawnDemand {
   readonly #random: Seeded;
-  readonly #models: number;
-  /** The place of the model that is asked for most; the next ones follow in turn. */
-  #first = 0;
+  readonly #modelCount: number;
+  /** The index of the model with the highest demand; the following models have less and less. */
+  #hottestModel = 0;
 
   constructor(random: Seeded, models: number) {
     this.#random = random;
-    this.#models = models;
+    this.#modelCount = models;
   }
 
+  /** Draws another model with the highest demand. */
   shift(): void {
-    this.#first = this.#random.below(this.#models);
+    this.#hottestModel = this.#random.below(this.#modelCount);
   }
 
-  /** One proxy's word: what no runner serves waits, the rest runs. */
-  report(flow: string, runners: Iterable<DrawnRunner>): FleetDemand {
+  /** Draws a report of one proxy: requests for units that no runner serves wait, the others run. */
+  report(proxy: string, runners: Iterable<DrawnRunner>): FleetDemand {
     const units = new Map<string, Unit>();
-    const list = [...runners];
-    const most = 1 + this.#random.below(5);
-    for (let unit = 0; unit < most; unit += 1) {
-      const drawn = this.#unit(list);
+    const runnerList = [...runners];
+    const unitDraws = 1 + this.#random.below(5);
+    for (let unit = 0; unit < unitDraws; unit += 1) {
+      const drawn = this.#drawUnit(runnerList);
       units.set(`${drawn.model}/${drawn.adapter}`, drawn);
     }
-    return { flow, units: [...units.values()] };
+    return { flow: proxy, units: [...units.values()] };
   }
 
-  #unit(runners: readonly DrawnRunner[]): Unit {
+  #drawUnit(runners: readonly DrawnRunner[]): Unit {
     const random = this.#random;
-    const place = (this.#first + Math.floor(this.#models * random.next() ** 3)) % this.#models;
-    const model = modelName(place);
-    const adapter = place === 0 && random.isLikely(0.7) ? adapterName(random.below(ADAPTERS)) : '';
+    const index =
+      (this.#hottestModel + Math.floor(this.#modelCount * random.next() ** 3)) % this.#modelCount;
+    const model = modelName(index);
+    const adapter = index === 0 && random.isLikely(0.7) ? adapterName(random.below(ADAPTERS)) : '';
     const isServed = runners.some(servesUnit, { model, adapter });
     const isWaiting = !isServed || random.isLikely(0.05);
     return {
       service: ENGINE_SERVICE,
       model,
       adapter,
-      count: random.below(MOST_COUNT),
-      waiting: isWaiting ? 1 + random.below(MOST_COUNT) : 0,
-      running: isServed ? Math.floor(MOST_RUNNING * random.next() ** 2) : 0,
+      count: random.below(MAX_REQUEST_COUNT),
+      waiting: isWaiting ? 1 + random.below(MAX_REQUEST_COUNT) : 0,
+      running: isServed ? Math.floor(MAX_RUNNING_REQUESTS * random.next() ** 2) : 0,
       ...(random.isLikely(0.9) ? { priority: random.below(10) } : {}),
     };
   }
--- a/src/simulation/same-runs/drawn-fleet.ts
+++ b/src/simulation/same-runs/drawn-fleet.ts
@@ -9,39 +9,40 @@
   ZONES,
 } from './drawn-routing.js';
 
-const MOST_RUNNERS = 12;
-const MOST_FLOWS = 12;
+const MAX_RUNNERS = 12;
+const MAX_PROXIES = 12;
 const ENGINE_SHARE = 0.7;
 
-/** A fleet as a proxy is told of it, which changes a little with each word. */
+/** Draws the fleet that a proxy receives, which changes slightly with each update. */
 export class DrawnFleet {
   readonly #random: Seeded;
-  readonly #models: number;
+  readonly #modelCount: number;
   #runners: FleetRunner[] = [];
-  #flows = 1;
-  #count = 0;
+  #proxyCount = 1;
+  #createdRunners = 0;
 
   constructor(random: Seeded, models: number) {
     this.#random = random;
-    this.#models = models;
+    this.#modelCount = models;
     const runners = 4 + random.below(5);
-    for (let place = 0; place < runners; place += 1) this.#runners.push(this.#newRunner());
+    for (let index = 0; index < runners; index += 1) this.#runners.push(this.#newRunner());
   }
 
+  /** The current runners. */
   get runners(): readonly FleetRunner[] {
     return this.#runners;
   }
 
-  /** The fleet now; runners that did not change stay the very same objects. */
+  /** The current fleet; runners that did not change are identical objects. */
   get fleet(): Fleet {
-    return { flows: this.#flows, runners: [...this.#runners], waits: this.#waits() };
+    return { flows: this.#proxyCount, runners: [...this.#runners], waits: this.#drawWaits() };
   }
 
-  /** Some runners change, one comes or goes, or the number of proxies does. */
+  /** Changes some runners, adds or removes one, or changes the number of proxies. */
   change(): void {
     const random = this.#random;
-    if (random.isLikely(0.15)) this.#flows = 1 + random.below(MOST_FLOWS);
-    if (random.isLikely(0.15) && this.#runners.length < MOST_RUNNERS) {
+    if (random.isLikely(0.15)) this.#proxyCount = 1 + random.below(MAX_PROXIES);
+    if (random.isLikely(0.15) && this.#runners.length < MAX_RUNNERS) {
       this.#runners.push(this.#newRunner());
     }
     if (random.isLikely(0.1)) this.#runners.splice(random.below(this.#runners.length), 1);
@@ -51,24 +52,25 @@
 
   #changeRunner(): void {
     const random = this.#random;
-    const place = random.below(this.#runners.length);
-    const runner = this.#runners[place];
+    const index = random.below(this.#runners.length);
+    const runner = this.#runners[index];
     if (!runner) return;
     const isEngine = runner.service === ENGINE_SERVICE;
-    this.#runners[place] = {
+    this.#runners[index] = {
       ...runner,
       isLeaving: random.isLikely(0.1),
       coldMs: random.isLikely(0.15) ? 500 + random.below(3000) : 0,
-      holds: isEngine ? this.#holds() : [],
-      coming: isEngine ? this.#waits() : [],
+      holds: isEngine ? this.#drawHolds() : [],
+      coming: isEngine ? this.#drawWaits() : [],
     };
   }
 
   #newRunner(): FleetRunner {
     const random = this.#random;
-    this.#count += 1;
-    const id = `r${this.#count}`;
-    const isEngine = this.#count === 1 || (this.#count > 2 && random.isLikely(ENGINE_SHARE));
+    this.#createdRunners += 1;
+    const id = `r${this.#createdRunners}`;
+    const isEngine =
+      this.#createdRunners === 1 || (this.#createdRunners > 2 && random.isLikely(ENGINE_SHARE));
     return {
       id,
       address: `${id}:80`,
@@ -77,33 +79,33 @@
       slots: 1 + random.below(16),
       isLeaving: false,
       coldMs: random.isLikely(0.3) ? 2000 : 0,
-      holds: isEngine ? this.#holds() : [],
+      holds: isEngine ? this.#drawHolds() : [],
       coming: [],
     };
   }
 
-  #holds(): FleetRunner['holds'] {
+  #drawHolds(): FleetRunner['holds'] {
     const random = this.#random;
     const holds: FleetRunner['holds'] = [];
-    for (let place = 0; place < this.#models; place += 1) {
+    for (let index = 0; index < this.#modelCount; index += 1) {
       if (!random.isLikely(0.5)) continue;
       const adapters: string[] = [];
-      for (let other = 0; place === 0 && other < ADAPTERS; other += 1) {
-        if (random.isLikely(0.3)) adapters.push(adapterName(other));
+      for (let adapter = 0; index === 0 && adapter < ADAPTERS; adapter += 1) {
+        if (random.isLikely(0.3)) adapters.push(adapterName(adapter));
       }
-      holds.push({ model: modelName(place), adapters });
+      holds.push({ model: modelName(index), adapters });
     }
     return holds;
   }
 
-  #waits(): FleetWait[] {
+  #drawWaits(): FleetWait[] {
     const random = this.#random;
     const waits: FleetWait[] = [];
     while (waits.length < 3 && random.isLikely(0.4)) {
-      const place = random.below(this.#models);
+      const index = random.below(this.#modelCount);
       const adapter =
-        place === 0 && random.isLikely(0.5) ? adapterName(random.below(ADAPTERS)) : '';
-      waits.push({ model: modelName(place), adapter, readyMs: random.below(8) * 150 });
+        index === 0 && random.isLikely(0.5) ? adapterName(random.below(ADAPTERS)) : '';
+      waits.push({ model: modelName(index), adapter, readyMs: random.below(8) * 150 });
     }
     return waits;
   }
--- a/src/simulation/same-runs/drawn-routing.ts
+++ b/src/simulation/same-runs/drawn-routing.ts
@@ -1,12 +1,15 @@
 import type { Seeded } from '../../rehearsal/seeded.js';
 import type { Engine, EngineModel, Route, Routing, Service } from '../../route/routing.js';
 
-/** The service with an engine of many models, and the one of plain runners. */
+/** The service whose engine serves many models. */
 export const ENGINE_SERVICE = 'llm';
+/** The service of plain runners, without models. */
 export const PLAIN_SERVICE = 'web';
+/** The host of all routes. */
 export const HOST = 'h.example';
+/** The zones of the runners. */
 export const ZONES: readonly string[] = ['zone-a', 'zone-b', 'zone-c'];
-/** Paths of requests by route; nobody has a route for the last. */
+/** Request paths, one or more for each route; the last one has no route. */
 export const PATHS: readonly string[] = [
   '/stream/x',
   '/stream/x',
@@ -16,7 +19,7 @@
   '/split/x',
   '/none/x',
 ];
-/** The first model of the engine has this many adapters, the others none. */
+/** The number of adapters of the engine's first model; the others have none. */
 export const ADAPTERS = 12;
 
 const WEIGHTS_MB: readonly number[] = [72_700, 65_100, 31_000];
@@ -73,36 +76,36 @@
   },
 ];
 
-/** The name of a model by its place. */
-export function modelName(place: number): string {
-  return `m${place}`;
+/** Returns the name of a model by its index. */
+export function modelName(index: number): string {
+  return `m${index}`;
 }
 
-/** The name of an adapter of the first model by its place. */
-export function adapterName(place: number): string {
-  return `a${place}`;
+/** Returns the name of an adapter of the first model by its index. */
+export function adapterName(index: number): string {
+  return `a${index}`;
 }
 
-function engineModel(place: number): EngineModel {
-  const sizeMb = WEIGHTS_MB[place % WEIGHTS_MB.length] ?? 0;
-  const adapters = place === 0 ? ADAPTERS : 0;
-  return { name: modelName(place), sizeMb, loadMs: 600, adapters, adapterSizeMb: 66 };
+function engineModel(index: number): EngineModel {
+  const sizeMb = WEIGHTS_MB[index % WEIGHTS_MB.length] ?? 0;
+  const adapters = index === 0 ? ADAPTERS : 0;
+  return { name: modelName(index), sizeMb, loadMs: 600, adapters, adapterSizeMb: 66 };
 }
 
 function engineOf(random: Seeded, models: number): Engine {
-  const list: EngineModel[] = [];
-  for (let place = 0; place < models; place += 1) list.push(engineModel(place));
+  const engineModels: EngineModel[] = [];
+  for (let index = 0; index < models; index += 1) engineModels.push(engineModel(index));
   return {
     slots: 32,
     cacheTokens: 200_000,
-    models: list,
+    models: engineModels,
     capacityMb: 150_000 + random.below(3) * 40_000,
     adapterSlots: 3 + random.below(6),
     loadsPerSecond: 1 + random.below(7),
   };
 }
 
-/** A configuration with so many models; its version differs from the last one's. */
+/** Draws a configuration with this version and `models` models. */
 export function drawRouting(random: Seeded, version: number, models: number): Routing {
   const service: Service = {
     name: ENGINE_SERVICE,
--- a/src/simulation/same-runs/orders-run.ts
+++ b/src/simulation/same-runs/orders-run.ts
@@ -7,11 +7,11 @@
 const START_MS = 14_000;
 const ORDERS = 60;
 const LAST_ORDERS = 10;
-const MOST_PAUSE_MS = 400;
-/** Enough time for a new node to be repaired, and for a change of the voters. */
+const MAX_PAUSE_MS = 400;
+/** Enough time for the repair of a new node, and for a change of the voters. */
 const REPAIR_MS = 5000;
-const VOTERS_MS = 8000;
-const LOST_MS = 10_000;
+const VOTER_CHANGE_MS = 8000;
+const DISK_LOSS_MS = 10_000;
 const RECOVERY_MS = 15_000;
 const SEEDS: readonly string[] = ['mind-0:1', 'mind-1:1', 'mind-2:1'];
 const NEW_NODE = 'core-9:1';
@@ -31,21 +31,21 @@
 const ROWS: readonly string[] = ['check/m-*', 'check/m-1', 'lookup/@kiosk', 'none/none'];
 
 /**
- * Operators' commands of every kind at the control nodes of a fleet under the policy table, valid and not; then a voter is
- * replaced, or two or all disks are lost and a new cluster is forced.
+ * Sends valid and invalid operators' commands of every kind to the control nodes of a fleet under the policy table;
+ * then replaces a voter, or wipes two or all disks and forces a new cluster.
  */
 class OrdersRun {
   readonly #random: Seeded;
   readonly #simulation: Simulation;
-  /** How many disks are lost at once: none in every other run, else as many as nobody can make good. */
-  readonly #disksLost: number;
-  /** The number of the table as the last answer gave it. */
-  #number = 0;
-  #orders = 0;
+  /** How many disks are lost at once: none in every second run, otherwise too many for an automatic repair. */
+  readonly #lostDisks: number;
+  /** The number of the table in the last answer. */
+  #tableNumber = 0;
+  #orderCount = 0;
 
   constructor(seed: number, runTrace: TraceDigest) {
     this.#random = new Seeded(seed);
-    this.#disksLost = seed % 2 === 1 ? 0 : 2 + ((seed / 2) % 2);
+    this.#lostDisks = seed % 2 === 1 ? 0 : 2 + ((seed / 2) % 2);
     this.#simulation = new Simulation({ seed, edges: PROXIES, stormMs: 0, troubles: [], runTrace });
   }
 
@@ -54,16 +54,16 @@
     this.#wait(START_MS);
     this.#simulation.found();
     for (let count = 0; count < ORDERS; count += 1) {
-      this.#order(this.#random.pick(this.#simulation.controlNodes));
-      this.#wait(this.#random.between(0, MOST_PAUSE_MS));
+      this.#sendOrder(this.#random.pick(this.#simulation.controlNodes));
+      this.#wait(this.#random.between(0, MAX_PAUSE_MS));
     }
-    if (this.#disksLost > 0) this.#forceNewCluster();
+    if (this.#lostDisks > 0) this.#forceNewCluster();
     else this.#replaceVoter();
     for (let count = 0; count < LAST_ORDERS; count += 1) {
-      this.#order(this.#random.pick(this.#simulation.controlNodes));
-      this.#wait(this.#random.between(0, MOST_PAUSE_MS));
+      this.#sendOrder(this.#random.pick(this.#simulation.controlNodes));
+      this.#wait(this.#random.between(0, MAX_PAUSE_MS));
     }
-    for (const node of this.#simulation.controlNodes) this.#command(node, 'status', {});
+    for (const node of this.#simulation.controlNodes) this.#sendCommand(node, 'status', {});
     this.#wait(REPAIR_MS);
   }
 
@@ -72,24 +72,24 @@
     scheduler.runUntil(scheduler.now + millis);
   }
 
-  #order(node: SimControl | undefined): void {
-    this.#orders += 1;
+  #sendOrder(node: SimControl | undefined): void {
+    this.#orderCount += 1;
     const verb = this.#random.pick(VERBS) ?? '';
-    this.#command(node, verb, this.#bodyOf(verb));
+    this.#sendCommand(node, verb, this.#bodyOf(verb));
   }
 
-  #command(node: SimControl | undefined, verb: string, body: object): void {
+  #sendCommand(node: SimControl | undefined, verb: string, body: object): void {
     node?.command(verb, JSON.stringify(body), (_status, answer) => {
       const [, number] = /"number":(\d+)/.exec(answer) ?? [];
-      if (number !== undefined) this.#number = Number(number);
+      if (number !== undefined) this.#tableNumber = Number(number);
     });
   }
 
-  /** A command's body; some are of another table than the one in force, or repeat an id. */
+  /** Draws a command's body; some are based on another table than the one in force, or repeat an id. */
   #bodyOf(verb: string): object {
     const random = this.#random;
-    const id = random.isLikely(0.9) ? `o${this.#orders}` : `o${random.below(this.#orders)}`;
-    const base = random.isLikely(0.9) ? this.#number : random.below(this.#number + 2);
+    const id = random.isLikely(0.9) ? `o${this.#orderCount}` : `o${random.below(this.#orderCount)}`;
+    const base = random.isLikely(0.9) ? this.#tableNumber : random.below(this.#tableNumber + 2);
     const row = random.pick(ROWS) ?? '';
     switch (verb) {
       case 'table':
@@ -101,7 +101,7 @@
       case 'zone':
         return { id, zone: random.pick(['a', 'b', 'c', 'none']), empty: random.isLikely(0.5) };
       case 'edit':
-        return { id: `o${random.below(this.#orders + 2)}`, base };
+        return { id: `o${random.below(this.#orderCount + 2)}`, base };
       case 'swap':
         return { id, old: 'nobody:1', new: random.isLikely(0.5) ? 'mind-0:1' : 'none:1' };
       default:
@@ -126,27 +126,27 @@
     this.#simulation.kill(old);
     const node = this.#simulation.addControlNode(NEW_NODE, SEEDS);
     this.#wait(REPAIR_MS);
-    this.#command(this.#simulation.leader(), 'swap', { id: 'swap', old: old.id, new: node.id });
-    this.#wait(VOTERS_MS);
+    this.#sendCommand(this.#simulation.leader(), 'swap', { id: 'swap', old: old.id, new: node.id });
+    this.#wait(VOTER_CHANGE_MS);
   }
 
-  /** More disks are lost than a majority bears, so that operators must force a new cluster. */
+  /** Wipes so many disks that no majority is left, so that operators must force a new cluster. */
   #forceNewCluster(): void {
-    const lost = this.#simulation.controlNodes.slice(0, this.#disksLost);
+    const lost = this.#simulation.controlNodes.slice(0, this.#lostDisks);
     for (const node of lost) {
       this.#simulation.kill(node);
       node.wipe();
     }
-    this.#wait(MOST_PAUSE_MS);
+    this.#wait(MAX_PAUSE_MS);
     for (const node of lost) node.start();
-    this.#wait(LOST_MS);
-    for (const node of lost) this.#command(node, 'found', {});
+    this.#wait(DISK_LOSS_MS);
+    for (const node of lost) this.#sendCommand(node, 'found', {});
     this.#wait(RECOVERY_MS);
-    this.#command(this.#simulation.leader(), 'read', {});
+    this.#sendCommand(this.#simulation.leader(), 'read', {});
   }
 }
 
-/** Runs operators' commands for a seed and digests what the fleet does. */
+/** Runs operators' commands for a seed and returns the digest of what the fleet does. */
 export function runOrders(seed: number, log?: TraceLog): string {
   const digest = new TraceDigest(log);
   new OrdersRun(seed, digest).run();
--- a/src/simulation/same-runs/pinned-runs.ts
+++ b/src/simulation/same-runs/pinned-runs.ts
@@ -9,11 +9,11 @@
 import { runRelay } from './relay-run.js';
 import { TraceDigest, type TraceLog } from './trace-digest.js';
 
-/** What is run, and compared, under a seed. */
+/** A kind of run whose traces are compared with recorded digests. */
 export interface PinnedKind {
-  /** How many seeds, from 1 on, have a recorded digest. */
+  /** How many seeds, starting with 1, have a recorded digest. */
   readonly seeds: number;
-  /** Runs a seed and digests its trace. */
+  /** Runs a seed and returns the digest of its trace. */
   run(seed: number, log?: TraceLog): string;
 }
 
@@ -23,7 +23,7 @@
 const ORDERS_SEEDS = 60;
 const DISPATCHER_SEEDS = 1000;
 const PLANNER_SEEDS = 500;
-/** Virtual time of troubles in a storm. */
+/** Virtual time during which a storm injects faults. */
 const STORM_MS = 25_000;
 const STORM_PROXIES = 3;
 
@@ -41,26 +41,29 @@
   return runTrace.finish();
 }
 
-/** Everything whose behaviour is pinned by digests of seeded runs. */
+/** All kinds of runs whose behavior is pinned by recorded digests of seeded runs. */
 export const PINNED_KINDS = {
-  /** The deployed control side under faults (`haretrack rehearsal control --shape mixed`). */
+  /** The deployed control plane under faults (`haretrack rehearsal control --shape mixed`). */
   mixed: { seeds: MIXED_SEEDS, run: runMixed },
-  /** A fleet of the table of policies under all troubles (`haretrack rehearsal storm`). */
+  /** A fleet under the policy table with all kinds of faults (`haretrack rehearsal storm`). */
   storms: { seeds: STORM_SEEDS, run: runStorm },
-  /** The deployed control plane with many agents, a fleet that changes and runners that leave. */
+  /** The deployed control plane with many agents, a changing fleet and draining runners. */
   relay: { seeds: RELAY_SEEDS, run: runRelay },
-  /** Operators' commands of every kind, a voter replaced or a new cluster forced, under the policy table. */
+  /** Operators' commands of every kind under the policy table, then a voter is replaced or a new cluster forced. */
   orders: { seeds: ORDERS_SEEDS, run: runOrders },
-  /** The proxy's dispatcher alone, under drawn requests, answers, faults and words on the fleet. */
+  /** The proxy's dispatcher alone, with random requests, responses, faults and fleet updates. */
   dispatcher: { seeds: DISPATCHER_SEEDS, run: runDispatcher },
-  /** The planner alone, under drawn demand, runners, lost orders, configurations and leaders. */
+  /** The planner alone, with random demand, runners, lost orders, configurations and leader changes. */
   planner: { seeds: PLANNER_SEEDS, run: runPlanner },
 } as const satisfies Record<string, PinnedKind>;
+/** The name of a kind of run. */
 export type PinnedKindName = keyof typeof PINNED_KINDS;
 
+/** Whether a text is the name of a kind of run. */
 export function isPinnedKind(text: string): text is PinnedKindName {
   return text in PINNED_KINDS;
 }
 
+/** The names of all kinds of runs. */
 export const PINNED_KIND_NAMES: readonly PinnedKindName[] =
   Object.keys(PINNED_KINDS).filter(isPinnedKind);
--- a/src/simulation/same-runs/same-runs-command.ts
+++ b/src/simulation/same-runs/same-runs-command.ts
@@ -11,10 +11,10 @@
 import { RecordedDigests } from './recorded-digests.js';
 
 const WORKER = new URL('./digest-worker.js', import.meta.url);
-const PROGRESS_EVERY = 100;
+const RUNS_PER_PROGRESS_LINE = 100;
 const MS_PER_SECOND = 1000;
 
-/** Compares seeded runs with the digests that an earlier build recorded of them. */
+/** Compares seeded runs with the digests that an earlier build recorded. */
 export class SameRunsCommand extends Command {
   static override description =
     'compare seeded runs with those of the build that recorded them; exits with 1 and names the seeds that differ';
@@ -23,15 +23,17 @@
     kind: Flags.string({
       multiple: true,
       options: [...PINNED_KIND_NAMES],
-      description: 'only these kinds of runs',
+      description: 'run only these kinds',
+    }),
+    from: Flags.integer({ default: 1, min: 1, description: 'first seed of each kind' }),
+    seeds: Flags.integer({ min: 1, description: 'number of seeds of each kind; default: all' }),
+    jobs: Flags.integer({ default: 2, min: 1, description: 'number of concurrent processes' }),
+    record: Flags.boolean({
+      default: false,
+      description: 'record the digests instead of comparing them',
     }),
-    from: Flags.integer({ default: 1, min: 1, description: 'the first seed of each kind' }),
-    seeds: Flags.integer({ min: 1, description: 'how many seeds of each kind; all if left out' }),
-    jobs: Flags.integer({ default: 2, min: 1, description: 'processes at once' }),
-    record: Flags.boolean({ default: false, description: 'write the digests down instead' }),
     trace: Flags.string({
-      description:
-        'write the trace of the first seed of one kind to this file, and compare nothing',
+      description: 'write the trace of the first seed of one kind to this file, without comparing',
     }),
   };
 
@@ -42,9 +44,9 @@
       await this.#trace(kinds, flags.from, flags.trace);
       return;
     }
-    const begunAt = performance.now();
+    const startedAt = performance.now();
     const results = await this.#runAll(runsOf(kinds, flags.from, flags.seeds), flags.jobs);
-    const seconds = Math.round((performance.now() - begunAt) / MS_PER_SECOND);
+    const seconds = Math.round((performance.now() - startedAt) / MS_PER_SECOND);
     this.log(`${results.length} runs in ${seconds} s`);
     if (flags.record) this.#record(results);
     else this.#compare(results, kinds);
@@ -54,7 +56,7 @@
     const results: DigestResult[] = [];
     const done = (result: DigestResult): void => {
       results.push(result);
-      if (results.length % PROGRESS_EVERY === 0)
+      if (results.length % RUNS_PER_PROGRESS_LINE === 0)
         this.log(`${results.length} of ${runs.length} runs`);
     };
     const pool = { worker: WORKER, runs, jobs, mostMs: Infinity, isResult: isDigestResult, done };
@@ -70,25 +72,25 @@
 
   #compare(results: readonly DigestResult[], kinds: readonly PinnedKindName[]): void {
     const recorded = new RecordedDigests();
-    let differing = 0;
+    let differingCount = 0;
     for (const name of kinds) {
       const ofKind = results.filter(isOfKind, name);
       const seeds: number[] = [];
       for (const { seed, digest } of ofKind) {
         if (recorded.of(name, seed) !== digest) seeds.push(seed);
       }
-      seeds.sort(bySize);
-      differing += seeds.length;
-      const named = seeds.length > 0 ? `: seeds ${seeds.join(', ')}` : '';
-      this.log(`${name}: ${seeds.length} of ${ofKind.length} runs differ${named}`);
+      seeds.sort(compareNumbers);
+      differingCount += seeds.length;
+      const seedList = seeds.length > 0 ? `: seeds ${seeds.join(', ')}` : '';
+      this.log(`${name}: ${seeds.length} of ${ofKind.length} runs differ${seedList}`);
     }
-    this.exit(differing === 0 ? 0 : 1);
+    this.exit(differingCount === 0 ? 0 : 1);
   }
 
-  /** Two builds' traces of one seed show by `diff` where they part. */
+  /** Writes a seed's trace to a file; `diff` on the traces of two builds shows where they diverge. */
   async #trace(kinds: readonly PinnedKindName[], seed: number, path: string): Promise<void> {
     const [kind] = kinds;
-    if (kind === undefined || kinds.length > 1) this.error('--trace wants one --kind');
+    if (kind === undefined || kinds.length > 1) this.error('--trace requires exactly one --kind');
     const file = createWriteStream(path);
     this.log(
       `${kind} ${seed}: ${PINNED_KINDS[kind].run(seed, (line: string) => {
@@ -102,11 +104,11 @@
 function runsOf(
   kinds: readonly PinnedKindName[],
   from: number,
-  most: number | undefined,
+  maxSeeds: number | undefined,
 ): readonly DigestRun[] {
   const runs: DigestRun[] = [];
   for (const kind of kinds) {
-    const until = most === undefined ? PINNED_KINDS[kind].seeds : from + most - 1;
+    const until = maxSeeds === undefined ? PINNED_KINDS[kind].seeds : from + maxSeeds - 1;
     for (let seed = from; seed <= until; seed += 1) runs.push({ kind, seed });
   }
   return runs;
@@ -116,6 +118,6 @@
   return result.kind === this;
 }
 
-function bySize(one: number, two: number): number {
+function compareNumbers(one: number, two: number): number {
   return one - two;
 }
--- a/src/simulation/same-runs/trace-digest.ts
+++ b/src/simulation/same-runs/trace-digest.ts
@@ -3,21 +3,21 @@
 import type { Version } from '../../common/version.js';
 import type { RunTrace, TraceValue } from '../../rehearsal/run-trace.js';
 
-/** Hexadecimal digits of a digest: enough that two different runs never share one. */
+/** Hexadecimal digits of a digest: enough that different runs have different digests. */
 const DIGEST_LENGTH = 32;
-/** So much text, in characters, is hashed at once. */
-const MOST_PENDING = 2 ** 16;
+/** How many characters of text may be pending before they are hashed. */
+const MAX_PENDING_CHARS = 2 ** 16;
 
-/** Receives the trace as text, one line an event, so that two builds can be compared line by line. */
+/** Receives the trace as text, one line per event, so that the traces of two builds can be compared. */
 export type TraceLog = (line: string) => void;
 
 /**
- * Digests a run's trace. Only bytes and texts that leave a core enter it, never the name of a field, a
- * method or an effect: a rename leaves the digest as it is, a change of behaviour does not.
+ * Computes the digest of a run's trace. Only bytes and texts that leave a core enter it, never the name of a field, a
+ * method or an effect: a rename doesn't change the digest, a change of behavior does.
  */
 export class TraceDigest implements RunTrace {
   readonly #hash = createHash('sha256');
-  /** Text that is not hashed yet: hashing each event by itself takes several times as long. */
+  /** Text that isn't hashed yet: hashing each event separately takes several times as long. */
   #pending = '';
   readonly #log: TraceLog | undefined;
 
@@ -52,7 +52,7 @@
     this.#add(`${at} record ${node} ${topic} `, JSON.stringify(values));
   }
 
-  /** The digest of all that was traced; nothing can be traced after it. */
+  /** Returns the digest of the whole trace; no more events can be recorded afterwards. */
   finish(): string {
     this.#flush();
     return this.#hash.digest('hex').slice(0, DIGEST_LENGTH);
@@ -61,7 +61,7 @@
   #add(head: string, body: string | Uint8Array): void {
     const text = typeof body === 'string' ? body : Buffer.from(body).toString('latin1');
     this.#pending += `${head}${text}\n`;
-    if (this.#pending.length > MOST_PENDING) this.#flush();
+    if (this.#pending.length > MAX_PENDING_CHARS) this.#flush();
     this.#log?.(head + text);
   }
 
