--- a/src/simulation/mutants/election-mutants.ts
+++ b/src/simulation/mutants/election-mutants.ts
@@ -83,7 +83,7 @@
 const CLOCK_STEP_MS = 4000;
 const CLOCK_STEP_INTERVAL_MS = 5000;
 
-/** Measures leases by a wall clock that is set back and forth. */
+/** Measures all time spans by a wall clock that is set back and forth. */
 export class LeasesByWallClock extends InterceptedControl {
   /** How far the wall clock was behind the monotonic clock at the current input. */
   #clockLagMs = 0;
--- a/src/simulation/mutants/mutants.ts
+++ b/src/simulation/mutants/mutants.ts
@@ -325,7 +325,7 @@
     build: builtBy(ForgetsGrants),
   },
   'lease-by-wall-clock': {
-    what: 'leases are measured by a clock that is set back',
+    what: 'time spans are measured by a clock that is set back',
     rules: ['two-holders', 'stale-read', 'lower-fence'],
     faults: cutLeaders,
     build: builtBy(LeasesByWallClock),
