--- a/src/simulation/history/diagnosis.ts
+++ b/src/simulation/history/diagnosis.ts
@@ -64,7 +64,7 @@
   return { rule: 'refused-for-a-winner-that-never-was', order, base: change.base, refusedAt };
 }
 
-/** The first read, in ascending order of versions, that no document of the chain explains. */
+/** Reports the first read, in ascending order of versions, that no document of the chain explains. */
 function mismatchedReadViolation(run: RegisterRun): Violation | undefined {
   const reads = [...run.reads].sort(compareReadVersions);
   for (const [count, read] of reads.entries()) {
@@ -78,7 +78,7 @@
   return readVersion(left) - readVersion(right);
 }
 
-/** The read without which the register's run is legal, if there is one and it is not the last read. */
+/** Reports the read without which the register's run is legal, if there is one and it is not the last read. */
 function staleReadViolation(run: RegisterRun): Violation | undefined {
   let lastSentAt = -Infinity;
   for (const read of run.reads) lastSentAt = Math.max(lastSentAt, read.sentAt);
@@ -173,7 +173,7 @@
   return records;
 }
 
-/** The read without which the zone's run is legal, if there is one and it is not the last read. */
+/** Reports the read without which the zone's run is legal, if there is one and it is not the last read. */
 function staleZoneReadViolation(run: ZoneRun, part: Part): Violation | undefined {
   let last: ZoneRead | undefined;
   for (const read of run.reads) if (!last || read.sentAt > last.sentAt) last = read;
@@ -207,8 +207,11 @@
     return { rule: 'late-restore', zone, orders: recordsOfKind(view, 'restore') };
   }
   // The run is legal if accepted orders had no effect, or if an evacuation was lost.
-  const forgotten = [...orders.map(optionalZoneOrder), lateCopyAfter('restore', -Infinity)];
-  if (isZoneLegal({ orders: forgotten, reads })) {
+  const withLostEvacuation = [
+    ...orders.map(optionalZoneOrder),
+    lateCopyAfter('restore', -Infinity),
+  ];
+  if (isZoneLegal({ orders: withLostEvacuation, reads })) {
     return { rule: 'lost-accepted', orders: acceptedRecords(view), part };
   }
   return { rule: 'not-linearizable', part };
--- a/src/simulation/history/history-check.property.test.ts
+++ b/src/simulation/history/history-check.property.test.ts
@@ -263,8 +263,8 @@
   illegal = 0;
 }
 
-function compareMutated(count: VerdictCounts, steps: StepPlan[], harm: Mutation): void {
-  const history = mutated(runModel(steps), harm);
+function compareMutated(count: VerdictCounts, steps: StepPlan[], plan: Mutation): void {
+  const history = mutated(runModel(steps), plan);
   const view = viewOf(history, settingsOf(OPTIONS));
   let isLegal = isRegisterLegalExhaustive(view.changes, history.reads, amendModel);
   for (const zone of view.zones) {
@@ -281,8 +281,8 @@
 test('a mutated history is rejected unless an exhaustive search shows that it is still legal', () => {
   const count = new VerdictCounts();
   fc.assert(
-    fc.property(smallPlans, mutation, (steps: StepPlan[], harm: Mutation) =>
-      compareMutated(count, steps, harm),
+    fc.property(smallPlans, mutation, (steps: StepPlan[], plan: Mutation) =>
+      compareMutated(count, steps, plan),
     ),
     {
       numRuns: RUN_COUNT * 5,
--- a/src/simulation/history/model-runs.ts
+++ b/src/simulation/history/model-runs.ts
@@ -212,11 +212,10 @@
       return;
     }
     const sentAt = this.#now;
-    const carriedOutAt = sentAt + attempt.deliveryDelayMs;
-    const answeredAt = carriedOutAt + attempt.replyDelayMs;
+    const appliedAt = sentAt + attempt.deliveryDelayMs;
+    const answeredAt = appliedAt + attempt.replyDelayMs;
     const isInTime = answeredAt <= sentAt + MODEL_TIMEOUT_MS;
-    if (!attempt.isLost)
-      this.#schedule(carriedOutAt, () => this.#applyAttempt(record, carriedOutAt));
+    if (!attempt.isLost) this.#schedule(appliedAt, () => this.#applyAttempt(record, appliedAt));
     if (attempt.isLost || attempt.isReplyLost || !isInTime) {
       this.#schedule(sentAt + MODEL_TIMEOUT_MS, () =>
         this.#timeOutAttempt(operator, plan, record, index, sentAt),
@@ -224,7 +223,7 @@
       return;
     }
     // Applied before it is answered: events with equal times run in the order in which they were scheduled.
-    this.#schedule(answeredAt, () => this.#completeAttempt(operator, record, sentAt, carriedOutAt));
+    this.#schedule(answeredAt, () => this.#completeAttempt(operator, record, sentAt, appliedAt));
   }
 
   readonly #outcomes = new Map<string, AttemptOutcome>();
@@ -248,9 +247,9 @@
     operator: Operator,
     record: MutableRecord,
     sentAt: number,
-    carriedOutAt: number,
+    appliedAt: number,
   ): void {
-    const outcome = this.#outcomes.get(`${record.id} ${carriedOutAt}`) ?? 'unclear';
+    const outcome = this.#outcomes.get(`${record.id} ${appliedAt}`) ?? 'unclear';
     record.attempts.push({ node: 'model', sentAt, endedAt: this.#now, outcome });
     const { order } = record;
     if (outcome === 'accepted') this.#model.markAcknowledged(record);
--- a/src/simulation/history/reference-search.ts
+++ b/src/simulation/history/reference-search.ts
@@ -89,9 +89,9 @@
   return isSame ? state : undefined;
 }
 
-function registerKey({ version, text, applied: taken }: RegisterState): string {
+function registerKey({ version, text, applied }: RegisterState): string {
   const records: number[] = [];
-  for (const change of taken) records.push(...change.records);
+  for (const change of applied) records.push(...change.records);
   return `${version} ${text} ${records.sort(ascending).join()}`;
 }
 
--- a/src/simulation/history/register-rules.ts
+++ b/src/simulation/history/register-rules.ts
@@ -6,8 +6,8 @@
 
 /**
  * Rules of the register whose violation a few records prove by themselves. Each violation proves that the run isn't
- * linearizable, names the fault and identifies its records. No violation doesn't prove that the run is legal: the
- * search decides that.
+ * linearizable, names the fault and identifies its records. Without violations the run may still be illegal: the search
+ * decides that.
  */
 
 interface KnownVersion {
--- a/src/simulation/history/zone-search.ts
+++ b/src/simulation/history/zone-search.ts
@@ -134,8 +134,8 @@
     this.#states = new Map();
     const fresh: State[] = [];
     for (const state of before) {
-      const met = this.#satisfiedBy(state.flag, state.satisfied);
-      const next: State = { ...state, satisfied: met };
+      const satisfied = this.#satisfiedBy(state.flag, state.satisfied);
+      const next: State = { ...state, satisfied };
       if (this.#addState(next)) fresh.push(next);
     }
     for (let state = fresh.pop(); state; state = fresh.pop()) {
@@ -149,20 +149,20 @@
     const before = [...this.#states.values()];
     this.#states = new Map();
     const isRequired = this.#claims[claim]?.isRequired ?? false;
-    for (const { flag, satisfied: met, used } of before) {
-      if (isRequired && !met.has(claim)) continue;
-      this.#addState({ flag, satisfied: without(met, claim), used: without(used, claim) });
+    for (const { flag, satisfied, used } of before) {
+      if (isRequired && !satisfied.has(claim)) continue;
+      this.#addState({ flag, satisfied: without(satisfied, claim), used: without(used, claim) });
     }
   }
 
   /** Adds the open claims that a flag with this value satisfies. */
   #satisfiedBy(flag: boolean, before: ReadonlySet<number>): ReadonlySet<number> {
-    const met = new Set(before);
+    const satisfied = new Set(before);
     for (const open of this.#open) {
       const claim = this.#claims[open];
-      if (claim?.isRequired && claim.value === flag) met.add(open);
+      if (claim?.isRequired && claim.value === flag) satisfied.add(open);
     }
-    return met;
+    return satisfied;
   }
 
   /** The state after the open change that ends first has changed the flag; undefined if no such change is left. */
