--- a/src/simulation/mutants/mutant-command.ts
+++ b/src/simulation/mutants/mutant-command.ts
@@ -1,5 +1,5 @@
 import { Command, Flags } from '@oclif/core';
-import { testMutant, type MutantResult } from './mutant-hunt.js';
+import { testMutant, type MutantResult } from './mutant-runs.js';
 import { MUTANT_NAMES, MUTANTS, type MutantName } from './mutants.js';
 
 const DEFAULT_SEEDS = 20;
--- a/src/simulation/mutants/mutants.test.ts
+++ b/src/simulation/mutants/mutants.test.ts
@@ -1,9 +1,9 @@
 import { expect, test } from 'vitest';
 import { Quorum } from '../../common/quorum.js';
 import { nodeId } from '../../common/ids.js';
-import { mutantOptions, mutantSchedule, runMutant, runSoundBuild } from './mutant-hunt.js';
+import { mutantOptions, mutantSchedule, runMutant, runSoundBuild } from './mutant-runs.js';
 import { MUTANTS, type Mutant, type MutantName } from './mutants.js';
-import { halfIsMajority } from './exchanged-parts.js';
+import { halfIsMajority } from './patched-methods.js';
 
 /** Mutants that a few seeds catch; `haretrack simulation mutants` runs all of them. */
 const QUICK = [
--- a/src/simulation/mutants/mutants.ts
+++ b/src/simulation/mutants/mutants.ts
@@ -17,7 +17,7 @@
   stalledVotes,
   voterReplacementDuringCut,
   delayedElections,
-} from './aimed-schedules.js';
+} from './targeted-schedules.js';
 import { AcceptsOlderConfig } from './agent-mutants.js';
 import { SOUND_BUILD, type ControlInputs, type CoreBuild } from '../core-build.js';
 import {
@@ -60,7 +60,7 @@
   repairSkipsOneVoter,
   withoutJointSet,
   type Restore,
-} from './exchanged-parts.js';
+} from './patched-methods.js';
 
 /** Builds of the control plane with one fault each: a check that never fails on any of them proves nothing. */
 
