--- a/src/simulation/agent-node.ts
+++ b/src/simulation/agent-node.ts
@@ -9,41 +9,41 @@
 import type { Host, SimNetwork } from './sim-network.js';
 import { SimProcess } from './sim-process.js';
 
-export interface AgentSurroundings {
+export interface AgentNodeSettings {
   readonly scheduler: Scheduler;
   readonly random: Seeded;
   readonly network: SimNetwork;
-  readonly drift: number;
+  readonly maxDrift: number;
   /** Makes its core. */
-  readonly build: CoreBuild;
+  readonly coreFactory: CoreBuild;
   /** After every input of an agent's core. */
   readonly stepped: (node: AgentNode) => void;
 }
 
-const LIFE_RANGE = 2 ** 47;
+const INCARNATION_RANGE = 2 ** 47;
 
 /** An edge machine as far as it holds configuration: the real agent core. */
 export class AgentNode implements Host {
   readonly id: string;
   readonly zone: string;
   readonly process: SimProcess;
-  readonly #around: AgentSurroundings;
+  readonly #settings: AgentNodeSettings;
   readonly #exchange: SimExchange;
   #core: AgentCore | undefined;
-  #starts = 0;
+  #startCount = 0;
 
-  constructor(id: string, zone: string, around: AgentSurroundings) {
+  constructor(id: string, zone: string, around: AgentNodeSettings) {
     this.id = id;
     this.zone = zone;
-    this.#around = around;
-    this.process = new SimProcess(around.scheduler, around.random, around.drift);
+    this.#settings = around;
+    this.process = new SimProcess(around.scheduler, around.random, around.maxDrift);
     this.#exchange = new SimExchange(
       this,
       around.network,
       { role: 'link', zone },
       {
         receive: (from, role, zone, message) => this.#receive(from, role, zone, message),
-        gone: (id) => this.#gone(id),
+        disconnected: (id) => this.#disconnected(id),
       },
     );
   }
@@ -61,14 +61,14 @@
   }
 
   get incarnation(): number {
-    return this.#starts;
+    return this.#startCount;
   }
 
   start(seeds: readonly string[]): void {
     if (this.process.isUp) return;
-    this.#starts += 1;
+    this.#startCount += 1;
     this.process.begin();
-    const incarnation = this.#around.random.below(LIFE_RANGE);
+    const incarnation = this.#settings.random.below(INCARNATION_RANGE);
     const settings = {
       me: this.id,
       zone: this.zone,
@@ -76,30 +76,33 @@
       freshnessBoundMs: AGENT_FRESHNESS_BOUND_MS,
       incarnation,
     };
-    this.#core = this.#around.build.agent({ ...settings, isDeployed: true }, this.process.now());
+    this.#core = this.#settings.coreFactory.agent(
+      { ...settings, isDeployed: true },
+      this.process.now(),
+    );
     this.#exchange.open();
     this.process.every(AGENT_TICK_MS, () => this.#tick());
     this.#tick();
   }
 
   kill(): void {
-    this.#around.network.processEnded(this.id);
+    this.#settings.network.processEnded(this.id);
     this.process.end();
     this.#core = undefined;
-    this.#around.stepped(this);
+    this.#settings.stepped(this);
   }
 
   setSeeds(seeds: readonly string[]): void {
-    this.process.submit('settings', () => this.#takeSeeds(seeds));
+    this.process.submit('settings', () => this.#applySeeds(seeds));
   }
 
   accept(endpoint: Endpoint): void {
     this.#exchange.accept(endpoint);
   }
 
-  #takeSeeds(seeds: readonly string[]): void {
+  #applySeeds(seeds: readonly string[]): void {
     this.#core?.setSeeds(seeds);
-    this.#obey();
+    this.#carryOutEffects();
   }
 
   #tick(): void {
@@ -107,23 +110,23 @@
     if (!core) return;
     this.#exchange.dial(core.controlNode);
     core.tick(this.process.now());
-    this.#obey();
+    this.#carryOutEffects();
   }
 
   #receive(from: string, role: string, _zone: string, message: Message): void {
     this.#core?.onMessage(this.process.now(), from, role, message);
-    this.#obey();
+    this.#carryOutEffects();
   }
 
-  #gone(id: string): void {
+  #disconnected(id: string): void {
     this.#core?.onDisconnect(this.process.now(), id);
-    this.#obey();
+    this.#carryOutEffects();
   }
 
-  #obey(): void {
+  #carryOutEffects(): void {
     for (const effect of this.#core?.drain() ?? []) {
       if (effect.do === 'send') this.#exchange.send(effect.to, effect.message);
     }
-    this.#around.stepped(this);
+    this.#settings.stepped(this);
   }
 }
--- a/src/simulation/call-attempt.ts
+++ b/src/simulation/call-attempt.ts
@@ -8,7 +8,7 @@
 import type { Host, SimNetwork } from './sim-network.js';
 
 /** A node that says nothing for so long is left for another one. */
-const SILENCE_MS = 1000;
+const CALL_TIMEOUT_MS = 1000;
 
 export interface CallAttemptSettings {
   readonly network: SimNetwork;
@@ -35,11 +35,11 @@
 
   send(): void {
     const { network, caller, node } = this.#settings;
-    const silent = () => this.#end(undefined);
-    caller.process.after(SILENCE_MS, silent);
+    const endUnanswered = () => this.#end(undefined);
+    caller.process.after(CALL_TIMEOUT_MS, endUnanswered);
     network.connect(caller, node, 'calls', {
       connected: (endpoint) => this.#connected(endpoint),
-      refused: silent,
+      refused: endUnanswered,
     });
   }
 
@@ -50,14 +50,14 @@
     }
     this.#endpoint = endpoint;
     endpoint.handler = {
-      data: (payload) => this.#take(payload),
+      data: (payload) => this.#receive(payload),
       closed: () => this.#end(undefined),
       takenLate: this.#settings.takenLate,
     };
     endpoint.send(encodeCall(this.#settings.call));
   }
 
-  #take(payload: Payload): void {
+  #receive(payload: Payload): void {
     const answer = decodeAnswer(textOf(payload));
     if (this.#isOver || !answer || this.#settings.isAnswerLost()) return;
     this.#end(answer);
--- a/src/simulation/commands/seed-pool.ts
+++ b/src/simulation/commands/seed-pool.ts
@@ -20,67 +20,67 @@
 /** Runs seeds in child processes, one seed at a time in each. */
 export class SeedPool<Result> {
   readonly #settings: SeedPoolSettings<Result>;
-  #next = 0;
-  readonly #until: number;
-  #finish: (() => void) | undefined;
-  #fail: ((error: Error) => void) | undefined;
+  #startedRuns = 0;
+  readonly #deadline: number;
+  #resolve: (() => void) | undefined;
+  #reject: ((error: Error) => void) | undefined;
   readonly #workers = new Set<ChildProcess>();
 
   constructor(settings: SeedPoolSettings<Result>) {
     this.#settings = settings;
-    this.#until = performance.now() + settings.mostMs;
+    this.#deadline = performance.now() + settings.mostMs;
   }
 
   /** How many runs were begun: where another batch goes on. */
-  get next(): number {
-    return this.#next;
+  get startedRuns(): number {
+    return this.#startedRuns;
   }
 
   /** Resolves once every seed that was begun is done; a worker that ends by itself fails the whole. */
   run(): Promise<void> {
-    return new Promise((finish, fail) => this.#begin(finish, fail));
+    return new Promise((resolve, reject) => this.#begin(resolve, reject));
   }
 
-  #begin(finish: () => void, fail: (error: Error) => void): void {
-    this.#finish = finish;
-    this.#fail = fail;
+  #begin(resolve: () => void, reject: (error: Error) => void): void {
+    this.#resolve = resolve;
+    this.#reject = reject;
     const { jobs, runs } = this.#settings;
-    for (let index = 0; index < Math.min(jobs, runs.length); index += 1) this.#hire();
+    for (let index = 0; index < Math.min(jobs, runs.length); index += 1) this.#startWorker();
   }
 
-  #hire(): void {
+  #startWorker(): void {
     const worker = fork(fileURLToPath(this.#settings.worker), [], { execArgv: WORKER_FLAGS });
     this.#workers.add(worker);
-    worker.on('message', (message) => this.#take(worker, message));
-    worker.on('exit', () => this.#ended(worker));
-    this.#ask(worker);
+    worker.on('message', (message) => this.#receive(worker, message));
+    worker.on('exit', () => this.#workerExited(worker));
+    this.#sendNextRun(worker);
   }
 
-  #ask(worker: ChildProcess): void {
-    const run = this.#settings.runs[this.#next];
-    if (!run || performance.now() >= this.#until) {
-      this.#dismiss(worker);
+  #sendNextRun(worker: ChildProcess): void {
+    const run = this.#settings.runs[this.#startedRuns];
+    if (!run || performance.now() >= this.#deadline) {
+      this.#release(worker);
       return;
     }
     worker.send(run);
-    this.#next += 1;
+    this.#startedRuns += 1;
   }
 
-  #take(worker: ChildProcess, message: unknown): void {
+  #receive(worker: ChildProcess, message: unknown): void {
     const { isResult, done } = this.#settings;
     if (!isResult(message)) return;
     done(message);
-    this.#ask(worker);
+    this.#sendNextRun(worker);
   }
 
-  #dismiss(worker: ChildProcess): void {
+  #release(worker: ChildProcess): void {
     this.#workers.delete(worker);
     worker.disconnect();
-    if (this.#workers.size === 0) this.#finish?.();
+    if (this.#workers.size === 0) this.#resolve?.();
   }
 
-  #ended(worker: ChildProcess): void {
+  #workerExited(worker: ChildProcess): void {
     if (!this.#workers.delete(worker)) return;
-    this.#fail?.(new Error(`a worker ended with ${worker.exitCode ?? worker.signalCode}`));
+    this.#reject?.(new Error(`a worker ended with ${worker.exitCode ?? worker.signalCode}`));
   }
 }
--- a/src/simulation/commands/seed-worker.ts
+++ b/src/simulation/commands/seed-worker.ts
@@ -3,10 +3,10 @@
 import { runSeed } from '../seed-run.js';
 
 /** What the pool asks of a worker process: one seed. */
-const AskShape = type({ seed: number(), shape: enums([...SHAPE_NAMES]) });
+const RunRequestShape = type({ seed: number(), shape: enums([...SHAPE_NAMES]) });
 
-function work(message: unknown): void {
-  if (is(message, AskShape)) process.send?.(runSeed(message.seed, message.shape));
+function handleRequest(message: unknown): void {
+  if (is(message, RunRequestShape)) process.send?.(runSeed(message.seed, message.shape));
 }
 
-process.on('message', work);
+process.on('message', handleRequest);
--- a/src/simulation/commands/simulate-control-command.ts
+++ b/src/simulation/commands/simulate-control-command.ts
@@ -2,35 +2,35 @@
 import { Command, Flags } from '@oclif/core';
 import { is } from 'superstruct';
 import { simulate } from '../control-simulation.js';
-import { pastedTest } from '../pasted-test.js';
+import { reproductionTest } from '../pasted-test.js';
 import { ORDER_KINDS, totalOf, type OutcomeCounts } from '../run-figures.js';
-import { reportOf, rulesOf, type RunReport, type Spread } from '../run-report.js';
+import { reportOf, rulesOf, type RunReport, type Distribution } from '../run-report.js';
 import {
-  isWantedShape,
+  isRequestedShape,
   optionsOf,
   shapeOf,
-  WANTED_SHAPES,
-  type WantedShape,
+  REQUESTED_SHAPES,
+  type RequestedShape,
 } from '../run-shape.js';
 import { drawSchedule } from '../schedule-draw.js';
 import { SeedResultShape, type SeedResult } from '../seed-run.js';
 import { shrinkRun } from '../shrinker.js';
 import { SeedPool } from './seed-pool.js';
 
-const MOST_SHOWN = 3;
-const PROGRESS_EVERY = 100;
-const MOST_SHRINK_RUNS = 150;
+const MAX_SHOWN_VIOLATIONS = 3;
+const PROGRESS_INTERVAL_SEEDS = 100;
+const MAX_SHRINK_RUNS = 150;
 const MS_PER_MINUTE = 60_000;
 
-function wantedOf(shape: string | undefined, nodes: string): WantedShape {
-  if (shape !== undefined && isWantedShape(shape)) return shape;
+function requestedShapeOf(shape: string | undefined, nodes: string): RequestedShape {
+  if (shape !== undefined && isRequestedShape(shape)) return shape;
   return nodes === '5' ? 'five' : 'three';
 }
 
-function seedRuns(from: number, seeds: number, wanted: WantedShape): readonly object[] {
+function runRequests(from: number, seeds: number, requested: RequestedShape): readonly object[] {
   const runs: object[] = [];
   for (let seed = from; seed < from + seeds; seed += 1) {
-    runs.push({ seed, shape: shapeOf(seed, wanted) });
+    runs.push({ seed, shape: shapeOf(seed, requested) });
   }
   return runs;
 }
@@ -39,9 +39,9 @@
   return is(message, SeedResultShape);
 }
 
-function spreadText(spread: Spread): string {
-  const { count, median, ninetyFive, ninetyNine, most } = spread;
-  return `${count} times, median ${median}, 95% ${ninetyFive}, 99% ${ninetyNine}, most ${most} ms`;
+function distributionText(distribution: Distribution): string {
+  const { count, median, ninetyFive, ninetyNine, most: max } = distribution;
+  return `${count} times, median ${median}, 95% ${ninetyFive}, 99% ${ninetyNine}, most ${max} ms`;
 }
 
 function outcomesText({ accepted, refused, unclear, attempts }: OutcomeCounts): string {
@@ -58,7 +58,7 @@
     from: Flags.integer({ default: 1, description: 'the first seed' }),
     nodes: Flags.string({ default: '3', options: ['3', '5'], description: 'control nodes' }),
     shape: Flags.string({
-      options: [...WANTED_SHAPES],
+      options: [...REQUESTED_SHAPES],
       description: 'fleet and length of the runs, in place of --nodes; mixed has all',
     }),
     jobs: Flags.integer({ default: 2, min: 1, description: 'processes at once' }),
@@ -73,35 +73,48 @@
 
   async run(): Promise<void> {
     const { flags } = await this.parse(SimulateControlCommand);
-    const shape = wantedOf(flags.shape, flags.nodes);
+    const shape = requestedShapeOf(flags.shape, flags.nodes);
     if (flags.seed !== undefined) {
       this.#replay(flags.seed, shape, flags.shrink);
       return;
     }
     const { from, seeds, jobs, report: file } = flags;
     const results: SeedResult[] = [];
-    const done = (result: SeedResult) => this.#done(results, seeds, file, result);
-    const mostMs = (flags.minutes ?? Infinity) * MS_PER_MINUTE;
+    const done = (result: SeedResult) => this.#onResult(results, seeds, file, result);
+    const maxDurationMs = (flags.minutes ?? Infinity) * MS_PER_MINUTE;
     const worker = new URL('./seed-worker.js', import.meta.url);
-    const runs = seedRuns(from, seeds, shape);
-    const pool = new SeedPool({ worker, runs, jobs, mostMs, isResult: isSeedResult, done });
+    const runs = runRequests(from, seeds, shape);
+    const pool = new SeedPool({
+      worker,
+      runs,
+      jobs,
+      mostMs: maxDurationMs,
+      isResult: isSeedResult,
+      done,
+    });
     await pool.run();
     const report = reportOf(results);
     this.#save(report, file);
     this.#print(report);
-    if (pool.next < seeds) this.log(`time is up: go on with --from ${from + pool.next}`);
+    if (pool.startedRuns < seeds)
+      this.log(`time is up: go on with --from ${from + pool.startedRuns}`);
     this.exit(report.failedSeeds.length === 0 ? 0 : 1);
   }
 
-  #done(results: SeedResult[], seeds: number, file: string | undefined, result: SeedResult): void {
+  #onResult(
+    results: SeedResult[],
+    seeds: number,
+    file: string | undefined,
+    result: SeedResult,
+  ): void {
     results.push(result);
     if (result.violations.length > 0) {
       this.log(`seed ${result.seed} (${result.shape}) broke ${rulesOf(result).join(', ')}`);
-      for (const { rule, at, text } of result.violations.slice(0, MOST_SHOWN)) {
+      for (const { rule, at, text } of result.violations.slice(0, MAX_SHOWN_VIOLATIONS)) {
         this.log(`  ${at} ms ${rule}: ${text}`);
       }
     }
-    if (results.length % PROGRESS_EVERY !== 0) return;
+    if (results.length % PROGRESS_INTERVAL_SEEDS !== 0) return;
     this.log(`${results.length} of ${seeds} seeds`);
     this.#save(reportOf(results), file);
   }
@@ -113,8 +126,8 @@
   #print(report: RunReport): void {
     const { seeds, shapes, failedSeeds, virtualSeconds, totals, rules, faults, orders } = report;
     this.log(`${seeds} seeds, ${virtualSeconds} virtual seconds: ${failedSeeds.length} failed`);
-    for (const { shape, seeds: ofShape, failed } of shapes) {
-      this.log(`  ${shape}: ${ofShape} seeds, ${failed} failed`);
+    for (const { shape, seeds: shapeSeeds, failed } of shapes) {
+      this.log(`  ${shape}: ${shapeSeeds} seeds, ${failed} failed`);
     }
     this.log(`  recovery not owed: ${report.recoveryNotOwed} seeds`);
     for (const [rule, count] of Object.entries(rules)) this.log(`  ${rule}: ${count} seeds`);
@@ -122,12 +135,12 @@
     for (const kind of ORDER_KINDS) this.log(`${kind}: ${outcomesText(orders[kind])}`);
     this.log(`all orders: ${outcomesText(orders.all)}`);
     this.log(JSON.stringify(totals));
-    this.log(`new or repaired, from start to counting: ${spreadText(report.repairMs)}`);
-    this.log(`without a leader: ${spreadText(report.leaderlessMs)}`);
+    this.log(`new or repaired, from start to counting: ${distributionText(report.repairMs)}`);
+    this.log(`without a leader: ${distributionText(report.leaderlessMs)}`);
   }
 
-  #replay(seed: number, wanted: WantedShape, isShrunk: boolean): void {
-    const options = optionsOf(seed, shapeOf(seed, wanted));
+  #replay(seed: number, requested: RequestedShape, isShrunk: boolean): void {
+    const options = optionsOf(seed, shapeOf(seed, requested));
     const schedule = drawSchedule(options);
     const log = isShrunk ? undefined : this.log.bind(this);
     const { violations, figures } = simulate(options, schedule, log);
@@ -135,9 +148,9 @@
     for (const { rule, at, text } of violations) this.log(`${at} ms ${rule}: ${text}`);
     const [first] = violations;
     if (first && isShrunk) {
-      const shrunk = shrinkRun(options, schedule, first.rule, MOST_SHRINK_RUNS);
+      const shrunk = shrinkRun(options, schedule, first.rule, MAX_SHRINK_RUNS);
       this.log(`${shrunk.schedule.length} of ${schedule.length} faults, ${shrunk.runs} runs`);
-      this.log(pastedTest(options, shrunk.schedule, first.rule));
+      this.log(reproductionTest(options, shrunk.schedule, first.rule));
     }
     this.exit(violations.length === 0 ? 0 : 1);
   }
--- a/src/simulation/control-node.ts
+++ b/src/simulation/control-node.ts
@@ -18,7 +18,7 @@
   SESSION_TIMEOUT_MS,
 } from '../control/control-process.js';
 import { DISK_RETRY_MS, RETIRE_TIMEOUT_MS } from '../control/control-runtime.js';
-import { GRACE_MS, LEASE_MS } from './contract-bounds.js';
+import { STOP_GRACE_MS, LEASE_MS } from './contract-bounds.js';
 import type { CoreBuild } from './core-build.js';
 import type { Endpoint } from './endpoint.js';
 import { LeasedOrder } from './leased-order.js';
@@ -39,28 +39,28 @@
   answered(node: ControlNode, call: OperatorCall, answer: OperatorAnswer): void;
   /** The core threw, which its process logs and outlives. */
   threw(node: ControlNode, error: unknown): void;
-  noted(node: ControlNode, text: string): void;
+  logged(node: ControlNode, text: string): void;
 }
 
-export interface ControlSurroundings {
+export interface ControlNodeSettings {
   readonly scheduler: Scheduler;
   readonly random: Seeded;
   readonly network: SimNetwork;
   readonly observer: ControlObserver;
   readonly runners: readonly ListedRunner[];
-  readonly drift: number;
+  readonly maxDrift: number;
   /** Makes its core. */
-  readonly build: CoreBuild;
+  readonly coreFactory: CoreBuild;
 }
 
 type StoreEffect = Extract<ControlEffect, { do: 'store' }>;
 type OrderEffect = Extract<ControlEffect, { do: 'order' }>;
 
 /** A process is loaded and reads its files for so long before it listens. */
-const LEAST_START_MS = 60;
-const MOST_START_MS = 200;
-const LIST_DELAY_MS = 20;
-const LIFE_RANGE = 2 ** 47;
+const MIN_START_MS = 60;
+const MAX_START_MS = 200;
+const RUNNER_LIST_DELAY_MS = 20;
+const INCARNATION_RANGE = 2 ** 47;
 
 /** A core machine: the real control core with a deployment's settings on a simulated process, disk and network. */
 export class ControlNode implements Host {
@@ -68,27 +68,27 @@
   readonly zone: string;
   readonly process: SimProcess;
   readonly disk: SimDisk;
-  readonly #around: ControlSurroundings;
+  readonly #settings: ControlNodeSettings;
   readonly #trace: NodeTrace;
   readonly #exchange: SimExchange;
   #core: ControlCore | undefined;
   #isPowered = true;
   #seeds: readonly string[] = [];
-  readonly #operators: OperatorPort;
-  #starts = 0;
+  readonly #operatorPort: OperatorPort;
+  #startCount = 0;
   /** All told once a process that was asked to stop is gone; it may be asked more than once. */
-  #ended: (() => void)[] = [];
+  #stopListeners: (() => void)[] = [];
   /** Set while the next order's write is to be held up by a freeze right after the lease was checked. */
   freezeAtOrder: (() => void) | undefined;
 
-  constructor(id: string, zone: string, around: ControlSurroundings) {
+  constructor(id: string, zone: string, around: ControlNodeSettings) {
     this.id = id;
     this.zone = zone;
-    this.#around = around;
+    this.#settings = around;
     this.#trace = new NodeTrace(id, around.scheduler, around.network.trace);
-    this.process = new SimProcess(around.scheduler, around.random, around.drift);
+    this.process = new SimProcess(around.scheduler, around.random, around.maxDrift);
     this.disk = new SimDisk(around.scheduler, around.random);
-    this.#operators = new OperatorPort({
+    this.#operatorPort = new OperatorPort({
       random: around.random,
       now: () => this.now(),
       nextTurn: (run) => this.process.after(0, run),
@@ -101,7 +101,7 @@
       { role: 'mind', zone },
       {
         receive: (from, role, zone, message) => this.#receive(from, role, zone, message),
-        gone: (id) => this.#gone(id),
+        disconnected: (id) => this.#disconnected(id),
       },
     );
   }
@@ -120,18 +120,18 @@
 
   /** Counts the lives of its process. */
   get incarnation(): number {
-    return this.#starts;
+    return this.#startCount;
   }
 
   /** Begins the process with the settings of this moment. */
   start(isFirstStart: boolean, seeds: readonly string[]): void {
     if (this.process.isUp) return;
     this.#isPowered = true;
-    this.#around.network.powerReturned(this.id);
-    this.#starts += 1;
+    this.#settings.network.powerReturned(this.id);
+    this.#startCount += 1;
     this.#seeds = seeds;
     this.process.begin();
-    const delay = this.#around.random.between(LEAST_START_MS, MOST_START_MS);
+    const delay = this.#settings.random.between(MIN_START_MS, MAX_START_MS);
     this.process.after(delay, () => this.#load(isFirstStart));
   }
 
@@ -144,20 +144,20 @@
   /** The whole machine goes dark. */
   losePower(fate: UnsyncedFate): void {
     this.#isPowered = false;
-    this.#around.network.powerLost(this.id);
+    this.#settings.network.powerLost(this.id);
     this.#endProcess();
     this.disk.crash(fate);
   }
 
   /** SIGTERM: hands over what it leads, and is killed if it has not ended after the grace. */
-  stop(ended: () => void): void {
+  stop(onEnded: () => void): void {
     // It may be killed, or lose power, before it has ended by itself.
-    this.#ended.push(ended);
-    if (this.#ended.length > 1) return;
-    const end = () => this.#finish();
+    this.#stopListeners.push(onEnded);
+    if (this.#stopListeners.length > 1) return;
+    const exit = () => this.#exit();
     // The machine kills what has not ended, frozen or not.
-    this.#around.scheduler.after(GRACE_MS, this.process.inThisLife(end));
-    const retire = this.#retire.bind(this, this.process.now() + RETIRE_TIMEOUT_MS, end);
+    this.#settings.scheduler.after(STOP_GRACE_MS, this.process.inThisIncarnation(exit));
+    const retire = this.#retire.bind(this, this.process.now() + RETIRE_TIMEOUT_MS, exit);
     this.process.submit('signal', retire);
   }
 
@@ -166,12 +166,12 @@
     function set(core: ControlCore): void {
       core.setSeeds(seeds);
     }
-    this.process.submit('settings', () => this.#work(set));
+    this.process.submit('settings', () => this.#runInput(set));
   }
 
   accept(endpoint: Endpoint, port: Port): void {
     if (port === 'nodes') this.#exchange.accept(endpoint);
-    else this.#operators.accept(endpoint);
+    else this.#operatorPort.accept(endpoint);
   }
 
   now(): Moment {
@@ -179,20 +179,20 @@
   }
 
   /** How many reads have waited for an answer here for longer than so long. */
-  readsWaiting(millis: number): number {
+  countOverdueReads(thresholdMs: number): number {
     if (!this.process.isRunning || this.#core === undefined) return 0;
-    return this.#operators.readsWaiting(millis);
+    return this.#operatorPort.countOverdueReads(thresholdMs);
   }
 
   // ---- the process
 
   #load(isFirstStart: boolean): void {
-    const open = this.process.inThisLife(() => this.#open(isFirstStart));
-    this.disk.whenAnswering(() => this.process.submit('disk', open));
+    const startCore = this.process.inThisIncarnation(() => this.#startCore(isFirstStart));
+    this.disk.whenResponsive(() => this.process.submit('disk', startCore));
   }
 
-  #open(isFirstStart: boolean): void {
-    const { random } = this.#around;
+  #startCore(isFirstStart: boolean): void {
+    const { random } = this.#settings;
     const planner = new OrderStub();
     const dialect = new PlainDialect();
     const deployed = { dialect, planner, isFirstStart, listMs: RUNNER_LIST_INTERVAL_MS };
@@ -201,43 +201,43 @@
       me: this.id,
       zone: this.zone,
       seeds: this.#seeds,
-      incarnation: random.below(LIFE_RANGE),
+      incarnation: random.below(INCARNATION_RANGE),
       silentMs: SESSION_TIMEOUT_MS,
       foundMs: 0,
       deployed,
     };
     const vote = { ...VOTE_DEFAULTS, ...DEPLOYED_VOTE_SETTINGS, handoverGapMs: LEASE_MS };
-    this.#operators.open();
+    this.#operatorPort.open();
     const inputs = { settings, stored: this.disk.list(), now: this.process.now(), vote };
-    this.#core = this.#around.build.control(inputs);
+    this.#core = this.#settings.coreFactory.control(inputs);
     this.#exchange.open();
     this.process.every(CONTROL_TICK_MS, () => this.#tick());
     this.#tick();
   }
 
   #endProcess(): void {
-    this.#around.network.processEnded(this.id);
+    this.#settings.network.processEnded(this.id);
     this.process.end();
     this.#core = undefined;
     this.freezeAtOrder = undefined;
-    this.#around.observer.stepped(this);
-    const ended = this.#ended;
-    this.#ended = [];
-    for (const tell of ended) tell();
+    this.#settings.observer.stepped(this);
+    const listeners = this.#stopListeners;
+    this.#stopListeners = [];
+    for (const notify of listeners) notify();
   }
 
-  #retire(until: number, end: () => void): void {
+  #retire(deadline: number, exit: () => void): void {
     let isRetired = false;
     const now = () => this.now();
-    this.#work((core: ControlCore) => {
+    this.#runInput((core: ControlCore) => {
       isRetired = core.retire(now());
     });
     // What was said last must leave the process before its lines close.
-    if (isRetired || this.process.now() >= until) this.process.after(CONTROL_TICK_MS, end);
-    else this.process.after(CONTROL_TICK_MS, () => this.#retire(until, end));
+    if (isRetired || this.process.now() >= deadline) this.process.after(CONTROL_TICK_MS, exit);
+    else this.process.after(CONTROL_TICK_MS, () => this.#retire(deadline, exit));
   }
 
-  #finish(): void {
+  #exit(): void {
     this.#exchange.close();
     this.kill();
   }
@@ -246,33 +246,33 @@
     const core = this.#core;
     if (!core) return;
     for (const peer of core.peers) this.#exchange.dial(peer);
-    this.#work(core.tick.bind(core, this.process.now()));
+    this.#runInput(core.tick.bind(core, this.process.now()));
   }
 
   /** One input of the core, with all its effects, before the next. */
-  #work(input: (core: ControlCore) => void): void {
+  #runInput(input: (core: ControlCore) => void): void {
     const core = this.#core;
     if (!core) return;
     try {
       input(core);
     } catch (thrown) {
-      this.#around.observer.threw(this, thrown);
+      this.#settings.observer.threw(this, thrown);
     }
     for (const effect of core.drain()) this.#carryOut(core, effect);
-    this.#around.observer.stepped(this);
+    this.#settings.observer.stepped(this);
   }
 
   #receive(from: string, role: string, zone: string, message: Message): void {
     const now = this.process.now();
     const knownZone = role === 'mind' ? zone : '';
-    this.#work((core: ControlCore) => {
+    this.#runInput((core: ControlCore) => {
       core.onMessage(now, from, message, knownZone);
     });
   }
 
-  #gone(id: string): void {
+  #disconnected(id: string): void {
     const now = this.process.now();
-    this.#work((core: ControlCore) => {
+    this.#runInput((core: ControlCore) => {
       core.onDisconnect(now, id);
     });
   }
@@ -283,21 +283,21 @@
         this.#exchange.send(effect.to, effect.message);
         break;
       case 'store':
-        this.#keep(core, effect);
+        this.#store(core, effect);
         break;
       case 'askList':
         this.#trace.record('list', []);
-        this.process.after(LIST_DELAY_MS, () => this.#list(core));
+        this.process.after(RUNNER_LIST_DELAY_MS, () => this.#deliverRunnerList(core));
         break;
       case 'order':
         this.#order(core, effect);
         break;
       case 'reply':
         this.#trace.answer(effect.status, effect.body);
-        this.#operators.reply(effect.id, { status: effect.status, body: effect.body });
+        this.#operatorPort.reply(effect.id, { status: effect.status, body: effect.body });
         break;
       case 'log':
-        this.#around.observer.noted(this, JSON.stringify(effect.event));
+        this.#settings.observer.logged(this, JSON.stringify(effect.event));
         break;
       default:
         break;
@@ -305,11 +305,11 @@
   }
 
   /** An input of one life's core alone, taken by its event loop. */
-  #input(core: ControlCore, stream: string, input: (core: ControlCore) => void): void {
+  #submitInput(core: ControlCore, stream: string, input: (core: ControlCore) => void): void {
     const isCurrent = (core: ControlCore) => this.#isCurrent(core);
-    const work = () => this.#work(input);
+    const runInput = () => this.#runInput(input);
     this.process.submit(stream, () => {
-      if (isCurrent(core)) work();
+      if (isCurrent(core)) runInput();
     });
   }
 
@@ -317,39 +317,39 @@
     return this.#core === core;
   }
 
-  #keep(core: ControlCore, effect: StoreEffect): void {
+  #store(core: ControlCore, effect: StoreEffect): void {
     const { partition, version, body } = effect;
     const now = () => this.now();
-    function stored(inner: ControlCore): void {
+    function onPersisted(inner: ControlCore): void {
       inner.onPersisted(now(), partition, version);
     }
     const stream = `disk ${partition}`;
-    const again = this.process.inThisLife(() => this.#keep(core, effect));
-    const wait = () => this.process.after(DISK_RETRY_MS, again);
-    const done = () => this.#input(core, stream, stored);
-    const fail = () => this.process.submit(stream, wait);
+    const retry = this.process.inThisIncarnation(() => this.#store(core, effect));
+    const retryLater = () => this.process.after(DISK_RETRY_MS, retry);
+    const done = () => this.#submitInput(core, stream, onPersisted);
+    const fail = () => this.process.submit(stream, retryLater);
     this.#trace.write(partition, version, body);
     this.disk.write(partition, version, body, done, fail);
   }
 
-  #list(core: ControlCore): void {
-    const { runners } = this.#around;
-    this.#input(core, 'list', listAt.bind(undefined, this.process.now(), runners));
+  #deliverRunnerList(core: ControlCore): void {
+    const { runners } = this.#settings;
+    this.#submitInput(core, 'list', reportRunnerList.bind(undefined, this.process.now(), runners));
   }
 
   #order(core: ControlCore, effect: OrderEffect): void {
     const { intent, address } = effect;
     const now = () => this.now();
-    function ordered(result: OrderResult, inner: ControlCore): void {
+    function onOutcome(result: OrderResult, inner: ControlCore): void {
       inner.onOrderOutcome(now(), intent.id, result);
     }
     const input = (input: (core: ControlCore) => void) =>
-      this.#input(core, `order ${address}`, input);
+      this.#submitInput(core, `order ${address}`, input);
     function done(result: OrderResult): void {
-      input((inner) => ordered(result, inner));
+      input((inner) => onOutcome(result, inner));
     }
     const order = { holder: this.id, fence: core.elector.epoch };
-    const { network } = this.#around;
+    const { network } = this.#settings;
     this.#trace.order(intent);
     const writing = (write: () => void) => this.#writeOrder(write);
     const lease = core;
@@ -368,16 +368,16 @@
 
   #command(id: number, { verb, body }: CoreCommand): void {
     const now = this.process.now();
-    this.#work((core: ControlCore) => {
+    this.#runInput((core: ControlCore) => {
       core.onCommand(now, id, verb, body);
     });
   }
 
   #answering(call: OperatorCall, answer: OperatorAnswer): void {
-    this.#around.observer.answered(this, call, answer);
+    this.#settings.observer.answered(this, call, answer);
   }
 }
 
-function listAt(now: Moment, runners: readonly ListedRunner[], core: ControlCore): void {
+function reportRunnerList(now: Moment, runners: readonly ListedRunner[], core: ControlCore): void {
   core.onRunnerList(now, runners);
 }
--- a/src/simulation/control-simulation.property.test.ts
+++ b/src/simulation/control-simulation.property.test.ts
@@ -1,52 +1,59 @@
 import fc from 'fast-check';
 import { test } from 'vitest';
 import { simulate, TROUBLE_FROM_MS } from './control-simulation.js';
-import { EVENTS, ROLES, type Fault, type Schedule } from './faults.js';
+import { TRIGGER_EVENTS, TARGET_ROLES, type Fault, type Schedule } from './faults.js';
 import { OPTION_DEFAULTS, type SimulationOptions } from './options.js';
-import { pastedTest } from './pasted-test.js';
+import { reproductionTest } from './pasted-test.js';
 
 const TROUBLE_MS = 8000;
-const MOST_FAULTS = 6;
-const MOST_SPAN_MS = 6000;
+const MAX_FAULTS = 6;
+const MAX_DURATION_MS = 6000;
 /** A fixed share, always the same. */
 const RUNS = 10;
 const SEED = 17;
 /** Cutting a failing schedule down ends after this. */
-const MOST_MS = 120_000;
+const SHRINK_TIMEOUT_MS = 120_000;
 
 const at = fc.integer({ min: TROUBLE_FROM_MS, max: TROUBLE_FROM_MS + TROUBLE_MS });
 const when = fc.oneof(
   fc.record({ kind: fc.constant('at' as const), at }),
   fc.record({
     kind: fc.constant('after' as const),
-    event: fc.constantFrom(...EVENTS),
+    event: fc.constantFrom(...TRIGGER_EVENTS),
     from: at,
     delay: fc.integer({ min: 0, max: 200 }),
   }),
 );
 const target = fc.oneof(
   fc.record({ kind: fc.constant('place' as const), place: fc.integer({ min: 0, max: 4 }) }),
-  fc.record({ kind: fc.constant('role' as const), role: fc.constantFrom(...ROLES) }),
+  fc.record({ kind: fc.constant('role' as const), role: fc.constantFrom(...TARGET_ROLES) }),
 );
-const aimed = { when, target, forMs: fc.integer({ min: 50, max: MOST_SPAN_MS }) };
+const targetedFields = { when, target, forMs: fc.integer({ min: 50, max: MAX_DURATION_MS }) };
 
 const fault: fc.Arbitrary<Fault> = fc.oneof(
-  fc.record({ kind: fc.constantFrom('kill', 'freeze', 'freezeAtOrder', 'restart'), ...aimed }),
+  fc.record({
+    kind: fc.constantFrom('kill', 'freeze', 'freezeAtOrder', 'restart'),
+    ...targetedFields,
+  }),
   fc.record({
     kind: fc.constant('powerLoss' as const),
-    ...aimed,
+    ...targetedFields,
     unsynced: fc.constantFrom('kept', 'lost', 'drawn'),
   }),
-  fc.record({ kind: fc.constant('wipe' as const), ...aimed, othersLosePower: fc.boolean() }),
+  fc.record({
+    kind: fc.constant('wipe' as const),
+    ...targetedFields,
+    othersLosePower: fc.boolean(),
+  }),
   fc.record({
     kind: fc.constant('replace' as const),
-    ...aimed,
+    ...targetedFields,
     planned: fc.boolean(),
     oldReturns: fc.boolean(),
   }),
   fc.record({
     kind: fc.constant('cut' as const),
-    ...aimed,
+    ...targetedFields,
     direction: fc.constantFrom('both', 'in', 'out'),
     style: fc.constantFrom('silent', 'reset', 'refuse'),
     besides: fc.integer({ min: 0, max: 1 }),
@@ -54,7 +61,7 @@
   }),
   fc.record({
     kind: fc.constant('disk' as const),
-    ...aimed,
+    ...targetedFields,
     trouble: fc.constantFrom('slow', 'stalled', 'full'),
   }),
 );
@@ -69,14 +76,14 @@
   const options = optionsOf(seed, nodes);
   const [first] = simulate(options, schedule).violations;
   if (!first) return;
-  const paste = pastedTest(options, schedule, first.rule);
-  throw new Error(`${first.rule}: ${first.text}\n${paste}`);
+  const reproduction = reproductionTest(options, schedule, first.rule);
+  throw new Error(`${first.rule}: ${first.text}\n${reproduction}`);
 }
 
 test('no schedule of faults breaks a rule; one that does is cut down and printed', async () => {
-  const schedules = fc.array(fault, { minLength: 1, maxLength: MOST_FAULTS });
+  const schedules = fc.array(fault, { minLength: 1, maxLength: MAX_FAULTS });
   const seeds = fc.integer({ min: 1, max: 1_000_000 });
   const nodes = fc.constantFrom<3 | 5>(3, 5);
-  const settings = { seed: SEED, numRuns: RUNS, interruptAfterTimeLimit: MOST_MS };
+  const settings = { seed: SEED, numRuns: RUNS, interruptAfterTimeLimit: SHRINK_TIMEOUT_MS };
   await fc.assert(fc.asyncProperty(seeds, nodes, schedules, checkSchedule), settings);
 });
--- a/src/simulation/control-simulation.test.ts
+++ b/src/simulation/control-simulation.test.ts
@@ -9,8 +9,8 @@
 import { runSeed } from './seed-run.js';
 
 /** The share of seeds that is always run; the command runs as many as one likes. */
-const SEEDS_OF_THREE = 8;
-const SEEDS_OF_FIVE = 4;
+const THREE_NODE_SEEDS = 8;
+const FIVE_NODE_SEEDS = 4;
 
 function calmOptions(nodes: 3 | 5): SimulationOptions {
   return { ...OPTION_DEFAULTS, seed: 1, nodes, troubleMs: 5000 };
@@ -35,7 +35,7 @@
 }
 
 /** With more lost than can be borne the rules must bite. */
-function checkBites(kind: 'wipe' | 'oldDisk', rule: string): void {
+function checkDetected(kind: 'wipe' | 'oldDisk', rule: string): void {
   const options: SimulationOptions = { ...calmOptions(3), lossLimit: 'unlimited' };
   const schedule = [0, 1].map((place) => diskLostAt(kind, place));
   expect(simulate(options, schedule).violations.map(ruleOf)).toContain(rule);
@@ -43,9 +43,9 @@
 
 function diskLostAt(kind: 'wipe' | 'oldDisk', place: number): Schedule[number] {
   const target = { kind: 'place', place } as const;
-  const aimed = { when: { kind: 'at', at: 8000 }, forMs: 500, target } as const;
-  if (kind === 'wipe') return { kind, ...aimed, othersLosePower: true };
-  return { kind, ...aimed, ageMs: 4000 };
+  const targeted = { when: { kind: 'at', at: 8000 }, forMs: 500, target } as const;
+  if (kind === 'wipe') return { kind, ...targeted, othersLosePower: true };
+  return { kind, ...targeted, ageMs: 4000 };
 }
 
 function ruleOf(violation: { readonly rule: string }): string {
@@ -217,7 +217,7 @@
   expect(figures.repairMs).toHaveLength(4);
 });
 test('two disks of three lost at once are noticed', () =>
-  checkBites('wipe', 'no-leader-after-trouble'));
-test('two old disks of three are noticed', () => checkBites('oldDisk', 'acknowledged-lost'));
-test('a share of seeds of three nodes breaks no rule', () => checkSeeds('three', SEEDS_OF_THREE));
-test('a share of seeds of five nodes breaks no rule', () => checkSeeds('five', SEEDS_OF_FIVE));
+  checkDetected('wipe', 'no-leader-after-trouble'));
+test('two old disks of three are noticed', () => checkDetected('oldDisk', 'acknowledged-lost'));
+test('a share of seeds of three nodes breaks no rule', () => checkSeeds('three', THREE_NODE_SEEDS));
+test('a share of seeds of five nodes breaks no rule', () => checkSeeds('five', FIVE_NODE_SEEDS));
--- a/src/simulation/control-simulation.ts
+++ b/src/simulation/control-simulation.ts
@@ -3,7 +3,7 @@
 import { VOTE_RECORD } from '../state/partition-names.js';
 import type { AgentNode } from './agent-node.js';
 import type { ControlNode, ControlObserver } from './control-node.js';
-import { ACK_MS, RECOVER_MS } from './contract-bounds.js';
+import { ACK_BOUND_MS, RECOVERY_BOUND_MS } from './contract-bounds.js';
 import type { ArrivedOrder } from './fake-runner.js';
 import { FaultDriver } from './fault-driver.js';
 import type { Schedule } from './faults.js';
@@ -37,14 +37,14 @@
 
 /** The fleet starts, and faults begin, at these moments. */
 const FIRST_ORDER_MS = 1500;
-const SPARES_MS = 3000;
+const SPARES_START_MS = 3000;
 export const TROUBLE_FROM_MS = 6000;
 /** After all trouble: time to recover, calm orders, and reading back. */
-const CALM_MS = 8000;
-const READ_BACK_MS = 5000;
-const CHECK_MS = 50;
+const CALM_PHASE_MS = 8000;
+const READ_BACK_PHASE_MS = 5000;
+const CHECK_INTERVAL_MS = 50;
 /** A node has answered a read after this, with whatever it is. */
-const MOST_READ_MS = 10_000;
+const MAX_READ_MS = 10_000;
 /** An acknowledgement may be later than the bound by its own travel. */
 const ACK_SLACK_MS = 50;
 
@@ -68,10 +68,10 @@
   readonly #plans: OperatorPlan[] = [];
   readonly #driver: FaultDriver;
   readonly #calmFrom: number;
-  #lostAnswers = 0;
-  #hasBegun = false;
+  #lostAnswerShare = 0;
+  #havePlansBegun = false;
 
-  constructor(options: SimulationOptions, log: RunLog, build: CoreBuild, trace: RunTrace) {
+  constructor(options: SimulationOptions, log: RunLog, coreFactory: CoreBuild, trace: RunTrace) {
     this.#options = options;
     this.#streams = new RandomStreams(options.seed);
     this.#log = (line) => this.#logAt(log, line);
@@ -85,7 +85,7 @@
       options,
       observer: this.#observer(),
       agentStepped: (agent) => this.#agentStepped(agent),
-      build,
+      coreFactory,
       orderArrived: (order) => this.#orderArrived(order),
       trace,
     });
@@ -95,15 +95,15 @@
     this.#stateRules = new StateRules({
       report: (rule, text) => this.#violations.add(rule, text),
       nodes: this.#fleet.controls,
-      isGone: (id) => this.#fleet.isGone(id),
+      hasLeft: (id) => this.#fleet.hasLeft(id),
       isUnderRepair: (node) => this.#isUnderRepair(node),
     });
     this.#budget = new LossBudget({
       now,
       limit: options.lossLimit,
       nodes: options.nodes,
-      present: () => this.#countPresent(),
-      isMadeGood: (node, isForGood) => this.#isMadeGood(node, isForGood),
+      presentCount: () => this.#countPresent(),
+      isRecovered: (node, isForGood) => this.#isRecovered(node, isForGood),
     });
     this.#addOperators();
     this.#driver = this.#makeDriver();
@@ -111,18 +111,18 @@
 
   run(schedule: Schedule): Outcome {
     const { options } = { options: this.#options };
-    const readBackAt = this.#calmFrom + RECOVER_MS + CALM_MS;
+    const readBackAt = this.#calmFrom + RECOVERY_BOUND_MS + CALM_PHASE_MS;
     this.#fleet.start();
-    this.#scheduler.at(FIRST_ORDER_MS, () => this.#found());
-    if (options.spares > 0) this.#scheduler.at(SPARES_MS, () => this.#addSpares());
-    this.#scheduler.at(CHECK_MS, () => this.#check());
-    this.#scheduler.at(this.#calmFrom + RECOVER_MS, () => this.#checkRecovered());
+    this.#scheduler.at(FIRST_ORDER_MS, () => this.#createConfiguration());
+    if (options.spares > 0) this.#scheduler.at(SPARES_START_MS, () => this.#addSpares());
+    this.#scheduler.at(CHECK_INTERVAL_MS, () => this.#check());
+    this.#scheduler.at(this.#calmFrom + RECOVERY_BOUND_MS, () => this.#checkRecovered());
     this.#scheduler.at(readBackAt, () => this.#readBack());
     this.#driver.begin(schedule);
-    this.#scheduler.runUntil(readBackAt + READ_BACK_MS);
+    this.#scheduler.runUntil(readBackAt + READ_BACK_PHASE_MS);
     const history = this.#recorder.history();
     for (const { rule, text } of judgeHistory(history)) this.#violations.add(rule, text);
-    const figures = this.#figures(readBackAt + READ_BACK_MS, options.nodes);
+    const figures = this.#figures(readBackAt + READ_BACK_PHASE_MS, options.nodes);
     return { violations: this.#violations.all, figures, history };
   }
 
@@ -136,9 +136,9 @@
     log(`${this.#scheduler.now.toFixed(1).padStart(8)} ${line}`);
   }
 
-  #found(): void {
+  #createConfiguration(): void {
     const [first] = this.#plans;
-    first?.found();
+    first?.createConfiguration();
   }
 
   #addSpares(): void {
@@ -146,8 +146,8 @@
   }
 
   #beginPlans(): void {
-    if (this.#hasBegun) return;
-    this.#hasBegun = true;
+    if (this.#havePlansBegun) return;
+    this.#havePlansBegun = true;
     for (const plan of this.#plans) plan.begin();
   }
 
@@ -161,23 +161,23 @@
   #check(): void {
     this.#stateRules.check();
     for (const node of this.#fleet.present) {
-      if (node.readsWaiting(MOST_READ_MS) > 0) {
+      if (node.countOverdueReads(MAX_READ_MS) > 0) {
         this.#violations.add('read-never-answered', `${node.id} in its life ${node.incarnation}`);
       }
     }
-    this.#scheduler.after(CHECK_MS, () => this.#check());
+    this.#scheduler.after(CHECK_INTERVAL_MS, () => this.#check());
   }
 
   #checkRecovered(): void {
     if (this.#watch.lastServingAt >= this.#calmFrom || this.#fleet.leader) return;
     if (!this.#isRecoveryOwed) return;
-    const text = `none serves ${RECOVER_MS} ms after the last fault`;
+    const text = `none serves ${RECOVERY_BOUND_MS} ms after the last fault`;
     this.#violations.add('no-leader-after-trouble', text);
   }
 
   /** Whether a leader must come about once all trouble is over, whatever was lost. */
   get #isRecoveryOwed(): boolean {
-    return this.#options.lossLimit !== 'any' || !this.#budget.isBeyond;
+    return this.#options.lossLimit !== 'any' || !this.#budget.isExceeded;
   }
 
   #observer(): ControlObserver {
@@ -185,7 +185,7 @@
       stepped: (node) => this.#stepped(node),
       answered: (node, call, answer) => this.#answered(node, call, answer),
       threw: (node, error) => this.#threw(node, error),
-      noted: (node, text) => this.#noted(node, text),
+      logged: (node, text) => this.#logged(node, text),
     };
   }
 
@@ -202,7 +202,7 @@
   }
 
   #orderArrived(order: ArrivedOrder): void {
-    this.#holderRules.arrived(order);
+    this.#holderRules.orderArrived(order);
   }
 
   #answered(node: ControlNode, call: OperatorCall, answer: OperatorAnswer): void {
@@ -211,7 +211,7 @@
     this.#beginPlans();
     this.#targets.noteAnswered(node.id);
     this.#stateRules.answered(answer);
-    this.#events.tell('ack', node.id);
+    this.#events.emit('ack', node.id);
   }
 
   #threw(node: ControlNode, error: unknown): void {
@@ -219,7 +219,7 @@
     this.#violations.add('core-threw', `${node.id}: ${text}`);
   }
 
-  #noted(node: ControlNode, text: string): void {
+  #logged(node: ControlNode, text: string): void {
     this.#log(`${node.id} ${text}`);
   }
 
@@ -243,11 +243,11 @@
       random,
       network: this.#fleet.network,
       recorder: this.#recorder,
-      nodes: () => this.#fleet.listed(),
+      nodes: () => this.#fleet.listedNodes(),
       isAnswerLost: () => this.#isAnswerLost(),
       sending: (record) => this.#sending(record),
     });
-    this.#fleet.network.join(client);
+    this.#fleet.network.addHost(client);
     const { paceMs } = this.#options;
     const plan = new OperatorPlan({ scheduler: this.#scheduler, random, client, zones, paceMs });
     for (const other of this.#plans) {
@@ -259,33 +259,33 @@
   }
 
   #isAnswerLost(): boolean {
-    return this.#streams.of('answers').isLikely(this.#lostAnswers);
+    return this.#streams.of('answers').isLikely(this.#lostAnswerShare);
   }
 
   #loseAnswers(share: number): void {
-    this.#lostAnswers = share;
+    this.#lostAnswerShare = share;
   }
 
   #sending(record: OpenOrder): void {
     const attempt = record.attempts.at(-1);
     const node = attempt?.node ?? '';
-    const what = JSON.stringify(record.order);
-    this.#log(`${record.operator} sends ${record.id} to ${node}: ${what.slice(0, 110)}`);
+    const orderText = JSON.stringify(record.order);
+    this.#log(`${record.operator} sends ${record.id} to ${node}: ${orderText.slice(0, 110)}`);
     this.#targets.noteCalled(node);
-    this.#events.tell('orderSent', node);
+    this.#events.emit('orderSent', node);
     if (record.attempts.length > 1 || record.order.kind === undefined) return;
-    const due = this.#judgeAcknowledged.bind(this, record, this.#scheduler.now);
-    this.#scheduler.after(ACK_MS + ACK_SLACK_MS, due);
+    const judge = this.#judgeAcknowledged.bind(this, record, this.#scheduler.now);
+    this.#scheduler.after(ACK_BOUND_MS + ACK_SLACK_MS, judge);
   }
 
   /** A proper order has its answer in time if the core was settled all along. */
   #judgeAcknowledged(record: OpenOrder, sentAt: number): void {
-    if (record.isDefinite || !this.#settled.isSince(sentAt)) return;
+    if (record.isDefinite || !this.#settled.isSettledSince(sentAt)) return;
     // Where any number may be lost, orders are owed again once there was time to recover.
-    const owedFrom = this.#calmFrom + RECOVER_MS;
-    if (this.#options.lossLimit !== 'tolerated' && sentAt < owedFrom) return;
+    const requiredFrom = this.#calmFrom + RECOVERY_BOUND_MS;
+    if (this.#options.lossLimit !== 'tolerated' && sentAt < requiredFrom) return;
     if ('isInvalid' in record.order && record.order.isInvalid) return;
-    const text = `order ${record.id} sent at ${Math.round(sentAt)} has no answer after ${ACK_MS} ms`;
+    const text = `order ${record.id} sent at ${Math.round(sentAt)} has no answer after ${ACK_BOUND_MS} ms`;
     this.#violations.add('late-acknowledgement', text);
   }
 
@@ -299,14 +299,14 @@
       return controls.get(holder)?.process.thawedAt ?? -Infinity;
     }
     function isSettled(span: number): boolean {
-      return settled.isSince(now() - span);
+      return settled.isSettledSince(now() - span);
     }
     return new HolderRules({
       report: (rule, text) => this.#violations.add(rule, text),
       isFenced: this.#options.isFenced,
       thawedAt,
       healedAt: (from, to) => network.healedAt(from, to),
-      isSettled,
+      isSettledFor: isSettled,
     });
   }
 
@@ -336,10 +336,10 @@
     return this.#fleet.controls.get(node)?.disk.partition(VOTE_RECORD) === undefined;
   }
 
-  #isMadeGood(node: string, isForGood: boolean): boolean {
-    if (!isForGood) return this.#fleet.controls.get(node)?.core?.replicaStatus.name === 'sound';
+  #isRecovered(node: string, isPermanent: boolean): boolean {
+    if (!isPermanent) return this.#fleet.controls.get(node)?.core?.replicaStatus.name === 'sound';
     const votes = this.#stateRules.voters.flat().includes(node);
-    return this.#fleet.isGone(node) && !votes;
+    return this.#fleet.hasLeft(node) && !votes;
   }
 
   #figures(virtualMs: number, nodes: number): RunFigures {
@@ -347,9 +347,9 @@
       nodes,
       virtualMs,
       isRecoveryOwed: this.#isRecoveryOwed,
-      faults: this.#driver.struckByKind,
+      faults: this.#driver.injectedByKind,
       packets: this.#fleet.network.packets,
-      runnerOrders: this.#holderRules.orders,
+      runnerOrders: this.#holderRules.orderCount,
       reigns: this.#events.count('newLeader'),
       voterChanges: this.#events.count('newVoters'),
       repairMs: this.#watch.repairMs,
@@ -364,7 +364,7 @@
   return item.id;
 }
 
-function silence(): void {
+function discardLine(): void {
   /* Nobody reads the log. */
 }
 
@@ -372,9 +372,9 @@
 export function simulate(
   options: SimulationOptions,
   schedule: Schedule,
-  log: RunLog = silence,
-  build: CoreBuild = SOUND_BUILD,
+  log: RunLog = discardLine,
+  coreFactory: CoreBuild = SOUND_BUILD,
   trace: RunTrace = UNTRACED,
 ): Outcome {
-  return new ControlSimulation(options, log, build, trace).run(schedule);
+  return new ControlSimulation(options, log, coreFactory, trace).run(schedule);
 }
--- a/src/simulation/endpoint.ts
+++ b/src/simulation/endpoint.ts
@@ -65,7 +65,7 @@
   #queue: Packet[] = [];
   #isPumping = false;
   #isOpen = true;
-  #isEnding = false;
+  #isClosing = false;
   #handler: EndpointHandler | undefined;
   /** When what was read last had arrived here. */
   #arrivedAt = 0;
@@ -93,7 +93,7 @@
     this.#handler = handler;
   }
 
-  join(other: Endpoint): void {
+  connectTo(other: Endpoint): void {
     this.#other = other;
     other.#other = this;
   }
@@ -120,25 +120,25 @@
   close(): void {
     if (!this.#isOpen) return;
     if (this.#host.process.hasUnread) {
-      this.#fallSilent();
-      this.#tellReset();
+      this.#dropSilently();
+      this.#sendReset();
       return;
     }
     this.#isOpen = false;
-    this.#isEnding = true;
+    this.#isClosing = true;
     this.#enqueue(undefined);
   }
 
   /** Resets the connection from outside: both owners hear that it closed. */
   abort(): void {
-    this.#endByReset();
+    this.#reset();
     const other = this.#other;
-    if (other) other.#endByReset();
+    if (other) other.#reset();
   }
 
   /** The machine lost power: nothing is said. */
-  vanish(): void {
-    this.#fallSilent();
+  losePower(): void {
+    this.#dropSilently();
   }
 
   /** Goes on sending what a cut held up. */
@@ -165,29 +165,29 @@
     if (!other || !first) return;
     if (!this.#network.isOpen(this.#host.id, other.host.id)) return;
     this.#queue.shift();
-    other.#take(first.payload);
+    other.#receive(first.payload);
     if (first.payload === undefined) this.#network.forget(this);
     else this.pump();
   }
 
   /** The owner begins what it read last; its writer is told if it has left, and we could not know. */
-  begin(): void {
+  reportStarted(): void {
     const other = this.#other;
     if (!this.#isOpen || !other || other.isOpen) return;
     other.#handler?.takenLate?.(this.#network.scheduler.now - this.#arrivedAt);
   }
 
-  #take(payload: Payload | undefined): void {
+  #receive(payload: Payload | undefined): void {
     if (this.#isOpen) {
       const { now } = this.#network.scheduler;
-      this.#host.process.submit(this.#stream, () => this.#hand(payload, now));
+      this.#host.process.submit(this.#stream, () => this.#deliver(payload, now));
       return;
     }
     // A closed port answers data with a reset.
-    if (payload !== undefined) this.#tellReset();
+    if (payload !== undefined) this.#sendReset();
   }
 
-  #hand(payload: Payload | undefined, arrivedAt: number): void {
+  #deliver(payload: Payload | undefined, arrivedAt: number): void {
     // Closed by its owner since: nobody reads any more.
     if (!this.#isOpen) return;
     this.#arrivedAt = arrivedAt;
@@ -199,33 +199,33 @@
     this.#handler?.closed();
   }
 
-  #tellReset(): void {
+  #sendReset(): void {
     const other = this.#other;
     if (!other || !this.#network.isOpen(this.#host.id, other.host.id)) return;
     const delay = this.#network.delay(this.#host.id, other.host.id);
-    this.#network.scheduler.after(delay, () => other.#endByReset());
+    this.#network.scheduler.after(delay, () => other.#reset());
   }
 
-  #endByReset(): void {
-    if (!this.#isOpen && !this.#isEnding) return;
+  #reset(): void {
+    if (!this.#isOpen && !this.#isClosing) return;
     const wasOpen = this.#isOpen;
     this.#queue = [];
-    this.#isEnding = false;
+    this.#isClosing = false;
     this.#network.forget(this);
     if (!wasOpen) return;
     // Read first is what had arrived before the reset.
-    this.#host.process.submit(this.#stream, () => this.#hearReset());
+    this.#host.process.submit(this.#stream, () => this.#resetReceived());
   }
 
-  #hearReset(): void {
+  #resetReceived(): void {
     if (!this.#isOpen) return;
     this.#isOpen = false;
     this.#handler?.closed();
   }
 
-  #fallSilent(): void {
+  #dropSilently(): void {
     this.#isOpen = false;
-    this.#isEnding = false;
+    this.#isClosing = false;
     this.#queue = [];
     this.#network.forget(this);
   }
--- a/src/simulation/fake-runner.ts
+++ b/src/simulation/fake-runner.ts
@@ -7,7 +7,7 @@
 const OrderShape = type({ holder: string(), fence: number() });
 export type RunnerOrder = Infer<typeof OrderShape>;
 
-export const ORDER_TAKEN = 202;
+export const ORDER_ACCEPTED = 202;
 export const ORDER_FENCED = 412;
 const ORDER_MALFORMED = 400;
 
@@ -17,7 +17,7 @@
   readonly holder: string;
   readonly fence: number;
   readonly at: number;
-  readonly isTaken: boolean;
+  readonly isAccepted: boolean;
 }
 
 export type OrderListener = (order: ArrivedOrder) => void;
@@ -31,7 +31,7 @@
   readonly #isFenced: boolean;
   readonly #now: () => number;
   readonly #listener: OrderListener;
-  #highest = 0;
+  #highestFence = 0;
 
   constructor(
     id: string,
@@ -49,9 +49,9 @@
   }
 
   accept(endpoint: Endpoint): void {
-    const take = (text: string) => this.#take(text);
+    const handle = (text: string) => this.#handle(text);
     function data(payload: Payload): void {
-      endpoint.send(String(take(textOf(payload))));
+      endpoint.send(String(handle(textOf(payload))));
     }
     function closed(): void {
       /* The caller gave up; what it ordered stands. */
@@ -59,13 +59,13 @@
     endpoint.handler = { data, closed };
   }
 
-  #take(text: string): number {
+  #handle(text: string): number {
     const order = parseAs(OrderShape, text);
     if (!order) return ORDER_MALFORMED;
-    const isTaken = !this.#isFenced || order.fence >= this.#highest;
-    this.#highest = Math.max(this.#highest, order.fence);
+    const isAccepted = !this.#isFenced || order.fence >= this.#highestFence;
+    this.#highestFence = Math.max(this.#highestFence, order.fence);
     const { holder, fence } = order;
-    this.#listener({ runner: this.id, holder, fence, at: this.#now(), isTaken });
-    return isTaken ? ORDER_TAKEN : ORDER_FENCED;
+    this.#listener({ runner: this.id, holder, fence, at: this.#now(), isAccepted });
+    return isAccepted ? ORDER_ACCEPTED : ORDER_FENCED;
   }
 }
--- a/src/simulation/fault-driver.ts
+++ b/src/simulation/fault-driver.ts
@@ -1,15 +1,15 @@
 import type { ControlNode } from './control-node.js';
-import { toleratedOf } from './options.js';
+import { toleratedLosses } from './options.js';
 import type { SimulationOptions } from './options.js';
 import type { Fault, FaultKind, Schedule, Target, When } from './faults.js';
 import type { FaultTargets } from './fault-targets.js';
 import { LinkFaults } from './link-faults.js';
-import { MachineFaults, type FaultSurroundings, type Undo } from './machine-faults.js';
+import { MachineFaults, type FaultContext, type Undo } from './machine-faults.js';
 
 /** How often faults of each kind struck; nothing for those that never did. */
 export type FaultCounts = Partial<Record<FaultKind, number>>;
 
-export interface FaultDriverSettings extends FaultSurroundings {
+export interface FaultDriverSettings extends FaultContext {
   readonly options: SimulationOptions;
   readonly targets: FaultTargets;
   readonly operators: readonly string[];
@@ -21,10 +21,10 @@
 }
 
 /** A fault that would lose too much waits its turn, at most so long. */
-const RETRY_MS = 250;
-const MOST_WAIT_MS = 10_000;
+const RETRY_INTERVAL_MS = 250;
+const MAX_RETRY_SPAN_MS = 10_000;
 /** A fault whose event does not come strikes so long after it began to wait for it. */
-const MOST_EVENT_WAIT_MS = 3000;
+const MAX_EVENT_WAIT_MS = 3000;
 
 /**
  * Carries out a schedule: each fault when it is due, or right after the event it waits for, on the machine
@@ -34,9 +34,9 @@
   readonly #settings: FaultDriverSettings;
   readonly #machines: MachineFaults;
   readonly #links: LinkFaults;
-  readonly #open = new Set<Undo>();
+  readonly #activeUndos = new Set<Undo>();
   #hasEnded = false;
-  readonly #struck: FaultCounts = {};
+  readonly #injected: FaultCounts = {};
 
   constructor(settings: FaultDriverSettings) {
     this.#settings = settings;
@@ -45,8 +45,8 @@
   }
 
   /** How many faults of each kind have struck. */
-  get struckByKind(): FaultCounts {
-    return this.#struck;
+  get injectedByKind(): FaultCounts {
+    return this.#injected;
   }
 
   begin(schedule: Schedule): void {
@@ -58,9 +58,9 @@
   #plan(fault: Fault): void {
     const { after, now } = this.#settings;
     const { when } = fault;
-    const due = (about: string) => this.#due(fault, about);
+    const onDue = (eventNode: string) => this.#onDue(fault, eventNode);
     if (when.kind === 'at') {
-      after(when.at - now(), () => due(''));
+      after(when.at - now(), () => onDue(''));
       return;
     }
     after(when.from - now(), () => this.#await(fault, when));
@@ -69,38 +69,39 @@
   /** Whichever comes first: its event, or the end of the wait for it. */
   #await(fault: Fault, when: Extract<When, { kind: 'after' }>): void {
     const { after, events } = this.#settings;
-    const due = (about: string) => this.#due(fault, about);
+    const onDue = (about: string) => this.#onDue(fault, about);
     let isDue = false;
-    function once(about: string): void {
+    function beginOnce(eventNode: string): void {
       if (isDue) return;
       isDue = true;
-      after(when.delay, () => due(about));
+      after(when.delay, () => onDue(eventNode));
     }
-    events.once(when.event, once);
-    after(MOST_EVENT_WAIT_MS, () => once(''));
+    events.once(when.event, beginOnce);
+    after(MAX_EVENT_WAIT_MS, () => beginOnce(''));
   }
 
-  #due(fault: Fault, about: string): void {
-    this.#strike(fault, about, this.#settings.now() + MOST_WAIT_MS);
+  #onDue(fault: Fault, eventNode: string): void {
+    this.#tryInject(fault, eventNode, this.#settings.now() + MAX_RETRY_SPAN_MS);
   }
 
-  #strike(fault: Fault, about: string, until: number): void {
+  #tryInject(fault: Fault, eventNode: string, deadline: number): void {
     const { now, after, log } = this.#settings;
     if (this.#hasEnded) return;
-    const undo = this.#begin(fault, about);
+    const undo = this.#begin(fault, eventNode);
     if (undo === undefined) {
-      if (now() < until) after(RETRY_MS, () => this.#strike(fault, about, until));
+      if (now() < deadline)
+        after(RETRY_INTERVAL_MS, () => this.#tryInject(fault, eventNode, deadline));
       return;
     }
-    this.#struck[fault.kind] = (this.#struck[fault.kind] ?? 0) + 1;
+    this.#injected[fault.kind] = (this.#injected[fault.kind] ?? 0) + 1;
     log(`fault ${JSON.stringify(fault)}`);
-    this.#open.add(undo);
-    const span = 'forMs' in fault ? fault.forMs : 0;
-    after(span, () => this.#takeBack(undo, fault));
+    this.#activeUndos.add(undo);
+    const durationMs = 'forMs' in fault ? fault.forMs : 0;
+    after(durationMs, () => this.#endFault(undo, fault));
   }
 
-  #takeBack(undo: Undo, fault: Fault): void {
-    if (!this.#open.delete(undo)) return;
+  #endFault(undo: Undo, fault: Fault): void {
+    if (!this.#activeUndos.delete(undo)) return;
     this.#settings.log(`end of ${fault.kind}`);
     undo();
   }
@@ -108,21 +109,21 @@
   #end(): void {
     this.#hasEnded = true;
     this.#settings.log('all trouble ends');
-    const open = [...this.#open];
-    this.#open.clear();
-    for (const undo of open) undo();
+    const undos = [...this.#activeUndos];
+    this.#activeUndos.clear();
+    for (const undo of undos) undo();
     this.#settings.settled.disturb();
   }
 
   /** Begins a fault; nothing where it would lose too much at this moment. */
-  #begin(fault: Fault, about: string): Undo | undefined {
+  #begin(fault: Fault, eventNode: string): Undo | undefined {
     switch (fault.kind) {
       case 'killAll':
         return this.#machines.killAll();
       case 'powerLossAll':
         return this.#machines.losePowerAll(fault.unsynced);
       case 'seedTurnover':
-        return this.#turnSeeds();
+        return this.#replaceSeeds();
       case 'answersLost':
         return this.#loseAnswers(fault.share);
       case 'agentKill':
@@ -130,26 +131,26 @@
       case 'agentCut':
         return this.#beginAgent(fault.kind, fault.agent);
       default:
-        return this.#beginAimed(fault, fault.target, about);
+        return this.#beginTargeted(fault, fault.target, eventNode);
     }
   }
 
-  #beginAimed(fault: Fault, target: Target, about: string): Undo | undefined {
-    const node = this.#settings.targets.find(target, about);
+  #beginTargeted(fault: Fault, target: Target, eventNode: string): Undo | undefined {
+    const node = this.#settings.targets.find(target, eventNode);
     if (!node) return undefined;
-    return this.#beginCall(fault, node) ?? this.#beginLoss(fault, node);
+    return this.#beginWithoutLoss(fault, node) ?? this.#beginLoss(fault, node);
   }
 
   /** Faults that lose no machine. */
-  #beginCall(fault: Fault, node: ControlNode): Undo | undefined {
+  #beginWithoutLoss(fault: Fault, node: ControlNode): Undo | undefined {
     const { operators } = this.#settings;
     switch (fault.kind) {
       case 'resets':
         this.#links.reset(node, fault.share);
-        return nothing;
+        return noUndo;
       case 'clockRate':
         node.process.setRate(fault.rate);
-        return nothing;
+        return noUndo;
       case 'runnerCut':
         return this.#links.cutRunners(node);
       case 'operatorCut':
@@ -163,7 +164,7 @@
 
   #beginLoss(fault: Fault, node: ControlNode): Undo | undefined {
     const { budget, targets } = this.#settings;
-    const besides = fault.kind === 'cut' ? targets.beside(node, fault.besides) : [];
+    const besides = fault.kind === 'cut' ? targets.othersAfter(node, fault.besides) : [];
     const lost = [node, ...besides].map(idOf);
     const isDiskLost = ['wipe', 'replace', 'oldDisk', 'leave'].includes(fault.kind);
     const mayLose = isDiskLost ? budget.mayLoseDisks(lost) : budget.mayLose(lost);
@@ -199,7 +200,7 @@
       case 'wipe':
         return this.#machines.wipe(node, fault);
       case 'oldDisk':
-        return this.#machines.oldDisk(node, fault.ageMs);
+        return this.#machines.restoreOldDisk(node, fault.ageMs);
       default:
         return undefined;
     }
@@ -207,10 +208,10 @@
 
   #leave(node: ControlNode, isPlanned: boolean): Undo | undefined {
     const { budget, fleet, options } = this.#settings;
-    const isEnough = toleratedOf(options.nodes) + 1 < fleet.present.length;
-    if (!budget.mayLeave() || !isEnough) return undefined;
+    const leavesEnough = toleratedLosses(options.nodes) + 1 < fleet.present.length;
+    if (!budget.mayLeave() || !leavesEnough) return undefined;
     this.#machines.leave(node, isPlanned);
-    return nothing;
+    return noUndo;
   }
 
   #troubleDisk(node: ControlNode, trouble: 'slow' | 'stalled' | 'full'): Undo {
@@ -227,13 +228,13 @@
   }
 
   /** Settings name one that is not a voter's first choice: the newest machines, or one in trouble, first. */
-  #turnSeeds(): Undo {
+  #replaceSeeds(): Undo {
     const { fleet, budget } = this.#settings;
     const ids = fleet.present.map(idOf);
     const inTrouble = ids.filter(budget.isLost, budget);
     const seeds = [...new Set([...inTrouble, ...ids.toReversed()])];
     fleet.setSeeds(seeds.slice(0, fleet.seeds.length));
-    return nothing;
+    return noUndo;
   }
 
   #loseAnswers(share: number): Undo {
@@ -250,7 +251,7 @@
   #beginAgent(kind: 'agentKill' | 'agentFreeze' | 'agentCut', place: number): Undo {
     const { fleet } = this.#settings;
     const agent = fleet.agents[place % Math.max(1, fleet.agents.length)];
-    if (!agent) return nothing;
+    if (!agent) return noUndo;
     if (kind === 'agentCut') return this.#links.cutAgent(agent.id);
     if (kind === 'agentFreeze') {
       agent.process.freeze();
@@ -264,7 +265,7 @@
   }
 }
 
-function nothing(): void {
+function noUndo(): void {
   /* Nothing to take back. */
 }
 
--- a/src/simulation/fault-targets.ts
+++ b/src/simulation/fault-targets.ts
@@ -7,8 +7,8 @@
 export class FaultTargets {
   readonly #fleet: Fleet;
   readonly #events: RunEvents;
-  #answered = '';
-  #called = '';
+  #lastAnswered = '';
+  #lastCalled = '';
 
   constructor(fleet: Fleet, events: RunEvents) {
     this.#fleet = fleet;
@@ -17,16 +17,16 @@
 
   /** The node that acknowledged a change last. */
   noteAnswered(node: string): void {
-    this.#answered = node;
+    this.#lastAnswered = node;
   }
 
   /** The node that an operator called last. */
   noteCalled(node: string): void {
-    this.#called = node;
+    this.#lastCalled = node;
   }
 
   /** `about`: the node that the event is about after which the fault strikes. */
-  find(target: Target, about: string): ControlNode | undefined {
+  find(target: Target, eventNode: string): ControlNode | undefined {
     const { present } = this.#fleet;
     if (target.kind === 'place') return present[target.place % Math.max(1, present.length)];
     switch (target.role) {
@@ -35,28 +35,28 @@
       case 'follower':
         return present.find((other) => this.#fleet.leader !== other) ?? present[0];
       case 'answered':
-        return this.#present(this.#answered);
+        return this.#presentOrLeader(this.#lastAnswered);
       case 'called':
-        return this.#present(this.#called);
+        return this.#presentOrLeader(this.#lastCalled);
       case 'repaired':
-        return this.#present(this.#events.last('repaired') ?? '');
+        return this.#presentOrLeader(this.#events.lastNode('repaired') ?? '');
       case 'itself':
-        return this.#present(about);
+        return this.#presentOrLeader(eventNode);
       case 'newest':
         return present.at(-1);
     }
   }
 
   /** That many other nodes that are in the fleet, those after the target first. */
-  beside(node: ControlNode, count: number): ControlNode[] {
+  othersAfter(node: ControlNode, count: number): ControlNode[] {
     const { present } = this.#fleet;
-    const at = present.indexOf(node);
-    const rotated = [...present.slice(at + 1), ...present.slice(0, Math.max(0, at))];
+    const index = present.indexOf(node);
+    const rotated = [...present.slice(index + 1), ...present.slice(0, Math.max(0, index))];
     return rotated.slice(0, count);
   }
 
-  #present(id: string): ControlNode | undefined {
+  #presentOrLeader(id: string): ControlNode | undefined {
     const node = this.#fleet.controls.get(id);
-    return node && !this.#fleet.isGone(id) ? node : (this.#fleet.leader ?? this.#fleet.present[0]);
+    return node && !this.#fleet.hasLeft(id) ? node : (this.#fleet.leader ?? this.#fleet.present[0]);
   }
 }
--- a/src/simulation/fleet.ts
+++ b/src/simulation/fleet.ts
@@ -3,7 +3,7 @@
 import type { ListedRunner } from '../placement/fleet.js';
 import { AgentNode } from './agent-node.js';
 import { ControlNode, type ControlObserver } from './control-node.js';
-import { SEED_DELAY_MS } from './contract-bounds.js';
+import { NODE_LIST_LAG_MS } from './contract-bounds.js';
 import { FakeRunner, type OrderListener } from './fake-runner.js';
 import type { SimulationOptions } from './options.js';
 import type { RandomStreams } from './random-streams.js';
@@ -12,11 +12,11 @@
 import { SimProcess } from './sim-process.js';
 
 const ZONES = ['zone-a', 'zone-b', 'zone-c'] as const;
-const RUNNERS = 2;
+const RUNNER_COUNT = 2;
 /** Machines start within this of each other. */
 const START_SPREAD_MS = 300;
-const MOST_DRIFT = 0.01;
-const MOST_SEEDS = 3;
+const MAX_DRIFT = 0.01;
+const MAX_SEEDS = 3;
 
 export interface FleetSettings {
   readonly scheduler: Scheduler;
@@ -25,7 +25,7 @@
   readonly observer: ControlObserver;
   readonly agentStepped: (node: AgentNode) => void;
   /** Makes the cores of all processes. */
-  readonly build: CoreBuild;
+  readonly coreFactory: CoreBuild;
   readonly orderArrived: OrderListener;
   readonly trace: RunTrace;
 }
@@ -41,7 +41,7 @@
   readonly network: SimNetwork;
   readonly #settings: FleetSettings;
   readonly #controls = new Map<string, ControlNode>();
-  readonly #gone = new Set<string>();
+  readonly #left = new Set<string>();
   readonly #agents: AgentNode[] = [];
   readonly #runners: ListedRunner[] = [];
   readonly #listings: Listing[] = [];
@@ -51,10 +51,10 @@
     this.#settings = settings;
     const { scheduler, streams, options, trace } = settings;
     this.network = new SimNetwork(scheduler, streams, trace);
-    for (let index = 1; index <= RUNNERS; index += 1) this.#addRunner(index);
+    for (let index = 1; index <= RUNNER_COUNT; index += 1) this.#addRunner(index);
     for (let index = 0; index < options.nodes; index += 1) this.#addControl();
     for (let index = 0; index < options.agents; index += 1) this.#addAgent(index);
-    this.#seeds = this.present.map(idOf).slice(0, MOST_SEEDS);
+    this.#seeds = this.present.map(idOf).slice(0, MAX_SEEDS);
   }
 
   get zones(): readonly string[] {
@@ -84,8 +84,8 @@
     return [...this.#controls.values()].filter(this.#isPresent, this);
   }
 
-  isGone(id: string): boolean {
-    return this.#gone.has(id);
+  hasLeft(id: string): boolean {
+    return this.#left.has(id);
   }
 
   /** The node that leads and serves, by the newest epoch where two believe so. */
@@ -108,27 +108,27 @@
     for (const agent of this.#agents) {
       scheduler.after(random.between(0, START_SPREAD_MS), agent.start.bind(agent, this.#seeds));
     }
-    this.#list();
+    this.#recordListing();
   }
 
   /** An empty machine at an address of its own joins and starts. */
   addSpare(): ControlNode {
     const node = this.#addControl();
-    this.#list();
+    this.#recordListing();
     node.start(false, this.#seeds);
     return node;
   }
 
   /** A machine has left for good. */
   remove(id: string): void {
-    this.#gone.add(id);
-    this.#list();
+    this.#left.add(id);
+    this.#recordListing();
   }
 
   /** One that had left is back at its old address, with the disk that it left with. */
   bringBack(id: string): void {
-    this.#gone.delete(id);
-    this.#list();
+    this.#left.delete(id);
+    this.#recordListing();
   }
 
   /** Settings name these from now on; running processes are told. */
@@ -139,60 +139,67 @@
   }
 
   /** The nodes that operators choose from: those of a while ago. */
-  listed(): readonly string[] {
-    const until = this.#settings.scheduler.now - SEED_DELAY_MS;
+  listedNodes(): readonly string[] {
+    const until = this.#settings.scheduler.now - NODE_LIST_LAG_MS;
     let nodes = this.#listings[0]?.nodes ?? [];
     for (const listing of this.#listings) if (listing.at <= until) nodes = listing.nodes;
     return nodes;
   }
 
-  #list(): void {
+  #recordListing(): void {
     const nodes = this.present.map(idOf);
     this.#listings.push({ at: this.#settings.scheduler.now, nodes });
   }
 
   #isPresent(node: ControlNode): boolean {
-    return !this.#gone.has(node.id);
+    return !this.#left.has(node.id);
   }
 
   #addControl(): ControlNode {
-    const place = this.#controls.size + 1;
-    const id = `control-${place}:7660`;
-    const { scheduler, streams, observer, build } = this.#settings;
+    const number = this.#controls.size + 1;
+    const id = `control-${number}:7660`;
+    const { scheduler, streams, observer, coreFactory } = this.#settings;
     const random = streams.of(id);
-    const zone = ZONES[(place - 1) % ZONES.length] ?? ZONES[0];
+    const zone = ZONES[(number - 1) % ZONES.length] ?? ZONES[0];
     const runners = this.#runners;
-    const around = {
+    const settings = {
       scheduler,
       random,
       network: this.network,
       observer,
       runners,
-      drift: MOST_DRIFT,
-      build,
+      maxDrift: MAX_DRIFT,
+      coreFactory,
     };
-    const node = new ControlNode(id, zone, around);
+    const node = new ControlNode(id, zone, settings);
     this.#controls.set(id, node);
-    this.network.join(node);
+    this.network.addHost(node);
     return node;
   }
 
   #addAgent(index: number): void {
     const id = `agent-${index + 1}:7661`;
-    const { scheduler, streams, agentStepped: stepped, build } = this.#settings;
+    const { scheduler, streams, agentStepped: stepped, coreFactory } = this.#settings;
     const random = streams.of(id);
     const zone = ZONES[index % ZONES.length] ?? ZONES[0];
-    const around = { scheduler, random, network: this.network, drift: MOST_DRIFT, stepped, build };
-    const agent = new AgentNode(id, zone, around);
+    const settings = {
+      scheduler,
+      random,
+      network: this.network,
+      maxDrift: MAX_DRIFT,
+      stepped,
+      coreFactory,
+    };
+    const agent = new AgentNode(id, zone, settings);
     this.#agents.push(agent);
-    this.network.join(agent);
+    this.network.addHost(agent);
   }
 
   #addRunner(index: number): void {
     const id = `runner-${index}:80`;
     const { scheduler, streams, options, orderArrived } = this.#settings;
     const process = new SimProcess(scheduler, streams.of(id), 0);
-    this.network.join(
+    this.network.addHost(
       new FakeRunner(id, process, options.isFenced, (): number => scheduler.now, orderArrived),
     );
     const listed = { id, address: id, zone: ZONES[0], service: 'service', slots: 1 };
--- a/src/simulation/history-recorder.ts
+++ b/src/simulation/history-recorder.ts
@@ -11,7 +11,7 @@
  * A node that stood still for a second or more knows that its input may be late, and takes no evacuation from it. Its clock
  * may be slow, and it looks at it with each tick.
  */
-const MOST_UNREAD_MS = 1100;
+const MAX_UNREAD_MS = 1100;
 
 /** An attempt that may still be under way; it counts as unclear until an answer says otherwise. */
 export class OpenAttempt implements Attempt {
@@ -40,7 +40,7 @@
 
   /** A node began it at that moment, after it had lain there for so long, and could not know that nobody waits. */
   takeLate(at: number, waitedMs: number): void {
-    if (waitedMs <= MOST_UNREAD_MS) this.#takenLateAt = at;
+    if (waitedMs <= MAX_UNREAD_MS) this.#takenLateAt = at;
   }
 
   end(at: number, outcome: AttemptOutcome): void {
@@ -62,7 +62,7 @@
     this.order = order;
   }
 
-  begin(node: string, at: number): OpenAttempt {
+  beginAttempt(node: string, at: number): OpenAttempt {
     const attempt = new OpenAttempt(node, at);
     this.attempts.push(attempt);
     return attempt;
@@ -94,7 +94,7 @@
 export class HistoryRecorder {
   readonly #orders: OpenOrder[] = [];
   readonly #reads: ReadRecord[] = [];
-  #ids = 0;
+  #lastId = 0;
 
   get orders(): readonly OpenOrder[] {
     return this.#orders;
@@ -104,16 +104,16 @@
     return this.#reads;
   }
 
-  open(operator: string, order: Order): OpenOrder {
-    this.#ids += 1;
-    const record = new OpenOrder(this.#ids, operator, order);
+  openOrder(operator: string, order: Order): OpenOrder {
+    this.#lastId += 1;
+    const record = new OpenOrder(this.#lastId, operator, order);
     this.#orders.push(record);
     return record;
   }
 
-  read(record: Omit<ReadRecord, 'id'>): void {
-    this.#ids += 1;
-    this.#reads.push({ id: this.#ids, ...record });
+  addRead(record: Omit<ReadRecord, 'id'>): void {
+    this.#lastId += 1;
+    this.#reads.push({ id: this.#lastId, ...record });
   }
 
   history(): History {
--- a/src/simulation/holder-rules.test.ts
+++ b/src/simulation/holder-rules.test.ts
@@ -2,7 +2,7 @@
 import type { ArrivedOrder } from './fake-runner.js';
 import { HolderRules } from './holder-rules.js';
 
-interface Times {
+interface Circumstances {
   readonly thawedAt?: number;
   readonly healedAt?: number;
   readonly isFenced?: boolean;
@@ -11,44 +11,47 @@
 
 type ShortOrder = readonly [holder: string, fence: number, at: number];
 
-function judged(times: Times, orders: readonly ShortOrder[]): readonly string[] {
+function brokenRules(
+  circumstances: Circumstances,
+  orders: readonly ShortOrder[],
+): readonly string[] {
   const rules: string[] = [];
   function thawedAt(): number {
-    return times.thawedAt ?? -Infinity;
+    return circumstances.thawedAt ?? -Infinity;
   }
   function healedAt(): number {
-    return times.healedAt ?? -Infinity;
+    return circumstances.healedAt ?? -Infinity;
   }
   function isSettled(): boolean {
-    return times.isSettled ?? true;
+    return circumstances.isSettled ?? true;
   }
   function report(rule: string): void {
     rules.push(rule);
   }
-  const isFenced = times.isFenced ?? false;
-  const judge = new HolderRules({ report, isFenced, thawedAt, healedAt, isSettled });
+  const isFenced = circumstances.isFenced ?? false;
+  const judge = new HolderRules({ report, isFenced, thawedAt, healedAt, isSettledFor: isSettled });
   for (const [holder, fence, at] of orders) {
-    const order: ArrivedOrder = { runner: 'r', holder, fence, at, isTaken: true };
-    judge.arrived(order);
+    const order: ArrivedOrder = { runner: 'r', holder, fence, at, isAccepted: true };
+    judge.orderArrived(order);
   }
   return rules;
 }
 
 test('two holders keep the lease between them', () => {
   expect(
-    judged({}, [
+    brokenRules({}, [
       ['a', 2, 0],
       ['b', 4, 2999],
     ]),
   ).toEqual(['two-holders']);
   expect(
-    judged({}, [
+    brokenRules({}, [
       ['a', 2, 0],
       ['b', 4, 3000],
     ]),
   ).toEqual([]);
   expect(
-    judged({}, [
+    brokenRules({}, [
       ['a', 2, 0],
       ['a', 4, 10],
     ]),
@@ -56,13 +59,13 @@
 });
 test('a fence belongs to one holder and never falls', () => {
   expect(
-    judged({}, [
+    brokenRules({}, [
       ['a', 2, 0],
       ['b', 2, 9000],
     ]),
   ).toEqual(['two-holders-with-one-fence']);
   expect(
-    judged({}, [
+    brokenRules({}, [
       ['a', 4, 0],
       ['b', 2, 9000],
     ]),
@@ -70,26 +73,26 @@
 });
 test('orders right after a thaw or a heal, and turns out of touch where fenced, are excused', () => {
   expect(
-    judged({ thawedAt: 1900 }, [
+    brokenRules({ thawedAt: 1900 }, [
       ['a', 2, 0],
       ['b', 4, 2000],
     ]),
   ).toEqual([]);
   expect(
-    judged({ healedAt: -500 }, [
+    brokenRules({ healedAt: -500 }, [
       ['a', 2, 0],
       ['b', 4, 2000],
     ]),
   ).toEqual(['two-holders']);
   const unsettled = { isFenced: true, isSettled: false };
   expect(
-    judged(unsettled, [
+    brokenRules(unsettled, [
       ['a', 2, 0],
       ['b', 4, 2000],
     ]),
   ).toEqual([]);
   expect(
-    judged({ isFenced: true }, [
+    brokenRules({ isFenced: true }, [
       ['a', 2, 0],
       ['b', 4, 2000],
     ]),
@@ -107,7 +110,7 @@
     return true;
   }
   const settings = { report, isFenced: false, thawedAt: never, healedAt: never };
-  const judge = new HolderRules({ ...settings, isSettled: always });
+  const judge = new HolderRules({ ...settings, isSettledFor: always });
   judge.leads('a', 2);
   judge.leads('a', 2);
   judge.leads('b', 4);
--- a/src/simulation/holder-rules.ts
+++ b/src/simulation/holder-rules.ts
@@ -1,4 +1,4 @@
-import { LEASE_MS, THAW_MS } from './contract-bounds.js';
+import { LEASE_MS, THAW_GRACE_MS } from './contract-bounds.js';
 import type { ArrivedOrder } from './fake-runner.js';
 import type { Report } from './violation.js';
 
@@ -10,29 +10,29 @@
   /** When the link from a holder to a runner was healed last. */
   readonly healedAt: (holder: string, runner: string) => number;
   /** Whether the core was settled all through the span before now. */
-  readonly isSettled: (span: number) => boolean;
+  readonly isSettledFor: (span: number) => boolean;
 }
 
 /** What one runner has seen of holders so far. */
-interface Seen {
+interface RunnerRecord {
   readonly lastAt: Map<string, number>;
   readonly byFence: Map<number, string>;
-  highest: number;
+  highestFence: number;
 }
 
 /** Who may order runners: one leader an epoch, one holder a fence, and a lease between two holders. */
 export class HolderRules {
   readonly #settings: HolderRulesSettings;
   readonly #leaders = new Map<number, string>();
-  readonly #runners = new Map<string, Seen>();
-  #orders = 0;
+  readonly #runners = new Map<string, RunnerRecord>();
+  #orderCount = 0;
 
   constructor(settings: HolderRulesSettings) {
     this.#settings = settings;
   }
 
-  get orders(): number {
-    return this.#orders;
+  get orderCount(): number {
+    return this.#orderCount;
   }
 
   leads(node: string, epoch: number): void {
@@ -43,39 +43,43 @@
     }
   }
 
-  arrived(order: ArrivedOrder): void {
+  orderArrived(order: ArrivedOrder): void {
     const { holder, runner, at, fence } = order;
-    this.#orders += 1;
-    if (!order.isTaken || this.#isExcused(order)) return;
-    const seen = this.#runners.get(runner) ?? { lastAt: new Map(), byFence: new Map(), highest: 0 };
-    this.#runners.set(runner, seen);
-    const other = seen.byFence.get(fence) ?? holder;
+    this.#orderCount += 1;
+    if (!order.isAccepted || this.#isExempt(order)) return;
+    const record = this.#runners.get(runner) ?? {
+      lastAt: new Map(),
+      byFence: new Map(),
+      highestFence: 0,
+    };
+    this.#runners.set(runner, record);
+    const other = record.byFence.get(fence) ?? holder;
     if (other !== holder) {
       const text = `${other} and ${holder} order ${runner} with fence ${fence}`;
       this.#settings.report('two-holders-with-one-fence', text);
     }
-    if (fence < seen.highest) {
-      const text = `${holder} orders ${runner} with fence ${fence} after ${seen.highest}`;
+    if (fence < record.highestFence) {
+      const text = `${holder} orders ${runner} with fence ${fence} after ${record.highestFence}`;
       this.#settings.report('lower-fence', text);
     }
-    this.#judgeTurns(order, seen);
-    seen.byFence.set(fence, holder);
-    seen.highest = Math.max(seen.highest, fence);
-    seen.lastAt.set(holder, at);
+    this.#checkLeaseGap(order, record);
+    record.byFence.set(fence, holder);
+    record.highestFence = Math.max(record.highestFence, fence);
+    record.lastAt.set(holder, at);
   }
 
-  #judgeTurns({ holder, runner, at }: ArrivedOrder, seen: Seen): void {
+  #checkLeaseGap({ holder, runner, at }: ArrivedOrder, record: RunnerRecord): void {
     // Where runners check fences, only holders in touch are judged by their turns.
-    if (this.#settings.isFenced && !this.#settings.isSettled(LEASE_MS)) return;
-    for (const [other, lastAt] of seen.lastAt) {
+    if (this.#settings.isFenced && !this.#settings.isSettledFor(LEASE_MS)) return;
+    for (const [other, lastAt] of record.lastAt) {
       if (other === holder || at - lastAt >= LEASE_MS) continue;
       const text = `${holder} orders ${runner} ${Math.round(at - lastAt)} ms after ${other}`;
       this.#settings.report('two-holders', text);
     }
   }
 
-  #isExcused({ holder, runner, at }: ArrivedOrder): boolean {
+  #isExempt({ holder, runner, at }: ArrivedOrder): boolean {
     const { thawedAt, healedAt } = this.#settings;
-    return at - thawedAt(holder) <= THAW_MS || at - healedAt(holder, runner) <= THAW_MS;
+    return at - thawedAt(holder) <= THAW_GRACE_MS || at - healedAt(holder, runner) <= THAW_GRACE_MS;
   }
 }
--- a/src/simulation/leased-order.ts
+++ b/src/simulation/leased-order.ts
@@ -2,7 +2,7 @@
 import { mayWrite, remainingOrderTimeMs, type Lease } from '../control/lease.js';
 import { RESPONSE_TIMEOUT_MS, CONNECT_TIMEOUT_MS } from '../control/leased-send.js';
 import { textOf, type Endpoint, type Payload } from './endpoint.js';
-import { ORDER_FENCED, ORDER_TAKEN, type RunnerOrder } from './fake-runner.js';
+import { ORDER_FENCED, ORDER_ACCEPTED, type RunnerOrder } from './fake-runner.js';
 import type { Host, SimNetwork } from './sim-network.js';
 
 export interface LeasedOrderSettings {
@@ -17,7 +17,7 @@
 }
 
 function resultOf(status: string): OrderResult {
-  if (status === String(ORDER_TAKEN)) return 'taken';
+  if (status === String(ORDER_ACCEPTED)) return 'taken';
   if (status === String(ORDER_FENCED)) return 'refused';
   return 'unsure';
 }
@@ -39,12 +39,12 @@
   send(): void {
     const { network, host, runner, lease } = this.#settings;
     const { process } = host;
-    const left = Math.min(RESPONSE_TIMEOUT_MS, remainingOrderTimeMs(lease, process.now()));
+    const timeLeftMs = Math.min(RESPONSE_TIMEOUT_MS, remainingOrderTimeMs(lease, process.now()));
     process.after(CONNECT_TIMEOUT_MS, () => this.#giveUpUnwritten());
-    process.after(left, () => this.#giveUp());
+    process.after(timeLeftMs, () => this.#giveUp());
     const submit = (run: () => void) => process.submit(`order ${runner}`, run);
     const open = (endpoint: Endpoint) => this.#open(endpoint);
-    const inThisLife = (run: () => void) => process.inThisLife(run);
+    const inThisLife = (run: () => void) => process.inThisIncarnation(run);
     function connected(endpoint: Endpoint): void {
       inThisLife(() => submit(() => open(endpoint)))();
     }
@@ -58,7 +58,7 @@
       return;
     }
     this.#endpoint = endpoint;
-    endpoint.handler = { data: (payload) => this.#take(payload), closed: () => this.#giveUp() };
+    endpoint.handler = { data: (payload) => this.#receive(payload), closed: () => this.#giveUp() };
     const { lease, host, writing } = this.#settings;
     if (!mayWrite(lease, host.process.now())) {
       this.#giveUp();
@@ -72,7 +72,7 @@
     this.#endpoint?.send(JSON.stringify(this.#settings.order));
   }
 
-  #take(payload: Payload): void {
+  #receive(payload: Payload): void {
     this.#end(resultOf(textOf(payload)));
   }
 
--- a/src/simulation/link-faults.ts
+++ b/src/simulation/link-faults.ts
@@ -1,38 +1,38 @@
 import type { ControlNode } from './control-node.js';
 import type { Fault } from './faults.js';
 import type { CutStyle } from './sim-network.js';
-import type { FaultSurroundings, Undo } from './machine-faults.js';
+import type { FaultContext, Undo } from './machine-faults.js';
 
 type Cut = Extract<Fault, { kind: 'cut' }>;
 type Direction = Cut['direction'];
 
 /** One direction of a link that a fault harms. */
-interface Way {
+interface DirectedLink {
   readonly from: string;
   readonly to: string;
 }
 
 /** Faults of the links between machines: cuts, slow links, resets. */
 export class LinkFaults {
-  readonly #around: FaultSurroundings;
+  readonly #context: FaultContext;
 
-  constructor(around: FaultSurroundings) {
-    this.#around = around;
+  constructor(around: FaultContext) {
+    this.#context = around;
   }
 
   /** Cuts a node, with those that stay on its side, off from all other control nodes. */
   cut(node: ControlNode, side: readonly ControlNode[], fault: Cut): Undo {
-    const { fleet, budget, events } = this.#around;
+    const { fleet, budget, events } = this.#context;
     const inside = [node, ...side].map(idOf);
     const outside: string[] = [];
     for (const other of fleet.controls.keys()) if (!inside.includes(other)) outside.push(other);
     if (fault.withAgents) for (const agent of fleet.agents) outside.push(agent.id);
-    const ways = waysBetween(inside, outside, fault.direction);
+    const links = linksBetween(inside, outside, fault.direction);
     for (const id of inside) budget.begin(id);
-    const heal = this.#cutWays(ways, fault.style);
-    events.tell('cut', node.id);
-    this.#around.settled.disturb();
-    const { settled } = this.#around;
+    const heal = this.#cutLinks(links, fault.style);
+    events.emit('cut', node.id);
+    this.#context.settled.disturb();
+    const { settled } = this.#context;
     function undo(): void {
       heal();
       for (const id of inside) budget.end(id);
@@ -43,11 +43,11 @@
 
   /** Slows all links of a node with the other control nodes. */
   slow(node: ControlNode, millis: number): Undo {
-    const { fleet, budget } = this.#around;
+    const { fleet, budget } = this.#context;
     const others = [...fleet.controls.keys()].filter((other) => node.id !== other);
-    const ways = waysBetween([node.id], others, 'both');
+    const links = linksBetween([node.id], others, 'both');
     budget.begin(node.id);
-    const undoSlow = this.#slowWays(ways, millis);
+    const undoSlow = this.#slowLinks(links, millis);
     function undo(): void {
       undoSlow();
       budget.end(node.id);
@@ -56,24 +56,24 @@
   }
 
   reset(node: ControlNode, share: number): void {
-    this.#around.fleet.network.resetConnections(node.id, share);
-    this.#around.settled.disturb();
+    this.#context.fleet.network.resetConnections(node.id, share);
+    this.#context.settled.disturb();
   }
 
   cutRunners(node: ControlNode): Undo {
-    const ways = waysBetween([node.id], this.#around.fleet.runnerIds, 'both');
-    return this.#cutWays(ways, 'silent');
+    const links = linksBetween([node.id], this.#context.fleet.runnerIds, 'both');
+    return this.#cutLinks(links, 'silent');
   }
 
   cutAgent(agent: string): Undo {
-    const ways = waysBetween([agent], [...this.#around.fleet.controls.keys()], 'both');
-    return this.#cutWays(ways, 'silent');
+    const links = linksBetween([agent], [...this.#context.fleet.controls.keys()], 'both');
+    return this.#cutLinks(links, 'silent');
   }
 
   cutOperators(node: ControlNode, operators: readonly string[], direction: Direction): Undo {
-    const { settled } = this.#around;
+    const { settled } = this.#context;
     settled.beginUnsteady();
-    const heal = this.#cutWays(waysBetween([node.id], operators, direction), 'silent');
+    const heal = this.#cutLinks(linksBetween([node.id], operators, direction), 'silent');
     function undo(): void {
       heal();
       settled.endUnsteady();
@@ -82,25 +82,25 @@
   }
 
   slowOperators(node: ControlNode, operators: readonly string[], millis: number): Undo {
-    return this.#slowWays(waysBetween([node.id], operators, 'both'), millis);
+    return this.#slowLinks(linksBetween([node.id], operators, 'both'), millis);
   }
 
-  #cutWays(ways: readonly Way[], style: CutStyle): Undo {
-    const { network } = this.#around.fleet;
-    for (const { from, to } of ways) network.cut(from, to, style);
+  #cutLinks(links: readonly DirectedLink[], style: CutStyle): Undo {
+    const { network } = this.#context.fleet;
+    for (const { from, to } of links) network.cut(from, to, style);
     function heal(): void {
-      for (const { from, to } of ways) network.heal(from, to);
+      for (const { from, to } of links) network.heal(from, to);
     }
     return heal;
   }
 
-  #slowWays(ways: readonly Way[], millis: number): Undo {
-    const { settled, fleet } = this.#around;
+  #slowLinks(links: readonly DirectedLink[], millis: number): Undo {
+    const { settled, fleet } = this.#context;
     const { network } = fleet;
     settled.beginUnsteady();
-    for (const { from, to } of ways) network.slow(from, to, millis);
+    for (const { from, to } of links) network.slow(from, to, millis);
     function undo(): void {
-      for (const { from, to } of ways) network.slow(from, to, 0);
+      for (const { from, to } of links) network.slow(from, to, 0);
       settled.endUnsteady();
     }
     return undo;
@@ -108,19 +108,19 @@
 }
 
 /** The directions between two groups that a fault on the first one's side harms. */
-function waysBetween(
+function linksBetween(
   inside: readonly string[],
   outside: readonly string[],
   direction: Direction,
-): Way[] {
-  const ways: Way[] = [];
+): DirectedLink[] {
+  const links: DirectedLink[] = [];
   for (const one of inside) {
     for (const other of outside) {
-      if (direction !== 'in') ways.push({ from: one, to: other });
-      if (direction !== 'out') ways.push({ from: other, to: one });
+      if (direction !== 'in') links.push({ from: one, to: other });
+      if (direction !== 'out') links.push({ from: other, to: one });
     }
   }
-  return ways;
+  return links;
 }
 
 function idOf(node: ControlNode): string {
--- a/src/simulation/loss-budget.test.ts
+++ b/src/simulation/loss-budget.test.ts
@@ -4,21 +4,21 @@
 import type { LossLimit } from './options.js';
 /** Two disks within the time to catch up are one too many of three machines, also where one was no voter. */
 test('disks lost one right after the other are noticed', () => {
-  const counted = new Counted(3, 'any');
-  counted.isHealed = true;
+  const counted = new BudgetFixture(3, 'any');
+  counted.isRecovered = true;
   counted.budget.loseDisk('a', true);
   counted.now = CATCH_UP_MS;
   counted.budget.loseDisk('b', false);
-  expect(counted.budget.isBeyond).toBe(false);
+  expect(counted.budget.isExceeded).toBe(false);
   counted.now += 1;
   counted.budget.loseDisk('c', false);
-  expect(counted.budget.isBeyond).toBe(true);
+  expect(counted.budget.isExceeded).toBe(true);
 });
 
-class Counted {
+class BudgetFixture {
   now = 0;
   present: number;
-  isHealed = false;
+  isRecovered = false;
   readonly budget: LossBudget;
 
   constructor(nodes: number, limit: LossLimit) {
@@ -27,8 +27,8 @@
       nodes,
       limit,
       now: () => this.#now(),
-      present: () => this.#present(),
-      isMadeGood: () => this.#isHealed(),
+      presentCount: () => this.#present(),
+      isRecovered: () => this.#isRecovered(),
     });
   }
 
@@ -40,13 +40,13 @@
     return this.present;
   }
 
-  #isHealed(): boolean {
-    return this.isHealed;
+  #isRecovered(): boolean {
+    return this.isRecovered;
   }
 }
 
 test('a machine counts as lost for a while after it is back', () => {
-  const fleet = new Counted(3, 'tolerated');
+  const fleet = new BudgetFixture(3, 'tolerated');
   const { budget } = fleet;
   expect(budget.mayLose(['a'])).toBe(true);
   expect(budget.mayLose(['a', 'b'])).toBe(false);
@@ -59,23 +59,23 @@
   expect(budget.mayLose(['b'])).toBe(true);
 });
 test('a fleet that became smaller for good bears less', () => {
-  const fleet = new Counted(5, 'tolerated');
+  const fleet = new BudgetFixture(5, 'tolerated');
   const { budget } = fleet;
   budget.begin('a');
   budget.leave();
   fleet.present = 4;
   expect([budget.mayLose(['b']), budget.mayLose(['b', 'c'])]).toEqual([true, false]);
-  budget.forgetLeft('a');
+  budget.forgetDeparted('a');
   // Of four that are left one may be lost.
   expect([budget.mayLose(['b']), budget.mayLose(['b', 'c'])]).toEqual([true, false]);
 });
 test('where any number may be lost, disks are lost one after the other', () => {
-  const fleet = new Counted(3, 'any');
+  const fleet = new BudgetFixture(3, 'any');
   const { budget } = fleet;
   expect(budget.mayLose(['a', 'b', 'c'])).toBe(true);
   expect(budget.mayLoseDisks(['a'])).toBe(true);
   budget.loseDisk('a', false);
   expect(budget.mayLoseDisks(['b'])).toBe(false);
-  fleet.isHealed = true;
+  fleet.isRecovered = true;
   expect(budget.mayLoseDisks(['b'])).toBe(true);
 });
--- a/src/simulation/machine-faults.ts
+++ b/src/simulation/machine-faults.ts
@@ -10,7 +10,7 @@
 /** Takes a fault back; called once, at its end or when all trouble ends. */
 export type Undo = () => void;
 
-export interface FaultSurroundings {
+export interface FaultContext {
   readonly fleet: Fleet;
   readonly budget: LossBudget;
   readonly settled: Settled;
@@ -19,118 +19,120 @@
   readonly now: () => number;
 }
 
-type Replace = Extract<Fault, { kind: 'replace' }>;
-type Wipe = Extract<Fault, { kind: 'wipe' }>;
+type ReplaceFault = Extract<Fault, { kind: 'replace' }>;
+type WipeFault = Extract<Fault, { kind: 'wipe' }>;
 
 /** After most of the core was lost it takes twice as long to be in touch. */
-const MOST_LOST = 2;
+const MAJORITY_LOSS_FACTOR = 2;
 /** So long after it was replaced the old machine comes back. */
-const OLD_RETURNS_MS = 5000;
+const OLD_RETURN_DELAY_MS = 5000;
 
 /** Faults of whole machines and their processes: ends, freezes, losses for good and replacements. */
 export class MachineFaults {
-  readonly #around: FaultSurroundings;
+  readonly #context: FaultContext;
   /** How many faults hold a machine down, or its process frozen. */
-  readonly #down = new Map<string, number>();
-  readonly #frozen = new Map<string, number>();
+  readonly #downFaults = new Map<string, number>();
+  readonly #freezeFaults = new Map<string, number>();
 
-  constructor(around: FaultSurroundings) {
-    this.#around = around;
+  constructor(around: FaultContext) {
+    this.#context = around;
   }
 
   kill(node: ControlNode): Undo {
-    this.#lose(node);
+    this.#beginLoss(node);
     node.kill();
-    return () => this.#restart(node);
+    return () => this.#endLoss(node);
   }
 
   losePower(node: ControlNode, unsynced: UnsyncedFate): Undo {
-    this.#lose(node);
+    this.#beginLoss(node);
     node.losePower(unsynced);
-    return () => this.#restart(node);
+    return () => this.#endLoss(node);
   }
 
   freeze(node: ControlNode): Undo {
-    const { budget, settled, events } = this.#around;
+    const { budget, settled, events } = this.#context;
     budget.begin(node.id);
-    this.#frozen.set(node.id, (this.#frozen.get(node.id) ?? 0) + 1);
+    this.#freezeFaults.set(node.id, (this.#freezeFaults.get(node.id) ?? 0) + 1);
     node.process.freeze();
     settled.disturb();
-    events.tell('freeze', node.id);
+    events.emit('freeze', node.id);
     return () => this.#thaw(node);
   }
 
   /** Frozen at its next order, if it gives one in that time. */
   freezeAtOrder(node: ControlNode): Undo {
-    const { budget } = this.#around;
+    const { budget } = this.#context;
     let undo: Undo | undefined;
     const freeze = () => this.freeze(node);
-    function strike(): void {
+    function freezeNow(): void {
       undo = freeze();
     }
     // It counts from now on: when the order comes is not known.
     budget.begin(node.id);
-    node.freezeAtOrder = strike;
-    function takeBack(): void {
-      if (node.freezeAtOrder === strike) node.freezeAtOrder = undefined;
+    node.freezeAtOrder = freezeNow;
+    function undoFault(): void {
+      if (node.freezeAtOrder === freezeNow) node.freezeAtOrder = undefined;
       undo?.();
       budget.end(node.id);
     }
-    return takeBack;
+    return undoFault;
   }
 
   /** A planned stop; it is started again once the fault ends, or once it has ended if that is later. */
   restart(node: ControlNode): Undo {
-    const { budget, settled } = this.#around;
+    const { budget, settled } = this.#context;
     budget.begin(node.id);
     settled.disturb();
-    this.#hold(node);
+    this.#countDown(node);
     let hasEnded = !node.process.isUp;
     let isDue = false;
-    const start = () => this.#restart(node);
-    function due(): void {
+    const endLoss = () => this.#endLoss(node);
+    function onDue(): void {
       isDue = true;
-      if (hasEnded) start();
+      if (hasEnded) endLoss();
     }
     if (!hasEnded)
       node.stop(() => {
         hasEnded = true;
-        if (isDue) start();
+        if (isDue) endLoss();
       });
-    return due;
+    return onDue;
   }
 
   /** Leaves for good, with no successor. */
   leave(node: ControlNode, isPlanned: boolean): void {
-    const { budget, after, settled } = this.#around;
+    const { budget, after, settled } = this.#context;
     budget.begin(node.id);
     budget.loseDisk(node.id, true);
     budget.leave();
     settled.disturb();
-    if (isPlanned && node.process.isUp) node.stop(() => this.#remove(node));
-    else this.#remove(node);
-    after(budget.leftMs, () => budget.forgetLeft(node.id));
+    if (isPlanned && node.process.isUp) node.stop(() => this.#removeMachine(node));
+    else this.#removeMachine(node);
+    after(budget.departedLossMs, () => budget.forgetDeparted(node.id));
   }
 
   /** An empty machine at another address takes its place. */
-  replace(node: ControlNode, fault: Replace): Undo {
-    const { budget, settled } = this.#around;
+  replace(node: ControlNode, fault: ReplaceFault): Undo {
+    const { budget, settled } = this.#context;
     budget.begin(node.id);
     budget.loseDisk(node.id, true);
     settled.disturb();
-    if (!fault.planned) this.#remove(node);
-    else this.#arrive();
-    const goOn = fault.planned ? () => this.#retire(node) : () => this.#succeed(node);
-    const old = fault.oldReturns ? () => this.#returnLater(node) : undefined;
-    function next(): void {
-      goOn();
-      old?.();
+    if (!fault.planned) this.#removeMachine(node);
+    else this.#addReplacement();
+    const complete = fault.planned
+      ? () => this.#retireReplaced(node)
+      : () => this.#replaceLost(node);
+    const returnOld = fault.oldReturns ? () => this.#returnLater(node) : undefined;
+    function end(): void {
+      complete();
+      returnOld?.();
     }
-    return next;
+    return end;
   }
 
-  wipe(node: ControlNode, fault: Wipe): Undo {
-    const { budget, fleet } = this.#around;
+  wipe(node: ControlNode, fault: WipeFault): Undo {
+    const { budget, fleet } = this.#context;
     const undos = [this.losePower(node, 'drawn')];
     node.disk.wipe();
     budget.loseDisk(node.id, false);
@@ -139,108 +141,108 @@
         if (other !== node) undos.push(this.losePower(other, 'drawn'));
       }
     }
-    return fault.othersLosePower ? this.#whileMostAreLost(undos) : () => undoAll(undos);
+    return fault.othersLosePower ? this.#whileMajorityIsLost(undos) : () => undoAll(undos);
   }
 
-  oldDisk(node: ControlNode, ageMs: number): Undo {
+  restoreOldDisk(node: ControlNode, ageMs: number): Undo {
     const undo = this.losePower(node, 'drawn');
-    node.disk.restore(this.#around.now() - ageMs);
-    this.#around.budget.loseDisk(node.id, false);
+    node.disk.restore(this.#context.now() - ageMs);
+    this.#context.budget.loseDisk(node.id, false);
     return undo;
   }
 
   killAll(): Undo {
     const undos: Undo[] = [];
-    for (const node of this.#around.fleet.present) undos.push(this.kill(node));
-    return this.#whileMostAreLost(undos);
+    for (const node of this.#context.fleet.present) undos.push(this.kill(node));
+    return this.#whileMajorityIsLost(undos);
   }
 
   losePowerAll(unsynced: UnsyncedFate): Undo {
     const undos: Undo[] = [];
-    for (const node of this.#around.fleet.present) undos.push(this.losePower(node, unsynced));
-    return this.#whileMostAreLost(undos);
+    for (const node of this.#context.fleet.present) undos.push(this.losePower(node, unsynced));
+    return this.#whileMajorityIsLost(undos);
   }
 
   /** Less than half of the core runs meanwhile: nothing is settled. */
-  #whileMostAreLost(undos: readonly Undo[]): Undo {
-    this.#around.settled.beginUnsteady();
-    return () => this.#undoMost(undos);
+  #whileMajorityIsLost(undos: readonly Undo[]): Undo {
+    this.#context.settled.beginUnsteady();
+    return () => this.#undoMajorityLoss(undos);
   }
 
-  #undoMost(undos: readonly Undo[]): void {
+  #undoMajorityLoss(undos: readonly Undo[]): void {
     undoAll(undos);
-    this.#around.settled.endUnsteady();
-    this.#around.settled.disturb(MOST_LOST);
+    this.#context.settled.endUnsteady();
+    this.#context.settled.disturb(MAJORITY_LOSS_FACTOR);
   }
 
-  #hold(node: ControlNode): void {
-    this.#down.set(node.id, (this.#down.get(node.id) ?? 0) + 1);
+  #countDown(node: ControlNode): void {
+    this.#downFaults.set(node.id, (this.#downFaults.get(node.id) ?? 0) + 1);
   }
 
-  #lose(node: ControlNode): void {
-    this.#around.budget.begin(node.id);
-    this.#around.settled.disturb();
-    this.#hold(node);
+  #beginLoss(node: ControlNode): void {
+    this.#context.budget.begin(node.id);
+    this.#context.settled.disturb();
+    this.#countDown(node);
   }
 
-  #restart(node: ControlNode): void {
-    const { budget, fleet, settled, events } = this.#around;
+  #endLoss(node: ControlNode): void {
+    const { budget, fleet, settled, events } = this.#context;
     budget.end(node.id);
-    const holds = (this.#down.get(node.id) ?? 1) - 1;
-    this.#down.set(node.id, holds);
+    const remaining = (this.#downFaults.get(node.id) ?? 1) - 1;
+    this.#downFaults.set(node.id, remaining);
     // Another fault still keeps it down, or it left meanwhile.
-    if (holds > 0 || fleet.isGone(node.id)) return;
+    if (remaining > 0 || fleet.hasLeft(node.id)) return;
     settled.disturb();
     node.start(false, fleet.seeds);
-    events.tell('restart', node.id);
+    events.emit('restart', node.id);
   }
 
   #thaw(node: ControlNode): void {
-    const { budget, settled } = this.#around;
+    const { budget, settled } = this.#context;
     budget.end(node.id);
-    const holds = (this.#frozen.get(node.id) ?? 1) - 1;
-    this.#frozen.set(node.id, holds);
-    if (holds > 0) return;
+    const remaining = (this.#freezeFaults.get(node.id) ?? 1) - 1;
+    this.#freezeFaults.set(node.id, remaining);
+    if (remaining > 0) return;
     node.process.thaw();
     settled.disturb();
   }
 
-  #remove(node: ControlNode): void {
-    this.#around.fleet.remove(node.id);
+  #removeMachine(node: ControlNode): void {
+    this.#context.fleet.remove(node.id);
     node.losePower('drawn');
-    this.#around.settled.disturb();
+    this.#context.settled.disturb();
   }
 
-  #arrive(): void {
-    const { fleet, settled, events } = this.#around;
+  #addReplacement(): void {
+    const { fleet, settled, events } = this.#context;
     const spare = fleet.addSpare();
     settled.disturb();
-    events.tell('restart', spare.id);
+    events.emit('restart', spare.id);
   }
 
   /** Comes after a loss; the lost one counts until its successor has had time to catch up. */
-  #succeed(node: ControlNode): void {
-    const { budget, after } = this.#around;
-    this.#arrive();
+  #replaceLost(node: ControlNode): void {
+    const { budget, after } = this.#context;
+    this.#addReplacement();
     after(CATCH_UP_MS, () => budget.release(node.id));
   }
 
   /** Its successor is there; it is told to stop, and counts for as long as one that has just come. */
-  #retire(node: ControlNode): void {
-    const { budget, after, settled } = this.#around;
+  #retireReplaced(node: ControlNode): void {
+    const { budget, after, settled } = this.#context;
     settled.disturb();
-    if (node.process.isUp) node.stop(() => this.#remove(node));
-    else this.#remove(node);
+    if (node.process.isUp) node.stop(() => this.#removeMachine(node));
+    else this.#removeMachine(node);
     after(CATCH_UP_MS, () => budget.release(node.id));
   }
 
   #returnLater(node: ControlNode): void {
-    this.#around.after(OLD_RETURNS_MS, () => this.#reply(node));
+    this.#context.after(OLD_RETURN_DELAY_MS, () => this.#returnOld(node));
   }
 
-  #reply(node: ControlNode): void {
-    const { fleet, settled } = this.#around;
-    if (!fleet.isGone(node.id)) return;
+  #returnOld(node: ControlNode): void {
+    const { fleet, settled } = this.#context;
+    if (!fleet.hasLeft(node.id)) return;
     fleet.bringBack(node.id);
     settled.disturb();
     node.start(false, fleet.seeds);
--- a/src/simulation/node-watch.ts
+++ b/src/simulation/node-watch.ts
@@ -7,7 +7,7 @@
   readonly log: (line: string) => void;
 }
 
-interface Known {
+interface NodeState {
   incarnation: number;
   isServing: boolean;
   isSound: boolean;
@@ -19,7 +19,7 @@
 /** Sees from outside what control nodes go through: reigns, repairs and changes of voters. */
 export class NodeWatch {
   readonly #settings: NodeWatchSettings;
-  readonly #known = new Map<string, Known>();
+  readonly #states = new Map<string, NodeState>();
   readonly #serving = new Set<string>();
   readonly #repairMs: number[] = [];
   readonly #leaderlessMs: number[] = [];
@@ -45,24 +45,24 @@
   }
 
   stepped(node: ControlNode): void {
-    const known = this.#knownOf(node);
+    const state = this.#stateOf(node);
     const { core } = node;
-    this.#noteServing(node, known, core?.isServing === true);
+    this.#noteServing(node, state, core?.isServing === true);
     if (!core) return;
-    this.#noteEpoch(node, known, core.elector.epoch);
+    this.#noteEpoch(node, state, core.elector.epoch);
     const isSound = core.replicaStatus.name === 'sound';
-    if (isSound && !known.isSound) this.#noteSound(node, known);
-    known.isSound = isSound;
-    if (known.isServing) this.#noteVoters(node, known, core.voters);
+    if (isSound && !state.isSound) this.#noteSound(node, state);
+    state.isSound = isSound;
+    if (state.isServing) this.#noteVoters(node, state, core.voters);
   }
 
-  #knownOf(node: ControlNode): Known {
-    const known = this.#known.get(node.id);
-    if (known && known.incarnation === node.incarnation) return known;
+  #stateOf(node: ControlNode): NodeState {
+    const state = this.#states.get(node.id);
+    if (state && state.incarnation === node.incarnation) return state;
     // What a life that has only begun is to itself is not known before its core stands.
-    const isSound = known?.isSound ?? false;
+    const isSound = state?.isSound ?? false;
     const startedAt = this.#settings.now();
-    const isServing = known?.isServing ?? false;
+    const isServing = state?.isServing ?? false;
     const fresh = {
       incarnation: node.incarnation,
       isServing,
@@ -71,48 +71,48 @@
       voters: '',
       epoch: 0,
     };
-    this.#known.set(node.id, fresh);
+    this.#states.set(node.id, fresh);
     return fresh;
   }
 
-  #noteServing(node: ControlNode, known: Known, isServing: boolean): void {
+  #noteServing(node: ControlNode, state: NodeState, isServing: boolean): void {
     const now = this.#settings.now();
     if (isServing) this.#lastServingAt = now;
-    if (known.isServing === isServing) return;
-    known.isServing = isServing;
+    if (state.isServing === isServing) return;
+    state.isServing = isServing;
     if (isServing) {
       this.#serving.add(node.id);
       if (this.#leaderlessSince !== undefined) {
         this.#leaderlessMs.push(Math.round(now - this.#leaderlessSince));
       }
       this.#leaderlessSince = undefined;
-      this.#settings.events.tell('newLeader', node.id);
+      this.#settings.events.emit('newLeader', node.id);
       return;
     }
     this.#serving.delete(node.id);
     if (this.#serving.size === 0) this.#leaderlessSince = now;
-    this.#settings.events.tell('leaderLost', node.id);
+    this.#settings.events.emit('leaderLost', node.id);
   }
 
-  #noteSound(node: ControlNode, known: Known): void {
-    const millis = Math.round(this.#settings.now() - known.startedAt);
-    this.#settings.log(`${node.id} counts after ${millis} ms`);
-    this.#repairMs.push(millis);
-    this.#settings.events.tell('repaired', node.id);
+  #noteSound(node: ControlNode, state: NodeState): void {
+    const elapsedMs = Math.round(this.#settings.now() - state.startedAt);
+    this.#settings.log(`${node.id} counts after ${elapsedMs} ms`);
+    this.#repairMs.push(elapsedMs);
+    this.#settings.events.emit('repaired', node.id);
   }
 
-  #noteEpoch(node: ControlNode, known: Known, epoch: number): void {
-    if (known.epoch === epoch) return;
-    known.epoch = epoch;
-    this.#settings.events.tell('epoch', node.id);
+  #noteEpoch(node: ControlNode, state: NodeState, epoch: number): void {
+    if (state.epoch === epoch) return;
+    state.epoch = epoch;
+    this.#settings.events.emit('epoch', node.id);
   }
 
-  #noteVoters(node: ControlNode, known: Known, voters: readonly string[]): void {
-    const text = voters.join(' ');
-    const before = known.voters;
-    known.voters = text;
-    if (before === '' || before === text) return;
+  #noteVoters(node: ControlNode, state: NodeState, voters: readonly string[]): void {
+    const joined = voters.join(' ');
+    const before = state.voters;
+    state.voters = joined;
+    if (before === '' || before === joined) return;
     const isJoint = voters.length > before.split(' ').length;
-    this.#settings.events.tell(isJoint ? 'jointVoters' : 'newVoters', node.id);
+    this.#settings.events.emit(isJoint ? 'jointVoters' : 'newVoters', node.id);
   }
 }
--- a/src/simulation/operator-call.ts
+++ b/src/simulation/operator-call.ts
@@ -33,7 +33,7 @@
   readonly body: string;
 }
 
-const OutcomeShape = type({ defect: optional(string()) });
+const FailureShape = type({ defect: optional(string()) });
 const ConfigShape = type({
   emptied: optional(array(string())),
   routing: optional(type({ version: number(), text: string() })),
@@ -47,14 +47,14 @@
 export type ReadAnswer = Infer<typeof ReadShape>;
 
 /** The platform adapter's statuses for what the core says. */
-const STATUSES: ReadonlyMap<string, number> = new Map([
+const STATUS_BY_DEFECT: ReadonlyMap<string, number> = new Map([
   ['base-lost', 412],
   ['bad-config', 400],
   ['malformed', 400],
   ['unsure-edit', 504],
   ['no-leader', 503],
 ]);
-const LEAST_FAILURE = 300;
+const MIN_FAILURE_STATUS = 300;
 const NOT_FOUND = 404;
 const ID_LENGTH = 32;
 
@@ -98,13 +98,13 @@
 }
 
 /** The answer that the platform adapter makes of the core's. */
-export function answerOf(call: OperatorCall, told: OperatorAnswer): OperatorAnswer {
-  if (told.status >= LEAST_FAILURE) {
-    const defect = parseAs(OutcomeShape, told.body)?.defect ?? '';
-    return { status: STATUSES.get(defect) ?? told.status, body: told.body };
+export function answerOf(call: OperatorCall, reply: OperatorAnswer): OperatorAnswer {
+  if (reply.status >= MIN_FAILURE_STATUS) {
+    const defect = parseAs(FailureShape, reply.body)?.defect ?? '';
+    return { status: STATUS_BY_DEFECT.get(defect) ?? reply.status, body: reply.body };
   }
-  if (call.method !== 'GET') return { status: 200, body: told.body };
-  const config = parseAs(ConfigShape, told.body);
+  if (call.method !== 'GET') return { status: 200, body: reply.body };
+  const config = parseAs(ConfigShape, reply.body);
   const body = JSON.stringify({ evacuated: config?.emptied ?? [], document: config?.routing });
   return { status: config?.routing ? 200 : NOT_FOUND, body };
 }
--- a/src/simulation/operator-client.ts
+++ b/src/simulation/operator-client.ts
@@ -1,14 +1,14 @@
 import type { Scheduler } from '../rehearsal/scheduler.js';
 import type { Seeded } from '../rehearsal/seeded.js';
 import { CallAttempt } from './call-attempt.js';
-import { ACK_MS } from './contract-bounds.js';
+import { ACK_BOUND_MS } from './contract-bounds.js';
 import type { AttemptOutcome, Order } from './history/history.js';
 import type { HistoryRecorder, OpenOrder } from './history-recorder.js';
 import { decodeRead, type OperatorAnswer, type OperatorCall } from './operator-call.js';
 import type { Host, SimNetwork } from './sim-network.js';
 import { SimProcess } from './sim-process.js';
 
-export interface OperatorSurroundings {
+export interface OperatorClientSettings {
   readonly scheduler: Scheduler;
   readonly random: Seeded;
   readonly network: SimNetwork;
@@ -26,20 +26,20 @@
 /** The configuration's version that a read brought; 0 where there was none yet. */
 export type ReadDone = (version: number) => void;
 
-interface Calling {
+interface CallState {
   readonly call: OperatorCall;
   /** True time after which it is not sent again. */
-  readonly until: number;
-  last: string;
+  readonly deadline: number;
+  lastNode: string;
   failures: number;
 }
 
-const FIRST_PAUSE_MS = 50;
-const MOST_PAUSE_MS = 1000;
+const FIRST_RETRY_DELAY_MS = 50;
+const MAX_RETRY_DELAY_MS = 1000;
 /** The third other 4xx ends a call; these end it at once. */
-const MOST_OTHER_FAULTS = 3;
-const ENDING: ReadonlySet<number> = new Set([400, 409, 412, 413, 422]);
-const UNCLEAR: ReadonlySet<number> = new Set([408, 429]);
+const MAX_CLIENT_ERRORS = 3;
+const FINAL_STATUSES: ReadonlySet<number> = new Set([400, 409, 412, 413, 422]);
+const UNCLEAR_STATUSES: ReadonlySet<number> = new Set([408, 429]);
 const NOT_FOUND = 404;
 
 /** The call that carries an order. */
@@ -58,8 +58,8 @@
 
 function outcomeOf(status: number): AttemptOutcome {
   if (status >= 200 && status < 300) return 'accepted';
-  const isFault = status >= 400 && status < 500 && !UNCLEAR.has(status);
-  return isFault ? 'refused' : 'unclear';
+  const isClientError = status >= 400 && status < 500 && !UNCLEAR_STATUSES.has(status);
+  return isClientError ? 'refused' : 'unclear';
 }
 
 /**
@@ -72,19 +72,19 @@
   readonly process: SimProcess;
   readonly isPowered = true;
   readonly isListening = false;
-  readonly #around: OperatorSurroundings;
-  #open = 0;
+  readonly #settings: OperatorClientSettings;
+  #openCalls = 0;
 
-  constructor(id: string, around: OperatorSurroundings) {
+  constructor(id: string, around: OperatorClientSettings) {
     this.id = id;
-    this.#around = around;
+    this.#settings = around;
     this.process = new SimProcess(around.scheduler, around.random, 0);
     this.process.begin();
   }
 
   /** How many calls are under way. */
-  get open(): number {
-    return this.#open;
+  get openCalls(): number {
+    return this.#openCalls;
   }
 
   accept(): void {
@@ -93,110 +93,110 @@
 
   /** Sends a new order until it is settled. */
   order(order: Order, done: OrderDone): OpenOrder {
-    const record = this.#around.recorder.open(this.id, order);
-    this.again(record, done);
+    const record = this.#settings.recorder.openOrder(this.id, order);
+    this.resend(record, done);
     return record;
   }
 
   /** Sends an order once more, byte for byte. */
-  again(record: OpenOrder, done: OrderDone): void {
+  resend(record: OpenOrder, done: OrderDone): void {
     const { order } = record;
     const isConfiguration = order.kind === 'put' || order.kind === 'patch';
-    const until = isConfiguration ? Infinity : this.#around.scheduler.now + ACK_MS;
-    const calling = { call: callOf(order), until, last: '', failures: 0 };
-    this.#open += 1;
-    this.#tryOrder(record, calling, done);
+    const deadline = isConfiguration ? Infinity : this.#settings.scheduler.now + ACK_BOUND_MS;
+    const state = { call: callOf(order), deadline, lastNode: '', failures: 0 };
+    this.#openCalls += 1;
+    this.#tryOrder(record, state, done);
   }
 
   read(done: ReadDone): void {
     const call: OperatorCall = { method: 'GET' };
-    this.#open += 1;
-    this.#tryRead({ call, until: Infinity, last: '', failures: 0 }, done);
+    this.#openCalls += 1;
+    this.#tryRead({ call, deadline: Infinity, lastNode: '', failures: 0 }, done);
   }
 
-  #tryOrder(record: OpenOrder, calling: Calling, done: OrderDone): void {
-    const { scheduler } = this.#around;
-    const node = this.#nextNode(calling);
-    const attempt = record.begin(node, scheduler.now);
-    this.#around.sending(record);
+  #tryOrder(record: OpenOrder, state: CallState, done: OrderDone): void {
+    const { scheduler } = this.#settings;
+    const node = this.#nextNode(state);
+    const attempt = record.beginAttempt(node, scheduler.now);
+    this.#settings.sending(record);
     const settle = (outcome: OrderOutcome) => this.#settle(done, outcome);
-    const again = () => this.#again(calling, () => this.#tryOrder(record, calling, done));
+    const retry = () => this.#retry(state, () => this.#tryOrder(record, state, done));
     function ended(answer: OperatorAnswer | undefined): void {
       const outcome = answer ? outcomeOf(answer.status) : 'unclear';
       if (answer) attempt.end(scheduler.now, outcome);
       if (outcome === 'accepted') settle('accepted');
-      else if (outcome === 'refused' && isEnding(calling, answer?.status ?? 0)) settle('refused');
-      else if (!again()) settle('gaveUp');
+      else if (outcome === 'refused' && isFinal(state, answer?.status ?? 0)) settle('refused');
+      else if (!retry()) settle('gaveUp');
     }
     function takenLate(waitedMs: number): void {
       attempt.takeLate(scheduler.now, waitedMs);
     }
-    this.#call(node, calling, ended, takenLate);
+    this.#call(node, state, ended, takenLate);
   }
 
-  #tryRead(calling: Calling, done: ReadDone): void {
-    const { scheduler, recorder } = this.#around;
-    const node = this.#nextNode(calling);
+  #tryRead(state: CallState, done: ReadDone): void {
+    const { scheduler, recorder } = this.#settings;
+    const node = this.#nextNode(state);
     const sentAt = scheduler.now;
     const operator = this.id;
     const settle = (version: number) => this.#settleRead(done, version);
-    const again = () => this.#again(calling, () => this.#tryRead(calling, done));
+    const retry = () => this.#retry(state, () => this.#tryRead(state, done));
     function ended(answer: OperatorAnswer | undefined): void {
       const read = answer && isRead(answer) ? decodeRead(answer.body) : undefined;
       if (!read) {
-        again();
+        retry();
         return;
       }
       const { document, evacuated } = read;
-      recorder.read({ operator, node, sentAt, endedAt: scheduler.now, document, evacuated });
+      recorder.addRead({ operator, node, sentAt, endedAt: scheduler.now, document, evacuated });
       settle(document?.version ?? 0);
     }
-    this.#call(node, calling, ended, ignore);
+    this.#call(node, state, ended, ignore);
   }
 
   #call(
     node: string,
-    calling: Calling,
+    state: CallState,
     ended: (answer: OperatorAnswer | undefined) => void,
     takenLate: (waitedMs: number) => void,
   ): void {
-    const { network, isAnswerLost } = this.#around;
-    const { call } = calling;
+    const { network, isAnswerLost } = this.#settings;
+    const { call } = state;
     new CallAttempt({ network, caller: this, node, call, isAnswerLost, ended, takenLate }).send();
   }
 
   /** Goes on to another node after a pause; says whether it may. */
-  #again(calling: Calling, next: () => void): boolean {
-    const { scheduler, random } = this.#around;
-    const pause = Math.min(MOST_PAUSE_MS, FIRST_PAUSE_MS * 2 ** calling.failures);
-    calling.failures += 1;
+  #retry(state: CallState, next: () => void): boolean {
+    const { scheduler, random } = this.#settings;
+    const pause = Math.min(MAX_RETRY_DELAY_MS, FIRST_RETRY_DELAY_MS * 2 ** state.failures);
+    state.failures += 1;
     const delay = pause * random.between(0.8, 1.2);
-    if (scheduler.now + delay > calling.until) return false;
+    if (scheduler.now + delay > state.deadline) return false;
     scheduler.after(delay, next);
     return true;
   }
 
-  #nextNode(calling: Calling): string {
-    const nodes = this.#around.nodes();
-    const others = nodes.filter((other) => calling.last !== other);
-    const node = this.#around.random.pick(others.length > 0 ? others : nodes) ?? '';
-    calling.last = node;
+  #nextNode(state: CallState): string {
+    const nodes = this.#settings.nodes();
+    const others = nodes.filter((other) => state.lastNode !== other);
+    const node = this.#settings.random.pick(others.length > 0 ? others : nodes) ?? '';
+    state.lastNode = node;
     return node;
   }
 
   #settle(done: OrderDone, outcome: OrderOutcome): void {
-    this.#open -= 1;
+    this.#openCalls -= 1;
     done(outcome);
   }
 
   #settleRead(done: ReadDone, version: number): void {
-    this.#open -= 1;
+    this.#openCalls -= 1;
     done(version);
   }
 }
 
-function isEnding(calling: Calling, status: number): boolean {
-  return ENDING.has(status) || calling.failures + 1 >= MOST_OTHER_FAULTS;
+function isFinal(state: CallState, status: number): boolean {
+  return FINAL_STATUSES.has(status) || state.failures + 1 >= MAX_CLIENT_ERRORS;
 }
 
 function isRead(answer: OperatorAnswer): boolean {
--- a/src/simulation/operator-plan.ts
+++ b/src/simulation/operator-plan.ts
@@ -21,12 +21,12 @@
 type Action = (typeof ACTIONS)[number][0];
 
 /** Ways in which an order is invalid whatever is in force. */
-const INVALID = ['unreadable', 'faulty', 'oldVersion', 'sameVersion'] as const;
+const INVALID_KINDS = ['unreadable', 'faulty', 'oldVersion', 'sameVersion'] as const;
 
-const MOST_OPEN = 8;
-const MOST_BURST = 5;
+const MAX_OPEN_CALLS = 8;
+const MAX_BURST = 5;
 /** Versions go up in uneven steps. */
-const MOST_STEP = 4;
+const MAX_VERSION_STEP = 4;
 const FIRST_VERSION = 1;
 
 export interface OperatorPlanSettings {
@@ -47,8 +47,8 @@
 export class OperatorPlan {
   readonly #settings: OperatorPlanSettings;
   #peer: OperatorPlan | undefined;
-  #known = 0;
-  #count = 0;
+  #knownVersion = 0;
+  #itemCount = 0;
   #isActive = false;
   readonly #accepted: OpenOrder[] = [];
   /** Zones with an order of ours that is not settled. */
@@ -63,8 +63,8 @@
   }
 
   /** The first configuration, sent until it is taken; then everything else begins. */
-  found(): void {
-    const order = this.#put(0, FIRST_VERSION, this.#items(1));
+  createConfiguration(): void {
+    const order = this.#put(0, FIRST_VERSION, this.#newItems(1));
     this.#send(order);
   }
 
@@ -80,12 +80,12 @@
   }
 
   readBack(): void {
-    this.#settings.client.read((version) => this.#learn(version));
+    this.#settings.client.read((version) => this.#noteVersion(version));
   }
 
   /** Sends an order that another operator sends at this moment as well, or one on the same base. */
   send(order: Order): void {
-    if (this.#settings.client.open < MOST_OPEN) this.#send(order);
+    if (this.#settings.client.openCalls < MAX_OPEN_CALLS) this.#send(order);
   }
 
   #schedule(): void {
@@ -95,61 +95,64 @@
 
   #step(): void {
     if (!this.#isActive) return;
-    if (this.#settings.client.open < MOST_OPEN) this.#act(this.#draw());
+    if (this.#settings.client.openCalls < MAX_OPEN_CALLS) this.#perform(this.#draw());
     this.#schedule();
   }
 
   #draw(): Action {
     let total = 0;
     for (const [, weight] of ACTIONS) total += weight;
-    let left = this.#settings.random.between(0, total);
+    let remaining = this.#settings.random.between(0, total);
     for (const [action, weight] of ACTIONS) {
-      left -= weight;
-      if (left < 0) return action;
+      remaining -= weight;
+      if (remaining < 0) return action;
     }
     return 'read';
   }
 
-  #act(action: Action): void {
+  #perform(action: Action): void {
     switch (action) {
       case 'put':
-        this.#send(this.#put(this.#known, this.#nextVersion(), this.#items(2)));
+        this.#send(this.#put(this.#knownVersion, this.#nextVersion(), this.#newItems(2)));
         break;
       case 'patch':
         this.#send(this.#patch());
         break;
       case 'burst':
-        this.#burst();
+        this.#sendBurst();
         break;
       case 'evacuate':
       case 'restore':
-        this.#zone(action);
+        this.#sendZoneOrder(action);
         break;
       case 'read':
         this.readBack();
         break;
       case 'race':
-        this.#race();
+        this.#sendRace();
         break;
       case 'twin':
-        this.#twin();
+        this.#sendTwins();
         break;
       case 'repeat':
-        this.#repeat();
+        this.#resendAccepted();
         break;
       case 'invalid':
         this.#send(this.#invalid());
         break;
       case 'stale':
-        this.#send(this.#put(Math.max(0, this.#known - 1), this.#nextVersion(), this.#items(1)));
+        this.#send(
+          this.#put(Math.max(0, this.#knownVersion - 1), this.#nextVersion(), this.#newItems(1)),
+        );
         break;
     }
   }
 
   #send(order: Order): void {
-    const settled = (record: OpenOrder, outcome: OrderOutcome) => this.#settled(record, outcome);
+    const orderSettled = (record: OpenOrder, outcome: OrderOutcome) =>
+      this.#orderSettled(record, outcome);
     const record = this.#settings.client.order(order, (outcome: OrderOutcome) => {
-      settled(record, outcome);
+      orderSettled(record, outcome);
     });
   }
 
@@ -157,40 +160,40 @@
    * Evacuations build on nothing, so that a copy sent again cannot be told from a new order: whoever wants a zone empty
    * and whoever gives it back must take turns, and each waits until its last word is settled.
    */
-  #zone(kind: 'evacuate' | 'restore'): void {
+  #sendZoneOrder(kind: 'evacuate' | 'restore'): void {
     const zone = this.#settings.random.pick(this.#settings.zones);
     if (zone === undefined || this.#openZones.has(zone)) return;
     this.#openZones.add(zone);
     this.#send({ kind, zone });
   }
 
-  #settled(record: OpenOrder, outcome: OrderOutcome): void {
+  #orderSettled(record: OpenOrder, outcome: OrderOutcome): void {
     const { order } = record;
     if (order.kind !== 'put' && order.kind !== 'patch') {
       this.#openZones.delete(order.zone);
       return;
     }
     if (outcome === 'accepted') {
-      this.#learn(order.version);
+      this.#noteVersion(order.version);
       this.#accepted.push(record);
-    } else if (!order.isInvalid && this.#settings.client.open < MOST_OPEN) {
+    } else if (!order.isInvalid && this.#settings.client.openCalls < MAX_OPEN_CALLS) {
       this.readBack();
     }
   }
 
-  #learn(version: number): void {
-    this.#known = Math.max(this.#known, version);
+  #noteVersion(version: number): void {
+    this.#knownVersion = Math.max(this.#knownVersion, version);
   }
 
   #nextVersion(): number {
-    return this.#known + 1 + this.#settings.random.below(MOST_STEP);
+    return this.#knownVersion + 1 + this.#settings.random.below(MAX_VERSION_STEP);
   }
 
-  #items(most: number): string[] {
+  #newItems(count: number): string[] {
     const items: string[] = [];
-    for (let index = 0; index < most; index += 1) {
-      this.#count += 1;
-      items.push(`${this.#settings.client.id}-${this.#count}`);
+    for (let index = 0; index < count; index += 1) {
+      this.#itemCount += 1;
+      items.push(`${this.#settings.client.id}-${this.#itemCount}`);
     }
     return items;
   }
@@ -201,50 +204,50 @@
   }
 
   #patch(): Order {
-    const base = this.#known;
+    const base = this.#knownVersion;
     const version = this.#nextVersion();
-    const text = JSON.stringify({ version, items: this.#items(1) });
+    const text = JSON.stringify({ version, items: this.#newItems(1) });
     return { kind: 'patch', base, version, text, isInvalid: base === 0 };
   }
 
-  #burst(): void {
+  #sendBurst(): void {
     const { random, client } = this.#settings;
-    for (let index = 1 + random.below(MOST_BURST); index >= 0; index -= 1) {
-      if (client.open >= MOST_OPEN) return;
-      this.#act(random.isLikely(0.6) ? 'patch' : 'evacuate');
+    for (let index = 1 + random.below(MAX_BURST); index >= 0; index -= 1) {
+      if (client.openCalls >= MAX_OPEN_CALLS) return;
+      this.#perform(random.isLikely(0.6) ? 'patch' : 'evacuate');
     }
   }
 
   /** Two operators pick one base, and often one number. */
-  #race(): void {
-    const base = this.#known;
+  #sendRace(): void {
+    const base = this.#knownVersion;
     const version = this.#nextVersion();
-    this.#send(this.#put(base, version, this.#items(1)));
-    const other = this.#settings.random.isLikely(0.7) ? version : version + 1;
-    this.#peer?.send(this.#put(base, other, this.#items(1)));
+    this.#send(this.#put(base, version, this.#newItems(1)));
+    const peerVersion = this.#settings.random.isLikely(0.7) ? version : version + 1;
+    this.#peer?.send(this.#put(base, peerVersion, this.#newItems(1)));
   }
 
   /** Two operators send the very same bytes. */
-  #twin(): void {
-    const order = this.#put(this.#known, this.#nextVersion(), this.#items(1));
+  #sendTwins(): void {
+    const order = this.#put(this.#knownVersion, this.#nextVersion(), this.#newItems(1));
     this.#send(order);
     this.#peer?.send(order);
   }
 
   /** An order that was acknowledged, most often the newest, is sent once more. */
-  #repeat(): void {
+  #resendAccepted(): void {
     const { random, client } = this.#settings;
     const newest = this.#accepted.at(-1);
     const record = random.isLikely(0.6) ? newest : random.pick(this.#accepted);
-    if (record) client.again(record, ignore);
+    if (record) client.resend(record, ignore);
   }
 
   #invalid(): Order {
-    const base = this.#known;
+    const base = this.#knownVersion;
     const version = this.#nextVersion();
-    const [item = ''] = this.#items(1);
+    const [item = ''] = this.#newItems(1);
     const whole = JSON.stringify({ version, items: [item] });
-    switch (this.#settings.random.pick(INVALID)) {
+    switch (this.#settings.random.pick(INVALID_KINDS)) {
       case 'faulty': {
         const text = JSON.stringify({ version, items: [item], faulty: true });
         return { kind: 'put', base, version, text, isInvalid: true };
--- a/src/simulation/operator-port.ts
+++ b/src/simulation/operator-port.ts
@@ -46,9 +46,9 @@
   }
 
   accept(endpoint: Endpoint): void {
-    const take = (text: string) => this.#take(endpoint, text);
+    const receive = (text: string) => this.#receive(endpoint, text);
     function data(payload: Payload): void {
-      take(textOf(payload));
+      receive(textOf(payload));
     }
     function closed(): void {
       /* Nobody waits for the answer any more; the endpoint knows. */
@@ -57,36 +57,36 @@
   }
 
   /** The core's word on a command. */
-  reply(id: number, told: OperatorAnswer): void {
+  reply(id: number, reply: OperatorAnswer): void {
     const pending = this.#pending.get(id);
     if (!pending) return;
     this.#pending.delete(id);
-    const answer = answerOf(pending.call, told);
+    const answer = answerOf(pending.call, reply);
     this.#settings.answering(pending.call, answer);
     pending.endpoint.send(encodeAnswer(answer));
   }
 
   /** How many reads have waited here for longer than so long. */
-  readsWaiting(millis: number): number {
+  countOverdueReads(thresholdMs: number): number {
     const now = this.#settings.now();
     let count = 0;
     for (const { call, since } of this.#pending.values()) {
-      if (call.method === 'GET' && now - since > millis) count += 1;
+      if (call.method === 'GET' && now - since > thresholdMs) count += 1;
     }
     return count;
   }
 
-  #take(endpoint: Endpoint, text: string): void {
+  #receive(endpoint: Endpoint, text: string): void {
     const call = decodeCall(text);
     if (!call) return;
     // An evacuation names no version: one whose caller has hung up was sent again elsewhere.
-    if ('zone' in call) this.#settings.nextTurn(() => this.#beginWanted(endpoint, call));
+    if ('zone' in call) this.#settings.nextTurn(() => this.#beginUnlessClosed(endpoint, call));
     else this.#begin(endpoint, call);
   }
 
-  #beginWanted(endpoint: Endpoint, call: OperatorCall): void {
+  #beginUnlessClosed(endpoint: Endpoint, call: OperatorCall): void {
     if (!endpoint.isOpen) return;
-    endpoint.begin();
+    endpoint.reportStarted();
     this.#begin(endpoint, call);
   }
 
--- a/src/simulation/options.ts
+++ b/src/simulation/options.ts
@@ -36,6 +36,6 @@
 } as const;
 
 /** How many machines of so many may be lost at once. */
-export function toleratedOf(nodes: number): number {
+export function toleratedLosses(nodes: number): number {
   return Math.floor((nodes - 1) / 2);
 }
--- a/src/simulation/order-stub.ts
+++ b/src/simulation/order-stub.ts
@@ -5,10 +5,10 @@
 
 const NEVER = moment(-1e12);
 /** A runner is given its next order so long after the last. */
-const ORDER_AGAIN_MS = 120;
+const ORDER_INTERVAL_MS = 120;
 /** How often the placement that is written to the shared state changes. */
-const REWRITE_MS = 900;
-const QUIET_FLEET: Fleet = { flows: 1, runners: [], waits: [] };
+const REWRITE_INTERVAL_MS = 900;
+const EMPTY_FLEET: Fleet = { flows: 1, runners: [], waits: [] };
 
 interface OrderedRunner {
   readonly id: string;
@@ -23,21 +23,21 @@
  */
 export class OrderStub implements FleetPlanner {
   #runners: OrderedRunner[] = [];
-  #label = '';
-  #count = 0;
-  #rewritten = 0;
+  #orderIdPrefix = '';
+  #orderCount = 0;
+  #rewriteCount = 0;
   #rewrittenAt: Moment = NEVER;
 
   restore(now: Moment, docs: readonly ServiceDoc[], label: string): void {
-    this.#label = label;
+    this.#orderIdPrefix = label;
     this.#rewrittenAt = now;
     const [doc] = docs;
-    this.#rewritten = Number(doc?.wait ?? 0);
+    this.#rewriteCount = Number(doc?.wait ?? 0);
     for (const runner of this.#runners) runner.openIntent = '';
   }
 
   docs(): readonly ServiceDoc[] {
-    const wait = String(this.#rewritten);
+    const wait = String(this.#rewriteCount);
     return [{ model: 'm-0', primary: '', understudy: '', wait, intents: [] }];
   }
 
@@ -62,22 +62,22 @@
   }
 
   plan(now: Moment): readonly string[] {
-    if (now < later(this.#rewrittenAt, REWRITE_MS)) return [];
+    if (now < later(this.#rewrittenAt, REWRITE_INTERVAL_MS)) return [];
     this.#rewrittenAt = now;
-    this.#rewritten += 1;
+    this.#rewriteCount += 1;
     return ['m-0'];
   }
 
   takeDueOrders(now: Moment): readonly Intent[] {
     const intents: Intent[] = [];
     for (const runner of this.#runners) {
-      if (runner.openIntent !== '' || now < later(runner.orderedAt, ORDER_AGAIN_MS)) continue;
-      this.#count += 1;
-      const id = `${this.#label}.${this.#count}`;
+      if (runner.openIntent !== '' || now < later(runner.orderedAt, ORDER_INTERVAL_MS)) continue;
+      this.#orderCount += 1;
+      const id = `${this.#orderIdPrefix}.${this.#orderCount}`;
       runner.openIntent = id;
       runner.orderedAt = now;
-      const what = { boot: '', verb: 'load', model: 'm-0', adapter: '', size: 1 } as const;
-      intents.push({ id, runner: runner.id, ...what });
+      const order = { boot: '', verb: 'load', model: 'm-0', adapter: '', size: 1 } as const;
+      intents.push({ id, runner: runner.id, ...order });
     }
     return intents;
   }
@@ -93,7 +93,7 @@
   }
 
   fleet(): Fleet {
-    return QUIET_FLEET;
+    return EMPTY_FLEET;
   }
 
   nextPlanAt(): Moment | undefined {
--- a/src/simulation/pasted-test.ts
+++ b/src/simulation/pasted-test.ts
@@ -2,7 +2,11 @@
 import type { SimulationOptions } from './options.js';
 
 /** A test to paste beside the simulation: the run must break no rule. */
-export function pastedTest(options: SimulationOptions, schedule: Schedule, rule: string): string {
+export function reproductionTest(
+  options: SimulationOptions,
+  schedule: Schedule,
+  rule: string,
+): string {
   const faults: string[] = [];
   for (const fault of schedule) faults.push(`    ${JSON.stringify(fault)},`);
   const title = `seed ${options.seed} of ${options.nodes} nodes keeps ${rule}`;
--- a/src/simulation/run-events.ts
+++ b/src/simulation/run-events.ts
@@ -5,7 +5,7 @@
 /** What happened in a run that faults may be aimed at; the newest node of each event is remembered. */
 export class RunEvents {
   readonly #waiting = new Map<TriggerEvent, EventHandler[]>();
-  readonly #last = new Map<TriggerEvent, string>();
+  readonly #lastNodes = new Map<TriggerEvent, string>();
   readonly #counts = new Map<TriggerEvent, number>();
 
   /** Hears of the next such event alone. */
@@ -13,8 +13,8 @@
     this.#waiting.set(event, [...(this.#waiting.get(event) ?? []), handler]);
   }
 
-  tell(event: TriggerEvent, node: string): void {
-    this.#last.set(event, node);
+  emit(event: TriggerEvent, node: string): void {
+    this.#lastNodes.set(event, node);
     this.#counts.set(event, this.count(event) + 1);
     const waiting = this.#waiting.get(event);
     if (!waiting) return;
@@ -22,8 +22,8 @@
     for (const handler of waiting) handler(node);
   }
 
-  last(event: TriggerEvent): string | undefined {
-    return this.#last.get(event);
+  lastNode(event: TriggerEvent): string | undefined {
+    return this.#lastNodes.get(event);
   }
 
   count(event: TriggerEvent): number {
--- a/src/simulation/run-report.test.ts
+++ b/src/simulation/run-report.test.ts
@@ -1,5 +1,5 @@
 import { expect, test } from 'vitest';
-import { reportOf, spreadOf } from './run-report.js';
+import { reportOf, distributionOf } from './run-report.js';
 import { optionsOf, RUN_SHAPES, SHAPE_NAMES, shapeOf, type RunShape } from './run-shape.js';
 import { runSeed } from './seed-run.js';
 
@@ -14,8 +14,8 @@
   const values: number[] = [];
   for (let value = 100; value > 0; value -= 1) values.push(value);
   const spread = { count: 100, median: 51, ninety: 91, ninetyFive: 96, ninetyNine: 100, most: 100 };
-  expect(spreadOf(values)).toEqual(spread);
-  expect(spreadOf([])).toMatchObject({ count: 0, most: 0 });
+  expect(distributionOf(values)).toEqual(spread);
+  expect(distributionOf([])).toMatchObject({ count: 0, most: 0 });
 });
 test('a report sums up what its seeds gave', () => {
   const spares = runSeed(3, 'three-spare');
--- a/src/simulation/run-report.ts
+++ b/src/simulation/run-report.ts
@@ -14,7 +14,7 @@
 import type { SeedResult } from './seed-run.js';
 
 /** Where the values of a figure lie, ms. */
-export interface Spread {
+export interface Distribution {
   readonly count: number;
   readonly median: number;
   readonly ninety: number;
@@ -44,8 +44,8 @@
   /** How often each kind of fault struck. */
   readonly faults: Readonly<FaultCounts>;
   readonly orders: OrderFigures & { readonly all: OutcomeCounts };
-  readonly repairMs: Spread;
-  readonly leaderlessMs: Spread;
+  readonly repairMs: Distribution;
+  readonly leaderlessMs: Distribution;
   readonly failures: readonly SeedResult[];
 }
 
@@ -60,13 +60,13 @@
 
 const MS_PER_SECOND = 1000;
 
-function bySize(left: number, right: number): number {
+function ascending(left: number, right: number): number {
   return left - right;
 }
 
 /** Where so many values lie. */
-export function spreadOf(values: readonly number[]): Spread {
-  const sorted = [...values].sort(bySize);
+export function distributionOf(values: readonly number[]): Distribution {
+  const sorted = [...values].sort(ascending);
   function quantile(share: number): number {
     return sorted[Math.min(sorted.length - 1, Math.floor(sorted.length * share))] ?? 0;
   }
@@ -157,8 +157,8 @@
     totals,
     faults: faultsOf(results),
     orders: ordersOf(results),
-    repairMs: spreadOf(repairMs),
-    leaderlessMs: spreadOf(leaderlessMs),
+    repairMs: distributionOf(repairMs),
+    leaderlessMs: distributionOf(leaderlessMs),
     failures,
   };
 }
--- a/src/simulation/run-shape.ts
+++ b/src/simulation/run-shape.ts
@@ -2,7 +2,7 @@
 import { drawOptions } from './schedule-draw.js';
 
 /** What of a run is fixed; all else is drawn from its seed. */
-type FixedOptions = Partial<Omit<SimulationOptions, 'seed' | 'nodes'>> &
+type ShapeOptions = Partial<Omit<SimulationOptions, 'seed' | 'nodes'>> &
   Pick<SimulationOptions, 'nodes'>;
 
 const LONG_TROUBLE_MS = 60_000;
@@ -21,11 +21,11 @@
   'three-one-operator': { nodes: 3, operators: 1 },
   'three-long': { nodes: 3, spares: 1, ...LONG },
   'five-long': { nodes: 5, spares: 1, ...LONG },
-} as const satisfies Record<string, FixedOptions>;
+} as const satisfies Record<string, ShapeOptions>;
 export type RunShape = keyof typeof RUN_SHAPES;
 
 /** Twenty seeds in a row have these shapes, so that any part of a batch has them in these shares. */
-const MIX: readonly RunShape[] = [
+const SHAPE_MIX: readonly RunShape[] = [
   'three',
   'five',
   'three-spare',
@@ -48,9 +48,9 @@
   'three',
 ];
 /** Of a hundred seeds one of each size is long: such a run takes as much processor time as ten others. */
-const LONG_CYCLE = 100;
-const LONG_OF_THREE = 15;
-const LONG_OF_FIVE = 65;
+const LONG_RUN_CYCLE = 100;
+const LONG_THREE_REMAINDER = 15;
+const LONG_FIVE_REMAINDER = 65;
 
 function isRunShape(text: string): text is RunShape {
   return text in RUN_SHAPES;
@@ -60,20 +60,20 @@
 
 /** What a batch asks for: one shape, or the mix of all. */
 export const MIXED = 'mixed';
-export type WantedShape = RunShape | typeof MIXED;
-export const WANTED_SHAPES: readonly WantedShape[] = [...SHAPE_NAMES, MIXED];
+export type RequestedShape = RunShape | typeof MIXED;
+export const REQUESTED_SHAPES: readonly RequestedShape[] = [...SHAPE_NAMES, MIXED];
 
-export function isWantedShape(text: string): text is WantedShape {
+export function isRequestedShape(text: string): text is RequestedShape {
   return text === MIXED || isRunShape(text);
 }
 
 function mixedShapeOf(seed: number): RunShape {
-  if (seed % LONG_CYCLE === LONG_OF_THREE) return 'three-long';
-  if (seed % LONG_CYCLE === LONG_OF_FIVE) return 'five-long';
-  return MIX[seed % MIX.length] ?? 'three';
+  if (seed % LONG_RUN_CYCLE === LONG_THREE_REMAINDER) return 'three-long';
+  if (seed % LONG_RUN_CYCLE === LONG_FIVE_REMAINDER) return 'five-long';
+  return SHAPE_MIX[seed % SHAPE_MIX.length] ?? 'three';
 }
 
-export function shapeOf(seed: number, wanted: WantedShape): RunShape {
+export function shapeOf(seed: number, wanted: RequestedShape): RunShape {
   return wanted === MIXED ? mixedShapeOf(seed) : wanted;
 }
 
--- a/src/simulation/schedule-draw.ts
+++ b/src/simulation/schedule-draw.ts
@@ -1,8 +1,8 @@
 import type { Seeded } from '../rehearsal/seeded.js';
 import { TROUBLE_FROM_MS } from './control-simulation.js';
 import {
-  EVENTS,
-  ROLES,
+  TRIGGER_EVENTS,
+  TARGET_ROLES,
   type Fault,
   type FaultKind,
   type Target,
@@ -41,7 +41,7 @@
 ] as const satisfies readonly (readonly [FaultKind, number])[];
 
 /** Events with the node that is most worth striking right after them. */
-const AIMS = [
+const EVENT_TARGETS = [
   ['orderSent', 'itself'],
   ['epoch', 'itself'],
   ['epoch', 'itself'],
@@ -67,34 +67,34 @@
 const LONG_TROUBLE_MS = 60_000;
 const LONG_PACE_MS = 60;
 
-const LEAST_FAULTS = 3;
-const MOST_FAULTS = 14;
+const MIN_FAULTS = 3;
+const MAX_FAULTS = 14;
 /** Most spans are short; some are as long as the longest that the contract knows. */
-const SHORT_MS = 800;
-const USUAL_MS = 5000;
-const LONG_MS = 20_000;
-const MOST_TRIGGER_DELAY_MS = 400;
+const SHORT_DURATION_MS = 800;
+const MEDIUM_DURATION_MS = 5000;
+const LONG_DURATION_MS = 20_000;
+const MAX_TRIGGER_DELAY_MS = 400;
 /** Right on the heels of its event. */
-const HEELS_MS = 12;
-const MOST_RATE = 0.01;
-const MOST_LINK_DELAY_MS = 600;
-const MOST_CALL_DELAY_MS = 1500;
-const MOST_OLD_MS = 10_000;
-const AGENTS = 8;
-const PLACES = 8;
-const FATES = ['kept', 'lost', 'drawn', 'drawn'] as const;
-const DIRECTIONS = ['both', 'both', 'in', 'out'] as const;
-const STYLES = ['silent', 'silent', 'silent', 'reset', 'refuse'] as const;
-const DISKS = ['slow', 'stalled', 'stalled', 'full'] as const;
+const SHORT_TRIGGER_DELAY_MS = 12;
+const MAX_RATE_OFFSET = 0.01;
+const MAX_LINK_DELAY_MS = 600;
+const MAX_CALL_DELAY_MS = 1500;
+const MAX_DISK_AGE_MS = 10_000;
+const AGENT_INDEX_RANGE = 8;
+const PLACE_RANGE = 8;
+const UNSYNCED_FATES = ['kept', 'lost', 'drawn', 'drawn'] as const;
+const CUT_DIRECTIONS = ['both', 'both', 'in', 'out'] as const;
+const CUT_STYLES = ['silent', 'silent', 'silent', 'reset', 'refuse'] as const;
+const DISK_TROUBLES = ['slow', 'stalled', 'stalled', 'full'] as const;
 
 /** What every fault of one machine says. */
-interface Aimed {
+interface TargetedFields {
   readonly when: When;
   readonly forMs: number;
   readonly target: Target;
 }
 
-type AimedKind = Extract<Fault, { target: Target }>['kind'];
+type TargetedKind = Extract<Fault, { target: Target }>['kind'];
 type LinkKind = 'cut' | 'slowLinks' | 'slowCalls' | 'resets' | 'operatorCut';
 
 /** Draws one schedule of faults from a seed. */
@@ -109,7 +109,7 @@
 
   draw(): Fault[] {
     const faults: Fault[] = [];
-    const count = LEAST_FAULTS + this.#random.below(MOST_FAULTS - LEAST_FAULTS + 1);
+    const count = MIN_FAULTS + this.#random.below(MAX_FAULTS - MIN_FAULTS + 1);
     for (let index = 0; index < count; index += 1) {
       const at = Math.round(TROUBLE_FROM_MS + this.#random.next() * this.#options.troubleMs);
       faults.push(this.#fault(this.#kind(), at));
@@ -120,22 +120,22 @@
   #kind(): FaultKind {
     let total = 0;
     for (const [, weight] of WEIGHTS) total += weight;
-    let left = this.#random.between(0, total);
+    let remaining = this.#random.between(0, total);
     for (const [kind, weight] of WEIGHTS) {
-      left -= weight;
-      if (left < 0) return kind;
+      remaining -= weight;
+      if (remaining < 0) return kind;
     }
     return 'freeze';
   }
 
   #fault(kind: FaultKind, at: number): Fault {
-    const { when, target } = this.#aim(at);
-    const forMs = this.#span();
-    const aimed = { when, forMs, target };
+    const { when, target } = this.#whenAndTarget(at);
+    const forMs = this.#duration();
+    const targeted = { when, forMs, target };
     switch (kind) {
       case 'killAll':
       case 'powerLossAll':
-        return this.#lossOfAll(kind, when, Math.min(forMs, USUAL_MS));
+        return this.#lossOfAll(kind, when, Math.min(forMs, MEDIUM_DURATION_MS));
       case 'seedTurnover':
         return { kind, when };
       case 'answersLost':
@@ -143,111 +143,112 @@
       case 'agentKill':
       case 'agentFreeze':
       case 'agentCut':
-        return { kind, when, forMs, agent: this.#random.below(AGENTS) };
+        return { kind, when, forMs, agent: this.#random.below(AGENT_INDEX_RANGE) };
       default:
-        return this.#aimedFault(kind, aimed);
+        return this.#targetedFault(kind, targeted);
     }
   }
 
   #lossOfAll(kind: 'killAll' | 'powerLossAll', when: When, forMs: number): Fault {
     if (kind === 'killAll') return { kind, when, forMs };
-    return { kind, when, forMs, unsynced: pick(this.#random, FATES) };
+    return { kind, when, forMs, unsynced: pick(this.#random, UNSYNCED_FATES) };
   }
 
-  #aimedFault(kind: AimedKind, aimed: Aimed): Fault {
+  #targetedFault(kind: TargetedKind, targeted: TargetedFields): Fault {
     const random = this.#random;
     switch (kind) {
       case 'powerLoss':
-        return { kind, ...aimed, unsynced: pick(random, FATES) };
+        return { kind, ...targeted, unsynced: pick(random, UNSYNCED_FATES) };
       case 'leave':
-        return { kind, ...aimed, planned: random.isLikely(0.5) };
+        return { kind, ...targeted, planned: random.isLikely(0.5) };
       case 'replace': {
         const oldReturns = random.isLikely(0.2);
-        return { kind, ...aimed, planned: random.isLikely(0.5), oldReturns };
+        return { kind, ...targeted, planned: random.isLikely(0.5), oldReturns };
       }
       case 'wipe':
-        return { kind, ...aimed, othersLosePower: random.isLikely(0.2) };
+        return { kind, ...targeted, othersLosePower: random.isLikely(0.2) };
       case 'oldDisk':
-        return { kind, ...aimed, ageMs: Math.round(random.between(100, MOST_OLD_MS)) };
+        return { kind, ...targeted, ageMs: Math.round(random.between(100, MAX_DISK_AGE_MS)) };
       case 'disk':
-        return { kind, ...aimed, trouble: pick(random, DISKS) };
+        return { kind, ...targeted, trouble: pick(random, DISK_TROUBLES) };
       case 'clockRate':
-        return { kind, ...aimed, rate: 1 + random.between(-MOST_RATE, MOST_RATE) };
+        return { kind, ...targeted, rate: 1 + random.between(-MAX_RATE_OFFSET, MAX_RATE_OFFSET) };
       case 'cut':
       case 'slowLinks':
       case 'slowCalls':
       case 'resets':
       case 'operatorCut':
-        return this.#linkFault(kind, aimed);
+        return this.#linkFault(kind, targeted);
       default:
-        return { kind, ...aimed };
+        return { kind, ...targeted };
     }
   }
 
-  #linkFault(kind: LinkKind, aimed: Aimed): Fault {
+  #linkFault(kind: LinkKind, targeted: TargetedFields): Fault {
     const random = this.#random;
     switch (kind) {
       case 'cut':
-        return this.#cut(aimed);
+        return this.#cut(targeted);
       case 'operatorCut':
-        return this.#operatorCut(aimed);
+        return this.#operatorCut(targeted);
       case 'slowLinks':
-        return { kind, ...aimed, delayMs: Math.round(random.between(10, MOST_LINK_DELAY_MS)) };
+        return { kind, ...targeted, delayMs: Math.round(random.between(10, MAX_LINK_DELAY_MS)) };
       case 'slowCalls':
-        return { kind, ...aimed, delayMs: Math.round(random.between(10, MOST_CALL_DELAY_MS)) };
+        return { kind, ...targeted, delayMs: Math.round(random.between(10, MAX_CALL_DELAY_MS)) };
       case 'resets':
-        return { kind, ...aimed, share: pick(random, [0.3, 0.6, 1]) };
+        return { kind, ...targeted, share: pick(random, [0.3, 0.6, 1]) };
     }
   }
 
-  #cut(aimed: Aimed): Fault {
+  #cut(targeted: TargetedFields): Fault {
     const random = this.#random;
     // With five nodes a side of two is a minority still.
     const besides = this.#options.nodes === 5 && random.isLikely(0.4) ? 1 : 0;
-    const shape = { direction: pick(random, DIRECTIONS), style: pick(random, STYLES) };
-    return { kind: 'cut', ...aimed, ...shape, besides, withAgents: random.isLikely(0.3) };
+    const shape = { direction: pick(random, CUT_DIRECTIONS), style: pick(random, CUT_STYLES) };
+    return { kind: 'cut', ...targeted, ...shape, besides, withAgents: random.isLikely(0.3) };
   }
 
   /** Most often right as a call is on its way, so that its bytes are held up and arrive late. */
-  #operatorCut(aimed: Aimed): Fault {
+  #operatorCut(targeted: TargetedFields): Fault {
     const random = this.#random;
-    const direction = pick(random, DIRECTIONS);
-    if (random.isLikely(0.3)) return { kind: 'operatorCut', ...aimed, direction };
-    const from = aimed.when.kind === 'at' ? aimed.when.at : aimed.when.from;
-    const delay = Math.round(random.between(0, HEELS_MS) * 10) / 10;
+    const direction = pick(random, CUT_DIRECTIONS);
+    if (random.isLikely(0.3)) return { kind: 'operatorCut', ...targeted, direction };
+    const from = targeted.when.kind === 'at' ? targeted.when.at : targeted.when.from;
+    const delay = Math.round(random.between(0, SHORT_TRIGGER_DELAY_MS) * 10) / 10;
     const when: When = { kind: 'after', event: 'orderSent', from, delay };
     const target: Target = { kind: 'role', role: 'called' };
-    return { kind: 'operatorCut', when, target, forMs: aimed.forMs, direction };
+    return { kind: 'operatorCut', when, target, forMs: targeted.forMs, direction };
   }
 
-  #aim(at: number): { readonly when: When; readonly target: Target } {
+  #whenAndTarget(at: number): { readonly when: When; readonly target: Target } {
     if (this.#random.isLikely(0.6)) return { when: this.#when(at), target: this.#target() };
-    const [event, role] = pick(this.#random, AIMS);
+    const [event, role] = pick(this.#random, EVENT_TARGETS);
     return { when: this.#after(event, at), target: { kind: 'role', role } };
   }
 
   #when(at: number): When {
     const random = this.#random;
     if (random.isLikely(0.6)) return { kind: 'at', at };
-    return this.#after(pick(random, EVENTS), at);
+    return this.#after(pick(random, TRIGGER_EVENTS), at);
   }
 
   #after(event: TriggerEvent, from: number): When {
-    const most = this.#random.isLikely(0.5) ? HEELS_MS : MOST_TRIGGER_DELAY_MS;
-    const delay = Math.round(this.#random.between(0, most) * 10) / 10;
+    const maxDelayMs = this.#random.isLikely(0.5) ? SHORT_TRIGGER_DELAY_MS : MAX_TRIGGER_DELAY_MS;
+    const delay = Math.round(this.#random.between(0, maxDelayMs) * 10) / 10;
     return { kind: 'after', event, from, delay };
   }
 
   #target(): Target {
     const random = this.#random;
-    if (random.isLikely(0.5)) return { kind: 'place', place: random.below(PLACES) };
-    return { kind: 'role', role: pick(random, ROLES) };
+    if (random.isLikely(0.5)) return { kind: 'place', place: random.below(PLACE_RANGE) };
+    return { kind: 'role', role: pick(random, TARGET_ROLES) };
   }
 
-  #span(): number {
+  #duration(): number {
     const draw = this.#random.next();
-    const most = draw < 0.3 ? SHORT_MS : draw < 0.85 ? USUAL_MS : LONG_MS;
-    return Math.round(this.#random.between(50, most));
+    const maxMs =
+      draw < 0.3 ? SHORT_DURATION_MS : draw < 0.85 ? MEDIUM_DURATION_MS : LONG_DURATION_MS;
+    return Math.round(this.#random.between(50, maxMs));
   }
 }
 
--- a/src/simulation/shrinker.test.ts
+++ b/src/simulation/shrinker.test.ts
@@ -1,6 +1,6 @@
 import { expect, test } from 'vitest';
 import type { Fault, Schedule } from './faults.js';
-import { pastedTest } from './pasted-test.js';
+import { reproductionTest } from './pasted-test.js';
 import { drawOptions } from './schedule-draw.js';
 import { Shrinker } from './shrinker.js';
 
@@ -16,7 +16,7 @@
 const SCHEDULE: Schedule = [0, 1, 2, 3, 4, 5, 6, 7, 8, 9, 10].map(faultOf);
 
 /** Fails by two faults alone, and only while the second lasts for a second or longer. */
-function needsTwo(schedule: Schedule): boolean {
+function failsByTwoFaults(schedule: Schedule): boolean {
   const second = schedule.find(isSecond);
   const span = second && 'forMs' in second ? second.forMs : 0;
   return schedule.some(isFirst) && span >= 1000;
@@ -31,18 +31,18 @@
 }
 
 test('a failing schedule is cut down to the faults that it needs', () => {
-  const { schedule, runs } = new Shrinker(needsTwo, 500).shrink(SCHEDULE);
+  const { schedule, runs } = new Shrinker(failsByTwoFaults, 500).shrink(SCHEDULE);
   expect(schedule.map(placeOf)).toEqual([2, 9]);
   expect(schedule).toMatchObject([{ forMs: 50 }, { forMs: 1000 }]);
   expect(runs).toBeLessThan(80);
 });
 test('shrinking ends after so many runs with a schedule that fails', () => {
-  const { schedule, runs } = new Shrinker(needsTwo, 4).shrink(SCHEDULE);
+  const { schedule, runs } = new Shrinker(failsByTwoFaults, 4).shrink(SCHEDULE);
   expect(runs).toBe(4);
-  expect(needsTwo(schedule)).toBe(true);
+  expect(failsByTwoFaults(schedule)).toBe(true);
 });
 test('a schedule is printed as a test', () => {
-  const text = pastedTest(drawOptions(7, 5), [faultOf(1)], 'two-holders');
+  const text = reproductionTest(drawOptions(7, 5), [faultOf(1)], 'two-holders');
   expect(text).toContain('"kind":"freeze"');
   expect(text).toContain('seed 7 of 5 nodes keeps two-holders');
 });
--- a/src/simulation/shrinker.ts
+++ b/src/simulation/shrinker.ts
@@ -11,7 +11,7 @@
 }
 
 /** Spans are shortened down to this. */
-const LEAST_SPAN_MS = 50;
+const MIN_DURATION_MS = 50;
 
 /**
  * Cuts a failing schedule down: first by delta debugging, which leaves out ever smaller pieces until
@@ -19,39 +19,39 @@
  */
 export class Shrinker {
   readonly #stillFails: StillFails;
-  readonly #mostRuns: number;
+  readonly #maxRuns: number;
   #runs = 0;
 
-  constructor(stillFails: StillFails, mostRuns: number) {
+  constructor(stillFails: StillFails, maxRuns: number) {
     this.#stillFails = stillFails;
-    this.#mostRuns = mostRuns;
+    this.#maxRuns = maxRuns;
   }
 
   shrink(schedule: Schedule): Shrunk {
-    const shortest = this.#shorten(this.#leaveOut(schedule));
+    const shortest = this.#shortenDurations(this.#leaveOut(schedule));
     return { schedule: shortest, runs: this.#runs };
   }
 
   #fails(schedule: Schedule): boolean {
-    if (this.#runs >= this.#mostRuns) return false;
+    if (this.#runs >= this.#maxRuns) return false;
     this.#runs += 1;
     return this.#stillFails(schedule);
   }
 
   #leaveOut(schedule: Schedule): Schedule {
-    let left = schedule;
-    for (let pieces = 2; left.length > 0;) {
-      const smaller = this.#withoutOnePiece(left, pieces);
+    let remaining = schedule;
+    for (let pieces = 2; remaining.length > 0;) {
+      const smaller = this.#withoutOnePiece(remaining, pieces);
       if (smaller) {
-        left = smaller;
+        remaining = smaller;
         pieces = Math.max(2, pieces - 1);
-      } else if (pieces >= left.length) {
-        return left;
+      } else if (pieces >= remaining.length) {
+        return remaining;
       } else {
-        pieces = Math.min(left.length, pieces * 2);
+        pieces = Math.min(remaining.length, pieces * 2);
       }
     }
-    return left;
+    return remaining;
   }
 
   #withoutOnePiece(schedule: Schedule, pieces: number): Schedule | undefined {
@@ -63,22 +63,22 @@
     return undefined;
   }
 
-  #shorten(schedule: Schedule): Schedule {
-    let left = schedule;
-    for (let index = 0; index < left.length; index += 1) {
-      for (let next = shorter(left[index]); next; next = shorter(left[index])) {
-        const changed = left.with(index, next);
+  #shortenDurations(schedule: Schedule): Schedule {
+    let remaining = schedule;
+    for (let index = 0; index < remaining.length; index += 1) {
+      for (let next = shorter(remaining[index]); next; next = shorter(remaining[index])) {
+        const changed = remaining.with(index, next);
         if (!this.#fails(changed)) break;
-        left = changed;
+        remaining = changed;
       }
     }
-    return left;
+    return remaining;
   }
 }
 
 function shorter(fault: Fault | undefined): Fault | undefined {
-  if (!fault || !('forMs' in fault) || fault.forMs <= LEAST_SPAN_MS) return undefined;
-  return { ...fault, forMs: Math.max(LEAST_SPAN_MS, Math.round(fault.forMs / 2)) };
+  if (!fault || !('forMs' in fault) || fault.forMs <= MIN_DURATION_MS) return undefined;
+  return { ...fault, forMs: Math.max(MIN_DURATION_MS, Math.round(fault.forMs / 2)) };
 }
 
 /** The shortest schedule found that still breaks a rule under these options. */
@@ -86,13 +86,13 @@
   options: SimulationOptions,
   schedule: Schedule,
   rule: string,
-  mostRuns: number,
+  maxRuns: number,
 ): Shrunk {
   function isOfRule(violation: { readonly rule: string }): boolean {
     return violation.rule === rule;
   }
   return new Shrinker(
     (smaller: Schedule): boolean => simulate(options, smaller).violations.some(isOfRule),
-    mostRuns,
+    maxRuns,
   ).shrink(schedule);
 }
--- a/src/simulation/sim-disk.test.ts
+++ b/src/simulation/sim-disk.test.ts
@@ -7,11 +7,11 @@
 class DiskUser {
   readonly scheduler = new Scheduler();
   readonly disk = new SimDisk(this.scheduler, new Seeded(5));
-  readonly told: string[] = [];
+  readonly outcomes: string[] = [];
 
   write(count: number): void {
-    const done = this.told.push.bind(this.told, `kept ${count}`);
-    const fail = this.told.push.bind(this.told, `failed ${count}`);
+    const done = this.outcomes.push.bind(this.outcomes, `kept ${count}`);
+    const fail = this.outcomes.push.bind(this.outcomes, `failed ${count}`);
     this.disk.write(CONFIG_PARTITION, { epoch: 2, count }, `body ${count}`, done, fail);
   }
 
@@ -31,7 +31,7 @@
   user.write(2);
   user.disk.crash(fate);
   user.run(100);
-  expect([user.told, user.body]).toEqual([['kept 1'], body]);
+  expect([user.outcomes, user.body]).toEqual([['kept 1'], body]);
 }
 
 test('a waiting write is replaced by a newer one, which answers for both', () => {
@@ -39,7 +39,7 @@
   for (const count of [1, 2, 3]) user.write(count);
   user.run(100);
   // The second was still waiting when the third came, and is answered with it.
-  expect(user.told).toEqual(['kept 1', 'kept 2', 'kept 3']);
+  expect(user.outcomes).toEqual(['kept 1', 'kept 2', 'kept 3']);
   expect([user.body, user.disk.writes]).toEqual(['body 3', 2]);
 });
 test('a stalled disk answers nothing until it goes on', () => {
@@ -47,16 +47,16 @@
   user.disk.setTrouble('stalled');
   user.write(1);
   user.run(10_000);
-  expect(user.told).toEqual([]);
+  expect(user.outcomes).toEqual([]);
   user.disk.setTrouble('none');
-  expect(user.told).toEqual(['kept 1']);
+  expect(user.outcomes).toEqual(['kept 1']);
 });
 test('a full disk refuses writes', () => {
   const user = new DiskUser();
   user.disk.setTrouble('full');
   user.write(1);
   user.run(100);
-  expect([user.told, user.body]).toEqual([['failed 1'], '']);
+  expect([user.outcomes, user.body]).toEqual([['failed 1'], '']);
 });
 test('a write under way may outlast a crash', () => checkCrash('kept', 'body 2'));
 test('a write under way may be lost', () => checkCrash('lost', 'body 1'));
--- a/src/simulation/sim-disk.ts
+++ b/src/simulation/sim-disk.ts
@@ -17,19 +17,19 @@
   readonly fail: (() => void)[];
 }
 
-interface Kept {
+interface LoggedWrite {
   readonly at: number;
   readonly stored: StoredPartition;
 }
 
 /** One write with its syncs on a disk without trouble. */
-const LEAST_WRITE_MS = 0.5;
-const MOST_WRITE_MS = 5;
+const MIN_WRITE_MS = 0.5;
+const MAX_WRITE_MS = 5;
 const SLOW_FACTOR = 30;
-const FULL_MS = 1;
+const REFUSAL_DELAY_MS = 1;
 /** How far back an old state may lie, and how many writes are remembered before older ones go. */
-const LOGGED_MS = 12_000;
-const MOST_LOGGED = 1000;
+const LOG_RETENTION_MS = 12_000;
+const MAX_LOGGED_WRITES = 1000;
 
 /**
  * The disk of a control node, with the store's own rules: whole versions of parts, one write of a
@@ -39,13 +39,13 @@
 export class SimDisk {
   readonly #scheduler: Scheduler;
   readonly #random: Seeded;
-  readonly #kept = new Map<PartitionName, StoredPartition>();
+  readonly #partitions = new Map<PartitionName, StoredPartition>();
   /** What was kept lately, so that an old state can be put back; older than that only the newest of each part. */
-  #log: Kept[] = [];
+  #log: LoggedWrite[] = [];
   readonly #waiting = new Map<PartitionName, Write>();
   readonly #active = new Map<PartitionName, Write>();
   #stalled: (() => void)[] = [];
-  #age = 0;
+  #crashes = 0;
   #trouble: DiskTrouble = 'none';
   #writes = 0;
 
@@ -63,11 +63,11 @@
   }
 
   list(): readonly StoredPartition[] {
-    return [...this.#kept.values()];
+    return [...this.#partitions.values()];
   }
 
   partition(partition: PartitionName): StoredPartition | undefined {
-    return this.#kept.get(partition);
+    return this.#partitions.get(partition);
   }
 
   setTrouble(trouble: DiskTrouble): void {
@@ -79,7 +79,7 @@
   }
 
   /** Runs once the disk answers. */
-  whenAnswering(run: () => void): void {
+  whenResponsive(run: () => void): void {
     if (this.#trouble === 'stalled') this.#stalled.push(run);
     else run();
   }
@@ -100,15 +100,15 @@
       const fails = [...(before?.fail ?? []), fail];
       this.#waiting.set(partition, { partition, version, body, done: dones, fail: fails });
     }
-    if (!this.#active.has(partition)) this.#work(partition);
+    if (!this.#active.has(partition)) this.#startNext(partition);
   }
 
   /** The process ended; what it had under way may have reached the disk. */
   crash(fate: UnsyncedFate): void {
-    this.#age += 1;
+    this.#crashes += 1;
     for (const write of this.#active.values()) {
-      const isKept = fate === 'kept' || (fate === 'drawn' && this.#random.isLikely(0.5));
-      if (isKept) this.#keep(write);
+      const isPersisted = fate === 'kept' || (fate === 'drawn' && this.#random.isLikely(0.5));
+      if (isPersisted) this.#persist(write);
     }
     this.#active.clear();
     this.#waiting.clear();
@@ -116,7 +116,7 @@
   }
 
   wipe(): void {
-    this.#kept.clear();
+    this.#partitions.clear();
     this.#log = [];
   }
 
@@ -128,37 +128,38 @@
     this.#log = log;
   }
 
-  #work(partition: PartitionName): void {
+  #startNext(partition: PartitionName): void {
     const write = this.#waiting.get(partition);
     if (!write) return;
     this.#waiting.delete(partition);
     this.#active.set(partition, write);
     const factor = this.#trouble === 'slow' ? SLOW_FACTOR : 1;
-    const millis = this.#random.between(LEAST_WRITE_MS, MOST_WRITE_MS) * factor;
-    const age = this.#age;
-    const finish = () => this.#finish(write, age);
-    const reach = () => this.whenAnswering(finish);
-    if (this.#trouble === 'full') this.#scheduler.after(FULL_MS, () => this.#refuse(write, age));
-    else this.#scheduler.after(millis, reach);
+    const millis = this.#random.between(MIN_WRITE_MS, MAX_WRITE_MS) * factor;
+    const crashes = this.#crashes;
+    const finish = () => this.#finish(write, crashes);
+    const finishWhenResponsive = () => this.whenResponsive(finish);
+    if (this.#trouble === 'full')
+      this.#scheduler.after(REFUSAL_DELAY_MS, () => this.#refuse(write, crashes));
+    else this.#scheduler.after(millis, finishWhenResponsive);
   }
 
-  #finish(write: Write, age: number): void {
-    if (age !== this.#age) return;
+  #finish(write: Write, crashes: number): void {
+    if (crashes !== this.#crashes) return;
     this.#active.delete(write.partition);
     this.#writes += 1;
-    this.#keep(write);
+    this.#persist(write);
     for (const done of write.done) done();
-    if (!this.#active.has(write.partition)) this.#work(write.partition);
+    if (!this.#active.has(write.partition)) this.#startNext(write.partition);
   }
 
-  #refuse(write: Write, age: number): void {
-    if (age !== this.#age) return;
+  #refuse(write: Write, crashes: number): void {
+    if (crashes !== this.#crashes) return;
     this.#active.delete(write.partition);
     for (const fail of write.fail) fail();
-    if (!this.#active.has(write.partition)) this.#work(write.partition);
+    if (!this.#active.has(write.partition)) this.#startNext(write.partition);
   }
 
-  #keep(write: Write): void {
+  #persist(write: Write): void {
     const stored = {
       partition: write.partition,
       version: write.version,
@@ -166,13 +167,13 @@
       isIntact: true,
     };
     this.#log.push({ at: this.#scheduler.now, stored });
-    if (this.#log.length > MOST_LOGGED) this.#forgetOld();
+    if (this.#log.length > MAX_LOGGED_WRITES) this.#trimLog();
     this.#put(stored);
   }
 
-  #forgetOld(): void {
-    const until = this.#scheduler.now - LOGGED_MS;
-    const newest = new Map<PartitionName, Kept>();
+  #trimLog(): void {
+    const until = this.#scheduler.now - LOG_RETENTION_MS;
+    const newest = new Map<PartitionName, LoggedWrite>();
     for (const kept of this.#log) if (kept.at <= until) newest.set(kept.stored.partition, kept);
     const recent = this.#log.filter((kept) => kept.at > until);
     this.#log = [...newest.values(), ...recent];
@@ -180,8 +181,8 @@
 
   /** Of the files of a part the one with the newest name counts, whichever was written last. */
   #put(stored: StoredPartition): void {
-    const known = this.#kept.get(stored.partition);
+    const known = this.#partitions.get(stored.partition);
     if (known && compareVersions(stored.version, known.version) < 0) return;
-    this.#kept.set(stored.partition, stored);
+    this.#partitions.set(stored.partition, stored);
   }
 }
--- a/src/simulation/sim-exchange.ts
+++ b/src/simulation/sim-exchange.ts
@@ -15,7 +15,7 @@
 /** What its owner hears of other nodes. */
 export interface ExchangeOwner {
   receive(from: string, role: string, zone: string, message: Message): void;
-  gone(id: string): void;
+  disconnected(id: string): void;
 }
 
 export interface SimExchangeSettings {
@@ -27,19 +27,19 @@
 const KEEPALIVE = '';
 
 /** One connection to another node, as this end sees it. */
-class Line {
+class Connection {
   readonly endpoint: Endpoint;
-  peerId: string;
+  nodeId: string;
   role = '';
   zone = '';
-  wroteAt: Moment;
-  heardAt: Moment;
+  lastWriteAt: Moment;
+  lastHeardAt: Moment;
 
   constructor(endpoint: Endpoint, peerId: string, now: Moment) {
     this.endpoint = endpoint;
-    this.peerId = peerId;
-    this.wroteAt = now;
-    this.heardAt = now;
+    this.nodeId = peerId;
+    this.lastWriteAt = now;
+    this.lastHeardAt = now;
   }
 }
 
@@ -52,11 +52,11 @@
   readonly #network: SimNetwork;
   readonly #settings: SimExchangeSettings;
   readonly #owner: ExchangeOwner;
-  #lines = new Map<string, Line[]>();
-  #all = new Set<Line>();
+  #connectionsByNode = new Map<string, Connection[]>();
+  #connections = new Set<Connection>();
   #dialing = new Map<string, number>();
   #queued = new Map<string, Message[]>();
-  #dials = 0;
+  #dialCount = 0;
   #checkedAt: Moment;
 
   constructor(
@@ -74,25 +74,25 @@
 
   /** Called at each begin of the process; whatever a former incarnation knew is gone. */
   open(): void {
-    this.#lines = new Map();
-    this.#all = new Set();
+    this.#connectionsByNode = new Map();
+    this.#connections = new Set();
     this.#dialing = new Map();
     this.#queued = new Map();
     this.#checkedAt = this.#host.process.now();
-    this.#host.process.every(CHECK_INTERVAL_MS, () => this.#check());
+    this.#host.process.every(CHECK_INTERVAL_MS, () => this.#checkConnections());
   }
 
   /** Closes all lines, as a process that stops in order does. */
   close(): void {
-    for (const line of this.#all) line.endpoint.close();
-    this.#all.clear();
-    this.#lines.clear();
+    for (const connection of this.#connections) connection.endpoint.close();
+    this.#connections.clear();
+    this.#connectionsByNode.clear();
   }
 
   send(to: string, message: Message): void {
-    const line = this.#lines.get(to)?.at(-1);
-    if (line) {
-      this.#write(line, message);
+    const connection = this.#connectionsByNode.get(to)?.at(-1);
+    if (connection) {
+      this.#write(connection, message);
       return;
     }
     // What finds no connection is traced here, and again once it is written.
@@ -106,49 +106,49 @@
   }
 
   dial(id: string): void {
-    if (this.#dialing.has(id) || this.#lines.has(id) || !id.includes(':')) return;
-    this.#dials += 1;
-    const dial = this.#dials;
+    if (this.#dialing.has(id) || this.#connectionsByNode.has(id) || !id.includes(':')) return;
+    this.#dialCount += 1;
+    const dial = this.#dialCount;
     this.#dialing.set(id, dial);
     const { process } = this.#host;
     const submit = (run: () => void) => process.submit(`dial ${id}`, run);
-    const dialed = (endpoint: Endpoint) => this.#dialed(id, dial, endpoint);
-    const failed = () => this.#failed(id, dial);
+    const onConnected = (endpoint: Endpoint) => this.#onConnected(id, dial, endpoint);
+    const onDialFailed = () => this.#onDialFailed(id, dial);
     const network = this.#network;
-    const refused = process.inThisLife(() => submit(failed));
+    const refused = process.inThisIncarnation(() => submit(onDialFailed));
     this.#network.connect(this.#host, id, 'nodes', {
       connected: guardConnected(
         network,
-        (run) => process.inThisLife(run),
+        (run) => process.inThisIncarnation(run),
         (endpoint: Endpoint) => {
-          submit(() => dialed(endpoint));
+          submit(() => onConnected(endpoint));
         },
       ),
       refused,
     });
-    process.after(CONNECT_TIMEOUT_MS, failed);
+    process.after(CONNECT_TIMEOUT_MS, onDialFailed);
   }
 
   accept(endpoint: Endpoint): void {
-    const line = this.#serve(endpoint, '');
-    this.#hello(line);
+    const connection = this.#attach(endpoint, '');
+    this.#sendHello(connection);
   }
 
-  #dialed(id: string, dial: number, endpoint: Endpoint): void {
+  #onConnected(id: string, dial: number, endpoint: Endpoint): void {
     // Given up meanwhile.
     if (this.#dialing.get(id) !== dial) {
       endpoint.close();
       return;
     }
     this.#dialing.delete(id);
-    const line = this.#serve(endpoint, id);
-    this.#hello(line);
-    this.#register(line, id);
-    for (const message of this.#queued.get(id) ?? []) this.#write(line, message);
+    const connection = this.#attach(endpoint, id);
+    this.#sendHello(connection);
+    this.#register(connection, id);
+    for (const message of this.#queued.get(id) ?? []) this.#write(connection, message);
     this.#queued.delete(id);
   }
 
-  #failed(id: string, dial: number): void {
+  #onDialFailed(id: string, dial: number): void {
     if (this.#dialing.get(id) !== dial) return;
     this.#queued.delete(id);
     // A short pause, in which the node still counts as being dialled, by nobody.
@@ -160,78 +160,80 @@
     if (this.#dialing.get(id) === dial) this.#dialing.delete(id);
   }
 
-  #hello(line: Line): void {
+  #sendHello(connection: Connection): void {
     const { role, zone } = this.#settings;
-    this.#write(line, { kind: 'hello', id: this.#host.id, role, zone });
+    this.#write(connection, { kind: 'hello', id: this.#host.id, role, zone });
   }
 
-  #serve(endpoint: Endpoint, peerId: string): Line {
-    const line = new Line(endpoint, peerId, this.#host.process.now());
-    this.#all.add(line);
+  #attach(endpoint: Endpoint, nodeId: string): Connection {
+    const connection = new Connection(endpoint, nodeId, this.#host.process.now());
+    this.#connections.add(connection);
     endpoint.handler = {
-      data: (payload) => this.#take(line, payload),
-      closed: () => this.#closed(line),
+      data: (payload) => this.#onData(connection, payload),
+      closed: () => this.#onClose(connection),
     };
-    return line;
+    return connection;
   }
 
-  #write(line: Line, message: Message): void {
-    line.wroteAt = this.#host.process.now();
-    line.endpoint.send(copyMessage(message));
+  #write(connection: Connection, message: Message): void {
+    connection.lastWriteAt = this.#host.process.now();
+    connection.endpoint.send(copyMessage(message));
   }
 
-  #register(line: Line, id: string): void {
-    line.peerId = id;
-    const lines = this.#lines.get(id) ?? [];
-    if (!lines.includes(line)) this.#lines.set(id, [...lines, line]);
+  #register(connection: Connection, id: string): void {
+    connection.nodeId = id;
+    const connections = this.#connectionsByNode.get(id) ?? [];
+    if (!connections.includes(connection))
+      this.#connectionsByNode.set(id, [...connections, connection]);
   }
 
-  #take(line: Line, payload: Payload): void {
-    line.heardAt = this.#host.process.now();
+  #onData(connection: Connection, payload: Payload): void {
+    connection.lastHeardAt = this.#host.process.now();
     if (typeof payload === 'string') return;
     if (payload.kind === 'hello') {
-      line.role = payload.role;
-      line.zone = payload.zone;
-      this.#register(line, payload.id);
+      connection.role = payload.role;
+      connection.zone = payload.zone;
+      this.#register(connection, payload.id);
       return;
     }
-    if (line.peerId === '') return;
-    this.#owner.receive(line.peerId, line.role, line.zone, payload);
+    if (connection.nodeId === '') return;
+    this.#owner.receive(connection.nodeId, connection.role, connection.zone, payload);
   }
 
-  #closed(line: Line): void {
-    if (!this.#all.delete(line)) return;
-    const lines = this.#lines.get(line.peerId);
-    if (!lines) return;
-    const left = lines.filter((other) => line !== other);
-    if (left.length > 0) {
-      this.#lines.set(line.peerId, left);
+  #onClose(connection: Connection): void {
+    if (!this.#connections.delete(connection)) return;
+    const connections = this.#connectionsByNode.get(connection.nodeId);
+    if (!connections) return;
+    const open = connections.filter((other) => connection !== other);
+    if (open.length > 0) {
+      this.#connectionsByNode.set(connection.nodeId, open);
       return;
     }
-    this.#lines.delete(line.peerId);
-    this.#owner.gone(line.peerId);
+    this.#connectionsByNode.delete(connection.nodeId);
+    this.#owner.disconnected(connection.nodeId);
   }
 
-  #check(): void {
+  #checkConnections(): void {
     const now = this.#host.process.now();
     // Frozen ourselves, we have heard nobody: what waits in the sockets is read first.
-    const late = now - this.#checkedAt - CHECK_INTERVAL_MS;
+    const stallMs = now - this.#checkedAt - CHECK_INTERVAL_MS;
     this.#checkedAt = now;
-    for (const line of [...this.#all]) {
-      if (late > CHECK_INTERVAL_MS) line.heardAt = now;
-      if (now - line.heardAt > PEER_TIMEOUT_MS) {
-        line.endpoint.close();
-        this.#closed(line);
+    for (const connection of [...this.#connections]) {
+      if (stallMs > CHECK_INTERVAL_MS) connection.lastHeardAt = now;
+      if (now - connection.lastHeardAt > PEER_TIMEOUT_MS) {
+        connection.endpoint.close();
+        this.#onClose(connection);
       } else {
-        this.#keepAlive(line, now);
+        this.#keepAlive(connection, now);
       }
     }
   }
 
-  #keepAlive(line: Line, now: Moment): void {
-    if (now - line.wroteAt < KEEPALIVE_INTERVAL_MS || line.endpoint.isHeldUp) return;
-    line.wroteAt = now;
-    line.endpoint.send(KEEPALIVE);
+  #keepAlive(connection: Connection, now: Moment): void {
+    if (now - connection.lastWriteAt < KEEPALIVE_INTERVAL_MS || connection.endpoint.isHeldUp)
+      return;
+    connection.lastWriteAt = now;
+    connection.endpoint.send(KEEPALIVE);
   }
 }
 
@@ -242,18 +244,18 @@
   connected: (endpoint: Endpoint) => void,
 ): (endpoint: Endpoint) => void {
   let arrived: Endpoint | undefined;
-  let isTaken = false;
+  let isDelivered = false;
   const guarded = inThisLife(() => {
     if (!arrived) return;
-    isTaken = true;
+    isDelivered = true;
     connected(arrived);
   });
-  function settle(endpoint: Endpoint): void {
+  function onEstablished(endpoint: Endpoint): void {
     arrived = endpoint;
     guarded();
-    if (isTaken) return;
+    if (isDelivered) return;
     endpoint.abort();
     network.forget(endpoint);
   }
-  return settle;
+  return onEstablished;
 }
--- a/src/simulation/sim-network.test.ts
+++ b/src/simulation/sim-network.test.ts
@@ -10,7 +10,7 @@
 class ListeningHost implements Host {
   readonly id: string;
   readonly process: SimProcess;
-  readonly heard: string[] = [];
+  readonly received: string[] = [];
   endpoint: Endpoint | undefined;
   isPowered = true;
   isListening = true;
@@ -27,15 +27,15 @@
 
   connected(endpoint: Endpoint): void {
     this.endpoint = endpoint;
-    const { heard } = this;
+    const { received } = this;
     endpoint.handler = {
-      data: heard.push.bind(heard),
-      closed: heard.push.bind(heard, 'closed'),
+      data: received.push.bind(received),
+      closed: received.push.bind(received, 'closed'),
     };
   }
 
   refused(): void {
-    this.heard.push('refused');
+    this.received.push('refused');
   }
 }
 
@@ -46,8 +46,8 @@
   readonly far = new ListeningHost('far', this.scheduler);
 
   constructor() {
-    this.network.join(this.near);
-    this.network.join(this.far);
+    this.network.addHost(this.near);
+    this.network.addHost(this.far);
   }
 
   connect(): this {
@@ -69,7 +69,7 @@
   const pair = new Pair().connect();
   pair.send('1', '2', '3', '4');
   pair.run(50);
-  expect(pair.far.heard).toEqual(['1', '2', '3', '4']);
+  expect(pair.far.received).toEqual(['1', '2', '3', '4']);
 });
 test('bytes held up by a cut arrive after it, also when their sender closed', () => {
   const pair = new Pair().connect();
@@ -77,11 +77,11 @@
   pair.send('1', '2');
   pair.near.endpoint?.close();
   pair.run(5000);
-  expect(pair.far.heard).toEqual([]);
+  expect(pair.far.received).toEqual([]);
   pair.network.heal('near', 'far');
   pair.run(200);
   // Closed meanwhile, and still what was written arrives late.
-  expect(pair.far.heard).toEqual(['1', '2', 'closed']);
+  expect(pair.far.received).toEqual(['1', '2', 'closed']);
 });
 test('a cut may be one-way', () => {
   const pair = new Pair().connect();
@@ -89,7 +89,7 @@
   pair.far.endpoint?.send('back');
   pair.send('there');
   pair.run(1000);
-  expect([pair.near.heard, pair.far.heard]).toEqual([['back'], []]);
+  expect([pair.near.received, pair.far.received]).toEqual([['back'], []]);
 });
 test('cuts of several faults end with the last of them', () => {
   const pair = new Pair().connect();
@@ -107,7 +107,7 @@
   pair.network.resetConnections('near', 1);
   pair.network.heal('near', 'far');
   pair.run(500);
-  expect([pair.near.heard, pair.far.heard]).toEqual([['closed'], ['closed']]);
+  expect([pair.near.received, pair.far.received]).toEqual([['closed'], ['closed']]);
 });
 test('a machine without power says nothing, and what it had not sent is lost', () => {
   const pair = new Pair().connect();
@@ -117,10 +117,10 @@
   pair.network.heal('near', 'far');
   pair.run(500);
   // Nothing tells the other side.
-  expect(pair.far.heard).toEqual([]);
+  expect(pair.far.received).toEqual([]);
   pair.far.endpoint?.send('anybody?');
   pair.run(500);
-  expect(pair.far.heard).toEqual(['closed']);
+  expect(pair.far.received).toEqual(['closed']);
 });
 test('a frozen process finds what came meanwhile', () => {
   const pair = new Pair();
@@ -132,14 +132,14 @@
   expect(pair.far.endpoint).toBeUndefined();
   pair.far.process.thaw();
   // Its kernel accepted for it: the call is read though nobody waits any more.
-  expect(pair.far.heard).toEqual(['1', '2', 'closed']);
+  expect(pair.far.received).toEqual(['1', '2', 'closed']);
 });
 test('a dead port refuses, a dark machine says nothing', () => {
   const pair = new Pair();
   pair.far.isListening = false;
   pair.connect();
-  expect(pair.near.heard).toEqual(['refused']);
+  expect(pair.near.received).toEqual(['refused']);
   pair.far.isPowered = false;
   pair.connect();
-  expect(pair.near.heard).toEqual(['refused']);
+  expect(pair.near.received).toEqual(['refused']);
 });
--- a/src/simulation/sim-network.ts
+++ b/src/simulation/sim-network.ts
@@ -9,16 +9,16 @@
 export type CutStyle = 'silent' | 'reset' | 'refuse';
 
 /** What becomes of an attempt to connect; an attempt that hangs hears nothing. */
-export interface Dialer {
+export interface ConnectHandler {
   connected(endpoint: Endpoint): void;
   refused(): void;
 }
 
 /** Usual delay of one packet. */
-const LEAST_DELAY_MS = 0.2;
-const MOST_DELAY_MS = 4;
+const MIN_DELAY_MS = 0.2;
+const MAX_DELAY_MS = 4;
 /** Held packets arrive so long after a cut has healed, at most. */
-const AFTER_HEAL_MS = 100;
+const MAX_RELEASE_DELAY_MS = 100;
 
 function linkKey(from: string, to: string): string {
   return `${from} > ${to}`;
@@ -57,7 +57,7 @@
     return this.#packets;
   }
 
-  join(host: Host): void {
+  addHost(host: Host): void {
     this.#hosts.set(host.id, host);
   }
 
@@ -108,11 +108,11 @@
     const extra = this.#extraDelays.get(linkKey(from, to)) ?? 0;
     const random = this.#streams.of(`link ${linkKey(from, to)}`);
     // A slow link is unsteady as well.
-    return random.between(LEAST_DELAY_MS, MOST_DELAY_MS) + extra * random.between(0.5, 1);
+    return random.between(MIN_DELAY_MS, MAX_DELAY_MS) + extra * random.between(0.5, 1);
   }
 
-  connect(from: Host, to: string, port: Port, dialer: Dialer): void {
-    const arrive = () => this.#arrive(from, to, port, dialer);
+  connect(from: Host, to: string, port: Port, handler: ConnectHandler): void {
+    const arrive = () => this.#arrive(from, to, port, handler);
     this.#scheduler.after(this.delay(from.id, to), arrive);
   }
 
@@ -140,7 +140,7 @@
   /** A host lost power: it says nothing any more, and what it had not sent is lost. */
   powerLost(host: string): void {
     for (const endpoint of [...this.#endpoints]) {
-      if (endpoint.host.id === host) endpoint.vanish();
+      if (endpoint.host.id === host) endpoint.losePower();
     }
   }
 
@@ -160,17 +160,17 @@
     const random = this.#streams.of('releases');
     for (const endpoint of this.#endpoints) {
       if (!endpoint.isFromTo(from, to) || !endpoint.isHeldUp) continue;
-      this.#scheduler.after(random.between(0, AFTER_HEAL_MS), () => endpoint.pump());
+      this.#scheduler.after(random.between(0, MAX_RELEASE_DELAY_MS), () => endpoint.pump());
     }
   }
 
-  #arrive(from: Host, to: string, port: Port, dialer: Dialer): void {
+  #arrive(from: Host, to: string, port: Port, handler: ConnectHandler): void {
     const target = this.#hosts.get(to);
-    const wayBack = this.delay(to, from.id);
+    const returnDelay = this.delay(to, from.id);
     const cut = this.#cuts.get(linkKey(from.id, to));
     const isRefused = cut?.style === 'refuse' || (!cut && target?.isPowered && !target.isListening);
     if (isRefused) {
-      if (!this.isCut(to, from.id)) this.#scheduler.after(wayBack, () => dialer.refused());
+      if (!this.isCut(to, from.id)) this.#scheduler.after(returnDelay, () => handler.refused());
       return;
     }
     if (cut || !target?.isPowered || this.isCut(to, from.id)) return;
@@ -178,11 +178,11 @@
     const stream = `connection ${this.#connections}`;
     const near = new Endpoint(this, from, stream);
     const far = new Endpoint(this, target, stream);
-    near.join(far);
+    near.connectTo(far);
     this.#endpoints.add(near);
     this.#endpoints.add(far);
     // A frozen process has a kernel that accepts for it; it hears of the connection at the thaw.
     target.process.submit(stream, () => target.accept(far, port));
-    this.#scheduler.after(wayBack, () => dialer.connected(near));
+    this.#scheduler.after(returnDelay, () => handler.connected(near));
   }
 }
--- a/src/simulation/sim-process.test.ts
+++ b/src/simulation/sim-process.test.ts
@@ -3,14 +3,14 @@
 import { Seeded } from '../rehearsal/seeded.js';
 import { SimProcess } from './sim-process.js';
 
-interface Loop {
+interface LoopFixture {
   readonly scheduler: Scheduler;
   readonly process: SimProcess;
   readonly seen: string[];
   readonly note: (text: string) => () => void;
 }
 
-function loopOf(seed: number): Loop {
+function loopOf(seed: number): LoopFixture {
   const scheduler = new Scheduler();
   const process = new SimProcess(scheduler, new Seeded(seed), 0.01);
   const seen: string[] = [];
@@ -22,7 +22,7 @@
 }
 
 /** What a thaw takes, in its order: two streams of input and a timer. */
-function thawed(seed: number): readonly string[] {
+function runOrderAfterThaw(seed: number): readonly string[] {
   const { scheduler, process, seen, note } = loopOf(seed);
   process.after(10, note('timer'));
   scheduler.runUntil(5);
@@ -46,7 +46,7 @@
 test('a thaw takes input and timers in any order that keeps each stream', () => {
   const places = new Set<number>();
   for (let seed = 1; seed <= 60; seed += 1) {
-    const seen = thawed(seed);
+    const seen = runOrderAfterThaw(seed);
     expect(seen.filter(isOfA)).toEqual(['a1', 'a2', 'a3']);
     expect(seen.filter(isOfB)).toEqual(['b1', 'b2']);
     expect(seen).toHaveLength(6);
--- a/src/simulation/sim-process.ts
+++ b/src/simulation/sim-process.ts
@@ -10,12 +10,12 @@
   readonly run: () => void;
 }
 
-const TIMERS = 'timers';
+const TIMER_STREAM = 'timers';
 /** Timers fire slightly late. */
-const TIMER_LATE_MS = 2;
+const MAX_TIMER_LATENESS_MS = 2;
 /** Chances of the orders in which a thawed event loop takes timers and input. */
-const TIMERS_FIRST = 0.4;
-const TIMERS_LAST = 0.3;
+const TIMERS_FIRST_PROBABILITY = 0.4;
+const TIMERS_LAST_PROBABILITY = 0.3;
 
 /**
  * One simulated operating-system process with an event loop: it begins, ends, is frozen and thawed.
@@ -32,10 +32,10 @@
   #held: HeldInput[] = [];
   #thawedAt = -Infinity;
 
-  constructor(scheduler: Scheduler, random: Seeded, drift: number) {
+  constructor(scheduler: Scheduler, random: Seeded, maxDrift: number) {
     this.#scheduler = scheduler;
     this.#random = random;
-    this.#rate = 1 + random.between(-drift, drift);
+    this.#rate = 1 + random.between(-maxDrift, maxDrift);
     this.#offset = random.between(0, 1e6);
   }
 
@@ -111,20 +111,20 @@
   }
 
   /** A function that does its work only while this life lasts. */
-  inThisLife(run: () => void): () => void {
+  inThisIncarnation(run: () => void): () => void {
     const incarnation = this.#incarnation;
-    const isSame = (incarnation: number) => this.#isLife(incarnation);
+    const isCurrent = (incarnation: number) => this.#isIncarnation(incarnation);
     function guarded(): void {
-      if (isSame(incarnation)) run();
+      if (isCurrent(incarnation)) run();
     }
     return guarded;
   }
 
   /** Runs once after so long on the process's own clock, unless it ended before. */
   after(millis: number, run: () => void): void {
-    const late = this.#random.between(0, TIMER_LATE_MS);
-    const due = () => this.submit(TIMERS, run);
-    this.#scheduler.after(millis / this.#rate + late, this.inThisLife(due));
+    const late = this.#random.between(0, MAX_TIMER_LATENESS_MS);
+    const due = () => this.submit(TIMER_STREAM, run);
+    this.#scheduler.after(millis / this.#rate + late, this.inThisIncarnation(due));
   }
 
   /** Runs again and again; while the process is frozen one call becomes due, not many. */
@@ -137,7 +137,7 @@
     after(tick);
   }
 
-  #isLife(incarnation: number): boolean {
+  #isIncarnation(incarnation: number): boolean {
     return this.#incarnation === incarnation;
   }
 
@@ -151,29 +151,30 @@
       streams.set(input.stream, stream);
     }
     const draw = this.#random.next();
-    if (draw < TIMERS_FIRST) return [...timers, ...this.#merged([...streams.values()])];
-    if (draw < TIMERS_FIRST + TIMERS_LAST) {
-      return [...this.#merged([...streams.values()]), ...timers];
+    if (draw < TIMERS_FIRST_PROBABILITY)
+      return [...timers, ...this.#interleaved([...streams.values()])];
+    if (draw < TIMERS_FIRST_PROBABILITY + TIMERS_LAST_PROBABILITY) {
+      return [...this.#interleaved([...streams.values()]), ...timers];
     }
-    return this.#merged([timers, ...streams.values()]);
+    return this.#interleaved([timers, ...streams.values()]);
   }
 
-  #merged(streams: HeldInput[][]): HeldInput[] {
-    const merged: HeldInput[] = [];
-    let left = streams.filter(isFilled);
-    while (left.length > 0) {
-      const input = this.#random.pick(left)?.shift();
-      if (input) merged.push(input);
-      left = left.filter(isFilled);
+  #interleaved(streams: HeldInput[][]): HeldInput[] {
+    const interleaved: HeldInput[] = [];
+    let remaining = streams.filter(isNotEmpty);
+    while (remaining.length > 0) {
+      const input = this.#random.pick(remaining)?.shift();
+      if (input) interleaved.push(input);
+      remaining = remaining.filter(isNotEmpty);
     }
-    return merged;
+    return interleaved;
   }
 }
 
 function isTimer(input: HeldInput): boolean {
-  return input.stream === TIMERS;
+  return input.stream === TIMER_STREAM;
 }
 
-function isFilled(stream: readonly HeldInput[]): boolean {
+function isNotEmpty(stream: readonly HeldInput[]): boolean {
   return stream.length > 0;
 }
