--- a/src/simulation/state-rules.ts
+++ b/src/simulation/state-rules.ts
@@ -13,7 +13,7 @@
 import type { OperatorAnswer } from './operator-call.js';
 import type { Report } from './violation.js';
 
-const NewsShape = type({
+const ConfigShape = type({
   voters: array(array(string())),
   routing: optional(type({ version: number() })),
 });
@@ -35,7 +35,7 @@
   /** Every control node that ever was, by its id. */
   readonly nodes: ReadonlyMap<string, ControlNode>;
   /** Machines that have left for good, with their disks. */
-  readonly isGone: (node: string) => boolean;
+  readonly hasLeft: (node: string) => boolean;
   /** Whether a node has lost its disk and may not vote yet. */
   readonly isUnderRepair: (node: string) => boolean;
 }
@@ -60,7 +60,7 @@
   #newest: { readonly version: Version; readonly config: KnownConfig } | undefined;
   #acknowledged: Acknowledged | undefined;
   /** What each life of a node or agent shows as the newest configuration. */
-  readonly #shown = new Map<string, { readonly version: Version; readonly routing: number }>();
+  readonly #lastShown = new Map<string, { readonly version: Version; readonly routing: number }>();
 
   constructor(settings: StateRulesSettings) {
     this.#settings = settings;
@@ -84,20 +84,20 @@
   watch(id: string, incarnation: number, relay: Relay): void {
     const key = `${id} ${incarnation}`;
     const version = relay.version('config');
-    const shown = this.#shown.get(key);
-    if (shown && compareVersions(version, shown.version) === 0) return;
+    const lastShown = this.#lastShown.get(key);
+    if (lastShown && compareVersions(version, lastShown.version) === 0) return;
     const item = relay.latest('config');
     if (!item) return;
-    const config = this.#know(item);
+    const config = this.#learnConfig(item);
     if (!config) return;
-    if (shown && isNewer(shown.version, version)) {
-      const text = `${id} from ${versionText(shown.version)} to ${versionText(version)}`;
+    if (lastShown && isNewer(lastShown.version, version)) {
+      const text = `${id} from ${versionText(lastShown.version)} to ${versionText(version)}`;
       this.#settings.report('version-stepped-back', text);
-    } else if (shown && config.routingVersion < shown.routing) {
-      const text = `${id} from configuration ${shown.routing} to ${config.routingVersion}`;
+    } else if (lastShown && config.routingVersion < lastShown.routing) {
+      const text = `${id} from configuration ${lastShown.routing} to ${config.routingVersion}`;
       this.#settings.report('version-stepped-back', text);
     }
-    this.#shown.set(key, { version, routing: config.routingVersion });
+    this.#lastShown.set(key, { version, routing: config.routingVersion });
   }
 
   /** What was acknowledged last is where every majority that may vote meets it. */
@@ -109,7 +109,7 @@
     let lacking = 0;
     for (const voter of voters) {
       if (this.#holds(voter, acknowledged.editId)) holders += 1;
-      else if (!this.#settings.isGone(voter) && !this.#settings.isUnderRepair(voter)) lacking += 1;
+      else if (!this.#settings.hasLeft(voter) && !this.#settings.isUnderRepair(voter)) lacking += 1;
     }
     if (holders > 0 && lacking < majorityOf(voters)) return;
     const { editId, version } = acknowledged;
@@ -118,28 +118,28 @@
   }
 
   #holds(voter: string, editId: string): boolean {
-    if (this.#settings.isGone(voter)) return false;
+    if (this.#settings.hasLeft(voter)) return false;
     const stored = this.#settings.nodes.get(voter)?.disk.partition(CONFIG_PARTITION);
     return stored?.body.includes(editId) === true;
   }
 
-  #know(item: Update): KnownConfig | undefined {
+  #learnConfig(item: Update): KnownConfig | undefined {
     const key = versionText(item.version);
     const known = this.#configs.get(key);
     if (known) {
       if (known.body !== item.body) this.#settings.report('one-version-two-bodies', key);
       return known;
     }
-    const news = parseAs(NewsShape, item.body);
-    if (!news) return undefined;
-    const routingVersion = news.routing?.version ?? 0;
-    const config = { body: item.body, voters: news.voters, routingVersion };
+    const parsed = parseAs(ConfigShape, item.body);
+    if (!parsed) return undefined;
+    const routingVersion = parsed.routing?.version ?? 0;
+    const config = { body: item.body, voters: parsed.voters, routingVersion };
     this.#configs.set(key, config);
-    this.#follow(item.version, config);
+    this.#checkVoterChange(item.version, config);
     return config;
   }
 
-  #follow(version: Version, config: KnownConfig): void {
+  #checkVoterChange(version: Version, config: KnownConfig): void {
     const before = this.#newest;
     if (before && !isNewer(version, before.version)) return;
     this.#newest = { version, config };
@@ -148,15 +148,15 @@
     const following = before.config.voters[1]?.join();
     const isSecondStep = following !== undefined && config.voters.join(' | ') === following;
     const needed = isSecondStep ? before.version : version;
-    for (const set of before.config.voters) this.#demand(set, needed, config);
-    for (const set of config.voters) this.#demand(set, version, config);
+    for (const set of before.config.voters) this.#requireMajority(set, needed, config);
+    for (const set of config.voters) this.#requireMajority(set, version, config);
   }
 
-  #demand(set: readonly string[], version: Version, { voters }: KnownConfig): void {
-    const { isGone, isUnderRepair } = this.#settings;
+  #requireMajority(set: readonly string[], version: Version, { voters }: KnownConfig): void {
+    const { hasLeft, isUnderRepair } = this.#settings;
     let lacking = 0;
     for (const voter of set) {
-      const mayVote = !isGone(voter) && !isUnderRepair(voter);
+      const mayVote = !hasLeft(voter) && !isUnderRepair(voter);
       if (mayVote && !this.#hasVersion(version, voter)) lacking += 1;
     }
     if (lacking < majorityOf(set)) return;
