--- a/src/simulation/agent-node.ts
+++ b/src/simulation/agent-node.ts
@@ -9,37 +9,45 @@
 import type { Host, SimNetwork } from './sim-network.js';
 import { SimProcess } from './sim-process.js';
 
+/** What an agent node is created with. */
 export interface AgentNodeSettings {
+  /** The run's virtual time. */
   readonly scheduler: Scheduler;
+  /** The node's own stream of random numbers. */
   readonly random: Seeded;
+  /** The network that the node is attached to. */
   readonly network: SimNetwork;
+  /** Maximum deviation of its clock rate from 1, as a fraction. */
   readonly maxDrift: number;
-  /** Makes its core. */
+  /** Creates the core at each start of the process. */
   readonly coreFactory: CoreBuild;
-  /** After every input of an agent's core. */
+  /** Called after each input of the core, once its effects were carried out. */
   readonly stepped: (node: AgentNode) => void;
 }
 
 const INCARNATION_RANGE = 2 ** 47;
 
-/** An edge machine as far as it holds configuration: the real agent core. */
+/** The agent of an edge machine: the real agent core on a simulated process and network. */
 export class AgentNode implements Host {
+  /** The node id, which is also its address. */
   readonly id: string;
+  /** The zone of the machine. */
   readonly zone: string;
+  /** The simulated process that runs the agent. */
   readonly process: SimProcess;
   readonly #settings: AgentNodeSettings;
   readonly #exchange: SimExchange;
   #core: AgentCore | undefined;
   #startCount = 0;
 
-  constructor(id: string, zone: string, around: AgentNodeSettings) {
+  constructor(id: string, zone: string, settings: AgentNodeSettings) {
     this.id = id;
     this.zone = zone;
-    this.#settings = around;
-    this.process = new SimProcess(around.scheduler, around.random, around.maxDrift);
+    this.#settings = settings;
+    this.process = new SimProcess(settings.scheduler, settings.random, settings.maxDrift);
     this.#exchange = new SimExchange(
       this,
-      around.network,
+      settings.network,
       { role: 'link', zone },
       {
         receive: (from, role, zone, message) => this.#receive(from, role, zone, message),
@@ -48,22 +56,27 @@
     );
   }
 
+  /** The core of the running process; `undefined` while the process is down. */
   get core(): AgentCore | undefined {
     return this.#core;
   }
 
+  /** Agents never lose power. */
   get isPowered(): boolean {
     return true;
   }
 
+  /** Whether the process accepts connections. */
   get isListening(): boolean {
     return this.#core !== undefined;
   }
 
+  /** Number of times the process was started. */
   get incarnation(): number {
     return this.#startCount;
   }
 
+  /** Starts the process with these seeds; has no effect while it runs. */
   start(seeds: readonly string[]): void {
     if (this.process.isUp) return;
     this.#startCount += 1;
@@ -85,6 +98,7 @@
     this.#tick();
   }
 
+  /** Kills the process as SIGKILL does: the kernel closes its connections. */
   kill(): void {
     this.#settings.network.processEnded(this.id);
     this.process.end();
@@ -92,10 +106,12 @@
     this.#settings.stepped(this);
   }
 
+  /** Passes new seeds to the running process. */
   setSeeds(seeds: readonly string[]): void {
     this.process.submit('settings', () => this.#applySeeds(seeds));
   }
 
+  /** Accepts a connection from another node. */
   accept(endpoint: Endpoint): void {
     this.#exchange.accept(endpoint);
   }
--- a/src/simulation/control-node.ts
+++ b/src/simulation/control-node.ts
@@ -31,42 +31,54 @@
 import type { Host, Port, SimNetwork } from './sim-network.js';
 import { SimProcess } from './sim-process.js';
 
-/** What a run is told of a control node as it works. */
+/** Callbacks by which a run observes a control node. */
 export interface ControlObserver {
-  /** After every input of the core, with all its effects begun. */
+  /** Called after each input of the core, once all its effects have been started. */
   stepped(node: ControlNode): void;
-  /** An answer is written to an operator. */
+  /** Called when an answer is written to an operator. */
   answered(node: ControlNode, call: OperatorCall, answer: OperatorAnswer): void;
-  /** The core threw, which its process logs and outlives. */
+  /** Called when the core threw; the process logs the error and continues. */
   threw(node: ControlNode, error: unknown): void;
+  /** Called with each log event of the core, as JSON. */
   logged(node: ControlNode, text: string): void;
 }
 
+/** What a control node is created with. */
 export interface ControlNodeSettings {
+  /** The run's virtual time. */
   readonly scheduler: Scheduler;
+  /** The node's own stream of random numbers. */
   readonly random: Seeded;
+  /** The network that the node is attached to. */
   readonly network: SimNetwork;
+  /** Receives what the node does. */
   readonly observer: ControlObserver;
+  /** The runners that the platform lists. */
   readonly runners: readonly ListedRunner[];
+  /** Maximum deviation of its clock rate from 1, as a fraction. */
   readonly maxDrift: number;
-  /** Makes its core. */
+  /** Creates the core at each start of the process. */
   readonly coreFactory: CoreBuild;
 }
 
 type StoreEffect = Extract<ControlEffect, { do: 'store' }>;
 type OrderEffect = Extract<ControlEffect, { do: 'order' }>;
 
-/** A process is loaded and reads its files for so long before it listens. */
+/** Range of the time from the start of a process until it listens: loading the program and reading its files. */
 const MIN_START_MS = 60;
 const MAX_START_MS = 200;
 const RUNNER_LIST_DELAY_MS = 20;
 const INCARNATION_RANGE = 2 ** 47;
 
-/** A core machine: the real control core with a deployment's settings on a simulated process, disk and network. */
+/** A control machine: the real control core with a deployment's settings on a simulated process, disk and network. */
 export class ControlNode implements Host {
+  /** The node id, which is also its address. */
   readonly id: string;
+  /** The zone of the machine. */
   readonly zone: string;
+  /** The simulated process that runs the control core. */
   readonly process: SimProcess;
+  /** The disk of the machine. */
   readonly disk: SimDisk;
   readonly #settings: ControlNodeSettings;
   readonly #trace: NodeTrace;
@@ -76,20 +88,20 @@
   #seeds: readonly string[] = [];
   readonly #operatorPort: OperatorPort;
   #startCount = 0;
-  /** All told once a process that was asked to stop is gone; it may be asked more than once. */
+  /** Called once the process has ended after a request to stop; there may be several requests. */
   #stopListeners: (() => void)[] = [];
-  /** Set while the next order's write is to be held up by a freeze right after the lease was checked. */
+  /** If set, called between the lease check and the write of the next order, to freeze the process there. */
   freezeAtOrder: (() => void) | undefined;
 
-  constructor(id: string, zone: string, around: ControlNodeSettings) {
+  constructor(id: string, zone: string, settings: ControlNodeSettings) {
     this.id = id;
     this.zone = zone;
-    this.#settings = around;
-    this.#trace = new NodeTrace(id, around.scheduler, around.network.trace);
-    this.process = new SimProcess(around.scheduler, around.random, around.maxDrift);
-    this.disk = new SimDisk(around.scheduler, around.random);
+    this.#settings = settings;
+    this.#trace = new NodeTrace(id, settings.scheduler, settings.network.trace);
+    this.process = new SimProcess(settings.scheduler, settings.random, settings.maxDrift);
+    this.disk = new SimDisk(settings.scheduler, settings.random);
     this.#operatorPort = new OperatorPort({
-      random: around.random,
+      random: settings.random,
       now: () => this.now(),
       nextTurn: (run) => this.process.after(0, run),
       command: this.#command.bind(this),
@@ -97,7 +109,7 @@
     });
     this.#exchange = new SimExchange(
       this,
-      around.network,
+      settings.network,
       { role: 'mind', zone },
       {
         receive: (from, role, zone, message) => this.#receive(from, role, zone, message),
@@ -106,24 +118,27 @@
     );
   }
 
+  /** The core of the running process; `undefined` while the process is down or loading. */
   get core(): ControlCore | undefined {
     return this.#core;
   }
 
+  /** Whether the machine has power. */
   get isPowered(): boolean {
     return this.#isPowered;
   }
 
+  /** Whether the process accepts connections. */
   get isListening(): boolean {
     return this.#core !== undefined;
   }
 
-  /** Counts the lives of its process. */
+  /** Number of times the process was started. */
   get incarnation(): number {
     return this.#startCount;
   }
 
-  /** Begins the process with the settings of this moment. */
+  /** Starts the process with the current settings; has no effect while it runs. */
   start(isFirstStart: boolean, seeds: readonly string[]): void {
     if (this.process.isUp) return;
     this.#isPowered = true;
@@ -135,13 +150,13 @@
     this.process.after(delay, () => this.#load(isFirstStart));
   }
 
-  /** SIGKILL: the machine stays up, and its kernel closes the connections. */
+  /** Kills the process as SIGKILL does: the machine stays up and its kernel closes the connections. */
   kill(): void {
     this.#endProcess();
     this.disk.crash('drawn');
   }
 
-  /** The whole machine goes dark. */
+  /** The machine loses power; `fate` decides about writes that were not synced. */
   losePower(fate: UnsyncedFate): void {
     this.#isPowered = false;
     this.#settings.network.powerLost(this.id);
@@ -149,18 +164,19 @@
     this.disk.crash(fate);
   }
 
-  /** SIGTERM: hands over what it leads, and is killed if it has not ended after the grace. */
+  /** SIGTERM: the process hands over leadership and exits, or is killed after `STOP_GRACE_MS`, then calls `onEnded`. */
   stop(onEnded: () => void): void {
-    // It may be killed, or lose power, before it has ended by itself.
+    // The process may be killed, or the machine lose power, before it exits by itself.
     this.#stopListeners.push(onEnded);
     if (this.#stopListeners.length > 1) return;
     const exit = () => this.#exit();
-    // The machine kills what has not ended, frozen or not.
+    // The kill after the grace period uses true time, so that it also ends a frozen process.
     this.#settings.scheduler.after(STOP_GRACE_MS, this.process.inThisIncarnation(exit));
     const retire = this.#retire.bind(this, this.process.now() + RETIRE_TIMEOUT_MS, exit);
     this.process.submit('signal', retire);
   }
 
+  /** Passes new seeds to the running process. */
   setSeeds(seeds: readonly string[]): void {
     this.#seeds = seeds;
     function set(core: ControlCore): void {
@@ -169,23 +185,23 @@
     this.process.submit('settings', () => this.#runInput(set));
   }
 
+  /** Accepts a connection from another node or from an operator, depending on the port. */
   accept(endpoint: Endpoint, port: Port): void {
     if (port === 'nodes') this.#exchange.accept(endpoint);
     else this.#operatorPort.accept(endpoint);
   }
 
+  /** The monotonic clock of the process. */
   now(): Moment {
     return this.process.now();
   }
 
-  /** How many reads have waited for an answer here for longer than so long. */
+  /** Number of reads that have waited for an answer for longer than `thresholdMs`; 0 unless the process runs. */
   countOverdueReads(thresholdMs: number): number {
     if (!this.process.isRunning || this.#core === undefined) return 0;
     return this.#operatorPort.countOverdueReads(thresholdMs);
   }
 
-  // ---- the process
-
   #load(isFirstStart: boolean): void {
     const startCore = this.process.inThisIncarnation(() => this.#startCore(isFirstStart));
     this.disk.whenResponsive(() => this.process.submit('disk', startCore));
@@ -232,7 +248,7 @@
     this.#runInput((core: ControlCore) => {
       isRetired = core.retire(now());
     });
-    // What was said last must leave the process before its lines close.
+    // The last messages must leave the process before its connections close.
     if (isRetired || this.process.now() >= deadline) this.process.after(CONTROL_TICK_MS, exit);
     else this.process.after(CONTROL_TICK_MS, () => this.#retire(deadline, exit));
   }
@@ -249,7 +265,7 @@
     this.#runInput(core.tick.bind(core, this.process.now()));
   }
 
-  /** One input of the core, with all its effects, before the next. */
+  /** Processes one input of the core and starts all its effects before the next input. */
   #runInput(input: (core: ControlCore) => void): void {
     const core = this.#core;
     if (!core) return;
@@ -304,7 +320,7 @@
     }
   }
 
-  /** An input of one life's core alone, taken by its event loop. */
+  /** Submits an input to the event loop; it is dropped if the core was replaced meanwhile. */
   #submitInput(core: ControlCore, stream: string, input: (core: ControlCore) => void): void {
     const isCurrent = (core: ControlCore) => this.#isCurrent(core);
     const runInput = () => this.#runInput(input);
@@ -356,7 +372,7 @@
     new LeasedOrder({ network, host: this, runner: address, order, lease, writing, done }).send();
   }
 
-  /** The process may be frozen between the check of its lease and the write. */
+  /** A fault may freeze the process between the check of its lease and the write. */
   #writeOrder(write: () => void): void {
     const freeze = this.freezeAtOrder;
     this.freezeAtOrder = undefined;
@@ -364,8 +380,6 @@
     this.process.submit('write', write);
   }
 
-  // ---- operators
-
   #command(id: number, { verb, body }: CoreCommand): void {
     const now = this.process.now();
     this.#runInput((core: ControlCore) => {
--- a/src/simulation/core-build.ts
+++ b/src/simulation/core-build.ts
@@ -5,28 +5,33 @@
 import type { VoteSettings } from '../election/vote-settings.js';
 import type { StoredPartition } from '../state/store.js';
 
-/** What a control node's core is made of when its process starts. */
+/** The inputs from which a control node's core is created when its process starts. */
 export interface ControlInputs {
+  /** The settings of the core. */
   readonly settings: ControlSettings;
-  /** What its disk holds. */
+  /** The partitions that the disk holds. */
   readonly stored: readonly StoredPartition[];
+  /** The time on the clock of the process. */
   readonly now: Moment;
+  /** The settings of the election. */
   readonly vote: VoteSettings;
 }
 
-/** Makes the cores of a run's processes; a mutant makes them with one thing wrong. */
+/** Creates the cores of a run's processes; a mutant creates cores with one defect. */
 export interface CoreBuild {
+  /** Creates the core of a control node. */
   control(inputs: ControlInputs): ControlCore;
+  /** Creates the core of an agent. */
   agent(settings: AgentSettings, now: Moment): AgentCore;
 }
 
-function soundControl({ settings, stored, now, vote }: ControlInputs): ControlCore {
+function createControl({ settings, stored, now, vote }: ControlInputs): ControlCore {
   return new ControlCore(settings, stored, now, vote);
 }
 
-function soundAgent(settings: AgentSettings, now: Moment): AgentCore {
+function createAgent(settings: AgentSettings, now: Moment): AgentCore {
   return new AgentCore(settings, now);
 }
 
-/** The cores as they are. */
-export const SOUND_BUILD: CoreBuild = { control: soundControl, agent: soundAgent };
+/** Creates the unmodified cores. */
+export const SOUND_BUILD: CoreBuild = { control: createControl, agent: createAgent };
--- a/src/simulation/fake-runner.ts
+++ b/src/simulation/fake-runner.ts
@@ -5,28 +5,41 @@
 import type { SimProcess } from './sim-process.js';
 
 const OrderShape = type({ holder: string(), fence: number() });
+/** An order to a runner: the id of the sender and its fence. */
 export type RunnerOrder = Infer<typeof OrderShape>;
 
+/** HTTP status for an accepted order. */
 export const ORDER_ACCEPTED = 202;
+/** HTTP status for an order whose fence is too low. */
 export const ORDER_FENCED = 412;
 const ORDER_MALFORMED = 400;
 
-/** One order as a runner saw it. */
+/** An order as received by a runner. */
 export interface ArrivedOrder {
+  /** The runner that received the order. */
   readonly runner: string;
+  /** The control node that sent the order. */
   readonly holder: string;
+  /** The fence of the order: the epoch of the sender. */
   readonly fence: number;
+  /** True time of the arrival. */
   readonly at: number;
+  /** Whether the runner accepted the order. */
   readonly isAccepted: boolean;
 }
 
+/** Called with each order that a runner receives. */
 export type OrderListener = (order: ArrivedOrder) => void;
 
-/** A runner that is always there. It takes orders at once and, where it checks fences, none with a lower one. */
+/** A runner that never fails. It accepts every order at once, unless it checks fences and has seen a higher one. */
 export class FakeRunner implements Host {
+  /** The address of the runner. */
   readonly id: string;
+  /** The process of the runner, which never ends. */
   readonly process: SimProcess;
+  /** Runners never lose power. */
   readonly isPowered = true;
+  /** Runners always accept connections. */
   readonly isListening = true;
   readonly #isFenced: boolean;
   readonly #now: () => number;
@@ -48,13 +61,14 @@
     process.begin();
   }
 
+  /** Accepts a connection and answers each order on it with a status. */
   accept(endpoint: Endpoint): void {
     const handle = (text: string) => this.#handle(text);
     function data(payload: Payload): void {
       endpoint.send(String(handle(textOf(payload))));
     }
     function closed(): void {
-      /* The caller gave up; what it ordered stands. */
+      /* The caller gave up; its order stays in effect. */
     }
     endpoint.handler = { data, closed };
   }
--- a/src/simulation/fleet.ts
+++ b/src/simulation/fleet.ts
@@ -13,31 +13,40 @@
 
 const ZONES = ['zone-a', 'zone-b', 'zone-c'] as const;
 const RUNNER_COUNT = 2;
-/** Machines start within this of each other. */
+/** All machines start within this time. */
 const START_SPREAD_MS = 300;
 const MAX_DRIFT = 0.01;
 const MAX_SEEDS = 3;
 
+/** What a fleet is created with. */
 export interface FleetSettings {
+  /** The run's virtual time. */
   readonly scheduler: Scheduler;
+  /** The random numbers of the run. */
   readonly streams: RandomStreams;
+  /** The options of the run. */
   readonly options: SimulationOptions;
+  /** Receives what control nodes do. */
   readonly observer: ControlObserver;
+  /** Called after each input of an agent's core. */
   readonly agentStepped: (node: AgentNode) => void;
-  /** Makes the cores of all processes. */
+  /** Creates the cores of all processes. */
   readonly coreFactory: CoreBuild;
+  /** Called with each order that a runner receives. */
   readonly orderArrived: OrderListener;
+  /** Records what leaves the nodes. */
   readonly trace: RunTrace;
 }
 
-/** Which control machines the operators' list held from a moment on. */
+/** The operators' list of control machines from a time on. */
 interface Listing {
   readonly at: number;
   readonly nodes: readonly string[];
 }
 
-/** The machines of a run: control nodes with spares, agents and runners, and the operators' list of them. */
+/** The machines of a run: control nodes with spares, agents and runners; and the operators' list of control nodes. */
 export class Fleet {
+  /** The network that connects all machines. */
   readonly network: SimNetwork;
   readonly #settings: FleetSettings;
   readonly #controls = new Map<string, ControlNode>();
@@ -57,24 +66,27 @@
     this.#seeds = this.present.map(idOf).slice(0, MAX_SEEDS);
   }
 
+  /** The zones of the fleet. */
   get zones(): readonly string[] {
     return ZONES;
   }
 
-  /** Every control node that ever was. */
+  /** Every control node of the run by its id, including those that have left. */
   get controls(): ReadonlyMap<string, ControlNode> {
     return this.#controls;
   }
 
+  /** The agents. */
   get agents(): readonly AgentNode[] {
     return this.#agents;
   }
 
+  /** The ids of the runners. */
   get runnerIds(): readonly string[] {
     return this.#runners.map(idOf);
   }
 
-  /** The seeds that settings name now. */
+  /** The seeds that are configured now. */
   get seeds(): readonly string[] {
     return this.#seeds;
   }
@@ -84,11 +96,12 @@
     return [...this.#controls.values()].filter(this.#isPresent, this);
   }
 
+  /** Whether a control machine has left the fleet. */
   hasLeft(id: string): boolean {
     return this.#left.has(id);
   }
 
-  /** The node that leads and serves, by the newest epoch where two believe so. */
+  /** The node that leads and serves; if several believe that they do, the one with the newest epoch. */
   get leader(): ControlNode | undefined {
     let leader: ControlNode | undefined;
     for (const node of this.#controls.values()) {
@@ -111,7 +124,7 @@
     this.#recordListing();
   }
 
-  /** An empty machine at an address of its own joins and starts. */
+  /** Adds and starts an empty machine at a new address. */
   addSpare(): ControlNode {
     const node = this.#addControl();
     this.#recordListing();
@@ -119,26 +132,26 @@
     return node;
   }
 
-  /** A machine has left for good. */
+  /** Records that a machine has left. */
   remove(id: string): void {
     this.#left.add(id);
     this.#recordListing();
   }
 
-  /** One that had left is back at its old address, with the disk that it left with. */
+  /** Records that a machine that had left is back at its old address with its old disk. */
   bringBack(id: string): void {
     this.#left.delete(id);
     this.#recordListing();
   }
 
-  /** Settings name these from now on; running processes are told. */
+  /** Changes the configured seeds, also those of running processes. */
   setSeeds(seeds: readonly string[]): void {
     this.#seeds = seeds;
     for (const node of this.#controls.values()) node.setSeeds(seeds);
     for (const agent of this.#agents) agent.setSeeds(seeds);
   }
 
-  /** The nodes that operators choose from: those of a while ago. */
+  /** The control nodes on the operators' list, which lags by `NODE_LIST_LAG_MS`. */
   listedNodes(): readonly string[] {
     const until = this.#settings.scheduler.now - NODE_LIST_LAG_MS;
     let nodes = this.#listings[0]?.nodes ?? [];
