--- a/src/simulation/endpoint.ts
+++ b/src/simulation/endpoint.ts
@@ -2,60 +2,71 @@
 import type { Scheduler } from '../rehearsal/scheduler.js';
 import type { SimProcess } from './sim-process.js';
 
-/** Where a host listens: for other nodes, or for operators' and runners' calls. */
+/** The ports of a host: for other nodes, and for the calls of operators and orders to runners. */
 export type Port = 'nodes' | 'calls';
 
-/** A machine on the network with the one process that is reached there. */
+/** A machine on the network and the one process that it runs. */
 export interface Host {
+  /** The address of the machine. */
   readonly id: string;
+  /** Whether the machine has power. */
   readonly isPowered: boolean;
+  /** Whether the process accepts connections; otherwise they are refused. */
   readonly isListening: boolean;
+  /** The process that receives the input of connections. */
   readonly process: SimProcess;
+  /** Accepts a connection on a port. */
   accept(endpoint: Endpoint, port: Port): void;
 }
 
-/** What an end of a connection needs of the network. */
+/** The part of the network that an endpoint uses. */
 export interface EndpointNetwork {
+  /** The run's virtual time. */
   readonly scheduler: Scheduler;
   /** The delay of one packet on a link, in milliseconds. */
   delay(from: string, to: string): number;
+  /** Whether a packet sent from one host would reach a powered machine now. */
   isOpen(from: string, to: string): boolean;
-  /** Takes down a write of a host, also one to a connection that is closed. */
+  /** Records a write of a host in the trace, also a write to a closed connection. */
   traceWrite(from: string, to: string, payload: Payload): void;
+  /** Counts a packet that was sent. */
   countPacket(): void;
+  /** Removes an endpoint that has closed. */
   forget(endpoint: Endpoint): void;
 }
 
-/** What one write carries: a message of a node, or the text of a call, an answer or an order. */
+/** The payload of one write: a message of a node, or the text of a call, an answer or an order. */
 export type Payload = string | Message;
 
-/** What a caller wrote, or was answered: always a text. */
+/** The payload of a call, an order or an answer, which is always text. Throws a `TypeError` for a message. */
 export function textOf(payload: Payload): string {
-  if (typeof payload !== 'string') throw new TypeError(`${payload.kind} where a text is due`);
+  if (typeof payload !== 'string')
+    throw new TypeError(`expected a text payload, got a ${payload.kind} message`);
   return payload;
 }
 
-/** What the owner of an endpoint hears. */
+/** Callbacks of the owner of an endpoint. */
 export interface EndpointHandler {
+  /** A payload was read. */
   data(payload: Payload): void;
-  /** The other side closed or reset the connection; not told of one's own close. */
+  /** The other side closed or reset the connection; not called for the owner's own close. */
   closed(): void;
   /**
-   * What was written here was begun by the other side after this end had closed, the close still being on its way;
-   * `waitedMs`: how long it had lain unread there.
+   * The other side began to process a write of this end after this end had closed, while the close was still in
+   * transit. `waitedMs` is how long the write was unread at the other side.
    */
   takenLate?(waitedMs: number): void;
 }
 
 interface Packet {
   readonly arriveAt: number;
-  /** Nothing for the end of the stream. */
+  /** `undefined` for the end of the stream. */
   readonly payload: Payload | undefined;
 }
 
 /**
- * One end of a simulated connection. Payloads to the other end keep their order; while the link is
- * cut, or the other machine is without power, they wait here as in a kernel's send buffer.
+ * One end of a simulated connection. Payloads to the other end arrive in order. While the link is cut or the other
+ * machine has no power, they stay here as in a kernel's send buffer.
  */
 export class Endpoint {
   readonly #network: EndpointNetwork;
@@ -67,7 +78,7 @@
   #isOpen = true;
   #isClosing = false;
   #handler: EndpointHandler | undefined;
-  /** When what was read last had arrived here. */
+  /** When the payload that was read last had arrived at this host. */
   #arrivedAt = 0;
 
   constructor(network: EndpointNetwork, host: Host, stream: string) {
@@ -76,36 +87,43 @@
     this.#stream = stream;
   }
 
+  /** The host of this end. */
   get host(): Host {
     return this.#host;
   }
 
+  /** Whether this end has neither closed nor been reset. */
   get isOpen(): boolean {
     return this.#isOpen;
   }
 
-  /** Whether something written here has not left yet. */
+  /** Whether written payloads are held up by a cut link or a machine without power. */
   get isHeldUp(): boolean {
     return this.#queue.length > 0 && !this.#isPumping;
   }
 
+  /** Sets the callbacks of the owner. */
   set handler(handler: EndpointHandler) {
     this.#handler = handler;
   }
 
+  /** Joins the two ends of a connection. */
   connectTo(other: Endpoint): void {
     this.#other = other;
     other.#other = this;
   }
 
+  /** Whether this end sends from one host to the other. */
   isFromTo(from: string, to: string): boolean {
     return this.#host.id === from && this.#other?.host.id === to;
   }
 
+  /** Whether the connection is between two hosts, in either direction. */
   isBetween(one: string, two: string): boolean {
     return this.isFromTo(one, two) || this.isFromTo(two, one);
   }
 
+  /** Writes a payload; a write to a closed end is traced and dropped. */
   send(payload: Payload): void {
     this.#network.traceWrite(this.#host.id, this.#other?.host.id ?? '', payload);
     if (!this.#isOpen) return;
@@ -114,8 +132,8 @@
   }
 
   /**
-   * Closes this end. What was written still goes out, unless something unread was waiting here: then the
-   * kernel resets the connection, and what had not left is lost.
+   * Closes this end. Written payloads are still sent, unless the process has unread input: then the kernel resets the
+   * connection, and payloads that had not left are lost.
    */
   close(): void {
     if (!this.#isOpen) return;
@@ -129,19 +147,19 @@
     this.#enqueue(undefined);
   }
 
-  /** Resets the connection from outside: both owners hear that it closed. */
+  /** Resets the connection from outside: both owners are notified that it closed. */
   abort(): void {
     this.#reset();
     const other = this.#other;
     if (other) other.#reset();
   }
 
-  /** The machine lost power: nothing is said. */
+  /** The machine lost power: this end is dropped without notifying the other one. */
   losePower(): void {
     this.#dropSilently();
   }
 
-  /** Goes on sending what a cut held up. */
+  /** Resumes sending payloads that were held up. */
   pump(): void {
     const [first] = this.#queue;
     if (!first || this.#isPumping) return;
@@ -170,7 +188,10 @@
     else this.pump();
   }
 
-  /** The owner begins what it read last; its writer is told if it has left, and we could not know. */
+  /**
+   * The owner reports that it begins to process the payload that it read last. The writer is notified if it has closed
+   * its end and the close has not arrived here.
+   */
   reportStarted(): void {
     const other = this.#other;
     if (!this.#isOpen || !other || other.isOpen) return;
@@ -188,7 +209,7 @@
   }
 
   #deliver(payload: Payload | undefined, arrivedAt: number): void {
-    // Closed by its owner since: nobody reads any more.
+    // The owner has closed this end since: the payload is not read.
     if (!this.#isOpen) return;
     this.#arrivedAt = arrivedAt;
     if (payload !== undefined) {
@@ -213,7 +234,7 @@
     this.#isClosing = false;
     this.#network.forget(this);
     if (!wasOpen) return;
-    // Read first is what had arrived before the reset.
+    // Payloads that had arrived before the reset are read first.
     this.#host.process.submit(this.#stream, () => this.#resetReceived());
   }
 
--- a/src/simulation/message-copy.test.ts
+++ b/src/simulation/message-copy.test.ts
@@ -12,13 +12,13 @@
     leader: '',
   };
 }
-test('a copy is what JSON brings across', () => {
+test('a copy equals the message after a JSON round trip', () => {
   for (const score of [0.25, Infinity, NaN]) {
     const message = pingOf(score);
     expect(copyMessage(message)).toEqual(JSON.parse(JSON.stringify(message)));
   }
 });
-test('a copy shares nothing that can change', () => {
+test('a copy shares no mutable data with the message', () => {
   const message = pingOf(1);
   const copy = copyMessage(message);
   if (message.kind !== 'ping' || copy.kind !== 'ping') throw new TypeError('not a ping');
--- a/src/simulation/random-streams.ts
+++ b/src/simulation/random-streams.ts
@@ -3,7 +3,7 @@
 const FNV_OFFSET = 2166136261;
 const FNV_PRIME = 16777619;
 
-/** FNV-1a over the characters of a text. */
+/** The 32-bit FNV-1a hash of the characters of a text. */
 export function hashText(text: string): number {
   let hash = FNV_OFFSET;
   for (let index = 0; index < text.length; index += 1) {
@@ -13,8 +13,8 @@
 }
 
 /**
- * The random numbers of one run, as independent streams by name. A fault that is taken out of a
- * schedule then leaves the draws of every other part of the run alone, which keeps shrinking local.
+ * The random numbers of one run, as independent streams by name. A fault that is removed from a schedule then leaves the
+ * draws of all other parts of the run unchanged, which keeps the effect of shrinking local.
  */
 export class RandomStreams {
   readonly #seed: number;
@@ -24,6 +24,7 @@
     this.#seed = seed;
   }
 
+  /** The stream of a name; the same object on each call. */
   of(name: string): Seeded {
     const known = this.#streams.get(name);
     if (known) return known;
--- a/src/simulation/sim-disk.ts
+++ b/src/simulation/sim-disk.ts
@@ -4,9 +4,10 @@
 import type { Scheduler } from '../rehearsal/scheduler.js';
 import type { Seeded } from '../rehearsal/seeded.js';
 
+/** A fault of a disk: slow writes, no answers until it ends, or refused writes. */
 export type DiskTrouble = 'none' | 'slow' | 'stalled' | 'full';
 
-/** What became of the names and bytes of writes under way when the power went. */
+/** What happens at a crash to writes in progress: all persisted, all lost, or drawn for each. */
 export type UnsyncedFate = 'kept' | 'lost' | 'drawn';
 
 interface Write {
@@ -22,25 +23,25 @@
   readonly stored: StoredPartition;
 }
 
-/** One write with its syncs on a disk without trouble. */
+/** Range of the time of one write including its syncs, on a disk without a fault. */
 const MIN_WRITE_MS = 0.5;
 const MAX_WRITE_MS = 5;
 const SLOW_FACTOR = 30;
 const REFUSAL_DELAY_MS = 1;
-/** How far back an old state may lie, and how many writes are remembered before older ones go. */
+/** How far back a state can be restored, and the number of logged writes above which older ones are removed. */
 const LOG_RETENTION_MS = 12_000;
 const MAX_LOGGED_WRITES = 1000;
 
 /**
- * The disk of a control node, with the store's own rules: whole versions of parts, one write of a
- * part at a time, a waiting write replaced by a newer one that answers for both. A write counts as
- * done once it is synced; one that was under way at a crash may be found or not.
+ * The disk of a control node, with the rules of the store: whole versions of partitions, one write of a partition at a
+ * time, and a waiting write is replaced by a newer one, with which both complete. A write is done once it is synced; one
+ * that was in progress at a crash may have been persisted or not.
  */
 export class SimDisk {
   readonly #scheduler: Scheduler;
   readonly #random: Seeded;
   readonly #partitions = new Map<PartitionName, StoredPartition>();
-  /** What was kept lately, so that an old state can be put back; older than that only the newest of each part. */
+  /** Recent writes, so that an old state can be restored; of older writes only the newest of each partition. */
   #log: LoggedWrite[] = [];
   readonly #waiting = new Map<PartitionName, Write>();
   readonly #active = new Map<PartitionName, Write>();
@@ -54,22 +55,27 @@
     this.#random = random;
   }
 
+  /** The current fault of the disk. */
   get trouble(): DiskTrouble {
     return this.#trouble;
   }
 
+  /** Number of completed writes. */
   get writes(): number {
     return this.#writes;
   }
 
+  /** All stored partitions. */
   list(): readonly StoredPartition[] {
     return [...this.#partitions.values()];
   }
 
+  /** The stored version of a partition; `undefined` if there is none. */
   partition(partition: PartitionName): StoredPartition | undefined {
     return this.#partitions.get(partition);
   }
 
+  /** Begins or ends a fault; writes that had stalled complete at its end. */
   setTrouble(trouble: DiskTrouble): void {
     this.#trouble = trouble;
     if (trouble === 'stalled') return;
@@ -78,12 +84,13 @@
     for (const run of stalled) run();
   }
 
-  /** Runs once the disk answers. */
+  /** Calls a function once the disk is not stalled. */
   whenResponsive(run: () => void): void {
     if (this.#trouble === 'stalled') this.#stalled.push(run);
     else run();
   }
 
+  /** Starts or queues a write of a partition; `done` is called once it is synced, `fail` if it was refused. */
   write(
     partition: PartitionName,
     version: Version,
@@ -103,7 +110,7 @@
     if (!this.#active.has(partition)) this.#startNext(partition);
   }
 
-  /** The process ended; what it had under way may have reached the disk. */
+  /** The process ended: drops all waiting writes; those in progress may be persisted. */
   crash(fate: UnsyncedFate): void {
     this.#crashes += 1;
     for (const write of this.#active.values()) {
@@ -115,12 +122,13 @@
     this.#stalled = [];
   }
 
+  /** Deletes everything. */
   wipe(): void {
     this.#partitions.clear();
     this.#log = [];
   }
 
-  /** Puts the disk back to what it held at that moment. */
+  /** Restores the state of the disk at an earlier time. */
   restore(moment: number): void {
     const log = this.#log.filter((kept) => kept.at <= moment);
     this.wipe();
@@ -179,7 +187,7 @@
     this.#log = [...newest.values(), ...recent];
   }
 
-  /** Of the files of a part the one with the newest name counts, whichever was written last. */
+  /** Of the files of a partition the one with the newest version counts, whichever was written last. */
   #put(stored: StoredPartition): void {
     const known = this.#partitions.get(stored.partition);
     if (known && compareVersions(stored.version, known.version) < 0) return;
--- a/src/simulation/sim-exchange.ts
+++ b/src/simulation/sim-exchange.ts
@@ -12,21 +12,26 @@
 import { copyMessage } from './message-copy.js';
 import type { Host, SimNetwork } from './sim-network.js';
 
-/** What its owner hears of other nodes. */
+/** Callbacks of the owner of an exchange. */
 export interface ExchangeOwner {
+  /** A message was received from a node with this id, role and zone. */
   receive(from: string, role: string, zone: string, message: Message): void;
+  /** The last connection to a node has closed. */
   disconnected(id: string): void;
 }
 
+/** What this node reports in its `hello`. */
 export interface SimExchangeSettings {
+  /** The role of this node. */
   readonly role: string;
+  /** The zone of this node. */
   readonly zone: string;
 }
 
-/** An empty frame that only shows that the sender is there. */
+/** An empty frame that serves as a heartbeat. */
 const KEEPALIVE = '';
 
-/** One connection to another node, as this end sees it. */
+/** One connection to another node, as seen from this end. */
 class Connection {
   readonly endpoint: Endpoint;
   nodeId: string;
@@ -35,17 +40,17 @@
   lastWriteAt: Moment;
   lastHeardAt: Moment;
 
-  constructor(endpoint: Endpoint, peerId: string, now: Moment) {
+  constructor(endpoint: Endpoint, nodeId: string, now: Moment) {
     this.endpoint = endpoint;
-    this.nodeId = peerId;
+    this.nodeId = nodeId;
     this.lastWriteAt = now;
     this.lastHeardAt = now;
   }
 }
 
 /**
- * The transport between nodes on the simulated network, rule for rule as the real one: lines found
- * dead by silence, a short queue while a node is dialled, several lines to one node side by side.
+ * The transport between nodes on the simulated network, with the rules of the real `Exchange`: idle connections time out,
+ * a short queue holds messages while a node is dialed, and there may be several connections to one node.
  */
 export class SimExchange {
   readonly #host: Host;
@@ -72,7 +77,7 @@
     this.#checkedAt = host.process.now();
   }
 
-  /** Called at each begin of the process; whatever a former incarnation knew is gone. */
+  /** Resets the exchange; called at each start of the process, which knows nothing of the previous incarnation. */
   open(): void {
     this.#connectionsByNode = new Map();
     this.#connections = new Set();
@@ -82,20 +87,21 @@
     this.#host.process.every(CHECK_INTERVAL_MS, () => this.#checkConnections());
   }
 
-  /** Closes all lines, as a process that stops in order does. */
+  /** Closes all connections, as a process does that exits after a planned stop. */
   close(): void {
     for (const connection of this.#connections) connection.endpoint.close();
     this.#connections.clear();
     this.#connectionsByNode.clear();
   }
 
+  /** Sends on the newest connection to a node; without one, dials the node and queues the message. */
   send(to: string, message: Message): void {
     const connection = this.#connectionsByNode.get(to)?.at(-1);
     if (connection) {
       this.#write(connection, message);
       return;
     }
-    // What finds no connection is traced here, and again once it is written.
+    // A message without a connection is traced here, and again when it is written.
     this.#network.trace.message(this.#network.scheduler.now, this.#host.id, to, message);
     this.dial(to);
     if (!this.#dialing.has(to)) return;
@@ -105,6 +111,7 @@
     this.#queued.set(to, queued);
   }
 
+  /** Opens a connection to a node that listens, unless one is open or being opened. */
   dial(id: string): void {
     if (this.#dialing.has(id) || this.#connectionsByNode.has(id) || !id.includes(':')) return;
     this.#dialCount += 1;
@@ -129,13 +136,14 @@
     process.after(CONNECT_TIMEOUT_MS, onDialFailed);
   }
 
+  /** Accepts a connection from another node. */
   accept(endpoint: Endpoint): void {
     const connection = this.#attach(endpoint, '');
     this.#sendHello(connection);
   }
 
   #onConnected(id: string, dial: number, endpoint: Endpoint): void {
-    // Given up meanwhile.
+    // The dial was given up meanwhile.
     if (this.#dialing.get(id) !== dial) {
       endpoint.close();
       return;
@@ -151,7 +159,7 @@
   #onDialFailed(id: string, dial: number): void {
     if (this.#dialing.get(id) !== dial) return;
     this.#queued.delete(id);
-    // A short pause, in which the node still counts as being dialled, by nobody.
+    // During the redial delay the node still counts as being dialed; the negative number matches no dial in progress.
     this.#dialing.set(id, -dial);
     this.#host.process.after(REDIAL_DELAY_MS, this.#allowDial.bind(this, id, -dial));
   }
@@ -215,7 +223,7 @@
 
   #checkConnections(): void {
     const now = this.#host.process.now();
-    // Frozen ourselves, we have heard nobody: what waits in the sockets is read first.
+    // After a stall of this process the sockets may hold unread input, which is read before a peer times out.
     const stallMs = now - this.#checkedAt - CHECK_INTERVAL_MS;
     this.#checkedAt = now;
     for (const connection of [...this.#connections]) {
@@ -237,7 +245,7 @@
   }
 }
 
-/** A connection that stands only after its dialler's life has ended is closed by the kernel. */
+/** A connection that is established after the incarnation that dialed it has ended is reset by the kernel. */
 function guardConnected(
   network: SimNetwork,
   inThisLife: (run: () => void) => () => void,
--- a/src/simulation/sim-network.test.ts
+++ b/src/simulation/sim-network.test.ts
@@ -6,7 +6,7 @@
 import { SimNetwork, type Host } from './sim-network.js';
 import { SimProcess } from './sim-process.js';
 
-/** A host that remembers what it hears. */
+/** A host that records what it receives. */
 class ListeningHost implements Host {
   readonly id: string;
   readonly process: SimProcess;
@@ -65,13 +65,13 @@
   }
 }
 
-test('what is written on a connection arrives in order', () => {
+test('payloads written to a connection arrive in order', () => {
   const pair = new Pair().connect();
   pair.send('1', '2', '3', '4');
   pair.run(50);
   expect(pair.far.received).toEqual(['1', '2', '3', '4']);
 });
-test('bytes held up by a cut arrive after it, also when their sender closed', () => {
+test('payloads held up by a cut arrive after it, even if their sender has closed the connection', () => {
   const pair = new Pair().connect();
   pair.network.cut('near', 'far', 'silent');
   pair.send('1', '2');
@@ -80,10 +80,10 @@
   expect(pair.far.received).toEqual([]);
   pair.network.heal('near', 'far');
   pair.run(200);
-  // Closed meanwhile, and still what was written arrives late.
+  // The sender has closed meanwhile, but the payloads still arrive.
   expect(pair.far.received).toEqual(['1', '2', 'closed']);
 });
-test('a cut may be one-way', () => {
+test('a cut can affect one direction only', () => {
   const pair = new Pair().connect();
   pair.network.cut('near', 'far', 'silent');
   pair.far.endpoint?.send('back');
@@ -91,7 +91,7 @@
   pair.run(1000);
   expect([pair.near.received, pair.far.received]).toEqual([['back'], []]);
 });
-test('cuts of several faults end with the last of them', () => {
+test('a link that several faults cut is healed when the last of them ends', () => {
   const pair = new Pair().connect();
   pair.network.cut('near', 'far', 'silent');
   pair.network.cut('near', 'far', 'silent');
@@ -100,7 +100,7 @@
   pair.network.heal('near', 'far');
   expect(pair.network.isCut('near', 'far')).toBe(false);
 });
-test('a reset loses what was held up, and both sides hear of it', () => {
+test('a reset drops payloads that were held up, and both sides are notified', () => {
   const pair = new Pair().connect();
   pair.network.cut('near', 'far', 'silent');
   pair.send('1');
@@ -109,20 +109,20 @@
   pair.run(500);
   expect([pair.near.received, pair.far.received]).toEqual([['closed'], ['closed']]);
 });
-test('a machine without power says nothing, and what it had not sent is lost', () => {
+test('a machine without power sends nothing, and its unsent payloads are lost', () => {
   const pair = new Pair().connect();
   pair.network.cut('near', 'far', 'silent');
   pair.send('lost');
   pair.network.powerLost('near');
   pair.network.heal('near', 'far');
   pair.run(500);
-  // Nothing tells the other side.
+  // The other side is not notified.
   expect(pair.far.received).toEqual([]);
   pair.far.endpoint?.send('anybody?');
   pair.run(500);
   expect(pair.far.received).toEqual(['closed']);
 });
-test('a frozen process finds what came meanwhile', () => {
+test('a thawed process reads what arrived while it was frozen', () => {
   const pair = new Pair();
   pair.far.process.freeze();
   pair.connect();
@@ -131,10 +131,10 @@
   pair.run(3000);
   expect(pair.far.endpoint).toBeUndefined();
   pair.far.process.thaw();
-  // Its kernel accepted for it: the call is read though nobody waits any more.
+  // Its kernel accepted the connection: the call is read although the caller has closed.
   expect(pair.far.received).toEqual(['1', '2', 'closed']);
 });
-test('a dead port refuses, a dark machine says nothing', () => {
+test('a closed port refuses a connection, a machine without power does not respond', () => {
   const pair = new Pair();
   pair.far.isListening = false;
   pair.connect();
--- a/src/simulation/sim-process.test.ts
+++ b/src/simulation/sim-process.test.ts
@@ -21,7 +21,7 @@
   return { scheduler, process, seen, note };
 }
 
-/** What a thaw takes, in its order: two streams of input and a timer. */
+/** The order in which a thawed process takes two streams of input and a timer. */
 function runOrderAfterThaw(seed: number): readonly string[] {
   const { scheduler, process, seen, note } = loopOf(seed);
   process.after(10, note('timer'));
@@ -43,7 +43,7 @@
   return text.startsWith('b');
 }
 
-test('a thaw takes input and timers in any order that keeps each stream', () => {
+test('a thawed process takes input and timers in any order that preserves each stream', () => {
   const places = new Set<number>();
   for (let seed = 1; seed <= 60; seed += 1) {
     const seen = runOrderAfterThaw(seed);
@@ -52,12 +52,12 @@
     expect(seen).toHaveLength(6);
     places.add(seen.indexOf('timer'));
   }
-  // Before all input, after all of it, and in between.
+  // The timer runs before all input, after it, or in between.
   expect(places.has(0)).toBe(true);
   expect(places.has(5)).toBe(true);
   expect(places.size).toBeGreaterThan(2);
 });
-test('of a repeated timer one call is due after a freeze', () => {
+test('a repeating timer is due once after a freeze', () => {
   const { scheduler, process, seen, note } = loopOf(1);
   process.every(50, note('beat'));
   scheduler.runUntil(220);
@@ -65,19 +65,19 @@
   process.freeze();
   scheduler.runUntil(2000);
   process.thaw();
-  // Many spans went by, and one call became due.
+  // Many intervals have passed, but one call is due.
   expect(seen).toHaveLength(5);
 });
-test('nothing of a former incarnation runs in the next', () => {
+test('no callback of a previous incarnation runs in the next', () => {
   const { scheduler, process, seen, note } = loopOf(1);
-  process.after(10, note('of the first life'));
+  process.after(10, note('of the first incarnation'));
   process.end();
   process.submit('a', note('while down'));
   process.begin();
   scheduler.runUntil(100);
   expect(seen).toEqual([]);
 });
-test('its clock runs within its drift, also while it is frozen', () => {
+test('the clock stays within its maximum drift and continues while the process is frozen', () => {
   const { scheduler, process } = loopOf(7);
   const before = process.now();
   scheduler.runUntil(10_000);
--- a/src/simulation/sim-process.ts
+++ b/src/simulation/sim-process.ts
@@ -4,23 +4,23 @@
 
 type ProcessState = 'down' | 'running' | 'frozen';
 
-/** What became ready while the process was frozen; the order within one stream is kept. */
+/** Input that became ready while the process was frozen; the order within one stream is preserved. */
 interface HeldInput {
   readonly stream: string;
   readonly run: () => void;
 }
 
 const TIMER_STREAM = 'timers';
-/** Timers fire slightly late. */
+/** Maximum delay with which timers fire. */
 const MAX_TIMER_LATENESS_MS = 2;
-/** Chances of the orders in which a thawed event loop takes timers and input. */
+/** Probabilities that a thawed event loop runs all timers before, or after, all input; otherwise they are interleaved. */
 const TIMERS_FIRST_PROBABILITY = 0.4;
 const TIMERS_LAST_PROBABILITY = 0.3;
 
 /**
- * One simulated operating-system process with an event loop: it begins, ends, is frozen and thawed.
- * Its monotonic clock runs at a rate of its own and goes on while it is frozen. Timers and input that
- * become ready meanwhile are taken at the thaw, in a drawn order that keeps each stream in sequence.
+ * A simulated operating-system process with an event loop, which can be started, ended, frozen and thawed. Its monotonic
+ * clock has its own rate and continues while the process is frozen. Timers and input that become ready during a freeze
+ * are processed at the thaw, in a drawn order that preserves the order of each stream.
  */
 export class SimProcess {
   readonly #scheduler: Scheduler;
@@ -39,14 +39,17 @@
     this.#offset = random.between(0, 1e6);
   }
 
+  /** Whether the process runs or is frozen. */
   get isUp(): boolean {
     return this.#state !== 'down';
   }
 
+  /** Whether the process is frozen. */
   get isFrozen(): boolean {
     return this.#state === 'frozen';
   }
 
+  /** Whether the process runs and is not frozen. */
   get isRunning(): boolean {
     return this.#state === 'running';
   }
@@ -56,39 +59,43 @@
     return this.#thawedAt;
   }
 
-  /** Whether input waits unread, so that the kernel answers a close with a reset. */
+  /** Whether there is unread input, in which case the kernel resets a connection that the process closes. */
   get hasUnread(): boolean {
     return this.#held.length > 0;
   }
 
-  /** Its own monotonic clock, never compared with another's. */
+  /** The monotonic clock of the process; not comparable with that of another process. */
   now(): Moment {
     return moment(this.#scheduler.now * this.#rate + this.#offset);
   }
 
-  /** From here on its clock runs at another rate; it never jumps. */
+  /** Changes the rate of the clock from now on, without a jump. */
   setRate(rate: number): void {
     const now = this.now();
     this.#rate = rate;
     this.#offset = now - this.#scheduler.now * rate;
   }
 
+  /** Starts a new incarnation. */
   begin(): void {
     this.#incarnation += 1;
     this.#state = 'running';
     this.#held = [];
   }
 
+  /** Ends the incarnation and drops its input. */
   end(): void {
     this.#incarnation += 1;
     this.#state = 'down';
     this.#held = [];
   }
 
+  /** Freezes the process if it runs. */
   freeze(): void {
     if (this.#state === 'running') this.#state = 'frozen';
   }
 
+  /** Thaws the process and processes the input that became ready meanwhile. */
   thaw(): void {
     if (this.#state !== 'frozen') return;
     this.#state = 'running';
@@ -97,20 +104,20 @@
     this.#held = [];
     const incarnation = this.#incarnation;
     for (const input of this.#reordered(held)) {
-      // What was held belongs to this life alone; an input may freeze or end the process again.
+      // The held input belongs to this incarnation; an input may freeze or end the process again.
       if (this.#incarnation !== incarnation) return;
       this.submit(input.stream, input.run);
     }
   }
 
-  /** Takes an input now, or at the thaw; a process that is down takes none. */
+  /** Processes an input now, or at the thaw; a process that is down drops it. */
   submit(stream: string, run: () => void): void {
     if (this.#state === 'down') return;
     if (this.#state === 'frozen') this.#held.push({ stream, run });
     else run();
   }
 
-  /** A function that does its work only while this life lasts. */
+  /** Wraps a function so that it has no effect after this incarnation has ended. */
   inThisIncarnation(run: () => void): () => void {
     const incarnation = this.#incarnation;
     const isCurrent = (incarnation: number) => this.#isIncarnation(incarnation);
@@ -120,14 +127,14 @@
     return guarded;
   }
 
-  /** Runs once after so long on the process's own clock, unless it ended before. */
+  /** Calls a function once after a time on the clock of the process, unless the incarnation ends before. */
   after(millis: number, run: () => void): void {
     const late = this.#random.between(0, MAX_TIMER_LATENESS_MS);
     const due = () => this.submit(TIMER_STREAM, run);
     this.#scheduler.after(millis / this.#rate + late, this.inThisIncarnation(due));
   }
 
-  /** Runs again and again; while the process is frozen one call becomes due, not many. */
+  /** Calls a function periodically; during a freeze only one call becomes due. */
   every(millis: number, run: () => void): void {
     const after = (run: () => void) => this.after(millis, run);
     function tick(): void {
