--- a/src/simulation/call-attempt.ts
+++ b/src/simulation/call-attempt.ts
@@ -7,23 +7,31 @@
 } from './operator-call.js';
 import type { Host, SimNetwork } from './sim-network.js';
 
-/** A node that says nothing for so long is left for another one. */
+/** An attempt without an answer ends after this time; the operator then tries another node. */
 const CALL_TIMEOUT_MS = 1000;
 
+/** What a call attempt is created with. */
 export interface CallAttemptSettings {
+  /** The network that the call is sent over. */
   readonly network: SimNetwork;
+  /** The host of the operator. */
   readonly caller: Host;
+  /** The id of the control node that is called. */
   readonly node: string;
+  /** The call to send. */
   readonly call: OperatorCall;
-  /** Whether an answer that arrived just now is to be lost on its way. */
+  /** Whether a fault drops the answer that has just arrived. */
   readonly isAnswerLost: () => boolean;
-  /** Nothing where there was no answer: refused, reset or silent. */
+  /** Called once when the attempt ends; the answer is `undefined` if the connection was refused or reset, or timed out. */
   readonly ended: (answer: OperatorAnswer | undefined) => void;
-  /** The node began the call after it was given up, before it could know. */
+  /**
+   * Called if the node begins to process the call after the operator gave up and before the close of the connection
+   * has reached the node. `waitedMs` is how long the call was unread at the node.
+   */
   readonly takenLate: (waitedMs: number) => void;
 }
 
-/** One call of an operator to one node: connects, sends, and waits for a second of silence at most. */
+/** One call of an operator to one node: connects, sends the call and waits for the answer. */
 export class CallAttempt {
   readonly #settings: CallAttemptSettings;
   #endpoint: Endpoint | undefined;
@@ -33,6 +41,7 @@
     this.#settings = settings;
   }
 
+  /** Starts the attempt; `ended` reports its result. */
   send(): void {
     const { network, caller, node } = this.#settings;
     const endUnanswered = () => this.#end(undefined);
@@ -66,7 +75,7 @@
   #end(answer: OperatorAnswer | undefined): void {
     if (this.#isOver) return;
     this.#isOver = true;
-    // The bytes already written may still arrive: the node then works through a call that nobody waits for.
+    // Bytes already written may still arrive; the node then processes a call whose caller has given up.
     this.#endpoint?.close();
     this.#settings.ended(answer);
   }
--- a/src/simulation/leased-order.ts
+++ b/src/simulation/leased-order.ts
@@ -5,14 +5,21 @@
 import { ORDER_FENCED, ORDER_ACCEPTED, type RunnerOrder } from './fake-runner.js';
 import type { Host, SimNetwork } from './sim-network.js';
 
+/** What a leased order is created with. */
 export interface LeasedOrderSettings {
+  /** The network that the order is sent over. */
   readonly network: SimNetwork;
+  /** The control node that sends the order. */
   readonly host: Host;
+  /** The address of the runner. */
   readonly runner: string;
+  /** The order to send. */
   readonly order: RunnerOrder;
+  /** The lease under which it is sent. */
   readonly lease: Lease;
-  /** Told right before the bytes are written, after the lease was checked. */
+  /** Called after the lease was checked, with the function that writes the order. */
   readonly writing: (write: () => void) => void;
+  /** Called once with the result. */
   readonly done: (result: OrderResult) => void;
 }
 
@@ -23,8 +30,8 @@
 }
 
 /**
- * One order to a runner under a lease, as the real process sends it: the connection first, the lease
- * checked right before the write, and the call cut off before the lease ends.
+ * One order to a runner under a lease, sent as by the real process: the connection is established first, the lease is
+ * checked right before the write, and the call ends before the lease does.
  */
 export class LeasedOrder {
   readonly #settings: LeasedOrderSettings;
@@ -36,6 +43,7 @@
     this.#settings = settings;
   }
 
+  /** Starts the order; `done` reports its result. */
   send(): void {
     const { network, host, runner, lease } = this.#settings;
     const { process } = host;
--- a/src/simulation/operator-call.ts
+++ b/src/simulation/operator-call.ts
@@ -12,24 +12,28 @@
 } from 'superstruct';
 import { parseAs } from '../common/json.js';
 
-/** An operator's call as it goes over the simulated network. */
+/** An operator's call as it is sent over the simulated network. */
 const EditCallShape = object({
   method: enums(['PUT', 'PATCH']),
-  /** `If-Match`. */
+  /** The version in the `If-Match` header. */
   base: number(),
   text: string(),
 });
 const ZoneCallShape = object({ method: enums(['POST', 'DELETE']), zone: string() });
 const ReadCallShape = object({ method: enums(['GET']) });
 const CallShape = union([EditCallShape, ZoneCallShape, ReadCallShape]);
+/** A call of an operator to a control node. */
 export type OperatorCall = Infer<typeof CallShape>;
 
 const AnswerShape = type({ status: number(), body: string() });
+/** The answer to a call: an HTTP status and a body. */
 export type OperatorAnswer = Infer<typeof AnswerShape>;
 
-/** A verb of the control core with its JSON body. */
+/** A command of the control core. */
 export interface CoreCommand {
+  /** The verb of the command. */
   readonly verb: string;
+  /** The JSON body of the command. */
   readonly body: string;
 }
 
@@ -39,14 +43,15 @@
   routing: optional(type({ version: number(), text: string() })),
 });
 
-/** What an operator reads: the configuration, and beside it what the simulation alone can see. */
+/** The body of an answered read: the configuration, and the evacuated zones, which only the simulation can see. */
 const ReadShape = type({
   evacuated: array(string()),
   document: optional(type({ version: number(), text: string() })),
 });
+/** The body of an answered read. */
 export type ReadAnswer = Infer<typeof ReadShape>;
 
-/** The platform adapter's statuses for what the core says. */
+/** The HTTP statuses that the platform adapter returns for the defects that the core reports. */
 const STATUS_BY_DEFECT: ReadonlyMap<string, number> = new Map([
   ['base-lost', 412],
   ['bad-config', 400],
@@ -58,33 +63,38 @@
 const NOT_FOUND = 404;
 const ID_LENGTH = 32;
 
+/** Encodes a call as JSON. */
 export function encodeCall(call: OperatorCall): string {
   return JSON.stringify(call);
 }
 
+/** Decodes a call; `undefined` if it is malformed. */
 export function decodeCall(text: string): OperatorCall | undefined {
   return parseAs(CallShape, text);
 }
 
+/** Encodes an answer as JSON. */
 export function encodeAnswer(answer: OperatorAnswer): string {
   return JSON.stringify(answer);
 }
 
+/** Decodes an answer; `undefined` if it is malformed. */
 export function decodeAnswer(text: string): OperatorAnswer | undefined {
   return parseAs(AnswerShape, text);
 }
 
+/** Decodes the body of an answered read; `undefined` if it is malformed. */
 export function decodeRead(text: string): ReadAnswer | undefined {
   return parseAs(ReadShape, text);
 }
 
-/** The same order sent again, to whomever, is the same edit to the core. */
+/** The id of an edit: derived from its content, so that the core recognizes an order that is sent again to any node. */
 export function editIdOf(verb: string, base: number, text: string): string {
   const hash = createHash('sha256').update(`${verb}\n${base}\n${text}`);
   return hash.digest('hex').slice(0, ID_LENGTH);
 }
 
-/** The command that the platform adapter makes of a call; a zone's call is an edit of its own. */
+/** Translates a call into a command as the platform adapter does; every call for a zone is a new edit. */
 export function commandOf(call: OperatorCall, newId: () => string): CoreCommand {
   if (call.method === 'GET') return { verb: 'read', body: '{}' };
   if ('zone' in call) {
@@ -97,7 +107,7 @@
   return { verb, body: JSON.stringify({ id: editIdOf(verb, base, text), base, text }) };
 }
 
-/** The answer that the platform adapter makes of the core's. */
+/** Translates the core's reply into an answer as the platform adapter does. */
 export function answerOf(call: OperatorCall, reply: OperatorAnswer): OperatorAnswer {
   if (reply.status >= MIN_FAILURE_STATUS) {
     const defect = parseAs(FailureShape, reply.body)?.defect ?? '';
--- a/src/simulation/operator-client.ts
+++ b/src/simulation/operator-client.ts
@@ -8,27 +8,35 @@
 import type { Host, SimNetwork } from './sim-network.js';
 import { SimProcess } from './sim-process.js';
 
+/** What an operator is created with. */
 export interface OperatorClientSettings {
+  /** The run's virtual time. */
   readonly scheduler: Scheduler;
+  /** The operator's own stream of random numbers. */
   readonly random: Seeded;
+  /** The network that calls are sent over. */
   readonly network: SimNetwork;
+  /** Records orders and reads. */
   readonly recorder: HistoryRecorder;
-  /** The nodes that serve operators, as the lagging list has them. */
+  /** The control nodes on the operators' list, which lags. */
   readonly nodes: () => readonly string[];
+  /** Whether a fault drops the answer that has just arrived. */
   readonly isAnswerLost: () => boolean;
-  /** Told right before each attempt of an order. */
+  /** Called right before each attempt of an order is sent. */
   readonly sending: (record: OpenOrder) => void;
 }
 
+/** The final outcome of an order: answered definitely, or not sent again after its deadline. */
 export type OrderOutcome = 'accepted' | 'refused' | 'gaveUp';
+/** Called with the outcome of an order. */
 export type OrderDone = (outcome: OrderOutcome) => void;
 
-/** The configuration's version that a read brought; 0 where there was none yet. */
+/** Called with the version of the configuration that was read; 0 if there is none yet. */
 export type ReadDone = (version: number) => void;
 
 interface CallState {
   readonly call: OperatorCall;
-  /** True time after which it is not sent again. */
+  /** True time after which the call is not sent again. */
   readonly deadline: number;
   lastNode: string;
   failures: number;
@@ -36,13 +44,14 @@
 
 const FIRST_RETRY_DELAY_MS = 50;
 const MAX_RETRY_DELAY_MS = 1000;
-/** The third other 4xx ends a call; these end it at once. */
+/** Another 4xx status ends a call at the third attempt; earlier failures of any kind are counted. */
 const MAX_CLIENT_ERRORS = 3;
+/** 4xx statuses that end a call at once. */
 const FINAL_STATUSES: ReadonlySet<number> = new Set([400, 409, 412, 413, 422]);
 const UNCLEAR_STATUSES: ReadonlySet<number> = new Set([408, 429]);
 const NOT_FOUND = 404;
 
-/** The call that carries an order. */
+/** The call that transmits an order. */
 export function callOf(order: Order): OperatorCall {
   switch (order.kind) {
     case 'put':
@@ -63,42 +72,47 @@
 }
 
 /**
- * An operator: calls any node of a lagging list, leaves one that fails or is silent for another with a
- * growing pause, and sends the same bytes again until the answer is clear. Evacuations are sent again
- * for a limited time alone. The platform adapter answers no redirects, so none are followed.
+ * An operator: calls any node of a lagging list, tries another one after a failure or a timeout with a growing delay,
+ * and sends the same bytes again until the answer is definite. Evacuations and restores are sent again only for a limited
+ * time. The platform adapter returns no redirects, so none are followed.
  */
 export class OperatorClient implements Host {
+  /** The name of the operator, which is also its address. */
   readonly id: string;
+  /** The process of the operator, which never ends. */
   readonly process: SimProcess;
+  /** Operators never lose power. */
   readonly isPowered = true;
+  /** Operators accept no connections. */
   readonly isListening = false;
   readonly #settings: OperatorClientSettings;
   #openCalls = 0;
 
-  constructor(id: string, around: OperatorClientSettings) {
+  constructor(id: string, settings: OperatorClientSettings) {
     this.id = id;
-    this.#settings = around;
-    this.process = new SimProcess(around.scheduler, around.random, 0);
+    this.#settings = settings;
+    this.process = new SimProcess(settings.scheduler, settings.random, 0);
     this.process.begin();
   }
 
-  /** How many calls are under way. */
+  /** Number of calls in progress. */
   get openCalls(): number {
     return this.#openCalls;
   }
 
+  /** Never called: operators accept no connections. */
   accept(): void {
-    /* Nobody calls an operator. */
+    /* Operators accept no connections. */
   }
 
-  /** Sends a new order until it is settled. */
+  /** Sends a new order until its outcome is known or its deadline has passed. */
   order(order: Order, done: OrderDone): OpenOrder {
     const record = this.#settings.recorder.openOrder(this.id, order);
     this.resend(record, done);
     return record;
   }
 
-  /** Sends an order once more, byte for byte. */
+  /** Sends the same bytes of an earlier order again, as new attempts. */
   resend(record: OpenOrder, done: OrderDone): void {
     const { order } = record;
     const isConfiguration = order.kind === 'put' || order.kind === 'patch';
@@ -108,6 +122,7 @@
     this.#tryOrder(record, state, done);
   }
 
+  /** Reads the configuration, retrying until a read is answered. */
   read(done: ReadDone): void {
     const call: OperatorCall = { method: 'GET' };
     this.#openCalls += 1;
@@ -165,7 +180,7 @@
     new CallAttempt({ network, caller: this, node, call, isAnswerLost, ended, takenLate }).send();
   }
 
-  /** Goes on to another node after a pause; says whether it may. */
+  /** Schedules the next attempt after a delay; returns false if it would be after the deadline. */
   #retry(state: CallState, next: () => void): boolean {
     const { scheduler, random } = this.#settings;
     const pause = Math.min(MAX_RETRY_DELAY_MS, FIRST_RETRY_DELAY_MS * 2 ** state.failures);
@@ -204,5 +219,5 @@
 }
 
 function ignore(): void {
-  /* A read changes nothing, whenever it is begun. */
+  /* A late read changes nothing. */
 }
--- a/src/simulation/operator-plan.ts
+++ b/src/simulation/operator-plan.ts
@@ -4,7 +4,7 @@
 import type { OpenOrder } from './history-recorder.js';
 import type { OperatorClient, OrderOutcome } from './operator-client.js';
 
-/** Kinds of what an operator does next, with how often each is drawn. */
+/** The actions of an operator and the weight with which each is drawn. */
 const ACTIONS = [
   ['put', 24],
   ['patch', 20],
@@ -20,29 +20,32 @@
 ] as const;
 type Action = (typeof ACTIONS)[number][0];
 
-/** Ways in which an order is invalid whatever is in force. */
+/** Ways in which an order is invalid regardless of the configuration in force. */
 const INVALID_KINDS = ['unreadable', 'faulty', 'oldVersion', 'sameVersion'] as const;
 
 const MAX_OPEN_CALLS = 8;
 const MAX_BURST = 5;
-/** Versions go up in uneven steps. */
+/** Maximum step between versions; the steps are drawn. */
 const MAX_VERSION_STEP = 4;
 const FIRST_VERSION = 1;
 
+/** What an operator plan is created with. */
 export interface OperatorPlanSettings {
+  /** The run's virtual time. */
   readonly scheduler: Scheduler;
+  /** The operator's own stream of random numbers. */
   readonly random: Seeded;
+  /** Sends the orders and reads. */
   readonly client: OperatorClient;
-  /** The zones that this operator alone empties and gives back. */
+  /** The zones that only this operator evacuates and restores. */
   readonly zones: readonly string[];
-  /** The mean pause between two actions. */
+  /** Mean time between two actions, in milliseconds. */
   readonly paceMs: number;
 }
 
 /**
- * What one operator wants: changes on the newest version it knows, evacuations and their ends, reads,
- * invalid orders, and old ones once more; now and then the same thing at the same time as another
- * operator.
+ * Draws what one operator does: changes based on the newest version that it knows, evacuations and restores, reads,
+ * invalid orders, and repetitions of accepted ones; occasionally an order at the same time as another operator.
  */
 export class OperatorPlan {
   readonly #settings: OperatorPlanSettings;
@@ -51,39 +54,42 @@
   #itemCount = 0;
   #isActive = false;
   readonly #accepted: OpenOrder[] = [];
-  /** Zones with an order of ours that is not settled. */
+  /** Zones with an order of this operator in progress. */
   readonly #openZones = new Set<string>();
 
   constructor(settings: OperatorPlanSettings) {
     this.#settings = settings;
   }
 
+  /** The other operator, for orders sent at the same time. */
   set peer(peer: OperatorPlan) {
     this.#peer = peer;
   }
 
-  /** The first configuration, sent until it is taken; then everything else begins. */
+  /** Sends the first configuration until it is accepted; all other actions begin after that. */
   createConfiguration(): void {
     const order = this.#put(0, FIRST_VERSION, this.#newItems(1));
     this.#send(order);
   }
 
+  /** Begins the actions; has no effect if they have begun. */
   begin(): void {
     if (this.#isActive) return;
     this.#isActive = true;
     this.#schedule();
   }
 
-  /** Orders under way are still settled. */
+  /** Stops new actions; orders in progress are still sent until their outcome is known. */
   stop(): void {
     this.#isActive = false;
   }
 
+  /** Reads the configuration. */
   readBack(): void {
     this.#settings.client.read((version) => this.#noteVersion(version));
   }
 
-  /** Sends an order that another operator sends at this moment as well, or one on the same base. */
+  /** Sends the same order as the other operator, or one with the same base, unless too many calls are in progress. */
   send(order: Order): void {
     if (this.#settings.client.openCalls < MAX_OPEN_CALLS) this.#send(order);
   }
@@ -157,8 +163,8 @@
   }
 
   /**
-   * Evacuations build on nothing, so that a copy sent again cannot be told from a new order: whoever wants a zone empty
-   * and whoever gives it back must take turns, and each waits until its last word is settled.
+   * Evacuations have no base version, so that a copy that is sent again cannot be distinguished from a new order.
+   * Therefore orders for one zone are sequential: each waits until the outcome of the previous one is known.
    */
   #sendZoneOrder(kind: 'evacuate' | 'restore'): void {
     const zone = this.#settings.random.pick(this.#settings.zones);
@@ -218,7 +224,7 @@
     }
   }
 
-  /** Two operators pick one base, and often one number. */
+  /** Two operators use the same base, and often the same version. */
   #sendRace(): void {
     const base = this.#knownVersion;
     const version = this.#nextVersion();
@@ -227,14 +233,14 @@
     this.#peer?.send(this.#put(base, peerVersion, this.#newItems(1)));
   }
 
-  /** Two operators send the very same bytes. */
+  /** Two operators send the same bytes. */
   #sendTwins(): void {
     const order = this.#put(this.#knownVersion, this.#nextVersion(), this.#newItems(1));
     this.#send(order);
     this.#peer?.send(order);
   }
 
-  /** An order that was acknowledged, most often the newest, is sent once more. */
+  /** Sends an accepted order again, most often the newest. */
   #resendAccepted(): void {
     const { random, client } = this.#settings;
     const newest = this.#accepted.at(-1);
@@ -263,5 +269,5 @@
 }
 
 function ignore(): void {
-  /* Nothing follows from it. */
+  /* The outcome of a repeated order is ignored. */
 }
--- a/src/simulation/operator-port.ts
+++ b/src/simulation/operator-port.ts
@@ -11,14 +11,17 @@
   type OperatorCall,
 } from './operator-call.js';
 
+/** What an operator port is created with. */
 export interface OperatorPortSettings {
+  /** Draws the ids of zone edits. */
   readonly random: Seeded;
+  /** The monotonic clock of the process. */
   readonly now: () => Moment;
-  /** Runs once the event loop has read what lies right behind the input that it works on. */
+  /** Calls a function once the event loop has read the input that follows the current one. */
   readonly nextTurn: (run: () => void) => void;
-  /** Hands a command on to the core, under a number of its own. */
+  /** Passes a command with a new id to the core. */
   readonly command: (id: number, command: CoreCommand) => void;
-  /** An answer is about to be written. */
+  /** Called right before an answer is written. */
   readonly answering: (call: OperatorCall, answer: OperatorAnswer) => void;
 }
 
@@ -30,7 +33,7 @@
 
 const ID_RANGE = 2 ** 31;
 
-/** The operators' interface of a control node, as the platform adapter translates it. */
+/** The operators' interface of a control node, translated as by the platform adapter. */
 export class OperatorPort {
   readonly #settings: OperatorPortSettings;
   #pending = new Map<number, PendingCall>();
@@ -40,23 +43,24 @@
     this.#settings = settings;
   }
 
-  /** A new process knows of no call. */
+  /** Forgets all calls; called when the process starts. */
   open(): void {
     this.#pending = new Map();
   }
 
+  /** Accepts a connection of an operator. */
   accept(endpoint: Endpoint): void {
     const receive = (text: string) => this.#receive(endpoint, text);
     function data(payload: Payload): void {
       receive(textOf(payload));
     }
     function closed(): void {
-      /* Nobody waits for the answer any more; the endpoint knows. */
+      /* The caller has left; a write of the answer to the closed endpoint is dropped. */
     }
     endpoint.handler = { data, closed };
   }
 
-  /** The core's word on a command. */
+  /** Answers a call with the core's reply to its command. */
   reply(id: number, reply: OperatorAnswer): void {
     const pending = this.#pending.get(id);
     if (!pending) return;
@@ -66,7 +70,7 @@
     pending.endpoint.send(encodeAnswer(answer));
   }
 
-  /** How many reads have waited here for longer than so long. */
+  /** Number of reads that have waited for an answer for longer than `thresholdMs`. */
   countOverdueReads(thresholdMs: number): number {
     const now = this.#settings.now();
     let count = 0;
@@ -79,7 +83,7 @@
   #receive(endpoint: Endpoint, text: string): void {
     const call = decodeCall(text);
     if (!call) return;
-    // An evacuation names no version: one whose caller has hung up was sent again elsewhere.
+    // An evacuation has no base version: if its caller has closed the connection, the order was sent again to another node.
     if ('zone' in call) this.#settings.nextTurn(() => this.#beginUnlessClosed(endpoint, call));
     else this.#begin(endpoint, call);
   }
