--- a/src/simulation/contract-bounds.ts
+++ b/src/simulation/contract-bounds.ts
@@ -1,18 +1,18 @@
-/** The bounds of the contract that runs are judged by, in milliseconds. */
+/** The time bounds of the contract against which runs are checked, in milliseconds. */
 
-/** Nobody orders a runner for so long between two holders. */
+/** Minimum time between the orders of two different holders to one runner. */
 export const LEASE_MS = 3000;
-/** Orders so shortly after a thaw of their sender, or after a link healed, don't count. */
+/** Orders that arrive this soon after their sender was thawed, or after their link was healed, are not checked. */
 export const THAW_GRACE_MS = 300;
-/** A proper order is acknowledged within this while the core is settled. */
+/** A valid order is acknowledged within this time while the core is settled. */
 export const ACK_BOUND_MS = 4000;
-/** So long without any trouble makes the core settled. */
+/** The core is settled after this time without a disturbance. */
 export const SETTLE_MS = 3000;
-/** A machine counts as lost for so long after it is back. */
+/** A machine counts as lost for this long after it has returned. */
 export const CATCH_UP_MS = 4000;
-/** After the last trouble a leader serves within this. */
+/** A leader serves within this time after the last fault. */
 export const RECOVERY_BOUND_MS = 12_000;
-/** A process told to stop is killed after this. */
+/** A process that was asked to stop is killed after this time. */
 export const STOP_GRACE_MS = 8000;
-/** How much the operators' list of nodes lags. */
+/** Lag of the operators' list of nodes. */
 export const NODE_LIST_LAG_MS = 3000;
--- a/src/simulation/fault-driver.ts
+++ b/src/simulation/fault-driver.ts
@@ -6,29 +6,34 @@
 import { LinkFaults } from './link-faults.js';
 import { MachineFaults, type FaultContext, type Undo } from './machine-faults.js';
 
-/** How often faults of each kind struck; nothing for those that never did. */
+/** Number of injected faults by kind; kinds without any are absent. */
 export type FaultCounts = Partial<Record<FaultKind, number>>;
 
+/** What the fault driver is created with. */
 export interface FaultDriverSettings extends FaultContext {
+  /** The options of the run. */
   readonly options: SimulationOptions;
+  /** Finds the target nodes of faults. */
   readonly targets: FaultTargets;
+  /** The ids of the operators. */
   readonly operators: readonly string[];
-  /** What share of answers to operators is lost from now on. */
+  /** Sets the share of answers to operators that is lost from now on. */
   readonly loseAnswers: (share: number) => void;
-  /** True time at which all trouble ends. */
+  /** True time at which all faults end. */
   readonly endsAt: number;
+  /** Receives a line at the start and at the end of each fault. */
   readonly log: (line: string) => void;
 }
 
-/** A fault that would lose too much waits its turn, at most so long. */
+/** A fault that would exceed the loss budget is retried at this interval for this time, then dropped. */
 const RETRY_INTERVAL_MS = 250;
 const MAX_RETRY_SPAN_MS = 10_000;
-/** A fault whose event does not come strikes so long after it began to wait for it. */
+/** A fault that waits for an event is injected after this time if the event does not occur. */
 const MAX_EVENT_WAIT_MS = 3000;
 
 /**
- * Carries out a schedule: each fault when it is due, or right after the event it waits for, on the machine
- * that its target names then; within the losses that the run allows. All are taken back at the end.
+ * Carries out a schedule: injects each fault at its time or after its event, into the node that its target designates
+ * then, within the loss budget of the run. All faults that are active at the end are undone.
  */
 export class FaultDriver {
   readonly #settings: FaultDriverSettings;
@@ -44,11 +49,12 @@
     this.#links = new LinkFaults(settings);
   }
 
-  /** How many faults of each kind have struck. */
+  /** Number of faults injected so far, by kind. */
   get injectedByKind(): FaultCounts {
     return this.#injected;
   }
 
+  /** Schedules all faults, and the end of those that are active at `endsAt`. */
   begin(schedule: Schedule): void {
     for (const fault of schedule) this.#plan(fault);
     const { after, endsAt, now } = this.#settings;
@@ -66,10 +72,10 @@
     after(when.from - now(), () => this.#await(fault, when));
   }
 
-  /** Whichever comes first: its event, or the end of the wait for it. */
+  /** Injects the fault after its event or, if that does not occur, after `MAX_EVENT_WAIT_MS`. */
   #await(fault: Fault, when: Extract<When, { kind: 'after' }>): void {
     const { after, events } = this.#settings;
-    const onDue = (about: string) => this.#onDue(fault, about);
+    const onDue = (eventNode: string) => this.#onDue(fault, eventNode);
     let isDue = false;
     function beginOnce(eventNode: string): void {
       if (isDue) return;
@@ -108,14 +114,14 @@
 
   #end(): void {
     this.#hasEnded = true;
-    this.#settings.log('all trouble ends');
+    this.#settings.log('all faults end');
     const undos = [...this.#activeUndos];
     this.#activeUndos.clear();
     for (const undo of undos) undo();
     this.#settings.settled.disturb();
   }
 
-  /** Begins a fault; nothing where it would lose too much at this moment. */
+  /** Begins a fault; returns `undefined` if it has no target or would exceed the loss budget now. */
   #begin(fault: Fault, eventNode: string): Undo | undefined {
     switch (fault.kind) {
       case 'killAll':
@@ -141,7 +147,7 @@
     return this.#beginWithoutLoss(fault, node) ?? this.#beginLoss(fault, node);
   }
 
-  /** Faults that lose no machine. */
+  /** Begins a fault that does not count against the loss budget; returns `undefined` for all other kinds. */
   #beginWithoutLoss(fault: Fault, node: ControlNode): Undo | undefined {
     const { operators } = this.#settings;
     switch (fault.kind) {
@@ -227,7 +233,7 @@
     return undo;
   }
 
-  /** Settings name one that is not a voter's first choice: the newest machines, or one in trouble, first. */
+  /** Changes the configured seeds: lost machines first, then the newest ones, which a voter would not choose first. */
   #replaceSeeds(): Undo {
     const { fleet, budget } = this.#settings;
     const ids = fleet.present.map(idOf);
@@ -266,7 +272,7 @@
 }
 
 function noUndo(): void {
-  /* Nothing to take back. */
+  /* There is nothing to undo. */
 }
 
 function idOf(node: ControlNode): string {
--- a/src/simulation/fault-targets.ts
+++ b/src/simulation/fault-targets.ts
@@ -3,7 +3,7 @@
 import type { Fleet } from './fleet.js';
 import type { RunEvents } from './run-events.js';
 
-/** Finds the control node that a fault is aimed at, as the fleet stands when it strikes. */
+/** Finds the control node that a fault targets, in the fleet as it is when the fault is injected. */
 export class FaultTargets {
   readonly #fleet: Fleet;
   readonly #events: RunEvents;
@@ -15,17 +15,17 @@
     this.#events = events;
   }
 
-  /** The node that acknowledged a change last. */
+  /** Records the node that acknowledged a change last. */
   noteAnswered(node: string): void {
     this.#lastAnswered = node;
   }
 
-  /** The node that an operator called last. */
+  /** Records the node that an operator called last. */
   noteCalled(node: string): void {
     this.#lastCalled = node;
   }
 
-  /** `about`: the node that the event is about after which the fault strikes. */
+  /** The target of a fault. `eventNode` is the node of the event that triggers it, or '' if none does. */
   find(target: Target, eventNode: string): ControlNode | undefined {
     const { present } = this.#fleet;
     if (target.kind === 'place') return present[target.place % Math.max(1, present.length)];
@@ -47,7 +47,7 @@
     }
   }
 
-  /** That many other nodes that are in the fleet, those after the target first. */
+  /** The given number of other nodes of the fleet, starting with those after `node`. */
   othersAfter(node: ControlNode, count: number): ControlNode[] {
     const { present } = this.#fleet;
     const index = present.indexOf(node);
--- a/src/simulation/link-faults.ts
+++ b/src/simulation/link-faults.ts
@@ -6,21 +6,21 @@
 type Cut = Extract<Fault, { kind: 'cut' }>;
 type Direction = Cut['direction'];
 
-/** One direction of a link that a fault harms. */
+/** One direction of a link. */
 interface DirectedLink {
   readonly from: string;
   readonly to: string;
 }
 
-/** Faults of the links between machines: cuts, slow links, resets. */
+/** Faults of links between machines: cuts, delays and resets. */
 export class LinkFaults {
   readonly #context: FaultContext;
 
-  constructor(around: FaultContext) {
-    this.#context = around;
+  constructor(context: FaultContext) {
+    this.#context = context;
   }
 
-  /** Cuts a node, with those that stay on its side, off from all other control nodes. */
+  /** Cuts a node and those on its side off from all other control nodes, and from the agents if the fault says so. */
   cut(node: ControlNode, side: readonly ControlNode[], fault: Cut): Undo {
     const { fleet, budget, events } = this.#context;
     const inside = [node, ...side].map(idOf);
@@ -41,7 +41,7 @@
     return undo;
   }
 
-  /** Slows all links of a node with the other control nodes. */
+  /** Delays all links between a node and the other control nodes. */
   slow(node: ControlNode, millis: number): Undo {
     const { fleet, budget } = this.#context;
     const others = [...fleet.controls.keys()].filter((other) => node.id !== other);
@@ -55,21 +55,25 @@
     return undo;
   }
 
+  /** Resets a share of the connections of a node. */
   reset(node: ControlNode, share: number): void {
     this.#context.fleet.network.resetConnections(node.id, share);
     this.#context.settled.disturb();
   }
 
+  /** Cuts a node off from all runners. */
   cutRunners(node: ControlNode): Undo {
     const links = linksBetween([node.id], this.#context.fleet.runnerIds, 'both');
     return this.#cutLinks(links, 'silent');
   }
 
+  /** Cuts an agent off from all control nodes. */
   cutAgent(agent: string): Undo {
     const links = linksBetween([agent], [...this.#context.fleet.controls.keys()], 'both');
     return this.#cutLinks(links, 'silent');
   }
 
+  /** Cuts a node off from the operators in a direction. */
   cutOperators(node: ControlNode, operators: readonly string[], direction: Direction): Undo {
     const { settled } = this.#context;
     settled.beginUnsteady();
@@ -81,6 +85,7 @@
     return undo;
   }
 
+  /** Delays the links between a node and the operators. */
   slowOperators(node: ControlNode, operators: readonly string[], millis: number): Undo {
     return this.#slowLinks(linksBetween([node.id], operators, 'both'), millis);
   }
@@ -107,7 +112,7 @@
   }
 }
 
-/** The directions between two groups that a fault on the first one's side harms. */
+/** The directed links between two groups, for a direction as seen from the first group. */
 function linksBetween(
   inside: readonly string[],
   outside: readonly string[],
--- a/src/simulation/loss-budget.test.ts
+++ b/src/simulation/loss-budget.test.ts
@@ -2,8 +2,11 @@
 import { CATCH_UP_MS } from './contract-bounds.js';
 import { LossBudget } from './loss-budget.js';
 import type { LossLimit } from './options.js';
-/** Two disks within the time to catch up are one too many of three machines, also where one was no voter. */
-test('disks lost one right after the other are noticed', () => {
+/**
+ * With three machines, two disks lost within the time to catch up exceed the tolerated loss, also if one of them was not a
+ * voter's.
+ */
+test('disks lost within the time to catch up exceed the tolerated loss', () => {
   const counted = new BudgetFixture(3, 'any');
   counted.isRecovered = true;
   counted.budget.loseDisk('a', true);
@@ -45,7 +48,7 @@
   }
 }
 
-test('a machine counts as lost for a while after it is back', () => {
+test('a machine counts as lost until it has had time to catch up', () => {
   const fleet = new BudgetFixture(3, 'tolerated');
   const { budget } = fleet;
   expect(budget.mayLose(['a'])).toBe(true);
@@ -58,7 +61,7 @@
   fleet.now = CATCH_UP_MS;
   expect(budget.mayLose(['b'])).toBe(true);
 });
-test('a fleet that became smaller for good bears less', () => {
+test('a fleet that became permanently smaller tolerates fewer losses', () => {
   const fleet = new BudgetFixture(5, 'tolerated');
   const { budget } = fleet;
   budget.begin('a');
@@ -66,10 +69,10 @@
   fleet.present = 4;
   expect([budget.mayLose(['b']), budget.mayLose(['b', 'c'])]).toEqual([true, false]);
   budget.forgetDeparted('a');
-  // Of four that are left one may be lost.
+  // Of the remaining four, one may be lost.
   expect([budget.mayLose(['b']), budget.mayLose(['b', 'c'])]).toEqual([true, false]);
 });
-test('where any number may be lost, disks are lost one after the other', () => {
+test('if any number of machines may be lost, a disk is lost only after the previous loss has been repaired', () => {
   const fleet = new BudgetFixture(3, 'any');
   const { budget } = fleet;
   expect(budget.mayLose(['a', 'b', 'c'])).toBe(true);
--- a/src/simulation/loss-budget.ts
+++ b/src/simulation/loss-budget.ts
@@ -1,32 +1,35 @@
 import { CATCH_UP_MS } from './contract-bounds.js';
 import { toleratedLosses, type LossLimit } from './options.js';
 
-/** One that left for good with no successor counts for so long; then the fleet is that much smaller. */
+/** A machine that left without a replacement counts as lost for this time; after that the fleet counts as smaller. */
 const DEPARTED_LOSS_MS = 10_000;
 
+/** What a loss budget is created with. */
 export interface LossBudgetSettings {
+  /** True time. */
   readonly now: () => number;
+  /** Which losses the run allows. */
   readonly limit: LossLimit;
-  /** The size of the fleet that the contract is about. */
+  /** The size of the fleet for which the contract states the tolerated losses. */
   readonly nodes: number;
-  /** How many control machines are there now, lost or not. */
+  /** Number of control machines in the fleet now, lost or not. */
   readonly presentCount: () => number;
-  /** Whether the loss of a machine's disk, or of the machine for good, has been made good. */
-  readonly isRecovered: (node: string, isForGood: boolean) => boolean;
+  /** Whether the fleet has recovered from the loss of the disk of a machine, or of the machine itself if permanent. */
+  readonly isRecovered: (node: string, isPermanent: boolean) => boolean;
 }
 
 /**
- * How many control machines are lost at a moment, as the contract counts: while a fault is on them and
- * for a while after, and how many more may be.
+ * Counts the lost control machines as the contract does, while a fault affects them and until they have had time to catch
+ * up, and decides how many more may be lost.
  */
 export class LossBudget {
   readonly #settings: LossBudgetSettings;
-  /** How many faults are on a machine now. */
+  /** Number of active faults by machine. */
   readonly #activeFaults = new Map<string, number>();
   readonly #returnedAt = new Map<string, number>();
-  /** Whose disk was lost, and whether the machine is to leave for good with it. */
+  /** Machines whose disk was lost, and whether the machine leaves permanently with it. */
   readonly #lostDisks = new Map<string, boolean>();
-  /** When machines left for good or lost their disks. */
+  /** When machines left permanently or lost their disks. */
   readonly #diskLostAt = new Map<string, number>();
   #isExceeded = false;
   #departures = 0;
@@ -36,15 +39,18 @@
     this.#settings = settings;
   }
 
+  /** Records that a fault begins to affect a machine. */
   begin(node: string): void {
     this.#activeFaults.set(node, (this.#activeFaults.get(node) ?? 0) + 1);
   }
 
+  /** Records that a fault no longer affects a machine. */
   end(node: string): void {
     this.#activeFaults.set(node, Math.max(0, (this.#activeFaults.get(node) ?? 0) - 1));
     this.#returnedAt.set(node, this.#settings.now());
   }
 
+  /** Records the loss of a disk. */
   loseDisk(node: string, isPermanent: boolean): void {
     this.#lostDisks.set(node, isPermanent);
     this.#diskLostAt.set(node, this.#settings.now());
@@ -52,49 +58,54 @@
       this.#isExceeded = true;
   }
 
-  /** A machine left for good, and nobody comes for it. */
+  /** Records that a machine left permanently and is not replaced. */
   leave(): void {
     this.#departures += 1;
     this.#countedDepartures += 1;
   }
 
-  /** One that left for good counts no longer, and the fleet is that much smaller. */
+  /** Stops counting a machine that left as lost: the fleet counts as smaller from now on. */
   forgetDeparted(node: string): void {
     this.#countedDepartures -= 1;
     this.release(node);
   }
 
-  /** A machine that is gone stops counting at once. */
+  /** Stops counting a machine that has left as lost, at once. */
   release(node: string): void {
     this.#activeFaults.delete(node);
     this.#returnedAt.delete(node);
   }
 
-  /** How long a machine that left for good counts as lost. */
+  /** How long a machine that left without a replacement counts as lost, in milliseconds. */
   get departedLossMs(): number {
     return DEPARTED_LOSS_MS;
   }
 
   /**
-   * Whether more disks were lost within the time to catch up than the contract tolerates, voters' or not: one that left may
-   * just then have been taken for a spare. Nobody need ever lead again then, and all else must hold.
+   * Whether more disks were lost within the time to catch up than the contract tolerates, of voters or not: a voter that
+   * left may have been replaced by a spare just then. A leader need not be elected again in that case, but all other
+   * rules hold.
    */
   get isExceeded(): boolean {
     return this.#isExceeded;
   }
 
+  /** Whether a machine counts as lost now. */
   isLost(node: string): boolean {
     if ((this.#activeFaults.get(node) ?? 0) > 0) return true;
     return this.#settings.now() < (this.#returnedAt.get(node) ?? -Infinity) + CATCH_UP_MS;
   }
 
-  /** Whether these machines may be lost beside those that are. */
+  /** Whether these machines may be lost in addition to those that are. */
   mayLose(nodes: readonly string[]): boolean {
     if (this.#settings.limit !== 'tolerated') return true;
     return this.#countWith(nodes) <= this.#maxLost();
   }
 
-  /** Disks are never lost in any number: nothing could then be kept. */
+  /**
+   * Whether the disks of these machines may be lost. Unless losses are unlimited, the number of lost disks that are not
+   * recovered is bounded even where any number of machines may be lost: no data could survive the loss of more.
+   */
   mayLoseDisks(nodes: readonly string[]): boolean {
     if (this.#settings.limit === 'tolerated') return this.mayLose(nodes);
     if (this.#settings.limit === 'unlimited') return true;
@@ -106,6 +117,7 @@
     return lost.size <= toleratedLosses(this.#settings.nodes);
   }
 
+  /** Whether a further machine may leave without a replacement. */
   mayLeave(): boolean {
     return this.#departures < toleratedLosses(this.#settings.nodes);
   }
@@ -123,7 +135,7 @@
     return count;
   }
 
-  /** A fleet that has become smaller for good bears less. */
+  /** A fleet that has become permanently smaller tolerates fewer losses. */
   #maxLost(): number {
     const { nodes, presentCount: present } = this.#settings;
     return Math.min(toleratedLosses(nodes), toleratedLosses(present() + this.#countedDepartures));
--- a/src/simulation/machine-faults.ts
+++ b/src/simulation/machine-faults.ts
@@ -7,49 +7,59 @@
 import type { Settled } from './settled.js';
 import type { UnsyncedFate } from './sim-disk.js';
 
-/** Takes a fault back; called once, at its end or when all trouble ends. */
+/** Undoes a fault; called once, at its end or when all faults end. */
 export type Undo = () => void;
 
+/** What faults act on. */
 export interface FaultContext {
+  /** The machines of the run. */
   readonly fleet: Fleet;
+  /** Counts the lost machines. */
   readonly budget: LossBudget;
+  /** Tracks whether the core is settled. */
   readonly settled: Settled;
+  /** Receives the events of faults. */
   readonly events: RunEvents;
+  /** Calls a function after a time in milliseconds of true time. */
   readonly after: (millis: number, run: () => void) => void;
+  /** True time. */
   readonly now: () => number;
 }
 
 type ReplaceFault = Extract<Fault, { kind: 'replace' }>;
 type WipeFault = Extract<Fault, { kind: 'wipe' }>;
 
-/** After most of the core was lost it takes twice as long to be in touch. */
+/** After the loss of most of the core, it takes twice as long to settle. */
 const MAJORITY_LOSS_FACTOR = 2;
-/** So long after it was replaced the old machine comes back. */
+/** The old machine returns this long after it was replaced. */
 const OLD_RETURN_DELAY_MS = 5000;
 
-/** Faults of whole machines and their processes: ends, freezes, losses for good and replacements. */
+/** Faults of whole machines and their processes: kills, power losses, freezes, departures and replacements. */
 export class MachineFaults {
   readonly #context: FaultContext;
-  /** How many faults hold a machine down, or its process frozen. */
+  /** Number of active faults by machine that keep it down, or its process frozen. */
   readonly #downFaults = new Map<string, number>();
   readonly #freezeFaults = new Map<string, number>();
 
-  constructor(around: FaultContext) {
-    this.#context = around;
+  constructor(context: FaultContext) {
+    this.#context = context;
   }
 
+  /** Kills the process; undone by a start. */
   kill(node: ControlNode): Undo {
     this.#beginLoss(node);
     node.kill();
     return () => this.#endLoss(node);
   }
 
+  /** Cuts the power of the machine; undone by a start. */
   losePower(node: ControlNode, unsynced: UnsyncedFate): Undo {
     this.#beginLoss(node);
     node.losePower(unsynced);
     return () => this.#endLoss(node);
   }
 
+  /** Freezes the process; undone by a thaw. */
   freeze(node: ControlNode): Undo {
     const { budget, settled, events } = this.#context;
     budget.begin(node.id);
@@ -60,7 +70,7 @@
     return () => this.#thaw(node);
   }
 
-  /** Frozen at its next order, if it gives one in that time. */
+  /** Freezes the process at its next order, if it sends one before the fault ends. */
   freezeAtOrder(node: ControlNode): Undo {
     const { budget } = this.#context;
     let undo: Undo | undefined;
@@ -68,7 +78,7 @@
     function freezeNow(): void {
       undo = freeze();
     }
-    // It counts from now on: when the order comes is not known.
+    // The node counts as lost from now on: it is not known when the order will be sent.
     budget.begin(node.id);
     node.freezeAtOrder = freezeNow;
     function undoFault(): void {
@@ -79,12 +89,12 @@
     return undoFault;
   }
 
-  /** A planned stop; it is started again once the fault ends, or once it has ended if that is later. */
+  /** Stops the process as planned; it is started again once the fault has ended and the process has exited. */
   restart(node: ControlNode): Undo {
     const { budget, settled } = this.#context;
     budget.begin(node.id);
     settled.disturb();
-    this.#countDown(node);
+    this.#addDownFault(node);
     let hasEnded = !node.process.isUp;
     let isDue = false;
     const endLoss = () => this.#endLoss(node);
@@ -100,7 +110,7 @@
     return onDue;
   }
 
-  /** Leaves for good, with no successor. */
+  /** Removes a machine permanently, without a replacement. */
   leave(node: ControlNode, isPlanned: boolean): void {
     const { budget, after, settled } = this.#context;
     budget.begin(node.id);
@@ -112,7 +122,7 @@
     after(budget.departedLossMs, () => budget.forgetDeparted(node.id));
   }
 
-  /** An empty machine at another address takes its place. */
+  /** Replaces a machine by an empty one at another address. */
   replace(node: ControlNode, fault: ReplaceFault): Undo {
     const { budget, settled } = this.#context;
     budget.begin(node.id);
@@ -131,6 +141,7 @@
     return end;
   }
 
+  /** Cuts the power of the machine and empties its disk; on request all others lose power too. */
   wipe(node: ControlNode, fault: WipeFault): Undo {
     const { budget, fleet } = this.#context;
     const undos = [this.losePower(node, 'drawn')];
@@ -144,6 +155,7 @@
     return fault.othersLosePower ? this.#whileMajorityIsLost(undos) : () => undoAll(undos);
   }
 
+  /** Cuts the power of the machine and puts its disk back to an older state. */
   restoreOldDisk(node: ControlNode, ageMs: number): Undo {
     const undo = this.losePower(node, 'drawn');
     node.disk.restore(this.#context.now() - ageMs);
@@ -151,19 +163,21 @@
     return undo;
   }
 
+  /** Kills the processes of all control nodes. */
   killAll(): Undo {
     const undos: Undo[] = [];
     for (const node of this.#context.fleet.present) undos.push(this.kill(node));
     return this.#whileMajorityIsLost(undos);
   }
 
+  /** Cuts the power of all control nodes. */
   losePowerAll(unsynced: UnsyncedFate): Undo {
     const undos: Undo[] = [];
     for (const node of this.#context.fleet.present) undos.push(this.losePower(node, unsynced));
     return this.#whileMajorityIsLost(undos);
   }
 
-  /** Less than half of the core runs meanwhile: nothing is settled. */
+  /** Marks the core as unsettled until the faults are undone: less than half of it runs. */
   #whileMajorityIsLost(undos: readonly Undo[]): Undo {
     this.#context.settled.beginUnsteady();
     return () => this.#undoMajorityLoss(undos);
@@ -175,14 +189,14 @@
     this.#context.settled.disturb(MAJORITY_LOSS_FACTOR);
   }
 
-  #countDown(node: ControlNode): void {
+  #addDownFault(node: ControlNode): void {
     this.#downFaults.set(node.id, (this.#downFaults.get(node.id) ?? 0) + 1);
   }
 
   #beginLoss(node: ControlNode): void {
     this.#context.budget.begin(node.id);
     this.#context.settled.disturb();
-    this.#countDown(node);
+    this.#addDownFault(node);
   }
 
   #endLoss(node: ControlNode): void {
@@ -190,7 +204,7 @@
     budget.end(node.id);
     const remaining = (this.#downFaults.get(node.id) ?? 1) - 1;
     this.#downFaults.set(node.id, remaining);
-    // Another fault still keeps it down, or it left meanwhile.
+    // Another fault still keeps the node down, or the node has left meanwhile.
     if (remaining > 0 || fleet.hasLeft(node.id)) return;
     settled.disturb();
     node.start(false, fleet.seeds);
@@ -220,14 +234,14 @@
     events.emit('restart', spare.id);
   }
 
-  /** Comes after a loss; the lost one counts until its successor has had time to catch up. */
+  /** Adds a machine after a loss; the lost machine counts until its replacement has had time to catch up. */
   #replaceLost(node: ControlNode): void {
     const { budget, after } = this.#context;
     this.#addReplacement();
     after(CATCH_UP_MS, () => budget.release(node.id));
   }
 
-  /** Its successor is there; it is told to stop, and counts for as long as one that has just come. */
+  /** Stops a machine whose replacement is present; it counts as lost until the time to catch up has passed. */
   #retireReplaced(node: ControlNode): void {
     const { budget, after, settled } = this.#context;
     settled.disturb();
--- a/src/simulation/node-watch.ts
+++ b/src/simulation/node-watch.ts
@@ -1,9 +1,13 @@
 import type { ControlNode } from './control-node.js';
 import type { RunEvents } from './run-events.js';
 
+/** What a node watch is created with. */
 export interface NodeWatchSettings {
+  /** Receives the observed events. */
   readonly events: RunEvents;
+  /** True time. */
   readonly now: () => number;
+  /** Receives a line for each node that becomes sound. */
   readonly log: (line: string) => void;
 }
 
@@ -16,7 +20,7 @@
   epoch: number;
 }
 
-/** Sees from outside what control nodes go through: reigns, repairs and changes of voters. */
+/** Observes control nodes from outside: changes of the leader, of epochs and of voters, and repairs. */
 export class NodeWatch {
   readonly #settings: NodeWatchSettings;
   readonly #states = new Map<string, NodeState>();
@@ -30,20 +34,25 @@
     this.#settings = settings;
   }
 
-  /** When a node was last seen to lead and serve. */
+  /** True time at which a node was last seen to lead and serve. */
   get lastServingAt(): number {
     return this.#lastServingAt;
   }
 
-  /** From the start of each life that did not count as its node's last one had ended, until it counts. */
+  /**
+   * Times in milliseconds from the start of a process until its replica was sound, for each incarnation whose predecessor
+   * was not sound when it ended.
+   */
   get repairMs(): readonly number[] {
     return this.#repairMs;
   }
 
+  /** Lengths in milliseconds of the periods without a serving leader. */
   get leaderlessMs(): readonly number[] {
     return this.#leaderlessMs;
   }
 
+  /** Observes a node after an input of its core. */
   stepped(node: ControlNode): void {
     const state = this.#stateOf(node);
     const { core } = node;
@@ -59,7 +68,7 @@
   #stateOf(node: ControlNode): NodeState {
     const state = this.#states.get(node.id);
     if (state && state.incarnation === node.incarnation) return state;
-    // What a life that has only begun is to itself is not known before its core stands.
+    // Until the core of a new process exists, its replica is assumed to be as sound as that of the previous incarnation.
     const isSound = state?.isSound ?? false;
     const startedAt = this.#settings.now();
     const isServing = state?.isServing ?? false;
@@ -96,7 +105,7 @@
 
   #noteSound(node: ControlNode, state: NodeState): void {
     const elapsedMs = Math.round(this.#settings.now() - state.startedAt);
-    this.#settings.log(`${node.id} counts after ${elapsedMs} ms`);
+    this.#settings.log(`${node.id} is a sound replica after ${elapsedMs} ms`);
     this.#repairMs.push(elapsedMs);
     this.#settings.events.emit('repaired', node.id);
   }
--- a/src/simulation/options.ts
+++ b/src/simulation/options.ts
@@ -1,29 +1,35 @@
-/** Which losses a run may bring about at one time. */
+/** Which losses of machines a run may cause at one time. */
 export type LossLimit =
-  /** Never more than the contract tolerates: the run also demands that orders are answered in time. */
+  /** Never more than the contract tolerates: the run also requires that orders are answered in time. */
   | 'tolerated'
-  /** Any number, disks apart: the run demands safety alone until all trouble has ended. */
+  /** Any number of machines, but not of disks: until all faults have ended the run requires only safety. */
   | 'any'
-  /** Disks as well: more than can be borne, to show that the rules bite. */
+  /** Any number of machines and disks: more than is tolerated, to show that the rules detect it. */
   | 'unlimited';
 
-/** What a run is made of, beside its schedule of faults; the run is a pure function of both. */
+/** The options of a run, which is a pure function of these and its schedule of faults. */
 export interface SimulationOptions {
+  /** The seed of all random numbers. */
   readonly seed: number;
+  /** Number of voting control nodes at the start. */
   readonly nodes: 3 | 5;
-  /** Empty control machines that join once the fleet stands. */
+  /** Number of empty control machines that join once the fleet has started. */
   readonly spares: number;
+  /** Number of agents. */
   readonly agents: number;
+  /** Number of operators. */
   readonly operators: 1 | 2;
-  /** How long faults go on; a quiet beginning and a calm end come on top. */
+  /** Length of the phase with faults in milliseconds; phases without faults precede and follow it. */
   readonly troubleMs: number;
+  /** Which losses the run may cause. */
   readonly lossLimit: LossLimit;
   /** Whether runners check fences. */
   readonly isFenced: boolean;
-  /** Mean pause between two actions of one operator. */
+  /** Mean time between two actions of one operator, in milliseconds. */
   readonly paceMs: number;
 }
 
+/** Default options. */
 export const OPTION_DEFAULTS = {
   nodes: 3,
   spares: 0,
@@ -35,7 +41,7 @@
   paceMs: 400,
 } as const;
 
-/** How many machines of so many may be lost at once. */
+/** Number of machines out of `nodes` that may be lost at once. */
 export function toleratedLosses(nodes: number): number {
   return Math.floor((nodes - 1) / 2);
 }
--- a/src/simulation/schedule-draw.ts
+++ b/src/simulation/schedule-draw.ts
@@ -12,7 +12,7 @@
 import { OPTION_DEFAULTS, type SimulationOptions } from './options.js';
 import { hashText, RandomStreams } from './random-streams.js';
 
-/** How often each kind is drawn. Putting an old disk back breaks every promise that a disk makes: never. */
+/** The weight with which each kind is drawn. Restoring an old disk violates every guarantee of a disk: never drawn. */
 export const WEIGHTS = [
   ['kill', 8],
   ['powerLoss', 8],
@@ -40,7 +40,7 @@
   ['agentCut', 2],
 ] as const satisfies readonly (readonly [FaultKind, number])[];
 
-/** Events with the node that is most worth striking right after them. */
+/** Events and the node in which a fault right after the event is most likely to expose an error. */
 const EVENT_TARGETS = [
   ['orderSent', 'itself'],
   ['epoch', 'itself'],
@@ -62,19 +62,19 @@
   ['restart', 'itself'],
 ] as const;
 
-/** Now and then a run is long, and its changes are many: more than the edits that are remembered. */
+/** A small share of the runs is long, with more changes than the number of edits that the core remembers. */
 const LONG_SHARE = 1 / 60;
 const LONG_TROUBLE_MS = 60_000;
 const LONG_PACE_MS = 60;
 
 const MIN_FAULTS = 3;
 const MAX_FAULTS = 14;
-/** Most spans are short; some are as long as the longest that the contract knows. */
+/** Most durations are short; some are as long as the longest that the contract covers. */
 const SHORT_DURATION_MS = 800;
 const MEDIUM_DURATION_MS = 5000;
 const LONG_DURATION_MS = 20_000;
 const MAX_TRIGGER_DELAY_MS = 400;
-/** Right on the heels of its event. */
+/** Maximum delay of a fault right after its event. */
 const SHORT_TRIGGER_DELAY_MS = 12;
 const MAX_RATE_OFFSET = 0.01;
 const MAX_LINK_DELAY_MS = 600;
@@ -87,7 +87,7 @@
 const CUT_STYLES = ['silent', 'silent', 'silent', 'reset', 'refuse'] as const;
 const DISK_TROUBLES = ['slow', 'stalled', 'stalled', 'full'] as const;
 
-/** What every fault of one machine says. */
+/** The fields that every fault with a target node has. */
 interface TargetedFields {
   readonly when: When;
   readonly forMs: number;
@@ -202,13 +202,13 @@
 
   #cut(targeted: TargetedFields): Fault {
     const random = this.#random;
-    // With five nodes a side of two is a minority still.
+    // With five nodes, a side of two is still a minority.
     const besides = this.#options.nodes === 5 && random.isLikely(0.4) ? 1 : 0;
     const shape = { direction: pick(random, CUT_DIRECTIONS), style: pick(random, CUT_STYLES) };
     return { kind: 'cut', ...targeted, ...shape, besides, withAgents: random.isLikely(0.3) };
   }
 
-  /** Most often right as a call is on its way, so that its bytes are held up and arrive late. */
+  /** Most often cuts the link while a call is in transit, so that its bytes are held up and arrive late. */
   #operatorCut(targeted: TargetedFields): Fault {
     const random = this.#random;
     const direction = pick(random, CUT_DIRECTIONS);
@@ -254,7 +254,7 @@
 
 function pick<T>(random: Seeded, items: readonly T[]): T {
   const item = random.pick(items);
-  if (item === undefined) throw new RangeError('nothing to draw from');
+  if (item === undefined) throw new RangeError('no items to draw from');
   return item;
 }
 
@@ -266,12 +266,12 @@
   return momentOf(left) - momentOf(right);
 }
 
-/** The schedule of a seed: faults that are aimed as well as drawn, overlapping, of every kind. */
+/** The schedule of a seed: overlapping faults of every kind, at drawn times or triggered by events. */
 export function drawSchedule(options: SimulationOptions): Fault[] {
   return new ScheduleDraw(options).draw();
 }
 
-/** Other settings of a run that a seed decides, where they are not given. */
+/** Draws the options of a run from its seed. */
 export function drawOptions(seed: number, nodes: 3 | 5): SimulationOptions {
   const random = new RandomStreams(seed).of('options');
   const isLong = random.isLikely(LONG_SHARE);
--- a/src/simulation/settled.ts
+++ b/src/simulation/settled.ts
@@ -1,6 +1,6 @@
 import { SETTLE_MS } from './contract-bounds.js';
 
-/** Since when the core has been free of trouble, by the contract's meaning of `settled`. */
+/** Tracks since when the core has been settled, as defined by the contract. */
 export class Settled {
   readonly #now: () => number;
   #since = 0;
@@ -10,22 +10,26 @@
     this.#now = now;
   }
 
-  /** Something was killed, started, frozen, thawed, cut off or joined; after the loss of most it takes longer. */
+  /**
+   * Records a disturbance: a node was killed, started, frozen, thawed, cut off or added. `factor` multiplies the time to
+   * settle, which is longer after the loss of most nodes.
+   */
   disturb(factor: number = 1): void {
     this.#since = Math.max(this.#since, this.#now() + SETTLE_MS * factor);
   }
 
-  /** Something is slow, stalled or lossy from now on. */
+  /** Begins a fault during which the core is never settled: something is slow, stalled or lossy. */
   beginUnsteady(): void {
     this.#unsteadyFaults += 1;
   }
 
+  /** Ends such a fault, which is a disturbance as well. */
   endUnsteady(): void {
     this.#unsteadyFaults -= 1;
     this.disturb();
   }
 
-  /** Whether nothing has disturbed the core from that moment until now. */
+  /** Whether the core has been settled from that time until now. */
   isSettledSince(moment: number): boolean {
     return this.#unsteadyFaults === 0 && this.#since <= moment;
   }
