--- a/src/simulation/holder-rules.test.ts
+++ b/src/simulation/holder-rules.test.ts
@@ -37,7 +37,7 @@
   return rules;
 }
 
-test('two holders keep the lease between them', () => {
+test('orders of two holders are at least the lease apart', () => {
   expect(
     brokenRules({}, [
       ['a', 2, 0],
@@ -57,7 +57,7 @@
     ]),
   ).toEqual([]);
 });
-test('a fence belongs to one holder and never falls', () => {
+test('a fence belongs to one holder and never decreases', () => {
   expect(
     brokenRules({}, [
       ['a', 2, 0],
@@ -71,7 +71,7 @@
     ]),
   ).toEqual(['lower-fence']);
 });
-test('orders right after a thaw or a heal, and turns out of touch where fenced, are excused', () => {
+test('the lease gap is not checked right after a thaw or a heal, or in an unsettled core with fences', () => {
   expect(
     brokenRules({ thawedAt: 1900 }, [
       ['a', 2, 0],
--- a/src/simulation/holder-rules.ts
+++ b/src/simulation/holder-rules.ts
@@ -2,25 +2,28 @@
 import type { ArrivedOrder } from './fake-runner.js';
 import type { Report } from './violation.js';
 
+/** What the rules are created with. */
 export interface HolderRulesSettings {
+  /** Called with each violation. */
   readonly report: Report;
+  /** Whether runners check fences. */
   readonly isFenced: boolean;
-  /** When the process of a holder was thawed last. */
+  /** When the process of a holder was last thawed. */
   readonly thawedAt: (holder: string) => number;
-  /** When the link from a holder to a runner was healed last. */
+  /** When the link from a holder to a runner was last healed. */
   readonly healedAt: (holder: string, runner: string) => number;
-  /** Whether the core was settled all through the span before now. */
+  /** Whether the core has been settled for the last `span` milliseconds. */
   readonly isSettledFor: (span: number) => boolean;
 }
 
-/** What one runner has seen of holders so far. */
+/** The orders that one runner has received so far. */
 interface RunnerRecord {
   readonly lastAt: Map<string, number>;
   readonly byFence: Map<number, string>;
   highestFence: number;
 }
 
-/** Who may order runners: one leader an epoch, one holder a fence, and a lease between two holders. */
+/** Checks who may order runners: one leader per epoch, one holder per fence, and a lease between two holders. */
 export class HolderRules {
   readonly #settings: HolderRulesSettings;
   readonly #leaders = new Map<number, string>();
@@ -31,10 +34,12 @@
     this.#settings = settings;
   }
 
+  /** Number of orders that arrived at runners. */
   get orderCount(): number {
     return this.#orderCount;
   }
 
+  /** Checks a node that believes to lead in an epoch. */
   leads(node: string, epoch: number): void {
     const other = this.#leaders.get(epoch);
     if (other === undefined) this.#leaders.set(epoch, node);
@@ -43,6 +48,7 @@
     }
   }
 
+  /** Checks an order that arrived at a runner. */
   orderArrived(order: ArrivedOrder): void {
     const { holder, runner, at, fence } = order;
     this.#orderCount += 1;
@@ -69,7 +75,7 @@
   }
 
   #checkLeaseGap({ holder, runner, at }: ArrivedOrder, record: RunnerRecord): void {
-    // Where runners check fences, only holders in touch are judged by their turns.
+    // If runners check fences, the gap is checked only while the core is settled.
     if (this.#settings.isFenced && !this.#settings.isSettledFor(LEASE_MS)) return;
     for (const [other, lastAt] of record.lastAt) {
       if (other === holder || at - lastAt >= LEASE_MS) continue;
--- a/src/simulation/judged-history.ts
+++ b/src/simulation/judged-history.ts
@@ -3,12 +3,15 @@
 import { violationText } from './history/violation.js';
 import { amendDocument } from '../control/testing/plain-dialect.js';
 
+/** A violation found in a history. */
 export interface HistoryFinding {
+  /** The violated rule. */
   readonly rule: string;
+  /** A description of the violation. */
   readonly text: string;
 }
 
-/** Judges what operators saw against the sequential model. */
+/** Checks what operators observed against the sequential model. */
 export function judgeHistory(history: History): readonly HistoryFinding[] {
   const findings: HistoryFinding[] = [];
   for (const violation of checkHistory(history, { amend: amendDocument })) {
--- a/src/simulation/state-rules.ts
+++ b/src/simulation/state-rules.ts
@@ -30,11 +30,13 @@
   readonly version: Version;
 }
 
+/** What the rules are created with. */
 export interface StateRulesSettings {
+  /** Called with each violation. */
   readonly report: Report;
-  /** Every control node that ever was, by its id. */
+  /** Every control node of the run by its id, including those that have left. */
   readonly nodes: ReadonlyMap<string, ControlNode>;
-  /** Machines that have left for good, with their disks. */
+  /** Whether a machine has left with its disk. */
   readonly hasLeft: (node: string) => boolean;
   /** Whether a node has lost its disk and may not vote yet. */
   readonly isUnderRepair: (node: string) => boolean;
@@ -50,27 +52,27 @@
 }
 
 /**
- * What must hold of the shared state at every step: what was acknowledged stays where every majority
- * finds it, voters change by a majority of the voters before, one version has one body, and no node
- * that lives goes back to an older configuration.
+ * Rules of the shared state that hold at every step: every majority finds what was acknowledged, voters are changed by a
+ * majority of the previous voters, one version has one body, and no process reverts to an older configuration.
  */
 export class StateRules {
   readonly #settings: StateRulesSettings;
   readonly #configs = new Map<string, KnownConfig>();
   #newest: { readonly version: Version; readonly config: KnownConfig } | undefined;
   #acknowledged: Acknowledged | undefined;
-  /** What each life of a node or agent shows as the newest configuration. */
+  /** The newest configuration shown by each incarnation of a node or agent. */
   readonly #lastShown = new Map<string, { readonly version: Version; readonly routing: number }>();
 
   constructor(settings: StateRulesSettings) {
     this.#settings = settings;
   }
 
-  /** The newest committed voters that any node was ever told of. */
+  /** The newest committed voters that any node has shown. */
   get voters(): readonly (readonly string[])[] {
     return this.#newest?.config.voters ?? [];
   }
 
+  /** Records an acknowledged edit. */
   answered(answer: OperatorAnswer): void {
     const accepted = parseAs(AcceptedShape, answer.body);
     if (!accepted) return;
@@ -80,7 +82,7 @@
     this.check();
   }
 
-  /** Looks at what a node or agent holds as committed; `life` tells its lives apart. */
+  /** Checks what an incarnation of a node or agent holds as committed. */
   watch(id: string, incarnation: number, relay: Relay): void {
     const key = `${id} ${incarnation}`;
     const version = relay.version('config');
@@ -100,7 +102,7 @@
     this.#lastShown.set(key, { version, routing: config.routingVersion });
   }
 
-  /** What was acknowledged last is where every majority that may vote meets it. */
+  /** Checks that the last acknowledged edit is found by every majority of the nodes that may vote. */
   check(): void {
     const acknowledged = this.#acknowledged;
     const [voters] = this.voters;
@@ -144,7 +146,8 @@
     if (before && !isNewer(version, before.version)) return;
     this.#newest = { version, config };
     if (!before || before.config.voters.join(' | ') === config.voters.join(' | ')) return;
-    // Of two sets the new one goes on alone once the old one can't decide without meeting both: that needs no more there.
+    // The second step of a change drops the old voters. The joint version already prevents them from deciding alone, so
+    // the previous voters need to hold only that version.
     const following = before.config.voters[1]?.join();
     const isSecondStep = following !== undefined && config.voters.join(' | ') === following;
     const needed = isSecondStep ? before.version : version;
--- a/src/simulation/violation.ts
+++ b/src/simulation/violation.ts
@@ -1,4 +1,4 @@
-/** A rule that must hold at every moment of a run; what operators saw is judged by the history's rules. */
+/** A rule that must hold throughout a run; what operators observed is checked by the rules of the history. */
 export type StateRule =
   | 'two-leaders-in-one-epoch'
   | 'two-holders'
@@ -13,16 +13,20 @@
   | 'read-never-answered'
   | 'core-threw';
 
-/** A broken rule, with the moment of the run at which it was found. */
+/** A violated rule and when the violation was found. */
 export interface RunViolation {
+  /** The name of the rule. */
   readonly rule: string;
+  /** Virtual time of the run in milliseconds. */
   readonly at: number;
+  /** A description of the violation. */
   readonly text: string;
 }
 
+/** Reports a violation of a rule. */
 export type Report = (rule: StateRule, text: string) => void;
 
-/** Collects violations; the same rule about the same thing counts once. */
+/** Collects violations; a violation with the same rule and text is recorded once. */
 export class ViolationLog {
   readonly #now: () => number;
   readonly #log: (line: string) => void;
@@ -34,10 +38,12 @@
     this.#log = log;
   }
 
+  /** All violations, in the order in which they were found. */
   get all(): readonly RunViolation[] {
     return this.#violations;
   }
 
+  /** Records a violation and logs it, unless it is known. */
   add(rule: string, text: string): void {
     const key = `${rule} ${text}`;
     if (this.#seen.has(key)) return;
