--- a/src/simulation/commands/seed-pool.ts
+++ b/src/simulation/commands/seed-pool.ts
@@ -1,23 +1,26 @@
 import { fork, type ChildProcess } from 'node:child_process';
 import { fileURLToPath } from 'node:url';
 
-/** A run makes much that lives shortly: with room for it (MB) the collector is called less often. */
+/** A run allocates many short-lived objects: a large young generation (in MB) makes garbage collections rarer. */
 const WORKER_FLAGS = ['--max-semi-space-size=64'];
 
+/** What a pool runs, and with how many processes. */
 export interface SeedPoolSettings<Result> {
-  /** The module that a worker process runs; it answers each run that it is sent with one result. */
+  /** The module that a worker process executes; it replies to each run that it receives with one result. */
   readonly worker: URL;
-  /** What is to be run, in this order; it goes to the workers as JSON. */
+  /** The runs, in the order in which they are started; they are sent to the workers as JSON. */
   readonly runs: readonly object[];
+  /** Number of worker processes. */
   readonly jobs: number;
-  /** No run is begun after so long, ms. */
+  /** No run is started after this time, in milliseconds. */
   readonly mostMs: number;
+  /** Whether a message of a worker is a result. */
   readonly isResult: (message: unknown) => message is Result;
-  /** Told of each run as it is done, in no order. */
+  /** Called with the result of each run as it completes, in no particular order. */
   readonly done: (result: Result) => void;
 }
 
-/** Runs seeds in child processes, one seed at a time in each. */
+/** Executes seeded runs in child processes, one run at a time in each. */
 export class SeedPool<Result> {
   readonly #settings: SeedPoolSettings<Result>;
   #startedRuns = 0;
@@ -31,12 +34,12 @@
     this.#deadline = performance.now() + settings.mostMs;
   }
 
-  /** How many runs were begun: where another batch goes on. */
+  /** Number of runs that were started; a further batch continues after these. */
   get startedRuns(): number {
     return this.#startedRuns;
   }
 
-  /** Resolves once every seed that was begun is done; a worker that ends by itself fails the whole. */
+  /** Resolves once every started run has completed; rejects if a worker process exits by itself. */
   run(): Promise<void> {
     return new Promise((resolve, reject) => this.#begin(resolve, reject));
   }
@@ -81,6 +84,8 @@
 
   #workerExited(worker: ChildProcess): void {
     if (!this.#workers.delete(worker)) return;
-    this.#reject?.(new Error(`a worker ended with ${worker.exitCode ?? worker.signalCode}`));
+    this.#reject?.(
+      new Error(`a worker process exited with ${worker.exitCode ?? worker.signalCode}`),
+    );
   }
 }
--- a/src/simulation/commands/simulate-control-command.ts
+++ b/src/simulation/commands/simulate-control-command.ts
@@ -41,33 +41,40 @@
 
 function distributionText(distribution: Distribution): string {
   const { count, median, ninetyFive, ninetyNine, most: max } = distribution;
-  return `${count} times, median ${median}, 95% ${ninetyFive}, 99% ${ninetyNine}, most ${max} ms`;
+  return `${count} samples, median ${median}, 95% ${ninetyFive}, 99% ${ninetyNine}, max ${max} ms`;
 }
 
 function outcomesText({ accepted, refused, unclear, attempts }: OutcomeCounts): string {
   return `${accepted} acknowledged, ${refused} refused, ${unclear} unclear, in ${attempts} attempts`;
 }
 
-/** Runs the deployed control side on virtual time over many seeds. */
+/** Runs the deployed control side on virtual time for many seeds, or replays or shrinks one. */
 export class SimulateControlCommand extends Command {
   static override description =
-    'run the deployed control side on virtual time under seeded faults; a failing seed replays exactly';
+    'run the deployed control side on virtual time under seeded faults; a failing seed can be replayed exactly';
 
   static override flags = {
-    seeds: Flags.integer({ default: 100, min: 1, description: 'how many seeds' }),
+    seeds: Flags.integer({ default: 100, min: 1, description: 'number of seeds' }),
     from: Flags.integer({ default: 1, description: 'the first seed' }),
-    nodes: Flags.string({ default: '3', options: ['3', '5'], description: 'control nodes' }),
+    nodes: Flags.string({
+      default: '3',
+      options: ['3', '5'],
+      description: 'number of control nodes',
+    }),
     shape: Flags.string({
       options: [...REQUESTED_SHAPES],
-      description: 'fleet and length of the runs, in place of --nodes; mixed has all',
+      description: 'fleet and length of the runs, instead of --nodes; mixed includes all shapes',
+    }),
+    jobs: Flags.integer({ default: 2, min: 1, description: 'number of concurrent processes' }),
+    minutes: Flags.integer({
+      min: 1,
+      description: 'start no further seed after this many minutes',
     }),
-    jobs: Flags.integer({ default: 2, min: 1, description: 'processes at once' }),
-    minutes: Flags.integer({ min: 1, description: 'begin no seed after so long' }),
-    report: Flags.string({ description: 'file for the report as JSON, also while it goes on' }),
-    seed: Flags.integer({ description: 'replay this seed alone, with its log' }),
+    report: Flags.string({ description: 'file for the JSON report; also updated during the run' }),
+    seed: Flags.integer({ description: 'replay only this seed and print its log' }),
     shrink: Flags.boolean({
       default: false,
-      description: 'with --seed: cut its schedule to the shortest and print it as a test',
+      description: 'with --seed: shrink its schedule and print it as a test',
     }),
   };
 
@@ -97,7 +104,7 @@
     this.#save(report, file);
     this.#print(report);
     if (pool.startedRuns < seeds)
-      this.log(`time is up: go on with --from ${from + pool.startedRuns}`);
+      this.log(`time limit reached: continue with --from ${from + pool.startedRuns}`);
     this.exit(report.failedSeeds.length === 0 ? 0 : 1);
   }
 
@@ -109,7 +116,7 @@
   ): void {
     results.push(result);
     if (result.violations.length > 0) {
-      this.log(`seed ${result.seed} (${result.shape}) broke ${rulesOf(result).join(', ')}`);
+      this.log(`seed ${result.seed} (${result.shape}) violated ${rulesOf(result).join(', ')}`);
       for (const { rule, at, text } of result.violations.slice(0, MAX_SHOWN_VIOLATIONS)) {
         this.log(`  ${at} ms ${rule}: ${text}`);
       }
@@ -129,13 +136,15 @@
     for (const { shape, seeds: shapeSeeds, failed } of shapes) {
       this.log(`  ${shape}: ${shapeSeeds} seeds, ${failed} failed`);
     }
-    this.log(`  recovery not owed: ${report.recoveryNotOwed} seeds`);
+    this.log(`  recovery not required: ${report.recoveryNotOwed} seeds`);
     for (const [rule, count] of Object.entries(rules)) this.log(`  ${rule}: ${count} seeds`);
     this.log(`faults: ${JSON.stringify(faults)}`);
     for (const kind of ORDER_KINDS) this.log(`${kind}: ${outcomesText(orders[kind])}`);
     this.log(`all orders: ${outcomesText(orders.all)}`);
     this.log(JSON.stringify(totals));
-    this.log(`new or repaired, from start to counting: ${distributionText(report.repairMs)}`);
+    this.log(
+      `from start to sound replica, new or repaired nodes: ${distributionText(report.repairMs)}`,
+    );
     this.log(`without a leader: ${distributionText(report.leaderlessMs)}`);
   }
 
--- a/src/simulation/control-simulation.property.test.ts
+++ b/src/simulation/control-simulation.property.test.ts
@@ -8,10 +8,10 @@
 const TROUBLE_MS = 8000;
 const MAX_FAULTS = 6;
 const MAX_DURATION_MS = 6000;
-/** A fixed share, always the same. */
+/** The same runs each time: their number and the seed are fixed. */
 const RUNS = 10;
 const SEED = 17;
-/** Cutting a failing schedule down ends after this. */
+/** Shrinking a failing schedule stops after this time. */
 const SHRINK_TIMEOUT_MS = 120_000;
 
 const at = fc.integer({ min: TROUBLE_FROM_MS, max: TROUBLE_FROM_MS + TROUBLE_MS });
@@ -71,7 +71,7 @@
 }
 
 async function checkSchedule(seed: number, nodes: 3 | 5, schedule: Schedule): Promise<void> {
-  // The test runner is let speak between two runs.
+  // Yields to the event loop between runs, so that the test runner can communicate.
   await new Promise(setImmediate);
   const options = optionsOf(seed, nodes);
   const [first] = simulate(options, schedule).violations;
@@ -80,7 +80,7 @@
   throw new Error(`${first.rule}: ${first.text}\n${reproduction}`);
 }
 
-test('no schedule of faults breaks a rule; one that does is cut down and printed', async () => {
+test('no schedule of faults violates a rule; a failing schedule is shrunk and printed', async () => {
   const schedules = fc.array(fault, { minLength: 1, maxLength: MAX_FAULTS });
   const seeds = fc.integer({ min: 1, max: 1_000_000 });
   const nodes = fc.constantFrom<3 | 5>(3, 5);
--- a/src/simulation/control-simulation.test.ts
+++ b/src/simulation/control-simulation.test.ts
@@ -8,18 +8,18 @@
 import { drawOptions, drawSchedule } from './schedule-draw.js';
 import { runSeed } from './seed-run.js';
 
-/** The share of seeds that is always run; the command runs as many as one likes. */
+/** Seeds that the tests run; the command runs any number of them. */
 const THREE_NODE_SEEDS = 8;
 const FIVE_NODE_SEEDS = 4;
 
-function calmOptions(nodes: 3 | 5): SimulationOptions {
+function faultlessOptions(nodes: 3 | 5): SimulationOptions {
   return { ...OPTION_DEFAULTS, seed: 1, nodes, troubleMs: 5000 };
 }
 
-function checkCalm(nodes: 3 | 5): void {
-  const { violations, figures } = simulate(calmOptions(nodes), []);
+function checkFaultless(nodes: 3 | 5): void {
+  const { violations, figures } = simulate(faultlessOptions(nodes), []);
   expect(violations).toEqual([]);
-  // One leader from the first start to the end, all nodes counting, every order with an answer.
+  // One leader for the whole run, every node becomes a sound replica, and every order is answered.
   expect(figures).toMatchObject({ reigns: 1, faults: {}, nodes });
   expect(figures.repairMs).toHaveLength(nodes);
   const { accepted, refused, unclear } = totalOf(figures.orders);
@@ -34,9 +34,9 @@
   return simulate(options, drawSchedule(options));
 }
 
-/** With more lost than can be borne the rules must bite. */
+/** A run that loses more disks than is tolerated must report this violation. */
 function checkDetected(kind: 'wipe' | 'oldDisk', rule: string): void {
-  const options: SimulationOptions = { ...calmOptions(3), lossLimit: 'unlimited' };
+  const options: SimulationOptions = { ...faultlessOptions(3), lossLimit: 'unlimited' };
   const schedule = [0, 1].map((place) => diskLostAt(kind, place));
   expect(simulate(options, schedule).violations.map(ruleOf)).toContain(rule);
 }
@@ -52,7 +52,7 @@
   return violation.rule;
 }
 
-/** Lets the test runner speak between two runs. */
+/** Yields to the event loop between runs, so that the test runner can communicate. */
 function nextTurn(): Promise<void> {
   return new Promise(setImmediate);
 }
@@ -82,8 +82,8 @@
 function placeOf(place: number): { readonly kind: 'place'; readonly place: number } {
   return { kind: 'place', place };
 }
-/** A node that is told to stop once more while it stops is started again when both faults are over. */
-test('a node that is told to stop twice is started again', () => {
+/** A node may be asked to stop again while it is stopping; it must be started again once both faults have ended. */
+test('a node that is asked to stop twice is started again', () => {
   const options: SimulationOptions = {
     ...OPTION_DEFAULTS,
     seed: 1_004_882,
@@ -106,8 +106,11 @@
   expect(simulate(options, schedule).violations).toEqual([]);
 });
 
-/** A restore that its operator gave up and sent elsewhere is taken on a slow line before the close of its call arrives. */
-test('a copy that no node can know to be late is not held against it', () => {
+/**
+ * An operator gives up a restore and sends it to another node; over a slow link the first node processes it before the
+ * close of the connection arrives, so that it cannot know that the call was given up.
+ */
+test('a late copy of an order that the node cannot recognize as late is not a violation', () => {
   const options: SimulationOptions = {
     ...OPTION_DEFAULTS,
     seed: 10_422,
@@ -131,8 +134,8 @@
   expect(history.orders.flatMap(attemptsOf).some(isTakenLate)).toBe(true);
 });
 
-/** All are killed as the second step of a change of voters is being written; the new voters alone go on with it. */
-test('the second step of a change of voters needs the new ones alone', () => {
+/** All nodes are killed while the second step of a voter change is being written; only the new voters continue with it. */
+test('the second step of a voter change needs a majority of the new voters only', () => {
   const options: SimulationOptions = {
     ...OPTION_DEFAULTS,
     seed: 70_371,
@@ -161,8 +164,8 @@
   ];
   expect(simulate(options, schedule).violations).toEqual([]);
 });
-/** A leader stands still; its successor's voters are all but itself exchanged before the former lease is over. */
-test('a successor waits for the lease before it, whoever votes by then', () => {
+/** A leader is frozen; all voters of its successor but the successor itself are replaced before the old lease expires. */
+test('a successor waits for the previous lease to expire even if the voters have changed meanwhile', () => {
   const options: SimulationOptions = {
     ...OPTION_DEFAULTS,
     seed: 70_818,
@@ -182,8 +185,8 @@
   ];
   expect(simulate(options, schedule).violations).toEqual([]);
 });
-/** A way there and back takes up to a second: longer than a leader waits before it asks a majority again. */
-test('a leader whose lines are slow answers reads', () => {
+/** A round trip takes up to a second: longer than a leader waits before it queries a majority again. */
+test('a leader with slow links answers reads', () => {
   const options: SimulationOptions = {
     ...OPTION_DEFAULTS,
     seed: 70_272,
@@ -197,27 +200,30 @@
   const slow = { kind: 'slowLinks', when, forMs: 19_650, target, delayMs: 501 } as const;
   expect(simulate(options, [slow]).violations).toEqual([]);
 });
-test('three nodes run calmly', () => checkCalm(3));
-test('five nodes run calmly', () => checkCalm(5));
+test('three nodes run without a violation when there are no faults', () => checkFaultless(3));
+test('five nodes run without a violation when there are no faults', () => checkFaultless(5));
 test('a run is a pure function of its options and schedule', () => {
   const [first, second] = [runDrawn(11), runDrawn(11)];
   expect(second).toEqual(first);
   expect(runDrawn(12).figures).not.toEqual(first.figures);
 });
-test('a frozen leader and a lost disk are borne', () => {
+test('a frozen leader and a lost disk are tolerated', () => {
   const target = { kind: 'role', role: 'leader' } as const;
   const schedule: Schedule = [
     { kind: 'freeze', when: { kind: 'at', at: 7000 }, forMs: 4000, target },
     { kind: 'wipe', when: { kind: 'at', at: 16_000 }, forMs: 500, target, othersLosePower: false },
   ];
-  const options = { ...calmOptions(3), troubleMs: 15_000 };
+  const options = { ...faultlessOptions(3), troubleMs: 15_000 };
   const { violations, figures } = simulate(options, schedule);
   expect(violations).toEqual([]);
   expect(figures).toMatchObject({ faults: { freeze: 1, wipe: 1 }, reigns: 3 });
   expect(figures.repairMs).toHaveLength(4);
 });
-test('two disks of three lost at once are noticed', () =>
+test('the loss of two disks of three at once is detected', () =>
   checkDetected('wipe', 'no-leader-after-trouble'));
-test('two old disks of three are noticed', () => checkDetected('oldDisk', 'acknowledged-lost'));
-test('a share of seeds of three nodes breaks no rule', () => checkSeeds('three', THREE_NODE_SEEDS));
-test('a share of seeds of five nodes breaks no rule', () => checkSeeds('five', FIVE_NODE_SEEDS));
+test('two outdated disks of three are detected', () =>
+  checkDetected('oldDisk', 'acknowledged-lost'));
+test('a sample of seeds with three nodes violates no rule', () =>
+  checkSeeds('three', THREE_NODE_SEEDS));
+test('a sample of seeds with five nodes violates no rule', () =>
+  checkSeeds('five', FIVE_NODE_SEEDS));
--- a/src/simulation/control-simulation.ts
+++ b/src/simulation/control-simulation.ts
@@ -27,25 +27,31 @@
 import { StateRules } from './state-rules.js';
 import { ViolationLog, type RunViolation } from './violation.js';
 
+/** The result of a run. */
 export interface Outcome {
+  /** The violated rules, in the order in which they were found. */
   readonly violations: readonly RunViolation[];
+  /** The measured figures of the run. */
   readonly figures: RunFigures;
+  /** What the operators observed. */
   readonly history: History;
 }
 
+/** Receives the log of a run line by line. */
 export type RunLog = (line: string) => void;
 
-/** The fleet starts, and faults begin, at these moments. */
+/** Virtual times of the first order and of the start of the spares. */
 const FIRST_ORDER_MS = 1500;
 const SPARES_START_MS = 3000;
+/** Virtual time from which faults are injected. */
 export const TROUBLE_FROM_MS = 6000;
-/** After all trouble: time to recover, calm orders, and reading back. */
+/** Phases after the faults and the recovery: orders without faults, and reading back. */
 const CALM_PHASE_MS = 8000;
 const READ_BACK_PHASE_MS = 5000;
 const CHECK_INTERVAL_MS = 50;
-/** A node has answered a read after this, with whatever it is. */
+/** A node answers each read within this time, if only with a failure. */
 const MAX_READ_MS = 10_000;
-/** An acknowledgement may be later than the bound by its own travel. */
+/** An acknowledgement may exceed the bound by its network delay. */
 const ACK_SLACK_MS = 50;
 
 /** One run of the deployed control side on virtual time, a pure function of its options and schedule. */
@@ -103,7 +109,7 @@
       limit: options.lossLimit,
       nodes: options.nodes,
       presentCount: () => this.#countPresent(),
-      isRecovered: (node, isForGood) => this.#isRecovered(node, isForGood),
+      isRecovered: (node, isPermanent) => this.#isRecovered(node, isPermanent),
     });
     this.#addOperators();
     this.#driver = this.#makeDriver();
@@ -126,7 +132,7 @@
     return { violations: this.#violations.all, figures, history };
   }
 
-  // ---- what happens
+  // ---- phases and observations
 
   #now(): number {
     return this.#scheduler.now;
@@ -162,7 +168,10 @@
     this.#stateRules.check();
     for (const node of this.#fleet.present) {
       if (node.countOverdueReads(MAX_READ_MS) > 0) {
-        this.#violations.add('read-never-answered', `${node.id} in its life ${node.incarnation}`);
+        this.#violations.add(
+          'read-never-answered',
+          `${node.id} in its incarnation ${node.incarnation}`,
+        );
       }
     }
     this.#scheduler.after(CHECK_INTERVAL_MS, () => this.#check());
@@ -171,11 +180,11 @@
   #checkRecovered(): void {
     if (this.#watch.lastServingAt >= this.#calmFrom || this.#fleet.leader) return;
     if (!this.#isRecoveryOwed) return;
-    const text = `none serves ${RECOVERY_BOUND_MS} ms after the last fault`;
+    const text = `no leader serves ${RECOVERY_BOUND_MS} ms after the last fault`;
     this.#violations.add('no-leader-after-trouble', text);
   }
 
-  /** Whether a leader must come about once all trouble is over, whatever was lost. */
+  /** Whether a leader must be elected after all faults have ended: not if more disks were lost than is tolerated. */
   get #isRecoveryOwed(): boolean {
     return this.#options.lossLimit !== 'any' || !this.#budget.isExceeded;
   }
@@ -206,7 +215,7 @@
   }
 
   #answered(node: ControlNode, call: OperatorCall, answer: OperatorAnswer): void {
-    this.#log(`${node.id} answers ${call.method} ${answer.status} ${answer.body.slice(0, 110)}`);
+    this.#log(`${node.id} answered ${call.method} ${answer.status} ${answer.body.slice(0, 110)}`);
     if (call.method === 'GET' || answer.status !== 200) return;
     this.#beginPlans();
     this.#targets.noteAnswered(node.id);
@@ -278,18 +287,18 @@
     this.#scheduler.after(ACK_BOUND_MS + ACK_SLACK_MS, judge);
   }
 
-  /** A proper order has its answer in time if the core was settled all along. */
+  /** Reports a valid order without a definite answer in time, if the core was settled all that time. */
   #judgeAcknowledged(record: OpenOrder, sentAt: number): void {
     if (record.isDefinite || !this.#settled.isSettledSince(sentAt)) return;
-    // Where any number may be lost, orders are owed again once there was time to recover.
+    // If any number of machines may be lost, orders must be answered only after the time to recover.
     const requiredFrom = this.#calmFrom + RECOVERY_BOUND_MS;
     if (this.#options.lossLimit !== 'tolerated' && sentAt < requiredFrom) return;
     if ('isInvalid' in record.order && record.order.isInvalid) return;
-    const text = `order ${record.id} sent at ${Math.round(sentAt)} has no answer after ${ACK_BOUND_MS} ms`;
+    const text = `order ${record.id} sent at ${Math.round(sentAt)} has no definite answer after ${ACK_BOUND_MS} ms`;
     this.#violations.add('late-acknowledgement', text);
   }
 
-  // ---- the parts
+  // ---- components
 
   #makeHolderRules(): HolderRules {
     const { controls, network } = this.#fleet;
@@ -331,7 +340,7 @@
     return this.#fleet.present.length;
   }
 
-  /** An empty disk bears no record of votes until its node counts again. */
+  /** An empty disk holds no vote record until its node is a sound replica again. */
   #isUnderRepair(node: string): boolean {
     return this.#fleet.controls.get(node)?.disk.partition(VOTE_RECORD) === undefined;
   }
@@ -365,10 +374,13 @@
 }
 
 function discardLine(): void {
-  /* Nobody reads the log. */
+  /* The log is discarded. */
 }
 
-/** Runs the deployed control side under a schedule of faults and judges what was seen. */
+/**
+ * Runs the deployed control side under a schedule of faults and checks the observations against the rules.
+ * `coreFactory` creates the cores, `trace` records what leaves them.
+ */
 export function simulate(
   options: SimulationOptions,
   schedule: Schedule,
--- a/src/simulation/pasted-test.ts
+++ b/src/simulation/pasted-test.ts
@@ -1,7 +1,7 @@
 import type { Schedule } from './faults.js';
 import type { SimulationOptions } from './options.js';
 
-/** A test to paste beside the simulation: the run must break no rule. */
+/** The source of a test that reproduces a run and requires that it violates no rule, for a file in `src/simulation`. */
 export function reproductionTest(
   options: SimulationOptions,
   schedule: Schedule,
--- a/src/simulation/run-report.ts
+++ b/src/simulation/run-report.ts
@@ -13,39 +13,57 @@
 import { WEIGHTS } from './schedule-draw.js';
 import type { SeedResult } from './seed-run.js';
 
-/** Where the values of a figure lie, ms. */
+/** The distribution of the values of a figure: their number, and quantiles in milliseconds. */
 export interface Distribution {
+  /** Number of values. */
   readonly count: number;
+  /** The median. */
   readonly median: number;
+  /** The 90% quantile. */
   readonly ninety: number;
+  /** The 95% quantile. */
   readonly ninetyFive: number;
+  /** The 99% quantile. */
   readonly ninetyNine: number;
+  /** The maximum. */
   readonly most: number;
 }
 
-/** The seeds of one shape. */
+/** The results of the seeds of one shape. */
 export interface ShapeReport {
+  /** The shape. */
   readonly shape: RunShape;
+  /** Number of seeds. */
   readonly seeds: number;
+  /** Number of seeds that violated a rule. */
   readonly failed: number;
 }
 
-/** All seeds of one call of the command. */
+/** The results of all seeds of one invocation of the command. */
 export interface RunReport {
+  /** Number of seeds. */
   readonly seeds: number;
+  /** The results by shape. */
   readonly shapes: readonly ShapeReport[];
+  /** Seeds that violated a rule. */
   readonly failedSeeds: readonly number[];
-  /** How many seeds broke each rule. */
+  /** Number of seeds that violated each rule. */
   readonly rules: Readonly<Record<string, number>>;
+  /** Virtual time of all runs together. */
   readonly virtualSeconds: number;
-  /** Seeds after which nobody need lead, since too many disks were lost one right after the other. */
+  /** Number of seeds for which no leader is required after all faults, since more disks were lost than is tolerated. */
   readonly recoveryNotOwed: number;
+  /** Sums of figures over all seeds. */
   readonly totals: Readonly<Record<TotalName, number>>;
-  /** How often each kind of fault struck. */
+  /** Number of injected faults by kind. */
   readonly faults: Readonly<FaultCounts>;
+  /** Outcomes of the orders by kind, and of all together. */
   readonly orders: OrderFigures & { readonly all: OutcomeCounts };
+  /** Times from the start of a new or repaired node until it is a sound replica. */
   readonly repairMs: Distribution;
+  /** Lengths of the periods without a serving leader. */
   readonly leaderlessMs: Distribution;
+  /** The results of the seeds that violated a rule. */
   readonly failures: readonly SeedResult[];
 }
 
@@ -64,7 +82,7 @@
   return left - right;
 }
 
-/** Where so many values lie. */
+/** The distribution of values; all zero if there are none. */
 export function distributionOf(values: readonly number[]): Distribution {
   const sorted = [...values].sort(ascending);
   function quantile(share: number): number {
@@ -92,7 +110,7 @@
   return left.seed - right.seed;
 }
 
-/** The names of the rules that a run broke, each once. */
+/** The names of the rules that a run violated, each once. */
 export function rulesOf(result: SeedResult): readonly string[] {
   const rules = new Set<string>();
   for (const { rule } of result.violations) rules.add(rule);
@@ -109,7 +127,7 @@
   return [...shapes.values()];
 }
 
-/** Every kind that is drawn has its line, also one that never struck. */
+/** Includes every kind that can be drawn, also one that was never injected. */
 function faultsOf(results: readonly SeedResult[]): FaultCounts {
   const counts: FaultCounts = {};
   function add(kind: FaultKind, result: SeedResult): void {
@@ -129,6 +147,7 @@
   return { ...orders, all: totalOf(orders) };
 }
 
+/** Sums up the results of seeds. */
 export function reportOf(results: readonly SeedResult[]): RunReport {
   const failures = results.filter(isFailed).sort(bySeed);
   const rules: Record<string, number> = {};
--- a/src/simulation/run-shape.ts
+++ b/src/simulation/run-shape.ts
@@ -1,16 +1,16 @@
 import type { SimulationOptions } from './options.js';
 import { drawOptions } from './schedule-draw.js';
 
-/** What of a run is fixed; all else is drawn from its seed. */
+/** The options that a shape fixes; all others are drawn from the seed. */
 type ShapeOptions = Partial<Omit<SimulationOptions, 'seed' | 'nodes'>> &
   Pick<SimulationOptions, 'nodes'>;
 
 const LONG_TROUBLE_MS = 60_000;
-/** At this pace two operators make hundreds of changes in a long run. */
+/** With this mean time between actions, two operators make hundreds of changes in a long run. */
 const LONG_PACE_MS = 60;
 const LONG = { troubleMs: LONG_TROUBLE_MS, paceMs: LONG_PACE_MS } as const;
 
-/** The fleets and lengths that runs have. */
+/** The shapes of runs: sizes of the fleet, and lengths. */
 export const RUN_SHAPES = {
   three: { nodes: 3 },
   five: { nodes: 5 },
@@ -22,9 +22,10 @@
   'three-long': { nodes: 3, spares: 1, ...LONG },
   'five-long': { nodes: 5, spares: 1, ...LONG },
 } as const satisfies Record<string, ShapeOptions>;
+/** The name of a shape. */
 export type RunShape = keyof typeof RUN_SHAPES;
 
-/** Twenty seeds in a row have these shapes, so that any part of a batch has them in these shares. */
+/** Twenty consecutive seeds have these shapes, so that any part of a batch has them in the same proportions. */
 const SHAPE_MIX: readonly RunShape[] = [
   'three',
   'five',
@@ -47,7 +48,7 @@
   'three-spare',
   'three',
 ];
-/** Of a hundred seeds one of each size is long: such a run takes as much processor time as ten others. */
+/** In a hundred seeds one of each size is long: such a run takes as much processor time as ten others. */
 const LONG_RUN_CYCLE = 100;
 const LONG_THREE_REMAINDER = 15;
 const LONG_FIVE_REMAINDER = 65;
@@ -56,13 +57,17 @@
   return text in RUN_SHAPES;
 }
 
+/** The names of all shapes. */
 export const SHAPE_NAMES: readonly RunShape[] = Object.keys(RUN_SHAPES).filter(isRunShape);
 
-/** What a batch asks for: one shape, or the mix of all. */
+/** The name that requests the mix of all shapes. */
 export const MIXED = 'mixed';
+/** The shape requested for a batch: one shape, or the mix of all. */
 export type RequestedShape = RunShape | typeof MIXED;
+/** All values that can be requested. */
 export const REQUESTED_SHAPES: readonly RequestedShape[] = [...SHAPE_NAMES, MIXED];
 
+/** Whether a text is a shape that can be requested. */
 export function isRequestedShape(text: string): text is RequestedShape {
   return text === MIXED || isRunShape(text);
 }
@@ -73,11 +78,12 @@
   return SHAPE_MIX[seed % SHAPE_MIX.length] ?? 'three';
 }
 
-export function shapeOf(seed: number, wanted: RequestedShape): RunShape {
-  return wanted === MIXED ? mixedShapeOf(seed) : wanted;
+/** The shape of the run of a seed. */
+export function shapeOf(seed: number, requested: RequestedShape): RunShape {
+  return requested === MIXED ? mixedShapeOf(seed) : requested;
 }
 
-/** The options of a seed's run: those of its shape, and for the rest what the seed draws. */
+/** The options of the run of a seed: those that the shape fixes; the others are drawn from the seed. */
 export function optionsOf(seed: number, shape: RunShape): SimulationOptions {
   const fixed = RUN_SHAPES[shape];
   return { ...drawOptions(seed, fixed.nodes), ...fixed };
--- a/src/simulation/seed-run.ts
+++ b/src/simulation/seed-run.ts
@@ -27,7 +27,7 @@
   orders: record(enums([...ORDER_KINDS]), OutcomesShape),
 });
 
-/** A seed's result as it comes from another process. */
+/** The shape of a seed's result as received from a worker process. */
 export const SeedResultShape = object({
   seed: number(),
   shape: enums([...SHAPE_NAMES]),
@@ -35,15 +35,19 @@
   figures: FiguresShape,
 });
 
-/** What one seed gave. */
+/** The result of one seed. */
 export interface SeedResult {
+  /** The seed. */
   readonly seed: number;
+  /** The shape of its run. */
   readonly shape: RunShape;
+  /** The violated rules. */
   readonly violations: readonly RunViolation[];
+  /** The measured figures. */
   readonly figures: RunFigures;
 }
 
-/** Runs the options and the schedule that a seed draws for a shape. */
+/** Runs a seed: its options and its schedule are drawn for a shape. */
 export function runSeed(seed: number, shape: RunShape, log?: RunLog): SeedResult {
   const options = optionsOf(seed, shape);
   const { violations, figures } = simulate(options, drawSchedule(options), log);
--- a/src/simulation/shrinker.test.ts
+++ b/src/simulation/shrinker.test.ts
@@ -15,7 +15,7 @@
 
 const SCHEDULE: Schedule = [0, 1, 2, 3, 4, 5, 6, 7, 8, 9, 10].map(faultOf);
 
-/** Fails by two faults alone, and only while the second lasts for a second or longer. */
+/** Fails if the schedule contains two certain faults and the second lasts for a second or longer. */
 function failsByTwoFaults(schedule: Schedule): boolean {
   const second = schedule.find(isSecond);
   const span = second && 'forMs' in second ? second.forMs : 0;
@@ -30,13 +30,13 @@
   return placeOf(fault) === 9;
 }
 
-test('a failing schedule is cut down to the faults that it needs', () => {
+test('a failing schedule is reduced to the faults that it needs', () => {
   const { schedule, runs } = new Shrinker(failsByTwoFaults, 500).shrink(SCHEDULE);
   expect(schedule.map(placeOf)).toEqual([2, 9]);
   expect(schedule).toMatchObject([{ forMs: 50 }, { forMs: 1000 }]);
   expect(runs).toBeLessThan(80);
 });
-test('shrinking ends after so many runs with a schedule that fails', () => {
+test('shrinking stops at the maximum number of runs and returns a failing schedule', () => {
   const { schedule, runs } = new Shrinker(failsByTwoFaults, 4).shrink(SCHEDULE);
   expect(runs).toBe(4);
   expect(failsByTwoFaults(schedule)).toBe(true);
--- a/src/simulation/shrinker.ts
+++ b/src/simulation/shrinker.ts
@@ -2,20 +2,23 @@
 import type { Fault, Schedule } from './faults.js';
 import type { SimulationOptions } from './options.js';
 
-/** Whether a schedule still brings about what is looked for. */
+/** Whether a schedule still causes the failure. */
 export type StillFails = (schedule: Schedule) => boolean;
 
+/** The result of shrinking. */
 export interface Shrunk {
+  /** The shortest failing schedule found. */
   readonly schedule: Schedule;
+  /** Number of runs that were made. */
   readonly runs: number;
 }
 
-/** Spans are shortened down to this. */
+/** Durations are not shortened below this. */
 const MIN_DURATION_MS = 50;
 
 /**
- * Cuts a failing schedule down: first by delta debugging, which leaves out ever smaller pieces until
- * no single fault can go, then by shortening the spans of those that are left.
+ * Shrinks a failing schedule: first by delta debugging, which leaves out smaller and smaller pieces until no single fault
+ * can be removed, then by shortening the durations of the remaining faults.
  */
 export class Shrinker {
   readonly #stillFails: StillFails;
@@ -27,6 +30,7 @@
     this.#maxRuns = maxRuns;
   }
 
+  /** Shrinks a failing schedule; stops at the maximum number of runs. */
   shrink(schedule: Schedule): Shrunk {
     const shortest = this.#shortenDurations(this.#leaveOut(schedule));
     return { schedule: shortest, runs: this.#runs };
@@ -81,7 +85,7 @@
   return { ...fault, forMs: Math.max(MIN_DURATION_MS, Math.round(fault.forMs / 2)) };
 }
 
-/** The shortest schedule found that still breaks a rule under these options. */
+/** The shortest schedule found that still violates the rule under these options. */
 export function shrinkRun(
   options: SimulationOptions,
   schedule: Schedule,
