--- a/src/simulation/commands/simulate-control-command.ts
+++ b/src/simulation/commands/simulate-control-command.ts
@@ -88,14 +88,14 @@
     const { from, seeds, jobs, report: file } = flags;
     const results: SeedResult[] = [];
     const done = (result: SeedResult) => this.#onResult(results, seeds, file, result);
-    const maxDurationMs = (flags.minutes ?? Infinity) * MS_PER_MINUTE;
+    const limitMs = (flags.minutes ?? Infinity) * MS_PER_MINUTE;
     const worker = new URL('./seed-worker.js', import.meta.url);
     const runs = runRequests(from, seeds, shape);
     const pool = new SeedPool({
       worker,
       runs,
       jobs,
-      mostMs: maxDurationMs,
+      mostMs: limitMs,
       isResult: isSeedResult,
       done,
     });
