--- a/src/simulation/control-node.ts
+++ b/src/simulation/control-node.ts
@@ -18,7 +18,7 @@
   SESSION_TIMEOUT_MS,
 } from '../control/control-process.js';
 import { DISK_RETRY_MS, RETIRE_TIMEOUT_MS } from '../control/control-runtime.js';
-import { GRACE_MS, LEASE_MS } from './contract-bounds.js';
+import { STOP_GRACE_MS, LEASE_MS } from './contract-bounds.js';
 import type { CoreBuild } from './core-build.js';
 import type { Endpoint } from './endpoint.js';
 import { LeasedOrder } from './leased-order.js';
@@ -31,65 +31,77 @@
 import type { Host, Port, SimNetwork } from './sim-network.js';
 import { SimProcess } from './sim-process.js';
 
-/** What a run is told of a control node as it works. */
+/** Callbacks by which a run observes a control node. */
 export interface ControlObserver {
-  /** After every input of the core, with all its effects begun. */
+  /** Called after each input of the core, once all its effects have been started. */
   stepped(node: ControlNode): void;
-  /** An answer is written to an operator. */
+  /** Called when an answer is written to an operator. */
   answered(node: ControlNode, call: OperatorCall, answer: OperatorAnswer): void;
-  /** The core threw, which its process logs and outlives. */
+  /** Called when the core threw; the process logs the error and continues. */
   threw(node: ControlNode, error: unknown): void;
-  noted(node: ControlNode, text: string): void;
+  /** Called with each log event of the core, as JSON. */
+  logged(node: ControlNode, text: string): void;
 }
 
-export interface ControlSurroundings {
+/** What a control node is created with. */
+export interface ControlNodeSettings {
+  /** The run's virtual time. */
   readonly scheduler: Scheduler;
+  /** The node's own stream of random numbers. */
   readonly random: Seeded;
+  /** The network that the node is attached to. */
   readonly network: SimNetwork;
+  /** Receives what the node does. */
   readonly observer: ControlObserver;
+  /** The runners that the platform lists. */
   readonly runners: readonly ListedRunner[];
-  readonly drift: number;
-  /** Makes its core. */
-  readonly build: CoreBuild;
+  /** Maximum deviation of its clock rate from 1, as a fraction. */
+  readonly maxDrift: number;
+  /** Creates the core at each start of the process. */
+  readonly coreFactory: CoreBuild;
 }
 
 type StoreEffect = Extract<ControlEffect, { do: 'store' }>;
 type OrderEffect = Extract<ControlEffect, { do: 'order' }>;
 
-/** A process is loaded and reads its files for so long before it listens. */
-const LEAST_START_MS = 60;
-const MOST_START_MS = 200;
-const LIST_DELAY_MS = 20;
-const LIFE_RANGE = 2 ** 47;
+/** Range of the time from the start of a process until it listens: loading the program and reading its files. */
+const MIN_START_MS = 60;
+const MAX_START_MS = 200;
+const RUNNER_LIST_DELAY_MS = 20;
+const INCARNATION_RANGE = 2 ** 47;
 
-/** A core machine: the real control core with a deployment's settings on a simulated process, disk and network. */
+/** A control machine: the real control core with a deployment's settings on a simulated process, disk and network. */
 export class ControlNode implements Host {
+  /** The node id, which is also its address. */
   readonly id: string;
+  /** The zone of the machine. */
   readonly zone: string;
+  /** The simulated process that runs the control core. */
   readonly process: SimProcess;
+  /** The disk of the machine. */
   readonly disk: SimDisk;
-  readonly #around: ControlSurroundings;
+  readonly #settings: ControlNodeSettings;
   readonly #trace: NodeTrace;
   readonly #exchange: SimExchange;
   #core: ControlCore | undefined;
   #isPowered = true;
   #seeds: readonly string[] = [];
-  readonly #operators: OperatorPort;
-  #starts = 0;
-  /** All told once a process that was asked to stop is gone; it may be asked more than once. */
-  #ended: (() => void)[] = [];
-  /** Set while the next order's write is to be held up by a freeze right after the lease was checked. */
+  readonly #operatorPort: OperatorPort;
+  #startCount = 0;
+  /** Called once the process has ended after a request to stop; there may be several requests. */
+  #stopListeners: (() => void)[] = [];
+  /** If set, called between the lease check and the write of the next order, to freeze the process there. */
   freezeAtOrder: (() => void) | undefined;
 
-  constructor(id: string, zone: string, around: ControlSurroundings) {
+  constructor(id: string, zone: string, settings: ControlNodeSettings) {
     this.id = id;
     this.zone = zone;
-    this.#around = around;
-    this.#trace = new NodeTrace(id, around.scheduler, around.network.trace);
-    this.process = new SimProcess(around.scheduler, around.random, around.drift);
-    this.disk = new SimDisk(around.scheduler, around.random);
-    this.#operators = new OperatorPort({
-      random: around.random,
+    this.#settings = settings;
+    this.#trace = new NodeTrace(id, settings.scheduler, settings.network.trace);
+    this.process = new SimProcess(settings.scheduler, settings.random, settings.maxDrift);
+    this.disk = new SimDisk(settings.scheduler, settings.random);
+    this.#operatorPort = new OperatorPort({
+      random: settings.random,
       now: () => this.now(),
       nextTurn: (run) => this.process.after(0, run),
       command: this.#command.bind(this),
@@ -97,102 +109,106 @@
     });
     this.#exchange = new SimExchange(
       this,
-      around.network,
+      settings.network,
       { role: 'mind', zone },
       {
         receive: (from, role, zone, message) => this.#receive(from, role, zone, message),
-        gone: (id) => this.#gone(id),
+        disconnected: (id) => this.#disconnected(id),
       },
     );
   }
 
+  /** The core of the running process; `undefined` while the process is down or loading. */
   get core(): ControlCore | undefined {
     return this.#core;
   }
 
+  /** Whether the machine has power. */
   get isPowered(): boolean {
     return this.#isPowered;
   }
 
+  /** Whether the process accepts connections. */
   get isListening(): boolean {
     return this.#core !== undefined;
   }
 
-  /** Counts the lives of its process. */
+  /** Number of times the process was started. */
   get incarnation(): number {
-    return this.#starts;
+    return this.#startCount;
   }
 
-  /** Begins the process with the settings of this moment. */
+  /** Starts the process with the current settings; has no effect while it runs. */
   start(isFirstStart: boolean, seeds: readonly string[]): void {
     if (this.process.isUp) return;
     this.#isPowered = true;
-    this.#around.network.powerReturned(this.id);
-    this.#starts += 1;
+    this.#settings.network.powerReturned(this.id);
+    this.#startCount += 1;
     this.#seeds = seeds;
     this.process.begin();
-    const delay = this.#around.random.between(LEAST_START_MS, MOST_START_MS);
+    const delay = this.#settings.random.between(MIN_START_MS, MAX_START_MS);
     this.process.after(delay, () => this.#load(isFirstStart));
   }
 
-  /** SIGKILL: the machine stays up, and its kernel closes the connections. */
+  /** Kills the process as SIGKILL does: the machine stays up and its kernel closes the connections. */
   kill(): void {
     this.#endProcess();
     this.disk.crash('drawn');
   }
 
-  /** The whole machine goes dark. */
+  /** The machine loses power; `fate` decides about writes that were not synced. */
   losePower(fate: UnsyncedFate): void {
     this.#isPowered = false;
-    this.#around.network.powerLost(this.id);
+    this.#settings.network.powerLost(this.id);
     this.#endProcess();
     this.disk.crash(fate);
   }
 
-  /** SIGTERM: hands over what it leads, and is killed if it has not ended after the grace. */
-  stop(ended: () => void): void {
-    // It may be killed, or lose power, before it has ended by itself.
-    this.#ended.push(ended);
-    if (this.#ended.length > 1) return;
-    const end = () => this.#finish();
-    // The machine kills what has not ended, frozen or not.
-    this.#around.scheduler.after(GRACE_MS, this.process.inThisLife(end));
-    const retire = this.#retire.bind(this, this.process.now() + RETIRE_TIMEOUT_MS, end);
+  /** SIGTERM: the process hands over leadership and exits, or is killed after `STOP_GRACE_MS`, then calls `onEnded`. */
+  stop(onEnded: () => void): void {
+    // The process may be killed, or the machine lose power, before it exits by itself.
+    this.#stopListeners.push(onEnded);
+    if (this.#stopListeners.length > 1) return;
+    const exit = () => this.#exit();
+    // The kill after the grace period uses true time, so that it also ends a frozen process.
+    this.#settings.scheduler.after(STOP_GRACE_MS, this.process.inThisIncarnation(exit));
+    const retire = this.#retire.bind(this, this.process.now() + RETIRE_TIMEOUT_MS, exit);
     this.process.submit('signal', retire);
   }
 
+  /** Passes new seeds to the running process. */
   setSeeds(seeds: readonly string[]): void {
     this.#seeds = seeds;
     function set(core: ControlCore): void {
       core.setSeeds(seeds);
     }
-    this.process.submit('settings', () => this.#work(set));
+    this.process.submit('settings', () => this.#runInput(set));
   }
 
+  /** Accepts a connection from another node or from an operator, depending on the port. */
   accept(endpoint: Endpoint, port: Port): void {
     if (port === 'nodes') this.#exchange.accept(endpoint);
-    else this.#operators.accept(endpoint);
+    else this.#operatorPort.accept(endpoint);
   }
 
+  /** The monotonic clock of the process. */
   now(): Moment {
     return this.process.now();
   }
 
-  /** How many reads have waited for an answer here for longer than so long. */
-  readsWaiting(millis: number): number {
+  /** Number of reads that have waited for an answer for longer than `thresholdMs`; 0 unless the process runs. */
+  countOverdueReads(thresholdMs: number): number {
     if (!this.process.isRunning || this.#core === undefined) return 0;
-    return this.#operators.readsWaiting(millis);
+    return this.#operatorPort.countOverdueReads(thresholdMs);
   }
 
-  // ---- the process
-
   #load(isFirstStart: boolean): void {
-    const open = this.process.inThisLife(() => this.#open(isFirstStart));
-    this.disk.whenAnswering(() => this.process.submit('disk', open));
+    const startCore = this.process.inThisIncarnation(() => this.#startCore(isFirstStart));
+    this.disk.whenResponsive(() => this.process.submit('disk', startCore));
   }
 
-  #open(isFirstStart: boolean): void {
-    const { random } = this.#around;
+  #startCore(isFirstStart: boolean): void {
+    const { random } = this.#settings;
     const planner = new OrderStub();
     const dialect = new PlainDialect();
     const deployed = { dialect, planner, isFirstStart, listMs: RUNNER_LIST_INTERVAL_MS };
@@ -201,43 +217,43 @@
       me: this.id,
       zone: this.zone,
       seeds: this.#seeds,
-      incarnation: random.below(LIFE_RANGE),
+      incarnation: random.below(INCARNATION_RANGE),
       silentMs: SESSION_TIMEOUT_MS,
       foundMs: 0,
       deployed,
     };
     const vote = { ...VOTE_DEFAULTS, ...DEPLOYED_VOTE_SETTINGS, handoverGapMs: LEASE_MS };
-    this.#operators.open();
+    this.#operatorPort.open();
     const inputs = { settings, stored: this.disk.list(), now: this.process.now(), vote };
-    this.#core = this.#around.build.control(inputs);
+    this.#core = this.#settings.coreFactory.control(inputs);
     this.#exchange.open();
     this.process.every(CONTROL_TICK_MS, () => this.#tick());
     this.#tick();
   }
 
   #endProcess(): void {
-    this.#around.network.processEnded(this.id);
+    this.#settings.network.processEnded(this.id);
     this.process.end();
     this.#core = undefined;
     this.freezeAtOrder = undefined;
-    this.#around.observer.stepped(this);
-    const ended = this.#ended;
-    this.#ended = [];
-    for (const tell of ended) tell();
+    this.#settings.observer.stepped(this);
+    const listeners = this.#stopListeners;
+    this.#stopListeners = [];
+    for (const notify of listeners) notify();
   }
 
-  #retire(until: number, end: () => void): void {
+  #retire(deadline: number, exit: () => void): void {
     let isRetired = false;
     const now = () => this.now();
-    this.#work((core: ControlCore) => {
+    this.#runInput((core: ControlCore) => {
       isRetired = core.retire(now());
     });
-    // What was said last must leave the process before its lines close.
-    if (isRetired || this.process.now() >= until) this.process.after(CONTROL_TICK_MS, end);
-    else this.process.after(CONTROL_TICK_MS, () => this.#retire(until, end));
+    // The last messages must leave the process before its connections close.
+    if (isRetired || this.process.now() >= deadline) this.process.after(CONTROL_TICK_MS, exit);
+    else this.process.after(CONTROL_TICK_MS, () => this.#retire(deadline, exit));
   }
 
-  #finish(): void {
+  #exit(): void {
     this.#exchange.close();
     this.kill();
   }
@@ -246,33 +262,33 @@
     const core = this.#core;
     if (!core) return;
     for (const peer of core.peers) this.#exchange.dial(peer);
-    this.#work(core.tick.bind(core, this.process.now()));
+    this.#runInput(core.tick.bind(core, this.process.now()));
   }
 
-  /** One input of the core, with all its effects, before the next. */
-  #work(input: (core: ControlCore) => void): void {
+  /** Processes one input of the core and starts all its effects before the next input. */
+  #runInput(input: (core: ControlCore) => void): void {
     const core = this.#core;
     if (!core) return;
     try {
       input(core);
     } catch (thrown) {
-      this.#around.observer.threw(this, thrown);
+      this.#settings.observer.threw(this, thrown);
     }
     for (const effect of core.drain()) this.#carryOut(core, effect);
-    this.#around.observer.stepped(this);
+    this.#settings.observer.stepped(this);
   }
 
   #receive(from: string, role: string, zone: string, message: Message): void {
     const now = this.process.now();
     const knownZone = role === 'mind' ? zone : '';
-    this.#work((core: ControlCore) => {
+    this.#runInput((core: ControlCore) => {
       core.onMessage(now, from, message, knownZone);
     });
   }
 
-  #gone(id: string): void {
+  #disconnected(id: string): void {
     const now = this.process.now();
-    this.#work((core: ControlCore) => {
+    this.#runInput((core: ControlCore) => {
       core.onDisconnect(now, id);
     });
   }
@@ -283,33 +299,33 @@
         this.#exchange.send(effect.to, effect.message);
         break;
       case 'store':
-        this.#keep(core, effect);
+        this.#store(core, effect);
         break;
       case 'askList':
         this.#trace.record('list', []);
-        this.process.after(LIST_DELAY_MS, () => this.#list(core));
+        this.process.after(RUNNER_LIST_DELAY_MS, () => this.#deliverRunnerList(core));
         break;
       case 'order':
         this.#order(core, effect);
         break;
       case 'reply':
         this.#trace.answer(effect.status, effect.body);
-        this.#operators.reply(effect.id, { status: effect.status, body: effect.body });
+        this.#operatorPort.reply(effect.id, { status: effect.status, body: effect.body });
         break;
       case 'log':
-        this.#around.observer.noted(this, JSON.stringify(effect.event));
+        this.#settings.observer.logged(this, JSON.stringify(effect.event));
         break;
       default:
         break;
     }
   }
 
-  /** An input of one life's core alone, taken by its event loop. */
-  #input(core: ControlCore, stream: string, input: (core: ControlCore) => void): void {
+  /** Submits an input to the event loop; it is dropped if the core was replaced meanwhile. */
+  #submitInput(core: ControlCore, stream: string, input: (core: ControlCore) => void): void {
     const isCurrent = (core: ControlCore) => this.#isCurrent(core);
-    const work = () => this.#work(input);
+    const runInput = () => this.#runInput(input);
     this.process.submit(stream, () => {
-      if (isCurrent(core)) work();
+      if (isCurrent(core)) runInput();
     });
   }
 
@@ -317,46 +333,46 @@
     return this.#core === core;
   }
 
-  #keep(core: ControlCore, effect: StoreEffect): void {
+  #store(core: ControlCore, effect: StoreEffect): void {
     const { partition, version, body } = effect;
     const now = () => this.now();
-    function stored(inner: ControlCore): void {
+    function onPersisted(inner: ControlCore): void {
       inner.onPersisted(now(), partition, version);
     }
     const stream = `disk ${partition}`;
-    const again = this.process.inThisLife(() => this.#keep(core, effect));
-    const wait = () => this.process.after(DISK_RETRY_MS, again);
-    const done = () => this.#input(core, stream, stored);
-    const fail = () => this.process.submit(stream, wait);
+    const retry = this.process.inThisIncarnation(() => this.#store(core, effect));
+    const retryLater = () => this.process.after(DISK_RETRY_MS, retry);
+    const done = () => this.#submitInput(core, stream, onPersisted);
+    const fail = () => this.process.submit(stream, retryLater);
     this.#trace.write(partition, version, body);
     this.disk.write(partition, version, body, done, fail);
   }
 
-  #list(core: ControlCore): void {
-    const { runners } = this.#around;
-    this.#input(core, 'list', listAt.bind(undefined, this.process.now(), runners));
+  #deliverRunnerList(core: ControlCore): void {
+    const { runners } = this.#settings;
+    this.#submitInput(core, 'list', reportRunnerList.bind(undefined, this.process.now(), runners));
   }
 
   #order(core: ControlCore, effect: OrderEffect): void {
     const { intent, address } = effect;
     const now = () => this.now();
-    function ordered(result: OrderResult, inner: ControlCore): void {
+    function onOutcome(result: OrderResult, inner: ControlCore): void {
       inner.onOrderOutcome(now(), intent.id, result);
     }
     const input = (input: (core: ControlCore) => void) =>
-      this.#input(core, `order ${address}`, input);
+      this.#submitInput(core, `order ${address}`, input);
     function done(result: OrderResult): void {
-      input((inner) => ordered(result, inner));
+      input((inner) => onOutcome(result, inner));
     }
     const order = { holder: this.id, fence: core.elector.epoch };
-    const { network } = this.#around;
+    const { network } = this.#settings;
     this.#trace.order(intent);
     const writing = (write: () => void) => this.#writeOrder(write);
     const lease = core;
     new LeasedOrder({ network, host: this, runner: address, order, lease, writing, done }).send();
   }
 
-  /** The process may be frozen between the check of its lease and the write. */
+  /** A fault may freeze the process between the check of its lease and the write. */
   #writeOrder(write: () => void): void {
     const freeze = this.freezeAtOrder;
     this.freezeAtOrder = undefined;
@@ -364,20 +380,18 @@
     this.process.submit('write', write);
   }
 
-  // ---- operators
-
   #command(id: number, { verb, body }: CoreCommand): void {
     const now = this.process.now();
-    this.#work((core: ControlCore) => {
+    this.#runInput((core: ControlCore) => {
       core.onCommand(now, id, verb, body);
     });
   }
 
   #answering(call: OperatorCall, answer: OperatorAnswer): void {
-    this.#around.observer.answered(this, call, answer);
+    this.#settings.observer.answered(this, call, answer);
   }
 }
 
-function listAt(now: Moment, runners: readonly ListedRunner[], core: ControlCore): void {
+function reportRunnerList(now: Moment, runners: readonly ListedRunner[], core: ControlCore): void {
   core.onRunnerList(now, runners);
 }
--- a/src/simulation/pasted-test.ts
+++ b/src/simulation/pasted-test.ts
@@ -1,8 +1,12 @@
 import type { Schedule } from './faults.js';
 import type { SimulationOptions } from './options.js';
 
-/** A test to paste beside the simulation: the run must break no rule. */
-export function pastedTest(options: SimulationOptions, schedule: Schedule, rule: string): string {
+/** The source of a test that reproduces a run and requires that it violates no rule, for a file in `src/simulation`. */
+export function reproductionTest(
+  options: SimulationOptions,
+  schedule: Schedule,
+  rule: string,
+): string {
   const faults: string[] = [];
   for (const fault of schedule) faults.push(`    ${JSON.stringify(fault)},`);
   const title = `seed ${options.seed} of ${options.nodes} nodes keeps ${rule}`;
--- a/src/simulation/sim-network.test.ts
+++ b/src/simulation/sim-network.test.ts
@@ -6,11 +6,11 @@
 import { SimNetwork, type Host } from './sim-network.js';
 import { SimProcess } from './sim-process.js';
 
-/** A host that remembers what it hears. */
+/** A host that records what it receives. */
 class ListeningHost implements Host {
   readonly id: string;
   readonly process: SimProcess;
-  readonly heard: string[] = [];
+  readonly received: string[] = [];
   endpoint: Endpoint | undefined;
   isPowered = true;
   isListening = true;
@@ -27,15 +27,15 @@
 
   connected(endpoint: Endpoint): void {
     this.endpoint = endpoint;
-    const { heard } = this;
+    const { received } = this;
     endpoint.handler = {
-      data: heard.push.bind(heard),
-      closed: heard.push.bind(heard, 'closed'),
+      data: received.push.bind(received),
+      closed: received.push.bind(received, 'closed'),
     };
   }
 
   refused(): void {
-    this.heard.push('refused');
+    this.received.push('refused');
   }
 }
 
@@ -46,8 +46,8 @@
   readonly far = new ListeningHost('far', this.scheduler);
 
   constructor() {
-    this.network.join(this.near);
-    this.network.join(this.far);
+    this.network.addHost(this.near);
+    this.network.addHost(this.far);
   }
 
   connect(): this {
@@ -65,33 +65,33 @@
   }
 }
 
-test('what is written on a connection arrives in order', () => {
+test('payloads written to a connection arrive in order', () => {
   const pair = new Pair().connect();
   pair.send('1', '2', '3', '4');
   pair.run(50);
-  expect(pair.far.heard).toEqual(['1', '2', '3', '4']);
+  expect(pair.far.received).toEqual(['1', '2', '3', '4']);
 });
-test('bytes held up by a cut arrive after it, also when their sender closed', () => {
+test('payloads held up by a cut arrive after it, even if their sender has closed the connection', () => {
   const pair = new Pair().connect();
   pair.network.cut('near', 'far', 'silent');
   pair.send('1', '2');
   pair.near.endpoint?.close();
   pair.run(5000);
-  expect(pair.far.heard).toEqual([]);
+  expect(pair.far.received).toEqual([]);
   pair.network.heal('near', 'far');
   pair.run(200);
-  // Closed meanwhile, and still what was written arrives late.
-  expect(pair.far.heard).toEqual(['1', '2', 'closed']);
+  // The sender has closed meanwhile, but the payloads still arrive.
+  expect(pair.far.received).toEqual(['1', '2', 'closed']);
 });
-test('a cut may be one-way', () => {
+test('a cut can affect one direction only', () => {
   const pair = new Pair().connect();
   pair.network.cut('near', 'far', 'silent');
   pair.far.endpoint?.send('back');
   pair.send('there');
   pair.run(1000);
-  expect([pair.near.heard, pair.far.heard]).toEqual([['back'], []]);
+  expect([pair.near.received, pair.far.received]).toEqual([['back'], []]);
 });
-test('cuts of several faults end with the last of them', () => {
+test('a link that several faults cut is healed when the last of them ends', () => {
   const pair = new Pair().connect();
   pair.network.cut('near', 'far', 'silent');
   pair.network.cut('near', 'far', 'silent');
@@ -100,29 +100,29 @@
   pair.network.heal('near', 'far');
   expect(pair.network.isCut('near', 'far')).toBe(false);
 });
-test('a reset loses what was held up, and both sides hear of it', () => {
+test('a reset drops payloads that were held up, and both sides are notified', () => {
   const pair = new Pair().connect();
   pair.network.cut('near', 'far', 'silent');
   pair.send('1');
   pair.network.resetConnections('near', 1);
   pair.network.heal('near', 'far');
   pair.run(500);
-  expect([pair.near.heard, pair.far.heard]).toEqual([['closed'], ['closed']]);
+  expect([pair.near.received, pair.far.received]).toEqual([['closed'], ['closed']]);
 });
-test('a machine without power says nothing, and what it had not sent is lost', () => {
+test('a machine without power sends nothing, and its unsent payloads are lost', () => {
   const pair = new Pair().connect();
   pair.network.cut('near', 'far', 'silent');
   pair.send('lost');
   pair.network.powerLost('near');
   pair.network.heal('near', 'far');
   pair.run(500);
-  // Nothing tells the other side.
-  expect(pair.far.heard).toEqual([]);
+  // The other side is not notified.
+  expect(pair.far.received).toEqual([]);
   pair.far.endpoint?.send('anybody?');
   pair.run(500);
-  expect(pair.far.heard).toEqual(['closed']);
+  expect(pair.far.received).toEqual(['closed']);
 });
-test('a frozen process finds what came meanwhile', () => {
+test('a thawed process reads what arrived while it was frozen', () => {
   const pair = new Pair();
   pair.far.process.freeze();
   pair.connect();
@@ -131,15 +131,15 @@
   pair.run(3000);
   expect(pair.far.endpoint).toBeUndefined();
   pair.far.process.thaw();
-  // Its kernel accepted for it: the call is read though nobody waits any more.
-  expect(pair.far.heard).toEqual(['1', '2', 'closed']);
+  // Its kernel accepted the connection: the call is read although the caller has closed.
+  expect(pair.far.received).toEqual(['1', '2', 'closed']);
 });
-test('a dead port refuses, a dark machine says nothing', () => {
+test('a closed port refuses a connection, a machine without power does not respond', () => {
   const pair = new Pair();
   pair.far.isListening = false;
   pair.connect();
-  expect(pair.near.heard).toEqual(['refused']);
+  expect(pair.near.received).toEqual(['refused']);
   pair.far.isPowered = false;
   pair.connect();
-  expect(pair.near.heard).toEqual(['refused']);
+  expect(pair.near.received).toEqual(['refused']);
 });
--- a/src/simulation/state-rules.ts
+++ b/src/simulation/state-rules.ts
@@ -13,7 +13,7 @@
 import type { OperatorAnswer } from './operator-call.js';
 import type { Report } from './violation.js';
 
-const NewsShape = type({
+const ConfigShape = type({
   voters: array(array(string())),
   routing: optional(type({ version: number() })),
 });
@@ -30,12 +30,14 @@
   readonly version: Version;
 }
 
+/** What the rules are created with. */
 export interface StateRulesSettings {
+  /** Called with each violation. */
   readonly report: Report;
-  /** Every control node that ever was, by its id. */
+  /** Every control node of the run by its id, including those that have left. */
   readonly nodes: ReadonlyMap<string, ControlNode>;
-  /** Machines that have left for good, with their disks. */
-  readonly isGone: (node: string) => boolean;
+  /** Whether a machine has left with its disk. */
+  readonly hasLeft: (node: string) => boolean;
   /** Whether a node has lost its disk and may not vote yet. */
   readonly isUnderRepair: (node: string) => boolean;
 }
@@ -50,27 +52,27 @@
 }
 
 /**
- * What must hold of the shared state at every step: what was acknowledged stays where every majority
- * finds it, voters change by a majority of the voters before, one version has one body, and no node
- * that lives goes back to an older configuration.
+ * Rules of the shared state that hold at every step: every majority finds what was acknowledged, voters are changed by a
+ * majority of the previous voters, one version has one body, and no process reverts to an older configuration.
  */
 export class StateRules {
   readonly #settings: StateRulesSettings;
   readonly #configs = new Map<string, KnownConfig>();
   #newest: { readonly version: Version; readonly config: KnownConfig } | undefined;
   #acknowledged: Acknowledged | undefined;
-  /** What each life of a node or agent shows as the newest configuration. */
-  readonly #shown = new Map<string, { readonly version: Version; readonly routing: number }>();
+  /** The newest configuration shown by each incarnation of a node or agent. */
+  readonly #lastShown = new Map<string, { readonly version: Version; readonly routing: number }>();
 
   constructor(settings: StateRulesSettings) {
     this.#settings = settings;
   }
 
-  /** The newest committed voters that any node was ever told of. */
+  /** The newest committed voters that any node has shown. */
   get voters(): readonly (readonly string[])[] {
     return this.#newest?.config.voters ?? [];
   }
 
+  /** Records an acknowledged edit. */
   answered(answer: OperatorAnswer): void {
     const accepted = parseAs(AcceptedShape, answer.body);
     if (!accepted) return;
@@ -80,27 +82,27 @@
     this.check();
   }
 
-  /** Looks at what a node or agent holds as committed; `life` tells its lives apart. */
+  /** Checks what an incarnation of a node or agent holds as committed. */
   watch(id: string, incarnation: number, relay: Relay): void {
     const key = `${id} ${incarnation}`;
     const version = relay.version('config');
-    const shown = this.#shown.get(key);
-    if (shown && compareVersions(version, shown.version) === 0) return;
+    const lastShown = this.#lastShown.get(key);
+    if (lastShown && compareVersions(version, lastShown.version) === 0) return;
     const item = relay.latest('config');
     if (!item) return;
-    const config = this.#know(item);
+    const config = this.#learnConfig(item);
     if (!config) return;
-    if (shown && isNewer(shown.version, version)) {
-      const text = `${id} from ${versionText(shown.version)} to ${versionText(version)}`;
+    if (lastShown && isNewer(lastShown.version, version)) {
+      const text = `${id} from ${versionText(lastShown.version)} to ${versionText(version)}`;
       this.#settings.report('version-stepped-back', text);
-    } else if (shown && config.routingVersion < shown.routing) {
-      const text = `${id} from configuration ${shown.routing} to ${config.routingVersion}`;
+    } else if (lastShown && config.routingVersion < lastShown.routing) {
+      const text = `${id} from configuration ${lastShown.routing} to ${config.routingVersion}`;
       this.#settings.report('version-stepped-back', text);
     }
-    this.#shown.set(key, { version, routing: config.routingVersion });
+    this.#lastShown.set(key, { version, routing: config.routingVersion });
   }
 
-  /** What was acknowledged last is where every majority that may vote meets it. */
+  /** Checks that the last acknowledged edit is found by every majority of the nodes that may vote. */
   check(): void {
     const acknowledged = this.#acknowledged;
     const [voters] = this.voters;
@@ -109,7 +111,7 @@
     let lacking = 0;
     for (const voter of voters) {
       if (this.#holds(voter, acknowledged.editId)) holders += 1;
-      else if (!this.#settings.isGone(voter) && !this.#settings.isUnderRepair(voter)) lacking += 1;
+      else if (!this.#settings.hasLeft(voter) && !this.#settings.isUnderRepair(voter)) lacking += 1;
     }
     if (holders > 0 && lacking < majorityOf(voters)) return;
     const { editId, version } = acknowledged;
@@ -118,45 +120,46 @@
   }
 
   #holds(voter: string, editId: string): boolean {
-    if (this.#settings.isGone(voter)) return false;
+    if (this.#settings.hasLeft(voter)) return false;
     const stored = this.#settings.nodes.get(voter)?.disk.partition(CONFIG_PARTITION);
     return stored?.body.includes(editId) === true;
   }
 
-  #know(item: Update): KnownConfig | undefined {
+  #learnConfig(item: Update): KnownConfig | undefined {
     const key = versionText(item.version);
     const known = this.#configs.get(key);
     if (known) {
       if (known.body !== item.body) this.#settings.report('one-version-two-bodies', key);
       return known;
     }
-    const news = parseAs(NewsShape, item.body);
-    if (!news) return undefined;
-    const routingVersion = news.routing?.version ?? 0;
-    const config = { body: item.body, voters: news.voters, routingVersion };
+    const parsed = parseAs(ConfigShape, item.body);
+    if (!parsed) return undefined;
+    const routingVersion = parsed.routing?.version ?? 0;
+    const config = { body: item.body, voters: parsed.voters, routingVersion };
     this.#configs.set(key, config);
-    this.#follow(item.version, config);
+    this.#checkVoterChange(item.version, config);
     return config;
   }
 
-  #follow(version: Version, config: KnownConfig): void {
+  #checkVoterChange(version: Version, config: KnownConfig): void {
     const before = this.#newest;
     if (before && !isNewer(version, before.version)) return;
     this.#newest = { version, config };
     if (!before || before.config.voters.join(' | ') === config.voters.join(' | ')) return;
-    // Of two sets the new one goes on alone once the old one can't decide without meeting both: that needs no more there.
+    // The second step of a change drops the old voters. The joint version already prevents them from deciding alone, so
+    // the previous voters need to hold only that version.
     const following = before.config.voters[1]?.join();
     const isSecondStep = following !== undefined && config.voters.join(' | ') === following;
     const needed = isSecondStep ? before.version : version;
-    for (const set of before.config.voters) this.#demand(set, needed, config);
-    for (const set of config.voters) this.#demand(set, version, config);
+    for (const set of before.config.voters) this.#requireMajority(set, needed, config);
+    for (const set of config.voters) this.#requireMajority(set, version, config);
   }
 
-  #demand(set: readonly string[], version: Version, { voters }: KnownConfig): void {
-    const { isGone, isUnderRepair } = this.#settings;
+  #requireMajority(set: readonly string[], version: Version, { voters }: KnownConfig): void {
+    const { hasLeft, isUnderRepair } = this.#settings;
     let lacking = 0;
     for (const voter of set) {
-      const mayVote = !isGone(voter) && !isUnderRepair(voter);
+      const mayVote = !hasLeft(voter) && !isUnderRepair(voter);
       if (mayVote && !this.#hasVersion(version, voter)) lacking += 1;
     }
     if (lacking < majorityOf(set)) return;
