--- a/src/simulation/agent-node.ts
+++ b/src/simulation/agent-node.ts
@@ -3,7 +3,7 @@
 import type { Scheduler } from '../rehearsal/scheduler.js';
 import type { Seeded } from '../rehearsal/seeded.js';
 import { AGENT_FRESHNESS_BOUND_MS, AGENT_TICK_MS } from '../agent/agent-process.js';
-import type { CoreBuild } from './core-build.js';
+import type { CoreFactory } from './core-factory.js';
 import type { Endpoint } from './endpoint.js';
 import { SimExchange } from './sim-exchange.js';
 import type { Host, SimNetwork } from './sim-network.js';
@@ -20,7 +20,7 @@
   /** Maximum deviation of its clock rate from 1, as a fraction. */
   readonly maxDrift: number;
   /** Creates the core at each start of the process. */
-  readonly coreFactory: CoreBuild;
+  readonly coreFactory: CoreFactory;
   /** Called after each input of the core, once its effects were carried out. */
   readonly stepped: (node: AgentNode) => void;
 }
--- a/src/simulation/commands/seed-pool.ts
+++ b/src/simulation/commands/seed-pool.ts
@@ -13,11 +13,11 @@
   /** Number of worker processes. */
   readonly jobs: number;
   /** No run is started after this time, in milliseconds. */
-  readonly mostMs: number;
+  readonly maxDurationMs: number;
   /** Whether a message of a worker is a result. */
   readonly isResult: (message: unknown) => message is Result;
   /** Called with the result of each run as it completes, in no particular order. */
-  readonly done: (result: Result) => void;
+  readonly onResult: (result: Result) => void;
 }
 
 /** Executes seeded runs in child processes, one run at a time in each. */
@@ -31,7 +31,7 @@
 
   constructor(settings: SeedPoolSettings<Result>) {
     this.#settings = settings;
-    this.#deadline = performance.now() + settings.mostMs;
+    this.#deadline = performance.now() + settings.maxDurationMs;
   }
 
   /** Number of runs that were started; a further batch continues after these. */
@@ -70,7 +70,7 @@
   }
 
   #receive(worker: ChildProcess, message: unknown): void {
-    const { isResult, done } = this.#settings;
+    const { isResult, onResult: done } = this.#settings;
     if (!isResult(message)) return;
     done(message);
     this.#sendNextRun(worker);
--- a/src/simulation/commands/simulate-control-command.ts
+++ b/src/simulation/commands/simulate-control-command.ts
@@ -2,7 +2,7 @@
 import { Command, Flags } from '@oclif/core';
 import { is } from 'superstruct';
 import { simulate } from '../control-simulation.js';
-import { reproductionTest } from '../pasted-test.js';
+import { reproductionTest } from '../reproduction-test.js';
 import { ORDER_KINDS, totalOf, type OutcomeCounts } from '../run-figures.js';
 import { reportOf, rulesOf, type RunReport, type Distribution } from '../run-report.js';
 import {
@@ -95,9 +95,9 @@
       worker,
       runs,
       jobs,
-      mostMs: limitMs,
+      maxDurationMs: limitMs,
       isResult: isSeedResult,
-      done,
+      onResult: done,
     });
     await pool.run();
     const report = reportOf(results);
--- a/src/simulation/control-node.ts
+++ b/src/simulation/control-node.ts
@@ -19,7 +19,7 @@
 } from '../control/control-process.js';
 import { DISK_RETRY_MS, RETIRE_TIMEOUT_MS } from '../control/control-runtime.js';
 import { STOP_GRACE_MS, LEASE_MS } from './contract-bounds.js';
-import type { CoreBuild } from './core-build.js';
+import type { CoreFactory } from './core-factory.js';
 import type { Endpoint } from './endpoint.js';
 import { LeasedOrder } from './leased-order.js';
 import type { CoreCommand, OperatorAnswer, OperatorCall } from './operator-call.js';
@@ -58,7 +58,7 @@
   /** Maximum deviation of its clock rate from 1, as a fraction. */
   readonly maxDrift: number;
   /** Creates the core at each start of the process. */
-  readonly coreFactory: CoreBuild;
+  readonly coreFactory: CoreFactory;
 }
 
 type StoreEffect = Extract<ControlEffect, { do: 'store' }>;
--- a/src/simulation/control-simulation.property.test.ts
+++ b/src/simulation/control-simulation.property.test.ts
@@ -3,7 +3,7 @@
 import { simulate, TROUBLE_FROM_MS } from './control-simulation.js';
 import { TRIGGER_EVENTS, TARGET_ROLES, type Fault, type Schedule } from './faults.js';
 import { OPTION_DEFAULTS, type SimulationOptions } from './options.js';
-import { reproductionTest } from './pasted-test.js';
+import { reproductionTest } from './reproduction-test.js';
 
 const TROUBLE_MS = 8000;
 const MAX_FAULTS = 6;
--- a/src/simulation/control-simulation.ts
+++ b/src/simulation/control-simulation.ts
@@ -14,7 +14,7 @@
 import { HolderRules } from './holder-rules.js';
 import { judgeHistory } from './judged-history.js';
 import { LossBudget } from './loss-budget.js';
-import { SOUND_BUILD, type CoreBuild } from './core-build.js';
+import { UNMODIFIED_CORES, type CoreFactory } from './core-factory.js';
 import { NodeWatch } from './node-watch.js';
 import type { OperatorAnswer, OperatorCall } from './operator-call.js';
 import { OperatorClient } from './operator-client.js';
@@ -77,7 +77,7 @@
   #lostAnswerShare = 0;
   #havePlansBegun = false;
 
-  constructor(options: SimulationOptions, log: RunLog, coreFactory: CoreBuild, trace: RunTrace) {
+  constructor(options: SimulationOptions, log: RunLog, coreFactory: CoreFactory, trace: RunTrace) {
     this.#options = options;
     this.#streams = new RandomStreams(options.seed);
     this.#log = (line) => this.#logAt(log, line);
@@ -385,7 +385,7 @@
   options: SimulationOptions,
   schedule: Schedule,
   log: RunLog = discardLine,
-  coreFactory: CoreBuild = SOUND_BUILD,
+  coreFactory: CoreFactory = UNMODIFIED_CORES,
   trace: RunTrace = UNTRACED,
 ): Outcome {
   return new ControlSimulation(options, log, coreFactory, trace).run(schedule);
--- a/src/simulation/core-build.ts
+++ b/src/simulation/core-factory.ts
@@ -18,7 +18,7 @@
 }
 
 /** Creates the cores of a run's processes; a mutant creates cores with one defect. */
-export interface CoreBuild {
+export interface CoreFactory {
   /** Creates the core of a control node. */
   control(inputs: ControlInputs): ControlCore;
   /** Creates the core of an agent. */
@@ -34,4 +34,4 @@
 }
 
 /** Creates the unmodified cores. */
-export const SOUND_BUILD: CoreBuild = { control: createControl, agent: createAgent };
+export const UNMODIFIED_CORES: CoreFactory = { control: createControl, agent: createAgent };
--- a/src/simulation/fleet.ts
+++ b/src/simulation/fleet.ts
@@ -7,7 +7,7 @@
 import { FakeRunner, type OrderListener } from './fake-runner.js';
 import type { SimulationOptions } from './options.js';
 import type { RandomStreams } from './random-streams.js';
-import type { CoreBuild } from './core-build.js';
+import type { CoreFactory } from './core-factory.js';
 import { SimNetwork } from './sim-network.js';
 import { SimProcess } from './sim-process.js';
 
@@ -31,7 +31,7 @@
   /** Called after each input of an agent's core. */
   readonly agentStepped: (node: AgentNode) => void;
   /** Creates the cores of all processes. */
-  readonly coreFactory: CoreBuild;
+  readonly coreFactory: CoreFactory;
   /** Called with each order that a runner receives. */
   readonly orderArrived: OrderListener;
   /** Records what leaves the nodes. */
--- a/src/simulation/mutants/election-mutants.ts
+++ b/src/simulation/mutants/election-mutants.ts
@@ -6,7 +6,7 @@
 import type { ControlEffect } from '../../control/control-effect.js';
 import { VOTE_RECORD } from '../../state/partition-names.js';
 import type { StoredPartition } from '../../state/store.js';
-import type { ControlInputs } from '../core-build.js';
+import type { ControlInputs } from '../core-factory.js';
 import { InterceptedControl, type ReceivedMessage } from './intercepted-control.js';
 
 const VoteBodyShape = type({ epoch: number(), grantEpoch: number(), grantLeader: string() });
--- a/src/simulation/mutants/intercepted-control.ts
+++ b/src/simulation/mutants/intercepted-control.ts
@@ -4,7 +4,7 @@
 import { ControlCore } from '../../control/control-core.js';
 import type { ControlEffect } from '../../control/control-effect.js';
 import type { CommandAnswer } from '../../control/command-answers.js';
-import type { ControlInputs } from '../core-build.js';
+import type { ControlInputs } from '../core-factory.js';
 
 /** A message that the core receives. */
 export interface ReceivedMessage {
--- a/src/simulation/mutants/mutant-runs.ts
+++ b/src/simulation/mutants/mutant-runs.ts
@@ -3,7 +3,7 @@
 import type { Fault, FaultKind } from '../faults.js';
 import { OPTION_DEFAULTS, type SimulationOptions } from '../options.js';
 import { drawSchedule } from '../schedule-draw.js';
-import { SOUND_BUILD } from '../core-build.js';
+import { UNMODIFIED_CORES } from '../core-factory.js';
 import { MUTANTS, type Mutant, type MutantName } from './mutants.js';
 
 /** Runs a mutant, seed after seed, until it breaks one of its rules. */
@@ -67,7 +67,7 @@
   const schedule = mutantSchedule(options, mutant.faults);
   const restore = mutant.patch?.();
   try {
-    return simulate(options, schedule, undefined, mutant.build?.() ?? SOUND_BUILD);
+    return simulate(options, schedule, undefined, mutant.build?.() ?? UNMODIFIED_CORES);
   } finally {
     restore?.();
   }
--- a/src/simulation/mutants/mutants.ts
+++ b/src/simulation/mutants/mutants.ts
@@ -19,7 +19,7 @@
   delayedElections,
 } from './targeted-schedules.js';
 import { AcceptsOlderConfig } from './agent-mutants.js';
-import { SOUND_BUILD, type ControlInputs, type CoreBuild } from '../core-build.js';
+import { UNMODIFIED_CORES, type ControlInputs, type CoreFactory } from '../core-factory.js';
 import {
   ForgetsGrants,
   GrantsTwice,
@@ -76,7 +76,7 @@
   /** The injected faults that expose it: kinds to draw from, or a schedule of its own. */
   readonly faults: readonly FaultKind[] | TargetedSchedule;
   /** Creates the build whose cores one run uses. */
-  readonly build?: () => CoreBuild;
+  readonly build?: () => CoreFactory;
   /** Patches a component that cores create themselves, until the returned function restores it. */
   readonly patch?: () => Restore;
 }
@@ -86,30 +86,30 @@
 
 type ControlClass = new (inputs: ControlInputs) => ControlCore;
 
-function controlBuild(core: ControlClass): CoreBuild {
+function controlBuild(core: ControlClass): CoreFactory {
   function control(inputs: ControlInputs): ControlCore {
     return new core(inputs);
   }
-  return { ...SOUND_BUILD, control };
+  return { ...UNMODIFIED_CORES, control };
 }
 
-function builtBy(core: ControlClass): () => CoreBuild {
+function builtBy(core: ControlClass): () => CoreFactory {
   return () => controlBuild(core);
 }
 
-function oldDiskBuild(): CoreBuild {
+function oldDiskBuild(): CoreFactory {
   const snapshots = new Snapshots();
   function control(inputs: ControlInputs): ControlCore {
     return new CountsOldDisk(inputs, snapshots);
   }
-  return { ...SOUND_BUILD, control };
+  return { ...UNMODIFIED_CORES, control };
 }
 
-function olderUpdateBuild(): CoreBuild {
+function olderUpdateBuild(): CoreFactory {
   function agent(settings: AgentSettings, now: Moment): AcceptsOlderConfig {
     return new AcceptsOlderConfig(settings, now);
   }
-  return { ...SOUND_BUILD, agent };
+  return { ...UNMODIFIED_CORES, agent };
 }
 
 const LEADER_LOSS = ['kill', 'powerLoss', 'freeze', 'cut'] as const;
--- a/src/simulation/mutants/state-mutants.ts
+++ b/src/simulation/mutants/state-mutants.ts
@@ -6,7 +6,7 @@
 import type { ControlEffect } from '../../control/control-effect.js';
 import { allPartitions, CONFIG_PARTITION, VOTE_RECORD } from '../../state/partition-names.js';
 import type { StoredPartition } from '../../state/store.js';
-import type { ControlInputs } from '../core-build.js';
+import type { ControlInputs } from '../core-factory.js';
 import { InterceptedControl, type ReceivedMessage } from './intercepted-control.js';
 
 /** Mutants of control nodes that store or repair the replicated state incorrectly. */
--- a/src/simulation/same-runs/relay-run.ts
+++ b/src/simulation/same-runs/relay-run.ts
@@ -10,7 +10,7 @@
 } from '../../placement/fleet.js';
 import { Seeded } from '../../rehearsal/seeded.js';
 import { simulate, TROUBLE_FROM_MS } from '../control-simulation.js';
-import { SOUND_BUILD, type ControlInputs, type CoreBuild } from '../core-build.js';
+import { UNMODIFIED_CORES, type ControlInputs, type CoreFactory } from '../core-factory.js';
 import type { Fault } from '../faults.js';
 import { OPTION_DEFAULTS, type SimulationOptions } from '../options.js';
 import { OrderStub } from '../order-stub.js';
@@ -175,10 +175,10 @@
   };
 }
 
-const BUILD: CoreBuild = {
+const BUILD: CoreFactory = {
   control: (inputs) => {
     const { deployed } = inputs.settings;
-    if (!deployed) return SOUND_BUILD.control(inputs);
+    if (!deployed) return UNMODIFIED_CORES.control(inputs);
     const settings = {
       ...inputs.settings,
       deployed: { ...deployed, planner: new PublishingPlanner() },
--- a/src/simulation/same-runs/same-runs-command.ts
+++ b/src/simulation/same-runs/same-runs-command.ts
@@ -54,12 +54,19 @@
 
   async #runAll(runs: readonly DigestRun[], jobs: number): Promise<readonly DigestResult[]> {
     const results: DigestResult[] = [];
-    const done = (result: DigestResult): void => {
+    const addResult = (result: DigestResult): void => {
       results.push(result);
       if (results.length % RUNS_PER_PROGRESS_LINE === 0)
         this.log(`${results.length} of ${runs.length} runs`);
     };
-    const pool = { worker: WORKER, runs, jobs, mostMs: Infinity, isResult: isDigestResult, done };
+    const pool = {
+      worker: WORKER,
+      runs,
+      jobs,
+      maxDurationMs: Infinity,
+      isResult: isDigestResult,
+      onResult: addResult,
+    };
     await new SeedPool(pool).run();
     return results;
   }
--- a/src/simulation/shrinker.test.ts
+++ b/src/simulation/shrinker.test.ts
@@ -1,6 +1,6 @@
 import { expect, test } from 'vitest';
 import type { Fault, Schedule } from './faults.js';
-import { reproductionTest } from './pasted-test.js';
+import { reproductionTest } from './reproduction-test.js';
 import { drawOptions } from './schedule-draw.js';
 import { Shrinker } from './shrinker.js';
 
