--- a/src/simulation/exhaustive/bound-calls.ts
+++ b/src/simulation/exhaustive/bound-calls.ts
@@ -1,40 +1,44 @@
-/** What a bound function calls, and with what. */
+/** What a function created by `Function.prototype.bind` calls, and with which bound values. */
 export interface BoundCall {
+  /** The original function. */
   readonly target: unknown;
-  /** `this` of the call, then the list of the arguments that are bound. */
+  /** Two items: the bound `this`, and the list of bound arguments. */
   readonly bound: readonly unknown[];
 }
 
 type AnyFunction = (this: unknown, ...args: readonly unknown[]) => unknown;
 
-const NAME = 'bind';
+const BIND = 'bind';
 
 /**
- * Notes of each function that is bound from now on what is bound to it, which no code can ask a function later and the
- * inspector tells slowly. Binding itself works as ever.
+ * Records the target and the bound values of each function that is bound while recording is on: code cannot read them from
+ * the function later, and the inspector is slow. `bind` itself behaves as before.
  */
 export class BoundCalls {
   readonly #calls = new WeakMap<object, BoundCall>();
-  readonly #native: unknown = Reflect.get(Function.prototype, NAME);
+  readonly #native: unknown = Reflect.get(Function.prototype, BIND);
 
+  /** Replaces `Function.prototype.bind` by a version that records each call. */
   begin(): void {
     const calls = this.#calls;
     const native = this.#native;
     if (typeof native !== 'function') return;
     const bind = native;
-    function bindNoted(this: AnyFunction, ...bound: readonly unknown[]): unknown {
-      const made: unknown = Reflect.apply(bind, this, bound);
-      if (typeof made === 'function')
-        calls.set(made, { target: this, bound: [bound[0], bound.slice(1)] });
-      return made;
+    function recordingBind(this: AnyFunction, ...bound: readonly unknown[]): unknown {
+      const boundFunction: unknown = Reflect.apply(bind, this, bound);
+      if (typeof boundFunction === 'function')
+        calls.set(boundFunction, { target: this, bound: [bound[0], bound.slice(1)] });
+      return boundFunction;
     }
-    Reflect.set(Function.prototype, NAME, bindNoted);
+    Reflect.set(Function.prototype, BIND, recordingBind);
   }
 
+  /** Restores the original `bind`; what was recorded stays available. */
   end(): void {
-    Reflect.set(Function.prototype, NAME, this.#native);
+    Reflect.set(Function.prototype, BIND, this.#native);
   }
 
+  /** The recorded call of a bound function; undefined if it was not bound while recording was on. */
   of(value: object): BoundCall | undefined {
     return this.#calls.get(value);
   }
--- a/src/simulation/exhaustive/digested-names.test.ts
+++ b/src/simulation/exhaustive/digested-names.test.ts
@@ -7,7 +7,7 @@
 
 const SOURCE = join(dirname(fileURLToPath(import.meta.url)), '..', '..');
 
-/** The text of all sources but tests. */
+/** The text of all source files except tests. */
 function sourceText(): string {
   const texts: string[] = [];
   for (const entry of readdirSync(SOURCE, { withFileTypes: true, recursive: true })) {
@@ -17,13 +17,13 @@
   return texts.join('\n');
 }
 
-test('classes that the digest of a state names by text exist', () => {
+test('classes that the state digest names in strings exist', () => {
   const text = sourceText();
   const names = [...UNUSED_CLASSES, ...CONSTANT_CLASSES];
   expect(names.filter((name) => !text.includes(`class ${name} `))).toEqual([]);
 });
 
-test('maps whose order the digest of a state respects exist', () => {
+test('maps whose insertion order the state digest keeps exist', () => {
   const text = sourceText();
   expect([...ORDERED_FIELDS].filter((name) => !text.includes(`${name} = new Map`))).toEqual([]);
 });
--- a/src/simulation/exhaustive/message-text.test.ts
+++ b/src/simulation/exhaustive/message-text.test.ts
@@ -1,14 +1,14 @@
 import { expect, test } from 'vitest';
 import { has, idsOf, queued, withAll, without } from './message-text.js';
 
-/** On both sides of the numbers that fit into one character or half of one. */
+/** Ids around the limits of one 16-bit character (65,536) and of half its range (32,768). */
 const IDS = [70_000, 3, 65_536 + 3, 32_768, 65_535, 32_767, 65_536, 0];
 
 function byNumber(a: number, b: number): number {
   return a - b;
 }
 
-test('messages beyond the range of one character are told apart', () => {
+test('distinguishes message ids beyond the range of one character', () => {
   const sorted = [...IDS].sort(byNumber);
   expect(idsOf(withAll('', IDS))).toEqual(sorted);
   const queue = queued(queued('', IDS), [3, 65_536]);
--- a/src/simulation/exhaustive/state-digest.test.ts
+++ b/src/simulation/exhaustive/state-digest.test.ts
@@ -45,7 +45,7 @@
   }
 }
 
-test('private fields of a base class decide as well', () => {
+test('the digest covers private fields of a base class', () => {
   const digest = new StateDigest();
   const first = new Derived();
   const second = new Derived();
@@ -60,8 +60,8 @@
   expect(digest.textOf(first)).toBe(digest.textOf(second));
   digest.close();
 });
-/** What was bound before the digest was made is told by the inspector, the rest by the note of its binding. */
-test('what was bound earlier belongs to the state as well', () => {
+/** Values bound before the digest was created are read by the inspector; later ones are recorded when `bind` is called. */
+test('the digest covers values that were bound before it was created', () => {
   const early = [new Outer(), new Outer()];
   early[0]?.hold(1);
   early[1]?.hold(2);
@@ -76,7 +76,7 @@
   digest.close();
   expect(Reflect.get(Function.prototype, 'bind')).toBe(native);
 });
-test('private fields decide, and the order of insertion does not', () => {
+test('the digest depends on private fields but not on insertion order', () => {
   const digest = new StateDigest();
   const first = new Outer();
   const second = new Outer();
@@ -92,7 +92,7 @@
   expect(digest.textOf(first)).toBe(digest.textOf(second));
   digest.close();
 });
-test('what is bound to a held call belongs to the state', () => {
+test('the digest covers values bound to a stored function', () => {
   const digest = new StateDigest();
   const first = new Outer();
   const second = new Outer();
--- a/src/simulation/exhaustive/state-digest.ts
+++ b/src/simulation/exhaustive/state-digest.ts
@@ -3,13 +3,15 @@
 import { BoundCalls } from './bound-calls.js';
 import { PrivateFields, type PrivateKey } from './private-fields.js';
 
-const HOLDER = 'haretrackStateDigest';
-const GROUP = 'state-digest';
-/** Run by the engine: hands remote values back to this module as the values they stand for. */
-const HAND_BACK = `function (...values) { globalThis.${HOLDER}.values = values; }`;
+/** The global property through which this module exchanges values with the inspector. */
+const HOLDER_KEY = 'haretrackStateDigest';
+/** The inspector's name for the objects that it keeps for this module. */
+const OBJECT_GROUP = 'state-digest';
+/** Run by the inspector: returns the values of remote objects to this module. */
+const RETURN_VALUES = `function (...values) { globalThis.${HOLDER_KEY}.values = values; }`;
 /** Classes whose instances never change. */
 export const CONSTANT_CLASSES: ReadonlySet<string> = new Set(['Quorum']);
-/** Maps whose order of insertion decides what a core does next; all others are digested in sorted order. */
+/** Fields with maps whose insertion order affects what a core does; all other maps are digested in sorted order. */
 export const ORDERED_FIELDS: ReadonlySet<string> = new Set(['#announced']);
 
 interface Holder {
@@ -22,7 +24,7 @@
   readonly value: unknown;
 }
 
-/** The engine returns private fields as well, which the published types leave out. */
+/** The inspector also returns private fields, which the published types omit. */
 interface Properties extends Runtime.GetPropertiesReturnType {
   readonly privateProperties?: readonly Runtime.InternalPropertyDescriptor[];
 }
@@ -33,28 +35,28 @@
 }
 
 /**
- * Canonical text of an object with everything it holds, private fields and bound arguments included.
+ * Computes the canonical text of an object with everything it holds, including private fields and bound arguments.
  *
- * The cores keep their state in private fields, which no code outside their classes can read; the engine's own inspector
- * can. Two cores with the same text behave alike from then on, so that one of them is enough to explore.
+ * The cores keep their state in private fields, which code outside their classes cannot read but the inspector of the engine
+ * can. Two cores with the same text behave alike from then on, so that only one of them has to be explored.
  *
- * What an arrow function captures cannot be read. In a core arrow functions are fixed wiring, made once at its start; a call
- * that waits in the state of a core has to be data.
+ * The variables that an arrow function captures cannot be read. In a core, arrow functions may only connect components,
+ * created once at its start; a pending call in the state of a core has to be data.
  */
 export class StateDigest {
   readonly #session = new Session();
   readonly #holder: Holder = { subject: undefined, values: [] };
-  /** Classes whose instances never change anything that a model looks at. */
+  /** Classes whose instances have no effect on what a model checks. */
   readonly #ignored: ReadonlySet<string>;
   /** Texts of instances that never change. */
   readonly #constant = new WeakMap<object, string>();
-  /** Texts of objects already met in the text under way: what many refer to is written out once. */
-  readonly #met = new Map<object, string>();
-  /** The engine's ids of objects that it has just named. */
+  /** Texts of the objects already in the current text: an object with many references is written out once. */
+  readonly #textsSeen = new Map<object, string>();
+  /** The inspector's ids of the objects that it has returned for the current text. */
   readonly #remoteIds = new Map<unknown, string>();
   readonly #privates = new PrivateFields();
   readonly #boundCalls = new BoundCalls();
-  /** Keys of the private fields of each class, as its first instance told them; nothing where they cannot be relied on. */
+  /** Keys of the private fields of each class, determined from its first instance; undefined if they are unreliable. */
   readonly #keysByClass = new Map<unknown, readonly PrivateKey[] | undefined>();
 
   constructor(ignored: readonly string[] = []) {
@@ -63,17 +65,19 @@
     this.#boundCalls.begin();
   }
 
+  /** Releases the inspector session, and restores `Function.prototype.bind`. */
   close(): void {
     this.#boundCalls.end();
     this.#session.disconnect();
   }
 
+  /** The canonical text of a value. */
   textOf(root: unknown): string {
-    Reflect.set(globalThis, HOLDER, this.#holder);
+    Reflect.set(globalThis, HOLDER_KEY, this.#holder);
     const text = this.#text(root, [], '');
     this.#remoteIds.clear();
-    this.#met.clear();
-    this.#session.post('Runtime.releaseObjectGroup', { objectGroup: GROUP });
+    this.#textsSeen.clear();
+    this.#session.post('Runtime.releaseObjectGroup', { objectGroup: OBJECT_GROUP });
     return text;
   }
 
@@ -82,7 +86,7 @@
     if (typeof value !== 'object' || value === null) {
       return value === undefined ? '-' : JSON.stringify(value);
     }
-    // An object that holds itself, directly or not, is named by its depth.
+    // A circular reference is given as the depth of the object that it refers to.
     const depth = path.indexOf(value);
     if (depth >= 0) return `^${depth}`;
     const inner = [...path, value];
@@ -113,10 +117,10 @@
     if (typeof name === 'string' && this.#ignored.has(name)) return name;
     const known = this.#constant.get(value);
     if (known !== undefined) return known;
-    const met = this.#met.get(value);
-    if (met !== undefined) return `@${createHash('sha256').update(met).digest('base64')}`;
+    const textSeen = this.#textsSeen.get(value);
+    if (textSeen !== undefined) return `@${createHash('sha256').update(textSeen).digest('base64')}`;
     const text = this.#fieldsText(value, path);
-    this.#met.set(value, text);
+    this.#textsSeen.set(value, text);
     if (typeof name === 'string' && CONSTANT_CLASSES.has(name)) this.#constant.set(value, text);
     return text;
   }
@@ -134,7 +138,7 @@
     return `(${texts.sort().join()})`;
   }
 
-  /** A bound method is its name and what is bound to it; any other function could hide state in its scope. */
+  /** A bound method is represented by its name and the bound values; any other function could hide state in its scope. */
   #functionText(value: object, path: readonly unknown[]): string {
     const call = this.#boundCalls.of(value);
     if (call) return this.#callText(call.target, call.bound, path);
@@ -151,16 +155,17 @@
   }
 
   #privateFields(value: object): Field[] {
-    const made = value.constructor;
-    if (!this.#keysByClass.has(made)) this.#keysByClass.set(made, this.#reliableKeys(value));
-    const keys = this.#keysByClass.get(made);
+    const constructor = value.constructor;
+    if (!this.#keysByClass.has(constructor))
+      this.#keysByClass.set(constructor, this.#reliableKeys(value));
+    const keys = this.#keysByClass.get(constructor);
     if (keys === undefined) return this.#inspectedFields(value);
     const fields: Field[] = [];
     for (const { name, key } of keys) fields.push({ name, value: Reflect.get(value, key) });
     return fields;
   }
 
-  /** Keys are relied on only if they lead to all that the inspector sees in the object, and to the same values. */
+  /** The keys of the object's private fields, if they yield all fields that the inspector sees, with the same values. */
   #reliableKeys(value: object): readonly PrivateKey[] | undefined {
     const keys = this.#privates.keysOf(value);
     const seen = this.#inspectedFields(value);
@@ -197,10 +202,10 @@
   #remoteIdOf(value: unknown): string {
     this.#holder.subject = value;
     let objectId = '';
-    const expression = `globalThis.${HOLDER}.subject`;
+    const expression = `globalThis.${HOLDER_KEY}.subject`;
     this.#session.post(
       'Runtime.evaluate',
-      { expression, objectGroup: GROUP },
+      { expression, objectGroup: OBJECT_GROUP },
       (_error: Error | null, found: Runtime.EvaluateReturnType) => {
         objectId = found.result.objectId ?? '';
       },
@@ -215,10 +220,10 @@
     if (fetched.length > 0) {
       const [first] = fetched;
       this.#session.post('Runtime.callFunctionOn', {
-        functionDeclaration: HAND_BACK,
+        functionDeclaration: RETURN_VALUES,
         objectId: first?.objectId ?? '',
         arguments: fetched,
-        objectGroup: GROUP,
+        objectGroup: OBJECT_GROUP,
       });
     }
     let next = 0;
@@ -236,7 +241,7 @@
   }
 }
 
-/** The language gives this name to what `bind` returns; to ask the inspector of each function would be slow. */
+/** The language specifies this name for functions that `bind` returns; asking the inspector each time would be slow. */
 function isBound(value: object): boolean {
   const name: unknown = Reflect.get(value, 'name');
   return typeof name === 'string' && name.startsWith('bound ');
