--- a/src/simulation/exhaustive/calm-run.ts
+++ b/src/simulation/exhaustive/calm-run.ts
@@ -4,8 +4,8 @@
 import type { CalmRun, World } from './protocol.js';
 import { stepAt, type Step } from './steps.js';
 
-/** Delivers every message once, in the order of sending, and finishes every write at once. */
-class Calm<Command, Event, Facts, Ghost> implements CalmRun<Command> {
+/** Delivers every message once, in the order of sending, and finishes every write immediately. */
+class FaultFreeExecution<Command, Event, Facts, Ghost> implements CalmRun<Command> {
   readonly #cluster: Cluster<Command, Event, Facts, Ghost>;
   #world: World<Ghost>;
   #isHolding = false;
@@ -59,25 +59,26 @@
   }
 
   #run(step: Step): void {
-    const waiting = [step];
-    for (let next = waiting.shift(); next !== undefined; next = waiting.shift()) {
-      const taken = this.#cluster.take(this.#world, next, false);
-      if (!taken) continue;
-      if (taken.violation !== undefined) throw new Error(`the beginning: ${taken.violation}`);
-      this.#world = taken.world;
-      for (const id of taken.sent) {
+    const pendingSteps = [step];
+    for (let next = pendingSteps.shift(); next !== undefined; next = pendingSteps.shift()) {
+      const result = this.#cluster.take(this.#world, next, false);
+      if (!result) continue;
+      if (result.violation !== undefined)
+        throw new Error(`invariant violated before the search: ${result.violation}`);
+      this.#world = result.world;
+      for (const id of result.sent) {
         const { to } = this.#cluster.envelope(id);
-        if (!this.#frozen.has(to) && !this.#isHolding) waiting.push(stepAt('receive', to, id));
+        if (!this.#frozen.has(to) && !this.#isHolding) pendingSteps.push(stepAt('receive', to, id));
       }
     }
   }
 }
 
-/** The cluster as its protocol prepares it: where a search begins. */
+/** The initial state of a search, as its protocol prepares it. Throws if a step of the preparation breaks an invariant. */
 export function prepared<Command, Event, Facts, Ghost>(
   cluster: Cluster<Command, Event, Facts, Ghost>,
 ): World<Ghost> {
-  const calm = new Calm(cluster);
-  cluster.protocol.prepare(calm);
-  return calm.world;
+  const run = new FaultFreeExecution(cluster);
+  cluster.protocol.prepare(run);
+  return run.world;
 }
--- a/src/simulation/exhaustive/departures.ts
+++ b/src/simulation/exhaustive/departures.ts
@@ -5,61 +5,65 @@
 import type { FaultKind, World } from './protocol.js';
 import { stepAt, stepCode, stepOf, type Step } from './steps.js';
 
-/** A cluster in the calm order of things, as far as it has not departed from it. Sets of nodes are bit masks. */
+/** A state of the cluster together with the order in which its next steps are due. Sets of nodes are bit masks. */
 export interface Schedule<Ghost> {
   readonly world: World<Ghost>;
-  /** Messages on their way, oldest first. */
+  /** Messages in transit, oldest first. */
   readonly queue: string;
-  /** Whose timers were looked at since the clocks advanced. */
+  /** The nodes that have checked their timers since the clocks last advanced. */
   readonly ticked: number;
   readonly frozen: number;
+  /** The nodes whose connections are cut. */
   readonly cut: number;
+  /** The nodes whose disks are stalled. */
   readonly stalled: number;
+  /** Number of faults so far. */
   readonly departures: number;
 }
 
-/** Lasting troubles by the step that begins them: the step that ends each, and where the schedule notes it. */
-const TROUBLES = [
+/** Faults that last: the step that begins each, the step that ends it, and the field of the schedule that records it. */
+const LASTING_FAULTS = [
   { begin: 'freeze', end: 'thaw', field: 'frozen' },
   { begin: 'cut', end: 'heal', field: 'cut' },
   { begin: 'stall', end: 'unstall', field: 'stalled' },
 ] as const;
 
-type TroubleKind = (typeof TROUBLES)[number]['begin'];
+type LastingFaultKind = (typeof LASTING_FAULTS)[number]['begin'];
 
-/** What becomes of a schedule by one step. */
+/** The result of one step. */
 interface Outcome<Ghost> {
   readonly schedule: Schedule<Ghost>;
   readonly violation: string | undefined;
-  /** Whether any node changed or anything was sent or answered. */
+  /** Whether the step had no effect: no node changed, and nothing was sent or answered. */
   readonly isIdle: boolean;
 }
 
-function holds(mask: number, node: number): boolean {
+function isInMask(mask: number, node: number): boolean {
   return (mask & (1 << node)) !== 0;
 }
 
 /**
- * Long runs with few faults: messages arrive in order, timers are looked at once a step of the clocks, disks finish at once, and from
- * this a bounded number of departures is made at any points: a message lost or delivered again or late, timers late, a
- * node frozen, cut off, its disk stalled, restarted or wiped. That troubles end again is no departure, but happens only
- * when nothing is on its way.
+ * Long runs with a bounded number of faults. Without faults messages arrive in order, each node checks its timers once per
+ * clock step, and disks finish writes immediately. Faults may be injected at any point: a message is lost, duplicated or
+ * late, timers are late, or a node is frozen, cut off, restarted, wiped or has a stalled disk. The end of a lasting fault
+ * does not count as a fault, but is possible only while no message is in transit.
  *
- * A fault is made only where it meets something: a freeze and a stall right before a step of the node, a cut right before
- * a message of the node or to it, a crash before a step that could send to the node. At any earlier point since then
- * it would bring about the same. Where nothing can be chosen any more the run goes on in one step to the next choice.
+ * To keep the search small, a fault is injected only right before a step that it can affect: a freeze or a stall before a
+ * step of the node, a cut before a message from or to the node, a crash before a step that could send to the node.
+ * Injected any earlier, it would have the same effect. Where no choice is left, one step of the search runs on to the next
+ * choice.
  */
 export class Departures<Command, Event, Facts, Ghost> implements Model<Schedule<Ghost>> {
   readonly #cluster: Cluster<Command, Event, Facts, Ghost>;
-  readonly #most: number;
+  readonly #maxFaults: number;
 
-  constructor(cluster: Cluster<Command, Event, Facts, Ghost>, most: number) {
+  constructor(cluster: Cluster<Command, Event, Facts, Ghost>, maxFaults: number) {
     this.#cluster = cluster;
-    this.#most = most;
+    this.#maxFaults = maxFaults;
   }
 
   get name(): string {
-    return `${this.#cluster.protocol.name}, ${this.#most} faults`;
+    return `${this.#cluster.protocol.name}, ${this.#maxFaults} faults`;
   }
 
   initial(): Schedule<Ghost> {
@@ -70,66 +74,69 @@
 
   key({ world, queue, ticked, frozen, cut, stalled, departures }: Schedule<Ghost>): string {
     const masks = `${ticked},${frozen},${cut},${stalled},${departures}`;
-    // Messages sent long ago come again by departures alone.
-    const messages = departures < this.#most ? world.messages : '';
+    // Only a further fault can deliver earlier messages again.
+    const messages = departures < this.#maxFaults ? world.messages : '';
     return `${this.#cluster.key({ ...world, messages })};${queue};${masks}`;
   }
 
   describe(schedule: Schedule<Ghost>, code: number): string {
     const step = stepOf(code);
-    if (step.kind !== 'calm') return this.#cluster.describe(step);
+    if (step.kind !== 'fault-free') return this.#cluster.describe(step);
     const texts: string[] = [];
-    this.#runCalmly(schedule, texts);
+    this.#runToNextChoice(schedule, texts);
     return texts.join('\n');
   }
 
   expand(schedule: Schedule<Ghost>, visit: Visit<Schedule<Ghost>>): void {
-    const usual = this.#usual(schedule);
-    if (usual && !this.#hasChoice(schedule, usual)) {
-      const { schedule: after, violation } = this.#runCalmly(schedule, []);
-      visit(stepCode(stepAt('calm')), after, violation);
+    const nextStep = this.#nextFaultFreeStep(schedule);
+    if (nextStep && !this.#hasChoice(schedule, nextStep)) {
+      const { schedule: after, violation } = this.#runToNextChoice(schedule, []);
+      visit(stepCode(stepAt('fault-free')), after, violation);
       return;
     }
-    if (usual) this.#take(schedule, usual, 0, visit);
-    if (this.#mayEndTroubles(schedule, usual)) this.#endTroubles(schedule, visit);
-    // A client's wish is no fault, and may come at any point.
+    if (nextStep) this.#take(schedule, nextStep, 0, visit);
+    if (this.#mayEndLastingFaults(schedule, nextStep)) this.#endLastingFaults(schedule, visit);
+    // A client's command is not a fault, and is possible at any point.
     for (const { node, item } of this.#cluster.commandsOf(schedule.world)) {
-      if (holds(schedule.frozen, node)) continue;
+      if (isInMask(schedule.frozen, node)) continue;
       this.#take(schedule, stepAt('command', node, item), 0, visit);
     }
-    if (schedule.departures < this.#most) this.#depart(schedule, usual, visit);
+    if (schedule.departures < this.#maxFaults) this.#injectFaults(schedule, nextStep, visit);
   }
 
-  /** What happens next where nothing goes wrong. */
-  #usual({ world, queue, ticked, frozen }: Schedule<Ghost>): Step | undefined {
+  /** The next step without a fault; undefined at the end of the run. */
+  #nextFaultFreeStep({ world, queue, ticked, frozen }: Schedule<Ghost>): Step | undefined {
     for (const id of idsOf(queue)) {
       const { to } = this.#cluster.envelope(id);
-      if (!holds(frozen, to)) return stepAt('receive', to, id);
+      if (!isInMask(frozen, to)) return stepAt('receive', to, id);
     }
     for (const node of world.nodes.keys()) {
-      if (!holds(ticked, node) && !holds(frozen, node)) return stepAt('tick', node);
+      if (!isInMask(ticked, node) && !isInMask(frozen, node)) return stepAt('tick', node);
     }
     return world.clock < this.#cluster.protocol.faults.clockSteps ? stepAt('advance') : undefined;
   }
 
-  #hasChoice(schedule: Schedule<Ghost>, usual: Step): boolean {
-    if (schedule.departures < this.#most) return true;
-    if (this.#mayEndTroubles(schedule, usual)) return true;
+  #hasChoice(schedule: Schedule<Ghost>, nextStep: Step): boolean {
+    if (schedule.departures < this.#maxFaults) return true;
+    if (this.#mayEndLastingFaults(schedule, nextStep)) return true;
     return this.#cluster.commandsOf(schedule.world).length > 0;
   }
 
-  #mayEndTroubles({ frozen, cut, stalled }: Schedule<Ghost>, usual: Step | undefined): boolean {
+  #mayEndLastingFaults(
+    { frozen, cut, stalled }: Schedule<Ghost>,
+    nextStep: Step | undefined,
+  ): boolean {
     if (frozen === 0 && cut === 0 && stalled === 0) return false;
-    if (usual?.kind === 'receive') return false;
+    if (nextStep?.kind === 'receive') return false;
     if (this.#cluster.protocol.troublesEnd === 'at any pause') return true;
-    return usual?.kind !== 'tick';
+    return nextStep?.kind !== 'tick';
   }
 
-  /** Up to the next choice, or past the next step of the clocks, where runs that became alike meet. */
-  #runCalmly(begun: Schedule<Ghost>, texts: string[]): Outcome<Ghost> {
-    let schedule = begun;
+  /** Runs up to the next choice, or past the next clock step, where runs that reach equal states are merged. */
+  #runToNextChoice(start: Schedule<Ghost>, texts: string[]): Outcome<Ghost> {
+    let schedule = start;
     for (;;) {
-      const step = this.#usual(schedule);
+      const step = this.#nextFaultFreeStep(schedule);
       if (!step || this.#hasChoice(schedule, step)) break;
       texts.push(this.#cluster.describe(step));
       const outcome = this.#outcome(schedule, step, 0, true);
@@ -141,10 +148,10 @@
     return { schedule: settled, violation: undefined, isIdle: false };
   }
 
-  #endTroubles(schedule: Schedule<Ghost>, visit: Visit<Schedule<Ghost>>): void {
-    for (const { end, field } of TROUBLES) {
+  #endLastingFaults(schedule: Schedule<Ghost>, visit: Visit<Schedule<Ghost>>): void {
+    for (const { end, field } of LASTING_FAULTS) {
       for (const node of schedule.world.nodes.keys()) {
-        if (!holds(schedule[field], node)) continue;
+        if (!isInMask(schedule[field], node)) continue;
         const changed = { ...schedule, [field]: schedule[field] & ~(1 << node) };
         if (end === 'unstall') this.#take(changed, stepAt('sync', node), 0, visit);
         else visit(stepCode(stepAt(end, node)), changed, undefined);
@@ -152,33 +159,41 @@
     }
   }
 
-  #depart(schedule: Schedule<Ghost>, usual: Step | undefined, visit: Visit<Schedule<Ghost>>): void {
+  #injectFaults(
+    schedule: Schedule<Ghost>,
+    nextStep: Step | undefined,
+    visit: Visit<Schedule<Ghost>>,
+  ): void {
     const { world } = schedule;
-    const outcome = usual && this.#outcome(schedule, usual, 0);
-    // What would have brought about nothing can as well be lost.
-    if (usual && !outcome?.isIdle) this.#omit(schedule, usual, visit);
+    const outcome = nextStep && this.#outcome(schedule, nextStep, 0);
+    // Omitting a step without effect would make no difference.
+    if (nextStep && !outcome?.isIdle) this.#dropOrSkip(schedule, nextStep, visit);
     for (const node of world.nodes.keys()) {
-      this.#beginTroubles(schedule, node, usual, visit);
-      if (!usual || !outcome || this.#isCrashWorth(schedule, node, usual, outcome.schedule)) {
+      this.#beginLastingFaults(schedule, node, nextStep, visit);
+      if (
+        !nextStep ||
+        !outcome ||
+        this.#hasCrashEffect(schedule, node, nextStep, outcome.schedule)
+      ) {
         this.#crash(schedule, 'restart', node, visit);
         this.#crash(schedule, 'wipe', node, visit);
       }
     }
-    this.#deliverLate(schedule, usual, visit);
+    this.#deliverLate(schedule, nextStep, visit);
   }
 
-  /** The message is lost, or the timers are late. */
-  #omit(schedule: Schedule<Ghost>, usual: Step, visit: Visit<Schedule<Ghost>>): void {
+  /** Loses the next message, or delays the timers of the next node. */
+  #dropOrSkip(schedule: Schedule<Ghost>, nextStep: Step, visit: Visit<Schedule<Ghost>>): void {
     const { queue, ticked } = schedule;
-    const { kind, node, item } = usual;
+    const { kind, node, item } = nextStep;
     const departures = schedule.departures + 1;
     if (kind === 'receive' && this.#mayFail(schedule, 'drop', node)) {
       const lost = { ...schedule, queue: without(queue, item), departures };
-      visit(stepCode({ ...usual, kind: 'drop' }), lost, undefined);
+      visit(stepCode({ ...nextStep, kind: 'drop' }), lost, undefined);
     }
     if (kind === 'tick' && this.#mayFail(schedule, 'skip', node)) {
       const late = { ...schedule, ticked: ticked | (1 << node), departures };
-      visit(stepCode({ ...usual, kind: 'skip' }), late, undefined);
+      visit(stepCode({ ...nextStep, kind: 'skip' }), late, undefined);
     }
   }
 
@@ -186,48 +201,48 @@
     return this.#cluster.mayFail(world, kind, node);
   }
 
-  #beginTroubles(
+  #beginLastingFaults(
     schedule: Schedule<Ghost>,
     node: number,
-    usual: Step | undefined,
+    nextStep: Step | undefined,
     visit: Visit<Schedule<Ghost>>,
   ): void {
     const departures = schedule.departures + 1;
-    for (const { begin, field } of TROUBLES) {
-      if (holds(schedule[field], node)) continue;
-      if (!this.#isTroubleWorth(schedule, begin, node, usual)) continue;
+    for (const { begin, field } of LASTING_FAULTS) {
+      if (isInMask(schedule[field], node)) continue;
+      if (!this.#hasFaultEffect(schedule, begin, node, nextStep)) continue;
       if (!this.#mayFail(schedule, begin, node)) continue;
       const changed = { ...schedule, [field]: schedule[field] | (1 << node), departures };
       visit(stepCode(stepAt(begin, node)), changed, undefined);
     }
   }
 
-  /** Whether the trouble makes a difference before the next step is over; else it may as well begin after it. */
-  #isTroubleWorth(
+  /** Whether the fault can affect the next step; otherwise beginning it after that step is equivalent. */
+  #hasFaultEffect(
     { world }: Schedule<Ghost>,
-    kind: TroubleKind,
+    kind: LastingFaultKind,
     node: number,
-    usual: Step | undefined,
+    nextStep: Step | undefined,
   ): boolean {
-    if (usual?.kind !== 'receive' && usual?.kind !== 'tick') return false;
-    if (usual.node === node) return true;
-    if (kind === 'cut' && usual.kind === 'receive') {
-      return this.#cluster.envelope(usual.item).from === node;
+    if (nextStep?.kind !== 'receive' && nextStep?.kind !== 'tick') return false;
+    if (nextStep.node === node) return true;
+    if (kind === 'cut' && nextStep.kind === 'receive') {
+      return this.#cluster.envelope(nextStep.item).from === node;
     }
-    // What a command writes can be stalled as well.
+    // A stall can also affect what a command writes.
     return (
       kind === 'stall' && this.#cluster.commandsOf(world).some((command) => command.node === node)
     );
   }
 
-  /** Whether a crash before the next step differs from one after it: by the time, or by what is lost in the sockets. */
-  #isCrashWorth(
+  /** Whether a crash before the next step differs from one after it, in its time or in the unread messages that it loses. */
+  #hasCrashEffect(
     schedule: Schedule<Ghost>,
     node: number,
-    usual: Step,
+    nextStep: Step,
     after: Schedule<Ghost>,
   ): boolean {
-    if (usual.kind === 'advance' || usual.node === node) return true;
+    if (nextStep.kind === 'advance' || nextStep.node === node) return true;
     if (this.#cluster.commandsOf(schedule.world).length > 0) return true;
     for (const id of idsOf(after.queue)) {
       if (this.#cluster.envelope(id).to === node && !has(schedule.queue, id)) return true;
@@ -235,23 +250,23 @@
     return false;
   }
 
-  /** Late copies come right before a step of their receiver, or of the clocks. */
+  /** Delivers copies of earlier messages, only right before a step of their receiver or of the clocks. */
   #deliverLate(
     schedule: Schedule<Ghost>,
-    usual: Step | undefined,
+    nextStep: Step | undefined,
     visit: Visit<Schedule<Ghost>>,
   ): void {
-    const isAlive = usual?.kind === 'receive' || usual?.kind === 'tick';
+    const isNodeStep = nextStep?.kind === 'receive' || nextStep?.kind === 'tick';
     for (const id of idsOf(schedule.world.messages)) {
       const { to } = this.#cluster.envelope(id);
-      if (isAlive && usual.node !== to) continue;
-      if (has(schedule.queue, id) || holds(schedule.frozen, to)) continue;
+      if (isNodeStep && nextStep.node !== to) continue;
+      if (has(schedule.queue, id) || isInMask(schedule.frozen, to)) continue;
       if (!this.#mayFail(schedule, 'receive', to)) continue;
       this.#take(schedule, stepAt('receive', to, id), 1, visit);
     }
   }
 
-  /** A crash ends a freeze, and what waited in the process's sockets is lost. */
+  /** A crash ends a freeze, and loses the messages that the process had not read from its sockets. */
   #crash(
     schedule: Schedule<Ghost>,
     kind: 'restart' | 'wipe',
@@ -270,44 +285,54 @@
     this.#take({ ...schedule, queue, frozen }, stepAt(kind, node), 1, visit);
   }
 
-  #take(schedule: Schedule<Ghost>, step: Step, cost: number, visit: Visit<Schedule<Ghost>>): void {
-    const outcome = this.#outcome(schedule, step, cost);
-    // A departure that brings about nothing is none.
-    if (outcome.isIdle && cost > 0) return;
+  #take(
+    schedule: Schedule<Ghost>,
+    step: Step,
+    faultCount: number,
+    visit: Visit<Schedule<Ghost>>,
+  ): void {
+    const outcome = this.#outcome(schedule, step, faultCount);
+    // A fault without effect leads to no new state.
+    if (outcome.isIdle && faultCount > 0) return;
     visit(stepCode(step), outcome.schedule, outcome.violation);
   }
 
-  #outcome(schedule: Schedule<Ghost>, step: Step, cost: number, isPassing = false): Outcome<Ghost> {
+  #outcome(
+    schedule: Schedule<Ghost>,
+    step: Step,
+    faultCount: number,
+    isIntermediate = false,
+  ): Outcome<Ghost> {
     const { world, stalled } = schedule;
-    const departures = schedule.departures + cost;
+    const departures = schedule.departures + faultCount;
     const queue = step.kind === 'receive' ? without(schedule.queue, step.item) : schedule.queue;
     const ticked = step.kind === 'tick' ? schedule.ticked | (1 << step.node) : schedule.ticked;
-    const isLost = step.kind === 'receive' && cost === 0 && this.#isCut(schedule, step.item);
-    const taken = isLost
+    const isLost = step.kind === 'receive' && faultCount === 0 && this.#isCut(schedule, step.item);
+    const result = isLost
       ? undefined
-      : this.#cluster.take(world, step, holds(stalled, step.node), isPassing);
-    // Nothing came of it, but it is done with.
-    if (!taken) {
+      : this.#cluster.take(world, step, isInMask(stalled, step.node), isIntermediate);
+    // The step had no effect, but is done: its message is consumed, or its timers are checked.
+    if (!result) {
       const done = { ...schedule, queue, ticked };
       return { schedule: done, violation: undefined, isIdle: true };
     }
-    const sent = taken.sent.filter((message) => this.#isSentThrough(schedule, message));
+    const sent = result.sent.filter((message) => this.#isDeliverable(schedule, message));
     const next = {
       ...schedule,
-      world: taken.world,
+      world: result.world,
       queue: queued(queue, sent),
       ticked: step.kind === 'advance' ? 0 : ticked,
       departures,
     };
-    return { schedule: next, violation: taken.violation, isIdle: false };
+    return { schedule: next, violation: result.violation, isIdle: false };
   }
 
   #isCut({ cut }: Schedule<Ghost>, message: number): boolean {
     const { from, to } = this.#cluster.envelope(message);
-    return holds(cut, from) || holds(cut, to);
+    return isInMask(cut, from) || isInMask(cut, to);
   }
 
-  #isSentThrough(schedule: Schedule<Ghost>, message: number): boolean {
+  #isDeliverable(schedule: Schedule<Ghost>, message: number): boolean {
     return !this.#isCut(schedule, message);
   }
 }
--- a/src/simulation/exhaustive/explorer.ts
+++ b/src/simulation/exhaustive/explorer.ts
@@ -1,64 +1,68 @@
-/** A finite-branching transition system whose states can be told apart by a text. */
+/** A transition system with finite branching, whose states are identified by a text. */
 export interface Model<State> {
   readonly name: string;
+  /** The state in which a search begins. */
   initial(): State;
+  /** A text that is equal for equal states. */
   key(state: State): string;
-  /** Visits every step that is possible in the state, in an order that never changes. */
+  /** Visits every step that is possible in the state, in a deterministic order. */
   expand(state: State, visit: Visit<State>): void;
-  /** The step in words, for a counterexample. */
+  /** Describes the step for a counterexample. */
   describe(state: State, step: number): string;
 }
 
-/** `violation` names the broken invariant; nothing where the step kept all of them. */
+/** Called for each possible step; `violation` names the broken invariant, undefined if all hold. */
 export type Visit<State> = (step: number, next: State, violation: string | undefined) => void;
 
-/** What ends a search that finds no violation. */
+/** Limits of a search that finds no violation. */
 export interface Bounds {
   /** Steps from the initial state. */
   readonly depth: number;
-  /** Distinct states; a search that meets this bound is partial in its last depth. */
+  /** Distinct states; a search that reaches this bound is incomplete at its last depth. */
   readonly states: number;
 }
 
+/** A violation, with the steps that lead to it from the initial state. */
 export interface Counterexample {
   readonly invariant: string;
   readonly steps: readonly string[];
 }
 
+/** The result of a search. */
 export interface Verdict {
   readonly model: string;
   /** The last depth that was explored completely. */
   readonly depth: number;
   readonly states: number;
   readonly transitions: number;
-  /** Processor time: other work on the machine does not count. */
+  /** CPU time, in milliseconds: other load on the machine does not count. */
   readonly millis: number;
-  /** Whether no state is left beyond the explored ones: then the depth bounds nothing. */
+  /** Whether every reachable state was explored, so that the depth was not a limit. */
   readonly isExhausted: boolean;
   readonly counterexample: Counterexample | undefined;
 }
 
-/** V8 bounds one Set at 2^24 entries. */
-const SHARDS = 64;
+/** Sets that share the texts, since V8 limits one Set to 2^24 entries. */
+const SHARD_COUNT = 64;
 
-/** A set of texts larger than one Set may be. */
+/** A set of texts that may be larger than one Set. */
 class TextSet {
   readonly #shards: Set<string>[] = [];
   #size = 0;
 
   constructor() {
-    for (let index = 0; index < SHARDS; index += 1) this.#shards.push(new Set());
+    for (let index = 0; index < SHARD_COUNT; index += 1) this.#shards.push(new Set());
   }
 
   get size(): number {
     return this.#size;
   }
 
-  /** Says whether the text was new. */
+  /** Returns whether the text was new. */
   add(text: string): boolean {
     let hash = 0;
     for (let at = 0; at < text.length; at += 1) hash = (hash * 31 + text.charCodeAt(at)) | 0;
-    const shard = this.#shards[(hash >>> 7) % SHARDS];
+    const shard = this.#shards[(hash >>> 7) % SHARD_COUNT];
     if (!shard || shard.has(text)) return false;
     shard.add(text);
     this.#size += 1;
@@ -67,13 +71,13 @@
 }
 
 /**
- * Breadth-first search over all states in reach. The first violation met has the fewest steps; it is returned as the
- * list of steps that leads to it.
+ * Breadth-first search over all reachable states. The first violation found is one with the fewest steps; it is returned as
+ * the list of steps that leads to it.
  */
 export class Explorer<State> {
   readonly #model: Model<State>;
   readonly #seen = new TextSet();
-  /** The state before each one, and the step from there, by the order in which states were found. */
+  /** The predecessor of each state and the step from it, by the order in which the states were found. */
   readonly #parents: number[] = [];
   readonly #steps: number[] = [];
   #transitions = 0;
@@ -82,8 +86,9 @@
     this.#model = model;
   }
 
+  /** Searches until a violation, the bounds or the last reachable state; reports progress after each depth. */
   run(bounds: Bounds, progress: (verdict: Verdict) => void = ignore): Verdict {
-    const began = process.cpuUsage();
+    const cpuAtStart = process.cpuUsage();
     const model = this.#model;
     const first = model.initial();
     this.#add(model.key(first), -1, -1);
@@ -112,11 +117,11 @@
       frontierStart += frontier.length;
       frontier = next;
       depth += 1;
-      progress(this.#verdict(depth, began, false, undefined));
+      progress(this.#verdict(depth, cpuAtStart, false, undefined));
     }
     const counterexample =
       invariant === undefined ? undefined : { invariant, steps: this.#path(first, violating) };
-    return this.#verdict(depth, began, frontier.length === 0, counterexample);
+    return this.#verdict(depth, cpuAtStart, frontier.length === 0, counterexample);
   }
 
   #visit(next: State[], parent: number, step: number, after: State): void {
@@ -133,7 +138,7 @@
 
   #verdict(
     depth: number,
-    began: NodeJS.CpuUsage,
+    cpuAtStart: NodeJS.CpuUsage,
     isExhausted: boolean,
     counterexample: Counterexample | undefined,
   ): Verdict {
@@ -142,13 +147,13 @@
       depth,
       states: this.#seen.size,
       transitions: this.#transitions,
-      millis: millisSince(began),
+      millis: millisSince(cpuAtStart),
       isExhausted,
       counterexample,
     };
   }
 
-  /** Walks the steps again from the initial state, to say each in words. */
+  /** Repeats the steps from the initial state, to describe each. */
   #path(first: State, last: { readonly parent: number; readonly step: number }): string[] {
     const steps = [last.step];
     for (let at = last.parent; at > 0; at = this.#parents[at] ?? 0) {
@@ -173,10 +178,10 @@
 }
 
 function ignore(): void {
-  /* nobody asked for progress */
+  /* the caller does not need progress */
 }
 
-function millisSince(began: NodeJS.CpuUsage): number {
-  const { user, system } = process.cpuUsage(began);
+function millisSince(cpuAtStart: NodeJS.CpuUsage): number {
+  const { user, system } = process.cpuUsage(cpuAtStart);
   return Math.round((user + system) / 1000);
 }
--- a/src/simulation/exhaustive/interleavings.ts
+++ b/src/simulation/exhaustive/interleavings.ts
@@ -6,8 +6,8 @@
 import { stepAt, stepCode, stepOf, type Step } from './steps.js';
 
 /**
- * Every order of everything: any message ever sent may be delivered next, any timer looked at, any disk may finish or
- * not, and time may pass at any point, so that a node that is not scheduled stands for a frozen or a dead one.
+ * Every order of steps: at any point any message ever sent may be delivered, any node may check its timers, any disk may
+ * finish its writes, and time may pass. A node that takes no step stands for a frozen or a crashed one.
  */
 export class Interleavings<Command, Event, Facts, Ghost> implements Model<World<Ghost>> {
   readonly #cluster: Cluster<Command, Event, Facts, Ghost>;
@@ -50,7 +50,7 @@
   }
 
   #take(world: World<Ghost>, step: Step, visit: Visit<World<Ghost>>): void {
-    const taken = this.#cluster.take(world, step, this.#cluster.protocol.faults.hasLateSyncs);
-    if (taken && !taken.isSame) visit(stepCode(step), taken.world, taken.violation);
+    const result = this.#cluster.take(world, step, this.#cluster.protocol.faults.hasLateSyncs);
+    if (result && !result.isSame) visit(stepCode(step), result.world, result.violation);
   }
 }
--- a/src/simulation/exhaustive/steps.ts
+++ b/src/simulation/exhaustive/steps.ts
@@ -1,4 +1,4 @@
-/** What may happen next in a cluster. */
+/** The kinds of steps that a cluster may take. */
 export type StepKind =
   | 'advance'
   | 'tick'
@@ -15,8 +15,8 @@
   | 'heal'
   | 'stall'
   | 'unstall'
-  /** All that follows up to the next choice. */
-  | 'calm';
+  /** All steps without faults up to the next choice. */
+  | 'fault-free';
 
 const STEP_KINDS: readonly StepKind[] = [
   'advance',
@@ -34,32 +34,35 @@
   'heal',
   'stall',
   'unstall',
-  'calm',
+  'fault-free',
 ];
-const NODE_SPAN = 16;
-const KIND_SPAN = 16;
+/** Exclusive upper bounds of the node and of the kind in a step's code. */
+const NODE_RANGE = 16;
+const KIND_RANGE = 16;
 
-/** `item` is the number of a message or command. */
+/** One step of a cluster; `item` is the id of the message or command, if it has one. */
 export interface Step {
   readonly kind: StepKind;
   readonly node: number;
   readonly item: number;
 }
 
-/** A step as one number, by which the explorer remembers it. */
+/** Encodes a step as one number, which the explorer stores. */
 export function stepCode({ kind, node, item }: Step): number {
-  return (item * NODE_SPAN + node) * KIND_SPAN + STEP_KINDS.indexOf(kind);
+  return (item * NODE_RANGE + node) * KIND_RANGE + STEP_KINDS.indexOf(kind);
 }
 
+/** Decodes a step from its code. */
 export function stepOf(code: number): Step {
-  const rest = Math.floor(code / KIND_SPAN);
+  const rest = Math.floor(code / KIND_RANGE);
   return {
-    kind: STEP_KINDS[code % KIND_SPAN] ?? 'advance',
-    node: rest % NODE_SPAN,
-    item: Math.floor(rest / NODE_SPAN),
+    kind: STEP_KINDS[code % KIND_RANGE] ?? 'advance',
+    node: rest % NODE_RANGE,
+    item: Math.floor(rest / NODE_RANGE),
   };
 }
 
+/** Creates a step; a step without a node, a message or a command has 0 there. */
 export function stepAt(kind: StepKind, node: number = 0, item: number = 0): Step {
   return { kind, node, item };
 }
