--- a/src/simulation/exhaustive/cluster.ts
+++ b/src/simulation/exhaustive/cluster.ts
@@ -14,23 +14,25 @@
 import type { StateDigest } from './state-digest.js';
 import type { Step } from './steps.js';
 
-/** A state after a step, and what the step did. */
+/** The cluster after a step, and what the step did. */
 export interface Taken<Ghost> {
   readonly world: World<Ghost>;
+  /** Ids of the messages that the step sent. */
   readonly sent: readonly number[];
-  /** Whether nothing came of it but messages that had been sent before. */
+  /** Whether the step changed nothing: at most it sent messages that had been sent before. */
   readonly isSame: boolean;
+  /** The broken invariant; undefined if all hold. */
   readonly violation: string | undefined;
 }
 
-interface Changed<Event> {
+interface NodeChange<Event> {
   readonly node: NodeState;
   readonly messages: string;
   readonly sent: readonly number[];
   readonly events: readonly Event[];
 }
 
-/** Several nodes with their disks and the network between them: carries out single steps, whoever chooses them. */
+/** Several nodes with their disks and the network between them. Executes single steps; a model chooses which. */
 export class Cluster<Command, Event, Facts, Ghost> {
   readonly #protocol: Protocol<Command, Event, Facts, Ghost>;
   readonly #locals: LocalStates<Command, Event, Facts>;
@@ -44,16 +46,17 @@
     this.#locals = new LocalStates(protocol, digest);
   }
 
+  /** The protocol that is checked. */
   get protocol(): Protocol<Command, Event, Facts, Ghost> {
     return this.#protocol;
   }
 
-  /** How many states single nodes were seen in. */
+  /** Number of distinct states of single nodes reached so far. */
   get localStates(): number {
     return this.#locals.size;
   }
 
-  /** All nodes just started on the protocol's first disks. */
+  /** Starts all nodes from the protocol's first disks. */
   fresh(): World<Ghost> {
     const { firstDisks, firstGhost, nodes } = this.#protocol;
     const states: NodeState[] = [];
@@ -65,20 +68,24 @@
     return { clock: 0, nodes: states, messages: '', restarts: 0, wipes: 0, ghost: firstGhost };
   }
 
+  /** A text that is equal for equal states of the cluster. */
   key(world: World<Ghost>): string {
     let text = `${world.clock},${world.restarts},${world.wipes},${this.#ghostId(world.ghost)}`;
     for (const node of world.nodes) text += `;${node.local},${node.disk},${node.pending.join()}`;
     return `${text};${world.messages}`;
   }
 
+  /** The message with this id. */
   envelope(message: number): Envelope {
     return this.#locals.envelopes.valueOf(message);
   }
 
+  /** The id of a command; equal commands have the same one. */
   commandId(command: Command): number {
     return this.#commands.idOf(command);
   }
 
+  /** The commands that clients may send in this state: the node that receives each, and its id. */
   commandsOf(world: World<Ghost>): readonly { readonly node: number; readonly item: number }[] {
     const found: { readonly node: number; readonly item: number }[] = [];
     for (const { node, command } of this.#protocol.commands(this.#view(world))) {
@@ -87,17 +94,19 @@
     return found;
   }
 
+  /** Whether the protocol allows a fault of this kind at the node in this state. */
   mayFail(world: World<Ghost>, kind: FaultKind, node: number): boolean {
     return this.#protocol.mayFail(this.#view(world), kind, node);
   }
 
+  /** Describes a step for a counterexample. */
   describe({ kind, node, item }: Step): string {
     const name = this.#protocol.nodes[node] ?? '';
     switch (kind) {
       case 'advance':
         return 'the clocks advance by one step';
       case 'tick':
-        return `${name} looks at its timers`;
+        return `${name} checks its timers`;
       case 'sync':
         return `the disk of ${name} finishes all writes`;
       case 'restart':
@@ -105,7 +114,7 @@
       case 'wipe':
         return `${name} crashes and restarts with an empty disk`;
       case 'command':
-        return `${name} is told ${JSON.stringify(this.#commands.valueOf(item))}`;
+        return `${name} receives the command ${JSON.stringify(this.#commands.valueOf(item))}`;
       case 'drop':
         return `lost: ${this.#messageText(item)}`;
       case 'receive':
@@ -125,23 +134,24 @@
   }
 
   /**
-   * Carries out one step of a node or the passing of time; nothing where it changes nothing. In the midst of a run that
-   * leaves no choice (`isPassing`) nobody asks whether the state was met before, until it is settled.
+   * Executes one step of a node, or advances the clocks; returns undefined if nothing changes. `isStalled` says whether the
+   * node's disk leaves its writes unfinished. Within a sequence of steps without a choice (`isIntermediate`) the new state
+   * is not compared with known ones, which `canonicalize` does at its end.
    */
   take(
     world: World<Ghost>,
     step: Step,
     isStalled: boolean,
-    isPassing = false,
+    isIntermediate = false,
   ): Taken<Ghost> | undefined {
     const before = world.nodes[step.node];
     if (!before) return undefined;
     if (step.kind === 'advance') {
       const next = { ...world, clock: world.clock + 1 };
-      return { ...this.#judge(world, next, step, [], []), isSame: false };
+      return { ...this.#check(world, next, step, [], []), isSame: false };
     }
     const found = this.#change(world, before, step, isStalled);
-    const changed = isPassing ? found : { ...found, node: this.#settledNode(found.node) };
+    const changed = isIntermediate ? found : { ...found, node: this.#canonicalNode(found.node) };
     const isSame =
       changed.node.local === before.local &&
       changed.messages === world.messages &&
@@ -155,20 +165,20 @@
       restarts: world.restarts + (step.kind === 'restart' ? 1 : 0),
       wipes: world.wipes + (step.kind === 'wipe' ? 1 : 0),
     };
-    return { ...this.#judge(world, next, step, changed.sent, changed.events), isSame };
+    return { ...this.#check(world, next, step, changed.sent, changed.events), isSame };
   }
 
-  /** The same state, with each node known by all that it holds. */
+  /** The same state with each node's state replaced by its canonical representative. */
   settled(world: World<Ghost>): World<Ghost> {
-    return { ...world, nodes: world.nodes.map(this.#settledNode, this) };
+    return { ...world, nodes: world.nodes.map(this.#canonicalNode, this) };
   }
 
-  #settledNode(node: NodeState): NodeState {
+  #canonicalNode(node: NodeState): NodeState {
     const local = this.#locals.settle(node.local);
     return local === node.local ? node : { ...node, local };
   }
 
-  #change(world: World<Ghost>, node: NodeState, step: Step, isStalled: boolean): Changed<Event> {
+  #change(world: World<Ghost>, node: NodeState, step: Step, isStalled: boolean): NodeChange<Event> {
     const now = this.#momentOf(world.clock);
     switch (step.kind) {
       case 'sync':
@@ -196,7 +206,7 @@
     return { kind: 'receive', from: this.#protocol.nodes[from] ?? '', messages };
   }
 
-  #restart(world: World<Ghost>, node: number, disk: number): Changed<Event> {
+  #restart(world: World<Ghost>, node: number, disk: number): NodeChange<Event> {
     const now = this.#momentOf(world.clock);
     const incarnation = world.restarts + world.wipes + 1;
     const local = this.#locals.boot({ node, disk: this.#disks.valueOf(disk), now, incarnation });
@@ -204,8 +214,8 @@
     return { node: state, messages: world.messages, sent: [], events: [] };
   }
 
-  /** Finishes all writes in order, those that this brings about as well. */
-  #sync(now: Moment, changed: Changed<Event>): Changed<Event> {
+  /** Finishes all pending writes in order, including those that the node starts in response. */
+  #sync(now: Moment, changed: NodeChange<Event>): NodeChange<Event> {
     let result = changed;
     while (result.node.pending.length > 0) {
       const [first = 0, ...pending] = result.node.pending;
@@ -223,7 +233,7 @@
     return result;
   }
 
-  #after(node: NodeState, messages: string, step: LocalStep<Event>): Changed<Event> {
+  #after(node: NodeState, messages: string, step: LocalStep<Event>): NodeChange<Event> {
     const pending = step.writes.length === 0 ? node.pending : [...node.pending, ...step.writes];
     return {
       node: { local: step.local, disk: node.disk, pending },
@@ -237,7 +247,7 @@
     return this.envelope(message).messages.some(this.#protocol.isWatched);
   }
 
-  #judge(
+  #check(
     world: World<Ghost>,
     next: World<Ghost>,
     step: Step,
@@ -245,7 +255,7 @@
     events: readonly Event[],
   ): Omit<Taken<Ghost>, 'isSame'> {
     const isAdvance = step.kind === 'advance';
-    const did = {
+    const details = {
       node: isAdvance ? undefined : step.node,
       isAdvance,
       isRestart: step.kind === 'restart' || step.kind === 'wipe',
@@ -253,8 +263,8 @@
       sent: sent.map(this.envelope, this),
       events,
     };
-    const judged = this.#protocol.judge(this.#view(world), this.#view(next), did);
-    return { world: { ...next, ghost: judged.ghost }, sent, violation: judged.violation };
+    const check = this.#protocol.judge(this.#view(world), this.#view(next), details);
+    return { world: { ...next, ghost: check.ghost }, sent, violation: check.violation };
   }
 
   #view(world: World<Ghost>): View<Facts, Ghost> {
@@ -282,10 +292,10 @@
 }
 
 function messageText(message: Message): string {
-  return JSON.stringify(message, withoutReports);
+  return JSON.stringify(message, omitReports);
 }
 
-/** Scores travel with every message of the election and would hide what it says. */
-function withoutReports(key: string, value: unknown): unknown {
+/** Omits the connection scores: they are part of every election message and would make it unreadable. */
+function omitReports(key: string, value: unknown): unknown {
   return key === 'reports' ? undefined : value;
 }
--- a/src/simulation/exhaustive/leaders.ts
+++ b/src/simulation/exhaustive/leaders.ts
@@ -1,12 +1,13 @@
-/** Who led each epoch that had a leader. */
+/** The leader of each epoch that had one. */
 export type Leaders = Readonly<Record<number, number>>;
 
+/** The leaders after a step, and the broken invariant, if any. */
 export interface LeaderJudgement {
   readonly leaders: Leaders;
   readonly violation: string | undefined;
 }
 
-/** Notes that a node leads an epoch; no epoch may have two leaders. */
+/** Records that a node leads an epoch; it is a violation if another node led it. */
 export function withLeader(leaders: Leaders, epoch: number, node: number): LeaderJudgement {
   const known = leaders[epoch];
   if (known === undefined) return { leaders: { ...leaders, [epoch]: node }, violation: undefined };
--- a/src/simulation/exhaustive/local-states.ts
+++ b/src/simulation/exhaustive/local-states.ts
@@ -4,8 +4,8 @@
 import { Interner } from './interner.js';
 import type { StateDigest } from './state-digest.js';
 
-/** Nodes kept in memory at most; each holds some hundred kilobytes. */
-const MOST_LIVE = 256;
+/** Maximum number of nodes kept in memory; each takes some hundred kilobytes. */
+const MAX_LIVE_NODES = 256;
 
 /** One write to a node's disk. A slot holds the newest version written to it. */
 export interface DiskWrite {
@@ -15,35 +15,37 @@
   readonly body: string;
 }
 
+/** A message that a node sends. */
 export interface Sent {
   readonly to: string;
   readonly message: Message;
 }
 
-/** What one node may be given. */
+/** One input of a node. */
 export type Input<Command> =
   | { readonly kind: 'tick' }
   | { readonly kind: 'receive'; readonly from: string; readonly messages: readonly Message[] }
   | { readonly kind: 'stored'; readonly write: DiskWrite }
   | { readonly kind: 'command'; readonly command: Command };
 
-/** What one input made the node do. */
+/** What a node does in response to one input. */
 export interface Output<Event> {
   readonly sends: readonly Sent[];
   readonly writes: readonly DiskWrite[];
   readonly events: readonly Event[];
 }
 
-/** The real code of one node, wired as its process wires it. */
+/** The production code of one node, with its components connected as in its process. */
 export interface Subject<Command, Event, Facts> {
-  /** Everything that decides what it does from here on. */
+  /** Everything that determines its further behavior. */
   readonly state: unknown;
+  /** Handles one input at the time `now`. */
   perform(now: Moment, input: Input<Command>): Output<Event>;
-  /** What the invariants look at. */
+  /** What the invariants need to know of its state. */
   facts(): Facts;
 }
 
-/** Outputs as numbers: messages and writes are interned. */
+/** The result of one input; messages and writes are interned and given by their ids. */
 export interface LocalStep<Event> {
   readonly local: number;
   readonly sends: readonly number[];
@@ -51,54 +53,57 @@
   readonly events: readonly Event[];
 }
 
-/** What is delivered at once, with its two ends: one message, or all that one step sent to one node. */
+/** What is delivered together, with its sender and receiver: one message, or all that one step sent to one node. */
 export interface Envelope {
   readonly from: number;
   readonly to: number;
   readonly messages: readonly Message[];
 }
 
-/** How a process is started: which node, on what disk, when. */
+/** The start of a process: of which node, with which disk, and when. */
 export interface Boot {
   readonly node: number;
   readonly disk: readonly DiskWrite[];
   readonly now: Moment;
-  /** How many processes were started before it, on any node. */
+  /** Number of processes started before it, on any node. */
   readonly incarnation: number;
 }
 
-interface Recorded<Command, Event, Facts> {
+interface StateRecord<Command, Event, Facts> {
   readonly boot: Boot;
-  /** The state before and the input that led here; nothing right after the start. */
+  /** The preceding state, and the input that led here; undefined right after the start. */
   readonly origin:
     { readonly local: number; readonly now: Moment; readonly input: Input<Command> } | undefined;
   readonly facts: Facts;
   steps: Map<string, LocalStep<Event>> | undefined;
-  /** The first state that was found equal to this one; unknown until somebody asks. */
-  settled: number | undefined;
+  /** The canonical representative: the first state found to be equal to this one; undefined until it is requested. */
+  canonical: number | undefined;
 }
 
-/** What the table needs of a model. */
+/** What is needed to start nodes. */
 export interface NodeFactory<Command, Event, Facts> {
   readonly nodes: readonly string[];
-  /** Whether all that a step sends to one node arrives together, as on one connection. */
+  /** Whether all messages of a step to one node arrive together, as on one connection. */
   readonly isBundled: boolean;
+  /** Starts the process of a node. */
   start(boot: Boot): Subject<Command, Event, Facts>;
 }
 
 /**
- * All states that single nodes have been in. The real code runs once for each pair of state and input; wherever the same
- * pair comes again, in whatever state of the others, the result is looked up.
+ * All states reached by single nodes. The production code runs once for each pair of state and input; when the same pair
+ * occurs again, whatever the states of the other nodes, the result is looked up.
  */
 export class LocalStates<Command, Event, Facts> {
   readonly #factory: NodeFactory<Command, Event, Facts>;
   readonly #digest: StateDigest;
   readonly #ids = new Map<string, number>();
-  readonly #recorded: Recorded<Command, Event, Facts>[] = [];
+  readonly #records: StateRecord<Command, Event, Facts>[] = [];
   readonly #boots = new Map<string, number>();
+  /** All messages sent so far. */
   readonly envelopes = new Interner<Envelope>();
+  /** All disk writes so far. */
   readonly writes = new Interner<DiskWrite>();
-  /** Nodes that are in memory as they are in some states, oldest first, so that a run of steps needs no rebuilding. */
+  /** Nodes in memory, by the state that they are in, oldest first, so that a sequence of steps needs no rebuilding. */
   readonly #live = new Map<number, Subject<Command, Event, Facts>>();
 
   constructor(factory: NodeFactory<Command, Event, Facts>, digest: StateDigest) {
@@ -106,15 +111,17 @@
     this.#digest = digest;
   }
 
-  /** How many different states were met. */
+  /** Number of distinct states. */
   get size(): number {
     return this.#ids.size;
   }
 
+  /** The facts of a state; throws a RangeError if there is no state with this id. */
   factsOf(local: number): Facts {
     return this.#recordOf(local).facts;
   }
 
+  /** The id of the state of a node right after its start. */
   boot(boot: Boot): number {
     const key = JSON.stringify(boot);
     const known = this.#boots.get(key);
@@ -125,8 +132,9 @@
   }
 
   /**
-   * `key` names the input among all that this model has. The state after it is known by its inputs alone, until it is
-   * settled: most states within a run that leaves no choice are never met by another way.
+   * Gives a node one input; `key` identifies the input among all inputs of the model. The new state is identified only by
+   * the inputs that led to it, until `canonicalize` compares it with others: most states within a sequence of steps
+   * without a choice are reached in no other way.
    */
   step(local: number, now: Moment, key: string, input: Input<Command>): LocalStep<Event> {
     const before = this.#recordOf(local);
@@ -148,20 +156,20 @@
     return step;
   }
 
-  /** The first state that was found equal to this one, by all that the node holds. */
+  /** The canonical representative of a state: the first one found to be equal in everything that the node holds. */
   settle(local: number): number {
     const record = this.#recordOf(local);
-    if (record.settled !== undefined) return record.settled;
+    if (record.canonical !== undefined) return record.canonical;
     const subject = this.#rebuild(local);
     const text = `${record.boot.node} ${this.#digest.textOf(subject.state)}`;
-    // The texts themselves would fill the memory.
+    // The texts themselves would take too much memory.
     const hash = createHash('sha256').update(text).digest('base64');
-    const settled = this.#ids.get(hash) ?? local;
-    this.#ids.set(hash, settled);
-    record.settled = settled;
-    // A state is always gone on from by the inputs that led to it first, so that what is found does not depend on memory.
-    if (settled !== local) this.#live.delete(local);
-    return settled;
+    const canonical = this.#ids.get(hash) ?? local;
+    this.#ids.set(hash, canonical);
+    record.canonical = canonical;
+    // Steps always continue from the inputs that first led to the state, so that results do not depend on memory.
+    if (canonical !== local) this.#live.delete(local);
+    return canonical;
   }
 
   #envelopes(from: number, sends: readonly Sent[]): number[] {
@@ -181,12 +189,12 @@
 
   #record(
     boot: Boot,
-    origin: Recorded<Command, Event, Facts>['origin'],
+    origin: StateRecord<Command, Event, Facts>['origin'],
     subject: Subject<Command, Event, Facts>,
   ): number {
-    const local = this.#recorded.length;
+    const local = this.#records.length;
     const facts = subject.facts();
-    this.#recorded.push({ boot, origin, facts, steps: undefined, settled: undefined });
+    this.#records.push({ boot, origin, facts, steps: undefined, canonical: undefined });
     this.#keepLive(local, subject);
     return local;
   }
@@ -195,12 +203,12 @@
     this.#live.delete(local);
     this.#live.set(local, subject);
     for (const oldest of this.#live.keys()) {
-      if (this.#live.size <= MOST_LIVE) break;
+      if (this.#live.size <= MAX_LIVE_NODES) break;
       this.#live.delete(oldest);
     }
   }
 
-  /** The cores cannot be copied: a state is reached again by the inputs that led to it first. */
+  /** Cores cannot be copied: a state is restored by repeating the inputs that first led to it. */
   #rebuild(local: number): Subject<Command, Event, Facts> {
     const live = this.#live.get(local);
     if (live) return live;
@@ -215,8 +223,8 @@
     return subject;
   }
 
-  #recordOf(local: number): Recorded<Command, Event, Facts> {
-    const record = this.#recorded[local];
+  #recordOf(local: number): StateRecord<Command, Event, Facts> {
+    const record = this.#records[local];
     if (!record) throw new RangeError(`no local state ${local}`);
     return record;
   }
--- a/src/simulation/exhaustive/protocol.ts
+++ b/src/simulation/exhaustive/protocol.ts
@@ -1,29 +1,31 @@
 import type { Message } from '../../common/messages.js';
 import type { DiskWrite, Envelope, NodeFactory } from './local-states.js';
 
-/** The usual milliseconds between two of the moments that a model has. Nothing happens at any other. */
+/** The default clock step: milliseconds between two consecutive times of a model. Nothing happens in between. */
 export const CLOCK_STEP_MS = 1000;
 
-/** One node of a state: numbers of what the tables hold. */
+/** The state of one node, given by ids of interned values. */
 export interface NodeState {
+  /** The state of its process. */
   readonly local: number;
   readonly disk: number;
-  /** Writes that the disk has not finished, oldest first. */
+  /** Unfinished writes, oldest first. */
   readonly pending: readonly number[];
 }
 
 /**
- * A state of the whole. The network never forgets: a message that was sent once can be delivered at any later moment, any
- * number of times and in any order, or never. Losses, duplicates and late copies are all in that.
+ * The state of the whole cluster. The network keeps every message: once sent, it can be delivered at any later time, any
+ * number of times and in any order, or never. This covers losses, duplicates and late copies.
  */
 export interface World<Ghost> {
+  /** The time, in clock steps. */
   readonly clock: number;
   readonly nodes: readonly NodeState[];
-  /** One character for each message ever sent, sorted. */
+  /** The set of all messages sent so far, as a sorted text of message ids. */
   readonly messages: string;
   readonly restarts: number;
   readonly wipes: number;
-  /** What the invariants remember. */
+  /** Ghost state: history that the invariants need, which no node reads. */
   readonly ghost: Ghost;
 }
 
@@ -35,9 +37,9 @@
   readonly disks: readonly (readonly DiskWrite[])[];
 }
 
-/** What a step did, beside changing the state. */
+/** What a step did apart from changing the state. */
 export interface Happening<Command, Event> {
-  /** The node that took the step; nothing for the passing of time. */
+  /** The node that took the step; undefined if the clocks advanced. */
   readonly node: number | undefined;
   readonly isAdvance: boolean;
   readonly isRestart: boolean;
@@ -46,17 +48,19 @@
   readonly events: readonly Event[];
 }
 
+/** The ghost state after a step, and the broken invariant, if any. */
 export interface Judgement<Ghost> {
   readonly ghost: Ghost;
   readonly violation: string | undefined;
 }
 
+/** A command, and the node that receives it. */
 export interface NodeCommand<Command> {
   readonly node: number;
   readonly command: Command;
 }
 
-/** Departures from a calm run: a message lost or delivered again, timers late, a node in trouble or crashed. */
+/** Kinds of faults: of messages (lost, or delivered late or again), of timers (late), of connections, disks and nodes. */
 export const FAULT_KINDS = [
   'drop',
   'receive',
@@ -67,57 +71,70 @@
   'restart',
   'wipe',
 ] as const;
+/** One kind of fault. */
 export type FaultKind = (typeof FAULT_KINDS)[number];
 
-/** How often what may go wrong, and how far time may go. */
+/** Limits on time and on crashes. */
 export interface FaultBounds {
+  /** Number of steps by which the clocks may advance. */
   readonly clockSteps: number;
-  /** Crashes with everything synced kept. A node that is never scheduled again stands for one that stays away. */
+  /** Crashes after which all synced data remains. A node that is not scheduled again stands for one that stays down. */
   readonly restarts: number;
   /** Crashes that lose the whole disk. */
   readonly wipes: number;
-  /** Whether a write may be unfinished while other things happen; else each is synced in the step that began it. */
+  /** Whether other steps may happen before a write finishes; otherwise each write is synced in the step that began it. */
   readonly hasLateSyncs: boolean;
 }
 
-/** One protocol to check: the real code of a node, what may be asked of it, and what must always hold. */
+/** A protocol to check: the production code of a node, the commands that it may receive, and the invariants. */
 export interface Protocol<Command, Event, Facts, Ghost> extends NodeFactory<Command, Event, Facts> {
   readonly name: string;
   /** Milliseconds by which all clocks advance at once. */
   readonly clockStepMs: number;
   readonly faults: FaultBounds;
+  /** The ghost state before the first step. */
   readonly firstGhost: Ghost;
+  /** The disk contents of each node at its first start. */
   readonly firstDisks: readonly (readonly DiskWrite[])[];
-  /** Nodes that are frozen when the search begins, as a bit mask; used by searches that know of freezing. */
+  /** Nodes that are frozen when the search begins, as a bit mask; used only by searches that can freeze nodes. */
   readonly firstFrozen: number;
-  /** When lasting troubles may end in searches that know of them, apart from when a message is on its way. */
+  /**
+   * When lasting faults may end, in searches that have them: whenever no message is in transit, or only when the clocks are
+   * due to advance.
+   */
   readonly troublesEnd: 'at any pause' | 'with the clocks';
-  /** Whether searches of few faults may make a fault of this kind at the node in this state; crashes are bounded besides. */
+  /** Whether searches with faults may inject one of this kind at the node; `faults` limits crashes in addition. */
   mayFail(view: View<Facts, Ghost>, kind: FaultKind, node: number): boolean;
-  /** Brings the fresh cluster to where the search begins. */
-  prepare(calm: CalmRun<Command>): void;
-  /** Whether late copies of such a message are worth a look; others are delivered in time or not at all. */
+  /** Brings the newly started cluster to the state in which the search begins. */
+  prepare(run: CalmRun<Command>): void;
+  /** Whether late copies of such a message are explored; other messages are delivered in time or not at all. */
   isWatched(message: Message): boolean;
+  /** The commands that clients may send in this state. */
   commands(view: View<Facts, Ghost>): readonly NodeCommand<Command>[];
+  /** Checks the invariants after a step, and updates the ghost state. */
   judge(
     before: View<Facts, Ghost>,
     after: View<Facts, Ghost>,
-    did: Happening<Command, Event>,
+    details: Happening<Command, Event>,
   ): Judgement<Ghost>;
 }
 
-/** Steps of the beginning, in which nothing is lost or late. */
+/** The preparation of a search, in which no message is lost or late. */
 export interface CalmRun<Command> {
+  /** The node checks its timers. */
   tick(node: number): void;
+  /** The node receives a command. */
   command(node: number, command: Command): void;
+  /** Advances the clocks by one step. */
   advance(): void;
+  /** The node crashes and restarts with an empty disk. */
   wipe(node: number): void;
-  /** Messages sent so far are never delivered again. */
+  /** Discards the messages sent so far: they are never delivered again. */
   forget(): void;
-  /** From here on messages are delivered only one by one. */
+  /** From now on, messages are delivered only by `deliver`. */
   hold(): void;
-  /** Delivers the messages of this kind that one node has sent to another. */
+  /** Delivers the messages of this kind that one node sent to another. */
   deliver(from: number, to: number, kind: Message['kind']): void;
-  /** From here on nothing reaches this node and nothing is sent by it, until the search begins. */
+  /** From now on, no message is delivered to this node until the search begins. */
   freeze(node: number): void;
 }
