--- a/src/simulation/exhaustive/election-protocol.ts
+++ b/src/simulation/exhaustive/election-protocol.ts
@@ -27,14 +27,15 @@
   isFree: optional(boolean()),
 });
 
-/** Moments at which order permissions are looked at: two spans and a lease beyond the last step of any search. */
-const WATCHED_CLOCK_STEPS = 24;
-/** In steps of the clocks: how long nobody may order between two holders. */
-const LEASE_CLOCK_STEPS = 2;
+/** Clock steps at which permission to send orders is checked: up to two leases and a handover gap after any search. */
+const CHECKED_CLOCK_STEPS = 24;
+/** How long no node may send orders between the leases of two leaders. */
+const HANDOVER_GAP_CLOCK_STEPS = 2;
 
 /**
- * The deployed proportions on few moments: a holder may order for two steps of the clocks after a renewal, nobody for one between two
- * holders, a round of proposals takes one. Clocks run alike. Links are always taken for alive.
+ * Roughly the proportions of the default timing, in few clock steps: a lease lasts two steps from its renewal, the handover
+ * gap leaves one step between two leaders at which no node sends orders, and a round of proposals takes one step. Clocks do
+ * not drift, and links always count as alive.
  */
 const SETTINGS: VoteSettings = {
   pingMs: 2 * CLOCK_STEP_MS,
@@ -43,39 +44,42 @@
   electionMs: CLOCK_STEP_MS,
   renewMs: CLOCK_STEP_MS / 10,
   leaseMs: 2 * CLOCK_STEP_MS,
-  handoverGapMs: LEASE_CLOCK_STEPS * CLOCK_STEP_MS,
+  handoverGapMs: HANDOVER_GAP_CLOCK_STEPS * CLOCK_STEP_MS,
   drift: 0,
   diskStallMs: 1000 * CLOCK_STEP_MS,
 };
 
-/** Deliberate mistakes that the invariants must find. */
+/** Deliberate mistakes that the invariants must detect. */
 export type ElectionMistake =
-  /** Messages leave before the record that they rest on is synced. */
+  /** Messages are sent before the vote record that they depend on is synced. */
   | 'speaks-unsynced'
-  /** A successor orders as soon as the former holder's span is over. */
+  /** A new leader sends orders as soon as the previous leader's lease is over, without the handover gap. */
   | 'no-lease-gap'
-  /** The record of a grant does not outlast a restart. */
+  /** The record of a grant is lost at a restart. */
   | 'grant-forgotten';
 
+/** What the invariants need to know of one elector. */
 export interface ElectionFacts {
   readonly epoch: number;
   readonly isLeading: boolean;
-  /** The times, in steps of the clocks, at which it may order as things stand. */
+  /** The clock steps at which it may send orders if its state does not change. */
   readonly orderTimes: readonly number[];
 }
 
+/** History that the invariants need. */
 export interface ElectionGhost {
   readonly leaders: Leaders;
-  /** Until when each node may have ordered; -1 where that is too long ago to matter. */
+  /** The last clock step at which each node may have sent orders; -1 once the handover gap has passed. */
   readonly orderedUntil: readonly number[];
 }
 
-/** Nothing is asked of an elector but what its messages and timers ask. */
+/** Electors take no commands: they react to messages and timers alone. */
 export type ElectionCommand = never;
+/** Electors report no events. */
 export type ElectionEvent = never;
 
-/** One elector with its record of votes on a disk. */
-class ElectionSubject implements Subject<ElectionCommand, ElectionEvent, ElectionFacts> {
+/** One elector with its vote record on a disk. */
+class ElectionNode implements Subject<ElectionCommand, ElectionEvent, ElectionFacts> {
   readonly #elector: Elector;
   readonly #mistake: ElectionMistake | undefined;
   readonly #firstToken: number;
@@ -94,7 +98,7 @@
     this.#firstToken = disk[0]?.count ?? 0;
     const record = recordOf(disk, mistake);
     this.#elector = new Elector(me, quorum, settings, now, record);
-    // Links are known to be alive from the start; which of them are is no part of this model.
+    // All links count as alive from the start: this model does not cover failures of links.
     this.#elector.tick(now);
     for (const peer of nodes) {
       if (peer === me) continue;
@@ -140,7 +144,7 @@
 
   facts(): ElectionFacts {
     const orderTimes: number[] = [];
-    for (let step = 0; step < WATCHED_CLOCK_STEPS; step += 1) {
+    for (let step = 0; step < CHECKED_CLOCK_STEPS; step += 1) {
       if (this.#elector.mayOrder(later(moment(0), step * CLOCK_STEP_MS))) orderTimes.push(step);
     }
     return { epoch: this.#elector.epoch, isLeading: this.#elector.isLeading(), orderTimes };
@@ -164,14 +168,16 @@
 const B = 1;
 const C = 2;
 
+/** The state in which a search begins. */
 export type ElectionBeginning =
-  /** Three voters that were started for the first time. */
+  /** Three voters have just been started for the first time. */
   | 'first'
+  /** The first node has been elected, and no message is in transit. */
   | 'after a leader'
-  /** Two winners of overlapping deferrals ask for the same epoch, and one of them has it. */
+  /** Two winners with overlapping deferrals request the same epoch, and one of them has been granted it. */
   | 'contested';
 
-/** Election, grants and lease of three voters: the elector alone, with its record on a disk. */
+/** Elections, grants and leases of three voters: only the elector, with its vote record on a disk. */
 export class ElectionProtocol implements Protocol<
   ElectionCommand,
   ElectionEvent,
@@ -198,27 +204,27 @@
     this.#mistake = mistake;
   }
 
-  start(boot: Boot): ElectionSubject {
-    return new ElectionSubject(boot, this.nodes, this.#quorum, this.#mistake);
+  start(boot: Boot): ElectionNode {
+    return new ElectionNode(boot, this.nodes, this.#quorum, this.#mistake);
   }
 
-  prepare(calm: CalmRun<ElectionCommand>): void {
-    if (this.#beginning === 'after a leader') calm.tick(A);
-    calm.forget();
+  prepare(run: CalmRun<ElectionCommand>): void {
+    if (this.#beginning === 'after a leader') run.tick(A);
+    run.forget();
     if (this.#beginning !== 'contested') return;
-    // The best two propose at once; the last defers to the worse of them first, and then to the better.
-    calm.hold();
-    calm.tick(A);
-    calm.tick(B);
-    calm.deliver(B, C, 'propose');
-    calm.deliver(A, C, 'propose');
-    calm.deliver(C, B, 'defer');
-    calm.deliver(C, A, 'defer');
-    calm.advance();
-    calm.tick(A);
-    calm.tick(B);
-    calm.deliver(B, C, 'victory');
-    calm.deliver(C, B, 'granted');
+    // The two best candidates propose at once; the third voter defers to the worse one first, then to the better one.
+    run.hold();
+    run.tick(A);
+    run.tick(B);
+    run.deliver(B, C, 'propose');
+    run.deliver(A, C, 'propose');
+    run.deliver(C, B, 'defer');
+    run.deliver(C, A, 'defer');
+    run.advance();
+    run.tick(A);
+    run.tick(B);
+    run.deliver(B, C, 'victory');
+    run.deliver(C, B, 'granted');
   }
 
   mayFail(): boolean {
@@ -236,59 +242,59 @@
   judge(
     before: View<ElectionFacts, ElectionGhost>,
     after: View<ElectionFacts, ElectionGhost>,
-    did: Happening<ElectionCommand, ElectionEvent>,
+    details: Happening<ElectionCommand, ElectionEvent>,
   ): Judgement<ElectionGhost> {
-    const unsynced = did.sent.find((envelope) => isUnsynced(after.disks, envelope));
+    const unsynced = details.sent.find((envelope) => isUnsynced(after.disks, envelope));
     if (unsynced) {
-      const violation = `spoken before it was synced: ${JSON.stringify(unsynced.messages)}`;
+      const violation = `sent before its record was synced: ${JSON.stringify(unsynced.messages)}`;
       return { ghost: before.ghost, violation };
     }
-    const led = judgeLeaders(after, before.ghost.leaders);
-    const ordered = judgeOrders(before, after, did.isAdvance);
-    const isSame = led.leaders === before.ghost.leaders && !ordered.hasChanged;
+    const leaderCheck = checkLeaders(after, before.ghost.leaders);
+    const orderCheck = checkOrders(before, after, details.isAdvance);
+    const isSame = leaderCheck.leaders === before.ghost.leaders && !orderCheck.hasChanged;
     const ghost = isSame
       ? before.ghost
-      : { leaders: led.leaders, orderedUntil: ordered.orderedUntil };
-    return { ghost, violation: led.violation ?? ordered.violation };
+      : { leaders: leaderCheck.leaders, orderedUntil: orderCheck.orderedUntil };
+    return { ghost, violation: leaderCheck.violation ?? orderCheck.violation };
   }
 }
 
-function judgeLeaders(after: View<ElectionFacts, ElectionGhost>, known: Leaders): LeaderJudgement {
-  let judged: LeaderJudgement = { leaders: known, violation: undefined };
+function checkLeaders(after: View<ElectionFacts, ElectionGhost>, known: Leaders): LeaderJudgement {
+  let check: LeaderJudgement = { leaders: known, violation: undefined };
   for (const [node, { isLeading, epoch }] of after.facts.entries()) {
-    if (!isLeading || judged.violation !== undefined) continue;
-    judged = withLeader(judged.leaders, epoch, node);
+    if (!isLeading || check.violation !== undefined) continue;
+    check = withLeader(check.leaders, epoch, node);
   }
-  return judged;
+  return check;
 }
 
-interface OrderJudgement {
+interface OrderCheck {
   readonly orderedUntil: readonly number[];
   readonly hasChanged: boolean;
   readonly violation: string | undefined;
 }
 
-/** A node that may order at one time and is not touched until the next may have ordered right up to that next one. */
-function judgeOrders(
+/** A node that may send orders when the clocks advance may have done so at any time up to the new clock step. */
+function checkOrders(
   before: View<ElectionFacts, ElectionGhost>,
   after: View<ElectionFacts, ElectionGhost>,
   isAdvance: boolean,
-): OrderJudgement {
+): OrderCheck {
   const { orderedUntil } = before.ghost;
   let next = orderedUntil;
   for (const [node, until] of orderedUntil.entries()) {
     const mayHave = isAdvance && before.facts[node]?.orderTimes.includes(before.clock);
     const may = after.facts[node]?.orderTimes.includes(after.clock) ?? false;
     let last = mayHave || may ? after.clock : until;
-    if (last >= 0 && after.clock - last >= LEASE_CLOCK_STEPS) last = -1;
+    if (last >= 0 && after.clock - last >= HANDOVER_GAP_CLOCK_STEPS) last = -1;
     if (last !== until) next = next.with(node, last);
   }
-  const isTwo = after.facts.some(hasRival.bind(undefined, after.clock, next));
-  const violation = isTwo ? 'two holders may order within the lease' : undefined;
+  const hasConflict = after.facts.some(hasRival.bind(undefined, after.clock, next));
+  const violation = hasConflict ? 'two leaders may send orders within the handover gap' : undefined;
   return { orderedUntil: next, hasChanged: next !== orderedUntil, violation };
 }
 
-/** Whether it may order now, though another may have too shortly before. */
+/** Whether a node may send orders now although another one may have done so within the handover gap. */
 function hasRival(
   clock: number,
   orderedUntil: readonly number[],
@@ -300,7 +306,7 @@
   );
 }
 
-/** Whether a message tells of an epoch or a grant that its sender's disk does not hold. */
+/** Whether a message contains an epoch or a grant that is not on its sender's disk. */
 function isUnsynced(disks: readonly (readonly DiskWrite[])[], envelope: Envelope): boolean {
   const { messages, from, to } = envelope;
   const [message] = messages;
--- a/src/simulation/exhaustive/election-searches.test.ts
+++ b/src/simulation/exhaustive/election-searches.test.ts
@@ -8,18 +8,20 @@
 }
 
 for (const [index, search] of searchesOf('election').entries()) {
-  test(`search ${index + 1} of the election finds nothing`, () => checkSound(search));
+  test(`search ${index + 1} of the election finds no violation`, () => checkSound(search));
 }
 
-test('words before their record is synced are found', async () => {
+test('detects messages that are sent before their record is synced', async () => {
   const protocol = election('contested', true, 'speaks-unsynced');
-  expect(await brokenBy(protocol, orders(3))).toContain('spoken before it was synced');
+  expect(await brokenBy(protocol, orders(3))).toContain('sent before its record was synced');
 });
-test('a grant that does not outlast a restart is found', async () => {
+test('detects a grant that is lost at a restart', async () => {
   const protocol = election('contested', false, 'grant-forgotten');
   expect(await brokenBy(protocol, orders(4))).toContain('two leaders in epoch');
 });
-test('a lease that begins right after another is found', async () => {
+test('detects a lease without a handover gap', async () => {
   const protocol = election('after a leader', false, 'no-lease-gap');
-  expect(await brokenBy(protocol, faults(1))).toContain('two holders may order within the lease');
+  expect(await brokenBy(protocol, faults(1))).toContain(
+    'two leaders may send orders within the handover gap',
+  );
 });
