--- a/src/simulation/exhaustive/repair-searches.test.ts
+++ b/src/simulation/exhaustive/repair-searches.test.ts
@@ -8,14 +8,14 @@
 }
 
 for (const [index, search] of searchesOf('repair').entries()) {
-  test(`search ${index + 1} of the repair finds nothing`, () => checkSound(search));
+  test(`search ${index + 1} of the repair finds no violation`, () => checkSound(search));
 }
 
-test('a repair from one other voter is found', async () => {
+test('detects a repair from a single other voter', async () => {
   const protocol = repair('wiped', [SEEDS], 'repaired-by-one');
   expect(await brokenBy(protocol, orders(7))).toContain('though "ab" was committed');
 });
-test('a repaired voter that votes twice in an epoch is found', async () => {
+test('detects a repaired voter that votes twice in an epoch', async () => {
   const protocol = repair('wiped after a grant', [SEEDS], 'grant-forgotten');
   expect(await brokenBy(protocol, orders(7))).toContain('two leaders in epoch');
 });
--- a/src/simulation/exhaustive/replica.ts
+++ b/src/simulation/exhaustive/replica.ts
@@ -21,45 +21,48 @@
 import type { Version } from '../../common/version.js';
 import type { Boot, DiskWrite, Input, Output, Sent, Subject } from './local-states.js';
 
-/** Deliberate mistakes that the invariants must find. */
+/** Deliberate mistakes that the invariants must detect. */
 export type ReplicaMistake =
   /** A write is acknowledged before it is on disk. */
   | 'acknowledged-unsynced'
-  /** A voter takes writes of epochs that it has moved on from. */
+  /** A voter accepts writes of epochs older than its own. */
   | 'old-epoch-written'
-  /** A wiped voter counts as soon as one other was read. */
+  /** A wiped voter counts as healthy as soon as it has read the replica of one other voter. */
   | 'repaired-by-one'
   /** A wiped voter votes again in the epoch in which it may have voted. */
   | 'grant-forgotten';
 
+/** What may be asked of a replica. */
 export type ReplicaCommand =
   /** This voter grants an epoch to a leader; the leader grants itself first. */
   | { readonly do: 'grant'; readonly epoch: number; readonly leader: number }
-  /** A majority has granted it: it begins to own the part. */
+  /** A majority has granted its epoch to this voter, which begins to lead. */
   | { readonly do: 'lead' }
-  /** A client's change: the body grows by one letter that no other change has. */
+  /** A client's change: appends a letter to the body that no other change has. */
   | { readonly do: 'write'; readonly letter: string };
 
+/** What a replica reports to the invariants. */
 export type ReplicaEvent =
   | { readonly kind: 'committed'; readonly version: Version; readonly body: string }
   | { readonly kind: 'serving'; readonly body: string };
 
+/** What the invariants need to know of one replica. */
 export interface ReplicaFacts {
   readonly standing: ReplicaStatusName;
-  /** The newest epoch taken on, synced or not. */
+  /** The newest epoch that it has adopted, synced or not. */
   readonly epoch: number;
-  /** The epoch granted on disk and not moved on from; 0 for none. */
+  /** Its current epoch, if the grant of it is on disk; else 0. */
   readonly granted: number;
   readonly grantLeader: number;
   readonly ledEpoch: number;
   readonly isServing: boolean;
 }
 
-/** Apart from what any other life counts. */
-const LIFE_SPAN = 1e6;
+/** Distance between the initial nonces of two incarnations, so that their nonces never coincide. */
+const INCARNATION_SPACING = 1e6;
 const VoteShape = type({ epoch: number(), grantEpoch: number(), grantLeader: number() });
 
-/** A voter's copy of one part, with the repair of a lost disk, wired to grants as the control core wires it. */
+/** A voter's replica of one partition, with the repair of a lost disk, connected to grants as in the control core. */
 export class Replica implements Subject<ReplicaCommand, ReplicaEvent, ReplicaFacts> {
   readonly #me: NodeId;
   readonly #quorum: Quorum;
@@ -67,16 +70,16 @@
   readonly #replicaStatus: ReplicaStatus;
   readonly #mistake: ReplicaMistake | undefined;
   #epoch: number;
-  /** What the newest record says, written or not, and what the disk is known to hold of it. */
+  /** The grant in the newest vote record, synced or not, and the epoch of the grant that is known to be on disk. */
   #grantEpoch: number;
   #grantLeader: number;
-  #keptGrant: number;
+  #syncedGrantEpoch: number;
   #voteCount: number;
   #ledEpoch = 0;
   #isRepairing = false;
   #repairEpoch = 0;
-  readonly #repairWaits = new Set<string>();
-  #settlesAt: number | undefined;
+  readonly #unsyncedRepairs = new Set<string>();
+  #healthyAtVoteCount: number | undefined;
   #sends: Sent[] = [];
   #writes: DiskWrite[] = [];
   #events: ReplicaEvent[] = [];
@@ -91,7 +94,7 @@
     this.#epoch = record?.epoch ?? 0;
     this.#grantEpoch = record?.grantEpoch ?? 0;
     this.#grantLeader = record?.grantLeader ?? 0;
-    this.#keptGrant = this.#grantEpoch;
+    this.#syncedGrantEpoch = this.#grantEpoch;
     this.#voteCount = vote?.count ?? 0;
     this.#replicatedState = new ReplicatedState(
       this.#me,
@@ -100,7 +103,14 @@
       disk.filter(isConfig).map(storedPartition),
     );
     const name = record ? 'sound' : 'blank';
-    this.#replicaStatus = new ReplicaStatus(this.#me, name, now, 0, incarnation * LIFE_SPAN, false);
+    this.#replicaStatus = new ReplicaStatus(
+      this.#me,
+      name,
+      now,
+      0,
+      incarnation * INCARNATION_SPACING,
+      false,
+    );
   }
 
   get state(): unknown {
@@ -108,8 +118,8 @@
       this.#replicatedState,
       this.#replicaStatus,
       [this.#epoch, this.#grantEpoch, this.#grantLeader],
-      [this.#keptGrant, this.#voteCount, this.#ledEpoch],
-      [this.#isRepairing, this.#repairEpoch, this.#repairWaits, this.#settlesAt],
+      [this.#syncedGrantEpoch, this.#voteCount, this.#ledEpoch],
+      [this.#isRepairing, this.#repairEpoch, this.#unsyncedRepairs, this.#healthyAtVoteCount],
     ];
   }
 
@@ -148,7 +158,7 @@
 
   #tick(now: Moment): void {
     this.#sends.push(...this.#replicaStatus.tick(now, this.#quorum));
-    this.#settle(this.#replicaStatus.outcome(now, this.#quorum));
+    this.#beginRepair(this.#replicaStatus.outcome(now, this.#quorum));
     this.#replicatedState.tick(now);
   }
 
@@ -162,10 +172,10 @@
       if (this.#mistake === 'repaired-by-one' && message.standing === 'sound') {
         const { epoch, copies } = message;
         if (this.#replicaStatus.name !== 'sound')
-          this.#settle({ become: 'repaired', epoch, copies });
+          this.#beginRepair({ become: 'repaired', epoch, copies });
         return;
       }
-      this.#settle(this.#replicaStatus.onReadReply(now, from, message, this.#quorum));
+      this.#beginRepair(this.#replicaStatus.onReadReply(now, from, message, this.#quorum));
     } else {
       const isOld = this.#mistake === 'old-epoch-written' && message.kind === 'write';
       const granted = isOld ? message.epoch : this.#granted();
@@ -176,13 +186,13 @@
   #stored(now: Moment, write: DiskWrite): void {
     if (write.slot !== VOTE_RECORD) {
       this.#replicatedState.onPersisted(partitionName(write.slot), write, this.#granted(), now);
-      this.#repairWaits.delete(write.slot);
+      this.#unsyncedRepairs.delete(write.slot);
       this.#endRepair();
       return;
     }
-    this.#keptGrant = parseAs(VoteShape, write.body)?.grantEpoch ?? 0;
-    if (this.#settlesAt === undefined || write.count < this.#settlesAt) return;
-    this.#settlesAt = undefined;
+    this.#syncedGrantEpoch = parseAs(VoteShape, write.body)?.grantEpoch ?? 0;
+    if (this.#healthyAtVoteCount === undefined || write.count < this.#healthyAtVoteCount) return;
+    this.#healthyAtVoteCount = undefined;
     this.#replicaStatus.markHealthy();
   }
 
@@ -191,7 +201,7 @@
       this.#epoch = command.epoch;
       this.#grantEpoch = command.epoch;
       this.#grantLeader = command.leader;
-      this.#keepVote();
+      this.#writeVote();
       this.#ledEpoch = 0;
       this.#replicatedState.stepDown();
     } else if (command.do === 'lead') {
@@ -207,37 +217,38 @@
     }
   }
 
-  #keepVote(): void {
+  #writeVote(): void {
     this.#voteCount += 1;
     const body = voteBody(this.#epoch, this.#grantEpoch, this.#grantLeader);
     this.#writes.push({ slot: VOTE_RECORD, epoch: this.#epoch, count: this.#voteCount, body });
   }
 
   #granted(): number {
-    const isCurrent = this.#replicaStatus.name === 'sound' && this.#keptGrant === this.#epoch;
-    return isCurrent ? this.#keptGrant : 0;
+    const isCurrent =
+      this.#replicaStatus.name === 'sound' && this.#syncedGrantEpoch === this.#epoch;
+    return isCurrent ? this.#syncedGrantEpoch : 0;
   }
 
   // ---- repair of a lost disk
 
-  #settle(outcome: ReplicaStatusOutcome | undefined): void {
+  #beginRepair(outcome: ReplicaStatusOutcome | undefined): void {
     if (outcome?.become !== 'repaired') return;
-    if (this.#settlesAt !== undefined || this.#isRepairing) return;
+    if (this.#healthyAtVoteCount !== undefined || this.#isRepairing) return;
     for (const partition of this.#replicatedState.adopt(outcome.copies))
-      this.#repairWaits.add(partition);
+      this.#unsyncedRepairs.add(partition);
     this.#isRepairing = true;
     this.#repairEpoch = outcome.epoch;
     this.#endRepair();
   }
 
-  /** The record that makes the voter count is written after all copies are on disk. */
+  /** Writes the record that makes the voter healthy again, once all adopted replicas are on disk. */
   #endRepair(): void {
-    if (!this.#isRepairing || this.#repairWaits.size > 0) return;
+    if (!this.#isRepairing || this.#unsyncedRepairs.size > 0) return;
     this.#isRepairing = false;
     const known = epochOf(Math.max(this.#repairEpoch, this.#epoch));
     this.#epoch = this.#mistake === 'grant-forgotten' ? known - 1 : nextElectionEpoch(known);
-    this.#settlesAt = this.#voteCount + 1;
-    this.#keepVote();
+    this.#healthyAtVoteCount = this.#voteCount + 1;
+    this.#writeVote();
   }
 
   #drain(now: Moment): void {
@@ -271,6 +282,7 @@
   return write.slot === VOTE_RECORD;
 }
 
+/** Whether a write is one of the replicated partition. */
 export function isConfig(write: DiskWrite): boolean {
   return write.slot === CONFIG_PARTITION;
 }
@@ -279,7 +291,7 @@
   return { partition: partitionName(slot), version: { epoch, count }, body, isIntact: true };
 }
 
-/** A record of votes as the disk holds it. */
+/** The body of a vote record on disk. */
 export function voteBody(epoch: number, grantEpoch: number, grantLeader: number): string {
   return JSON.stringify({ epoch, grantEpoch, grantLeader });
 }
--- a/src/simulation/exhaustive/replication-protocol.ts
+++ b/src/simulation/exhaustive/replication-protocol.ts
@@ -24,51 +24,56 @@
   type ReplicaMistake,
 } from './replica.js';
 
-/** The first leader's epoch; each later one is two above the one before. */
+/** The first leader's epoch; each later epoch is two above the one before. */
 const FIRST_EPOCH = 2;
 const FIRST_LEADER = 0;
 const SECOND_LEADER = 1;
-const THIRD = 2;
+const THIRD_NODE = 2;
 const LETTERS = 'pqrstuvw';
 
-/** All that have granted one epoch to one leader, on disk, as a bit mask. */
+/** The nodes that have granted one epoch to one leader, with the grant on disk. */
 interface Grants {
   readonly epoch: number;
   readonly leader: number;
+  /** The nodes, as a bit mask. */
   readonly by: number;
 }
 
+/** History that the invariants need. */
 export interface ReplicationGhost {
   readonly grants: readonly Grants[];
   readonly leaders: Leaders;
+  /** Number of writes of clients so far. */
   readonly changes: number;
-  /** The longest body that was ever committed, and in which epoch. */
+  /** The longest body ever committed, and the epoch in which it was. */
   readonly committed: string;
   readonly committedEpoch: number;
 }
 
+/** Limits of a search of replication. */
 export interface ReplicationBounds extends FaultBounds {
-  /** New epochs, and writes of clients, in all. */
+  /** Total numbers of new epochs and of writes of clients. */
   readonly elections: number;
   readonly changes: number;
 }
 
-/** Mistakes that the protocol itself can make, beside those of one replica. */
+/** Deliberate mistakes of the protocol as a whole or of one replica. */
 export type ReplicationMistake = ReplicaMistake | 'committed-at-one-copy';
 
 type ReplicationView = View<ReplicaFacts, ReplicationGhost>;
 
+/** The state in which a search begins. */
 export type ReplicationBeginning =
   /** The first leader has committed one change. */
   | 'calm'
-  /** Its next write reaches the second voter when that, granted a later epoch by the third, has begun to lead. */
+  /** The first leader's next write reaches the second voter, which already leads a later epoch granted by the third. */
   | 'takeover'
-  /** It has committed another with the second voter alone, whose disk was lost then and which asks the others. */
+  /** The first leader has committed a second change with the second voter only, which lost its disk and reads the others. */
   | 'wiped'
-  /** The second voter leads, and the third, whose disk was lost after it had granted that, asks the others. */
+  /** The second voter leads; the third lost its disk after it had granted the epoch, and reads the others. */
   | 'wiped after a grant';
 
-/** Counts any copy for a majority. */
+/** Counts a single replica as a majority. */
 class OneCopyQuorum extends Quorum {
   override isMajority(ids: ReadonlySet<NodeId>): boolean {
     return ids.size > 0;
@@ -76,8 +81,8 @@
 }
 
 /**
- * Replicated writes, takeover by new leaders and the repair of lost disks. Who grants which epoch to whom, and when, is
- * left open: any voter may ask for a new epoch, and any may grant it that has not moved on from it.
+ * Replicated writes, takeover by new leaders and the repair of lost disks. The search explores who grants which epoch to
+ * whom, and when: any voter may request a new epoch, and any voter in an older epoch may grant it.
  */
 export class ReplicationProtocol implements Protocol<
   ReplicaCommand,
@@ -117,8 +122,8 @@
     const body = voteBody(FIRST_EPOCH, FIRST_EPOCH, FIRST_LEADER);
     const granted = { slot: VOTE_RECORD, epoch: FIRST_EPOCH, count: 1, body };
     this.firstDisks = this.nodes.map(() => [granted]);
-    const everybody = (1 << this.nodes.length) - 1;
-    const grants = [{ epoch: FIRST_EPOCH, leader: FIRST_LEADER, by: everybody }];
+    const allNodes = (1 << this.nodes.length) - 1;
+    const grants = [{ epoch: FIRST_EPOCH, leader: FIRST_LEADER, by: allNodes }];
     this.firstGhost = { grants, leaders: {}, changes: 0, committed: '', committedEpoch: 0 };
   }
 
@@ -126,39 +131,39 @@
     return new Replica(boot, this.nodes, this.#quorum, this.#mistake);
   }
 
-  prepare(calm: CalmRun<ReplicaCommand>): void {
-    calm.command(FIRST_LEADER, { do: 'lead' });
-    calm.command(FIRST_LEADER, { do: 'write', letter: 'a' });
-    calm.forget();
+  prepare(run: CalmRun<ReplicaCommand>): void {
+    run.command(FIRST_LEADER, { do: 'lead' });
+    run.command(FIRST_LEADER, { do: 'write', letter: 'a' });
+    run.forget();
     if (this.#beginning === 'calm') return;
-    calm.hold();
+    run.hold();
     if (this.#beginning === 'wiped') {
-      calm.command(FIRST_LEADER, { do: 'write', letter: 'b' });
-      calm.deliver(FIRST_LEADER, SECOND_LEADER, 'write');
-      calm.deliver(SECOND_LEADER, FIRST_LEADER, 'writeReply');
-      calm.advance();
-      calm.tick(FIRST_LEADER);
-      this.#wipe(calm, SECOND_LEADER);
+      run.command(FIRST_LEADER, { do: 'write', letter: 'b' });
+      run.deliver(FIRST_LEADER, SECOND_LEADER, 'write');
+      run.deliver(SECOND_LEADER, FIRST_LEADER, 'writeReply');
+      run.advance();
+      run.tick(FIRST_LEADER);
+      this.#wipe(run, SECOND_LEADER);
       return;
     }
-    if (this.#beginning === 'takeover') calm.command(FIRST_LEADER, { do: 'write', letter: 'b' });
+    if (this.#beginning === 'takeover') run.command(FIRST_LEADER, { do: 'write', letter: 'b' });
     const grant = { do: 'grant', epoch: FIRST_EPOCH + 2, leader: SECOND_LEADER } as const;
-    for (let node = SECOND_LEADER; node < this.nodes.length; node += 1) calm.command(node, grant);
-    calm.command(SECOND_LEADER, { do: 'lead' });
+    for (let node = SECOND_LEADER; node < this.nodes.length; node += 1) run.command(node, grant);
+    run.command(SECOND_LEADER, { do: 'lead' });
     if (this.#beginning === 'takeover') {
-      calm.deliver(FIRST_LEADER, SECOND_LEADER, 'write');
+      run.deliver(FIRST_LEADER, SECOND_LEADER, 'write');
       return;
     }
-    calm.forget();
-    this.#wipe(calm, THIRD);
+    run.forget();
+    this.#wipe(run, THIRD_NODE);
   }
 
-  /** Its disk is lost, and it asks all others what they hold. */
-  #wipe(calm: CalmRun<ReplicaCommand>, node: number): void {
-    calm.forget();
-    calm.wipe(node);
-    calm.advance();
-    calm.tick(node);
+  /** The node loses its disk, and sends read requests to all others. */
+  #wipe(run: CalmRun<ReplicaCommand>, node: number): void {
+    run.forget();
+    run.wipe(node);
+    run.advance();
+    run.tick(node);
   }
 
   mayFail(): boolean {
@@ -204,26 +209,27 @@
   judge(
     before: ReplicationView,
     after: ReplicationView,
-    did: Happening<ReplicaCommand, ReplicaEvent>,
+    details: Happening<ReplicaCommand, ReplicaEvent>,
   ): Judgement<ReplicationGhost> {
     let ghost = before.ghost;
     let violation: string | undefined;
-    const facts = did.node === undefined ? undefined : after.facts[did.node];
-    if (did.node !== undefined && facts) {
-      ghost = withGrant(ghost, did.node, facts);
-      if (did.command?.do === 'write') ghost = { ...ghost, changes: ghost.changes + 1 };
+    const facts = details.node === undefined ? undefined : after.facts[details.node];
+    if (details.node !== undefined && facts) {
+      ghost = withGrant(ghost, details.node, facts);
+      if (details.command?.do === 'write') ghost = { ...ghost, changes: ghost.changes + 1 };
       if (facts.ledEpoch > 0) {
-        const led = withLeader(ghost.leaders, facts.ledEpoch, did.node);
-        if (led.leaders !== ghost.leaders) ghost = { ...ghost, leaders: led.leaders };
-        violation = led.violation;
+        const leaderCheck = withLeader(ghost.leaders, facts.ledEpoch, details.node);
+        if (leaderCheck.leaders !== ghost.leaders)
+          ghost = { ...ghost, leaders: leaderCheck.leaders };
+        violation = leaderCheck.violation;
       }
     }
-    const forgetful = did.sent.find(isWithout.bind(undefined, ghost));
-    if (forgetful) {
-      violation ??= `a leader writes ${JSON.stringify(forgetful.messages)} though ${JSON.stringify(ghost.committed)} was committed`;
+    const overwrite = details.sent.find(omitsCommitted.bind(undefined, ghost));
+    if (overwrite) {
+      violation ??= `a leader writes ${JSON.stringify(overwrite.messages)} though ${JSON.stringify(ghost.committed)} was committed`;
     }
-    for (const event of did.events) {
-      violation ??= this.#judgeEvent(ghost, after, event);
+    for (const event of details.events) {
+      violation ??= this.#checkEvent(ghost, after, event);
       if (event.kind === 'committed' && event.body.length > ghost.committed.length) {
         ghost = { ...ghost, committed: event.body, committedEpoch: event.version.epoch };
       }
@@ -231,7 +237,7 @@
     return { ghost, violation };
   }
 
-  #judgeEvent(
+  #checkEvent(
     { committed }: ReplicationGhost,
     after: ReplicationView,
     event: ReplicaEvent,
@@ -242,7 +248,7 @@
       return `a leader serves ${body} though ${JSON.stringify(committed)} was committed`;
     }
     if (!event.body.startsWith(committed) && !committed.startsWith(event.body)) {
-      return `${body} is committed beside ${JSON.stringify(committed)}`;
+      return `${body} is committed in conflict with ${JSON.stringify(committed)}`;
     }
     const holders = new Set<NodeId>();
     for (const [node, disk] of after.disks.entries()) {
@@ -254,7 +260,7 @@
         holders.add(name);
       }
     }
-    // A disk that was lost since had it when it said so.
+    // A disk that has been lost since held the write when its node acknowledged it.
     if (this.faults.wipes > 0 || this.#majority.isMajority(holders)) return undefined;
     return `${body} is committed without a majority of synced copies`;
   }
@@ -270,8 +276,8 @@
   return { ...ghost, grants: [...others, { epoch, leader, by }].sort(byEpoch) };
 }
 
-/** Whether a leader writes what does not go on from what an earlier one has committed. */
-function isWithout({ committed, committedEpoch }: ReplicationGhost, sent: Envelope): boolean {
+/** Whether a leader writes a body that does not extend what an earlier leader has committed. */
+function omitsCommitted({ committed, committedEpoch }: ReplicationGhost, sent: Envelope): boolean {
   const [message] = sent.messages;
   if (message?.kind !== 'write' || message.epoch <= committedEpoch) return false;
   return !message.body.startsWith(committed);
--- a/src/simulation/exhaustive/replication-searches.test.ts
+++ b/src/simulation/exhaustive/replication-searches.test.ts
@@ -8,18 +8,18 @@
 }
 
 for (const [index, search] of searchesOf('replication').entries()) {
-  test(`search ${index + 1} of the replication finds nothing`, () => checkSound(search));
+  test(`search ${index + 1} of the replication finds no violation`, () => checkSound(search));
 }
 
-test('a change committed at one copy is found', async () => {
+test('detects a change that is committed on a single replica', async () => {
   const protocol = replication('calm', true, 'committed-at-one-copy');
   expect(await brokenBy(protocol, orders(6))).toContain('without a majority of synced copies');
 });
-test('an acknowledgement before the sync is found', async () => {
+test('detects an acknowledgement before the write is synced', async () => {
   const protocol = replication('calm', true, 'acknowledged-unsynced');
   expect(await brokenBy(protocol, orders(6))).toContain('without a majority of synced copies');
 });
-test('a write taken from a former leader is found', async () => {
+test('detects a write that is accepted from a former leader', async () => {
   const protocol = replication('takeover', false, 'old-epoch-written');
   expect(await brokenBy(protocol, orders(6))).toContain('though "ab" was committed');
 });
