--- a/src/simulation/exhaustive/control-node.ts
+++ b/src/simulation/exhaustive/control-node.ts
@@ -12,7 +12,7 @@
 import type { VoteSettings } from '../../election/vote-settings.js';
 import type { Boot, DiskWrite, Input, Output, Sent, Subject } from './local-states.js';
 
-/** Classes inside the control core that an idle planner never makes change. */
+/** Classes of the control core whose instances never change with an idle planner, so that a digest leaves them out. */
 export const UNUSED_CLASSES: readonly string[] = [
   'Placer',
   'QuotaShares',
@@ -21,10 +21,10 @@
   'PlainDialect',
 ];
 
-/** A process whose timers come less often takes itself for one that stood still. */
+/** Milliseconds per clock step: after a longer interval between ticks a control node concludes that it was stalled. */
 export const CONTROL_STEP_MS = 400;
 
-/** The deployed proportions on few moments, as in the model of the election alone. */
+/** Roughly the proportions of the default timing, in few clock steps, as in the model of the election alone. */
 const VOTE: VoteSettings = {
   pingMs: CONTROL_STEP_MS,
   peerTimeoutMs: 3 * CONTROL_STEP_MS,
@@ -37,32 +37,36 @@
   diskStallMs: 2 * CONTROL_STEP_MS,
 };
 
-/** Apart from what any other life counts. */
-const LIFE_SPAN = 1e6;
+/** Distance between the incarnation numbers of two starts: ids that are counted up from them never coincide. */
+const INCARNATION_SPACING = 1e6;
 
-/** A whole configuration of one operator: its number is all there is to it. */
+/** An operator's order to replace the whole configuration; the document consists of its version number alone. */
 export interface ConfigureOrder {
   readonly id: string;
+  /** The version of the configuration that the order was made from. */
   readonly base: number;
   readonly version: number;
 }
 
+/** One attempt of an operator to send an order. */
 export type ControlCommand = {
-  /** Tells one sending of the order from another. */
+  /** Identifies the attempt: the same order may be sent several times. */
   readonly call: number;
   readonly order: ConfigureOrder;
 };
 
+/** The reply to an operator's call, with its HTTP status. */
 export interface ControlEvent {
   readonly call: number;
   readonly status: number;
   readonly body: string;
 }
 
+/** What the invariants need to know of one control node. */
 export interface ControlFacts {
-  /** The sets of voters as this node knows them: two while a change is under way. */
+  /** The sets of voters known to this node: two during a change of voters. */
   readonly voters: readonly (readonly string[])[];
-  /** The operators' version in its copy, and in the copy that it serves by if it leads. */
+  /** The version of the operators' configuration in its replica, or in the state that it serves while it leads. */
   readonly version: number;
   readonly isServing: boolean;
   readonly isLeading: boolean;
@@ -70,13 +74,13 @@
   readonly standing: string;
 }
 
-/** Deliberate mistakes that the invariants must find. */
+/** Deliberate mistakes that the invariants must detect. */
 export type ControlMistake =
-  /** The voters after a change take over without the step in which both sets count, and the old ones are not told. */
+  /** The new set of voters takes over without a joint set, and the old voters do not get the write. */
   | 'joint-set-skipped'
-  /** The same from the second change on. */
+  /** The same, but only from the second change of voters on. */
   | 'second-joint-set-skipped'
-  /** Whoever says that it holds a joint set has the old one on its disk. */
+  /** A node that acknowledges a joint set has only the old set on its disk. */
   | 'joint-set-not-stored';
 
 const ConfigShape = type({
@@ -84,9 +88,10 @@
   routing: optional(type({ version: number() })),
 });
 
-/** What of a configuration part the invariants look at. */
+/** The fields of a configuration partition that the invariants use. */
 export type KnownConfig = Infer<typeof ConfigShape>;
 
+/** Parses the body of a configuration partition; undefined if it is empty. */
 export function docOf(body: string): KnownConfig | undefined {
   return body === '' ? undefined : parseAs(ConfigShape, body);
 }
@@ -94,13 +99,13 @@
 const DIALECT = new PlainDialect();
 const PLANNER = new IdlePlanner();
 
-/** The whole control core as a deployment starts it, with a planner that does nothing. */
+/** The whole control core, started as in a deployment, with a planner that does nothing. */
 export class ControlNode implements Subject<ControlCommand, ControlEvent, ControlFacts> {
   readonly #core: ControlCore;
   readonly #seeds: readonly string[];
   readonly #mistake: ControlMistake | undefined;
 
-  /** `isFirst` says whether this process belongs to the deployment's very first start. */
+  /** `isFirst`: whether the first start of this node is part of the first start of the whole deployment. */
   constructor(
     me: string,
     seeds: readonly string[],
@@ -113,13 +118,13 @@
     const { now, disk, node, incarnation } = boot;
     const isFirstStart = isFirst && incarnation === 0;
     const deployed = { dialect: DIALECT, planner: PLANNER, isFirstStart, listMs: 1e9 };
-    const lifeNumber = (incarnation * 16 + node) * LIFE_SPAN;
+    const uniqueIncarnation = (incarnation * 16 + node) * INCARNATION_SPACING;
     const settings = {
       ...CONTROL_DEFAULTS,
       me,
       zone: me,
       seeds,
-      incarnation: lifeNumber,
+      incarnation: uniqueIncarnation,
       foundMs: 0,
       deployed,
     };
@@ -132,7 +137,7 @@
   }
 
   facts(): ControlFacts {
-    const { elector, isServing, replicaStatus: standing, state } = this.#core;
+    const { elector, isServing, replicaStatus: status, state } = this.#core;
     const doc = docOf(
       isServing ? state.body(CONFIG_PARTITION) : state.replicaBody(CONFIG_PARTITION),
     );
@@ -142,16 +147,17 @@
       isServing,
       isLeading: elector.isLeading(),
       epoch: elector.epoch,
-      standing: standing.name,
+      standing: status.name,
     };
   }
 
-  /** By its own copy, or by one that was told as committed and is newer. */
+  /** From its own replica, or from a newer committed configuration that it was sent. */
   #voters(): readonly (readonly string[])[] {
     const { state, relay } = this.#core;
-    const news = relay.latest('config');
-    const isNews = news !== undefined && isNewer(news.version, state.versionOf(CONFIG_PARTITION));
-    const doc = docOf(isNews ? news.body : state.replicaBody(CONFIG_PARTITION));
+    const latest = relay.latest('config');
+    const isLatestNewer =
+      latest !== undefined && isNewer(latest.version, state.versionOf(CONFIG_PARTITION));
+    const doc = docOf(isLatestNewer ? latest.body : state.replicaBody(CONFIG_PARTITION));
     return doc?.voters ?? [this.#seeds];
   }
 
@@ -185,13 +191,13 @@
     const events: ControlEvent[] = [];
     for (const effect of this.#core.drain()) {
       if (effect.do === 'send') {
-        if (this.#isKeptFrom(effect.to, effect.message)) continue;
-        sends.push({ to: effect.to, message: this.#told(effect.message) });
+        if (this.#isWithheld(effect.to, effect.message)) continue;
+        sends.push({ to: effect.to, message: this.#withMistake(effect.message) });
       } else if (effect.do === 'store') {
         writes.push({
           slot: effect.partition,
           ...effect.version,
-          body: this.#bodyStored(effect.body),
+          body: this.#storedBody(effect.body),
         });
       } else if (effect.do === 'reply') {
         events.push({ call: effect.id, status: effect.status, body: effect.body });
@@ -200,14 +206,15 @@
     return { sends, writes, events };
   }
 
-  #isKeptFrom(to: string, message: Message): boolean {
+  /** Whether the mistake withholds a message: a skipped joint set is not sent to the old voters. */
+  #isWithheld(to: string, message: Message): boolean {
     if (message.kind !== 'write') return false;
     const voters = docOf(message.body)?.voters ?? [];
-    return this.#isSkipped(voters) && voters[0]?.includes(to) === true;
+    return this.#skipsJointSet(voters) && voters[0]?.includes(to) === true;
   }
 
-  /** Whether a joint set is left out by mistake. */
-  #isSkipped([set, following]: KnownConfig['voters']): boolean {
+  /** Whether the mistake replaces these voters, if they are a joint set, by the new set alone. */
+  #skipsJointSet([set, following]: KnownConfig['voters']): boolean {
     if (!set || !following) return false;
     if (this.#mistake === 'joint-set-skipped') return true;
     return this.#mistake === 'second-joint-set-skipped' && !set.every(this.#isSeed, this);
@@ -217,20 +224,20 @@
     return this.#seeds.includes(id);
   }
 
-  #told(message: Message): Message {
+  #withMistake(message: Message): Message {
     if (message.kind !== 'write') return message;
-    return { ...message, body: this.#bodyTold(message.body) };
+    return { ...message, body: this.#sentBody(message.body) };
   }
 
-  #bodyTold(body: string): string {
+  #sentBody(body: string): string {
     if (this.#mistake === undefined || body === '') return body;
     const [set, following] = docOf(body)?.voters ?? [];
     if (!set || !following) return body;
-    return this.#isSkipped([set, following]) ? withVoters(body, following) : body;
+    return this.#skipsJointSet([set, following]) ? withVoters(body, following) : body;
   }
 
-  #bodyStored(body: string): string {
-    if (this.#mistake !== 'joint-set-not-stored' || body === '') return this.#bodyTold(body);
+  #storedBody(body: string): string {
+    if (this.#mistake !== 'joint-set-not-stored' || body === '') return this.#sentBody(body);
     const [set, following] = docOf(body)?.voters ?? [];
     return set && following ? withVoters(body, set) : body;
   }
--- a/src/simulation/exhaustive/refusal-protocol.ts
+++ b/src/simulation/exhaustive/refusal-protocol.ts
@@ -25,13 +25,13 @@
 } from './protocol.js';
 
 const NODES = ['a', 'b', 'c'];
-/** Steps of the clocks after which three nodes that were just started have a leader that serves. */
+/** Clock steps after which three newly started nodes have a leader that serves. */
 const FOUNDING_CLOCK_STEPS = 3;
-/** Steps of silence after which the others have a leader that serves. */
+/** Clock steps without contact to the leader after which the other nodes have a leader that serves. */
 const TAKEOVER_CLOCK_STEPS = 6;
-/** The node that leads first. */
+/** The first leader. */
 const FIRST_LEADER = 0;
-/** Two made from nothing, two from what the first of them brings, and one from what the third brings. */
+/** Two orders based on the empty configuration, two based on that of the first order, and one based on that of the third. */
 const ORDERS = [
   { id: 'first', base: 0, version: 7 },
   { id: 'rival', base: 0, version: 8 },
@@ -39,44 +39,49 @@
   { id: 'other', base: 7, version: 10 },
   { id: 'last', base: 9, version: 11 },
 ] as const;
+/** The id of one of the orders. */
 export type OrderName = (typeof ORDERS)[number]['id'];
 
 /**
- * `after an order`: the first order is in force everywhere. `former leader frozen`: and the node that took it has been
- * frozen since, while another one came to lead; when it is thawed is left open.
+ * The state in which a search begins. `founded`: there is a leader, and no order was sent. `after an order`: the first order
+ * is in force everywhere. `former leader frozen`: in addition, the leader that accepted it has been frozen since, and
+ * another node leads; the search explores when the former leader is thawed.
  */
 export type RefusalBeginning = 'founded' | 'after an order' | 'former leader frozen';
 
+/** Limits of a search of refusals. */
 export interface RefusalBounds extends FaultBounds {
   readonly beginning: RefusalBeginning;
-  /** Sendings of orders in all, apart from one before the search begins. */
+  /** Maximum number of calls with orders, not counting the one before the search begins. */
   readonly calls: number;
-  /** The orders that may be given, each any number of times. */
+  /** The orders that may be sent, each any number of times. */
   readonly orders: readonly OrderName[];
-  /** The nodes that may be asked, by their place. */
+  /** The indices of the nodes that may be called. */
   readonly called: readonly number[];
+  /** The kinds of faults that may be injected. */
   readonly kinds: readonly FaultKind[];
   readonly troublesEnd: 'at any pause' | 'with the clocks';
 }
 
+/** History that the invariants need. */
 export interface RefusalGhost {
-  /** All versions that were ever synced on a majority, in the order of their coming. */
+  /** All versions that were ever synced on a majority, in the order in which they were committed. */
   readonly committed: readonly number[];
-  /** Each sending: which order, and whether it was answered definitely. */
+  /** Each call: the index of its order, and its outcome so far. */
   readonly calls: readonly { readonly order: number; readonly outcome: CallOutcome }[];
 }
 
 type CallOutcome = 'open' | 'accepted' | 'refused' | 'unclear';
 type RefusalView = View<ControlFacts, RefusalGhost>;
 
-/** Deliberate mistakes that the invariant must find. */
+/** Deliberate mistakes that the invariant must detect. */
 export type RefusalMistake =
-  /** An order is refused for another that is still under way. */
+  /** An order is refused because of another one that is still in progress. */
   | 'refused-for-a-pending-one'
-  /** A former leader that does not know of its successor refuses by its own copy, without asking a majority. */
+  /** A former leader that does not know of its successor refuses by its own replica, without asking a majority. */
   | 'refused-by-its-own-copy';
 
-/** Orders of operators at any node: a definite refusal must rest on what is committed. */
+/** Operators send orders to any node: a definite refusal must be based on committed state. */
 export class RefusalProtocol implements Protocol<
   ControlCommand,
   ControlEvent,
@@ -105,21 +110,21 @@
     return new ControlNode(NODES[boot.node] ?? '', NODES, true, boot);
   }
 
-  prepare(calm: CalmRun<ControlCommand>): void {
+  prepare(run: CalmRun<ControlCommand>): void {
     for (let step = 0; step < FOUNDING_CLOCK_STEPS; step += 1) {
-      for (const node of NODES.keys()) calm.tick(node);
-      calm.advance();
+      for (const node of NODES.keys()) run.tick(node);
+      run.advance();
     }
     const { beginning } = this.faults;
-    if (beginning !== 'founded') calm.command(FIRST_LEADER, { call: 1, order: ORDERS[0] });
+    if (beginning !== 'founded') run.command(FIRST_LEADER, { call: 1, order: ORDERS[0] });
     if (beginning === 'former leader frozen') {
-      calm.freeze(FIRST_LEADER);
+      run.freeze(FIRST_LEADER);
       for (let step = 0; step < TAKEOVER_CLOCK_STEPS; step += 1) {
-        for (const node of NODES.keys()) if (node !== FIRST_LEADER) calm.tick(node);
-        calm.advance();
+        for (const node of NODES.keys()) if (node !== FIRST_LEADER) run.tick(node);
+        run.advance();
       }
     }
-    calm.forget();
+    run.forget();
   }
 
   mayFail(_view: RefusalView, kind: FaultKind): boolean {
@@ -133,11 +138,11 @@
 
   commands(view: RefusalView): readonly NodeCommand<ControlCommand>[] {
     const { calls, committed } = view.ghost;
-    const begun = this.faults.beginning === 'founded' ? 0 : 1;
-    if (calls.length >= this.faults.calls + begun) return [];
+    const callsBefore = this.faults.beginning === 'founded' ? 0 : 1;
+    if (calls.length >= this.faults.calls + callsBefore) return [];
     const found: NodeCommand<ControlCommand>[] = [];
     for (const [index, order] of ORDERS.entries()) {
-      // Nobody has seen a base that was never in force.
+      // An operator can only base an order on a configuration that was in force.
       if (!this.faults.orders.includes(order.id) || !committed.includes(order.base)) continue;
       const call = calls.length * ORDERS.length + index + 1;
       for (const node of this.faults.called) found.push({ node, command: { call, order } });
@@ -148,12 +153,12 @@
   judge(
     before: RefusalView,
     after: RefusalView,
-    did: Happening<ControlCommand, ControlEvent>,
+    details: Happening<ControlCommand, ControlEvent>,
   ): Judgement<RefusalGhost> {
     let ghost = before.ghost;
-    if (did.command) {
-      const order = ORDERS.findIndex(hasId.bind(undefined, did.command.order.id));
-      const outcome = this.#isHasty(before, did) ? 'refused' : 'open';
+    if (details.command) {
+      const order = ORDERS.findIndex(hasId.bind(undefined, details.command.order.id));
+      const outcome = this.#isRefusedByMistake(before, details) ? 'refused' : 'open';
       ghost = { ...ghost, calls: [...ghost.calls, { order, outcome }] };
     }
     const version = committedVersion(after.disks);
@@ -165,7 +170,7 @@
       }
       ghost = { ...ghost, committed: [...ghost.committed, version] };
     }
-    for (const event of did.events) {
+    for (const event of details.events) {
       const at = Math.floor((event.call - 1) / ORDERS.length);
       const call = ghost.calls[at];
       if (!call) continue;
@@ -175,8 +180,8 @@
     return { ghost, violation: violationOf(ghost) };
   }
 
-  /** Whether the mistake refuses the order as it comes. */
-  #isHasty(
+  /** Whether the mistake refuses the order on arrival. */
+  #isRefusedByMistake(
     { ghost, facts }: RefusalView,
     { node, command }: Happening<ControlCommand, ControlEvent>,
   ): boolean {
@@ -200,7 +205,7 @@
   return isClear ? 'refused' : 'unclear';
 }
 
-/** What is wrong with the answers given so far, if anything. */
+/** The first wrong answer so far; undefined if all are right. */
 function violationOf({ committed, calls }: RefusalGhost): string | undefined {
   for (const { order: index, outcome } of calls) {
     const order = ORDERS[index];
@@ -208,9 +213,9 @@
     const at = committed.indexOf(order.base);
     const following = committed[at + 1];
     const isInForce = committed.includes(order.version);
-    if (outcome === 'accepted' && !isInForce) return `${order.id} is confirmed and not committed`;
+    if (outcome === 'accepted' && !isInForce) return `${order.id} is confirmed but not committed`;
     if (outcome !== 'refused') continue;
-    if (isInForce) return `${order.id} is refused and committed`;
+    if (isInForce) return `${order.id} is refused but committed`;
     if (following === undefined) {
       return `${order.id} is refused though its base ${order.base} is still in force`;
     }
@@ -218,7 +223,7 @@
   return undefined;
 }
 
-/** The version that a majority has synced, if one and the same write of it is there. */
+/** The version in the write that a majority has synced; undefined if no single write is on a majority of disks. */
 function committedVersion(disks: readonly (readonly DiskWrite[])[]): number | undefined {
   const holders = new Map<string, Set<NodeId>>();
   for (const [node, disk] of disks.entries()) {
--- a/src/simulation/exhaustive/refusal-searches.test.ts
+++ b/src/simulation/exhaustive/refusal-searches.test.ts
@@ -8,21 +8,21 @@
 }
 
 for (const [index, search] of searchesOf('refusal').entries()) {
-  test(`search ${index + 1} of the refusal finds nothing`, () => checkSound(search));
+  test(`search ${index + 1} of the refusal finds no violation`, () => checkSound(search));
 }
 
-test('a refusal for an order that is still under way is found', async () => {
+test('detects a refusal because of an order that is still in progress', async () => {
   const protocol = refusal('refused-for-a-pending-one');
   expect(await brokenBy(protocol, faults(0))).toContain('is refused though its base');
 });
-test('the same on a newer base is found', async () => {
+test('detects a refusal because of an order in progress on a newer base', async () => {
   const protocol = newerRefusal(
     { beginning: 'after an order', clockSteps: 4 },
     'refused-for-a-pending-one',
   );
   expect(await brokenBy(protocol, faults(0))).toContain('is refused though its base 7');
 });
-test('a refusal by the old copy of a thawed former leader is found', async () => {
+test('detects a refusal by the outdated replica of a thawed former leader', async () => {
   const protocol = newerRefusal(
     { beginning: 'former leader frozen', clockSteps: 9 },
     'refused-by-its-own-copy',
--- a/src/simulation/exhaustive/voter-change-protocol.ts
+++ b/src/simulation/exhaustive/voter-change-protocol.ts
@@ -28,35 +28,38 @@
 const SEEDS = ['a', 'b', 'c'];
 const SPARE = 'd';
 const NODES = [...SEEDS, SPARE];
-/** The voter that is gone when the search begins. */
-const GONE = 2;
-/** Steps of the clocks until there is a leader that serves and the spare has read everything. */
+/** The voter that has failed (is frozen) when the search begins. */
+const FAILED_VOTER = 2;
+/** Clock steps until there is a leader that serves and the spare has read all partitions. */
 const FOUNDING_CLOCK_STEPS = 5;
-/** Steps of silence up to just before the leader replaces a voter. */
+/** Clock steps of the voter's silence up to just before the leader replaces it. */
 const SILENT_CLOCK_STEPS = 5;
 const FIRST_ORDER = { id: 'first', base: 0, version: 7 };
 const SECOND_ORDER = { id: 'second', base: 7, version: 9 };
 
+/** Limits of a search of a change of voters. */
 export interface VoterChangeBounds extends FaultBounds {
-  /** Whether a second order may be given while the voters change. */
+  /** Whether a second order may be sent during the change of voters. */
   readonly hasSecondOrder: boolean;
-  /** Faults that may be made, and at which nodes; only while a change is under way if `isMidChange`. */
+  /** The nodes and kinds of the faults that may be injected; only during a change of voters if `isMidChange`. */
   readonly victims: readonly number[];
   readonly kinds: readonly FaultKind[];
   readonly isMidChange: boolean;
   readonly troublesEnd: 'at any pause' | 'with the clocks';
 }
 
+/** History that the invariants need. */
 export interface VoterChangeGhost {
   readonly leaders: Leaders;
-  /** The newest version that an operator was told to be in force. */
+  /** The newest version that was confirmed to an operator. */
   readonly confirmed: number;
+  /** Whether the second order was sent. */
   readonly hasOrdered: boolean;
 }
 
 type ChangeView = View<ControlFacts, VoterChangeGhost>;
 
-/** A spare takes the place of a voter that is gone: no two sets of voters can decide apart, and nothing is forgotten. */
+/** A spare replaces a failed voter: no two sets of voters may decide independently, and no confirmed order may be lost. */
 export class VoterChangeProtocol implements Protocol<
   ControlCommand,
   ControlEvent,
@@ -68,7 +71,7 @@
   readonly troublesEnd: VoterChangeBounds['troublesEnd'];
   readonly clockStepMs = CONTROL_STEP_MS;
   readonly isBundled = true;
-  readonly firstFrozen = 1 << GONE;
+  readonly firstFrozen = 1 << FAILED_VOTER;
   readonly faults: VoterChangeBounds;
   readonly firstDisks: readonly (readonly DiskWrite[])[] = [[], [], [], []];
   readonly firstGhost: VoterChangeGhost = { leaders: {}, confirmed: 0, hasOrdered: false };
@@ -85,18 +88,18 @@
     return new ControlNode(me, SEEDS, me !== SPARE, boot, this.#mistake);
   }
 
-  prepare(calm: CalmRun<ControlCommand>): void {
+  prepare(run: CalmRun<ControlCommand>): void {
     for (let step = 0; step < FOUNDING_CLOCK_STEPS; step += 1) {
-      for (const node of NODES.keys()) calm.tick(node);
-      calm.advance();
+      for (const node of NODES.keys()) run.tick(node);
+      run.advance();
     }
-    calm.command(0, { call: 1, order: FIRST_ORDER });
-    calm.freeze(GONE);
+    run.command(0, { call: 1, order: FIRST_ORDER });
+    run.freeze(FAILED_VOTER);
     for (let step = 0; step < SILENT_CLOCK_STEPS; step += 1) {
-      for (const node of NODES.keys()) if (node !== GONE) calm.tick(node);
-      calm.advance();
+      for (const node of NODES.keys()) if (node !== FAILED_VOTER) run.tick(node);
+      run.advance();
     }
-    calm.forget();
+    run.forget();
   }
 
   mayFail({ facts }: ChangeView, kind: FaultKind, node: number): boolean {
@@ -122,56 +125,56 @@
   judge(
     before: ChangeView,
     after: ChangeView,
-    did: Happening<ControlCommand, ControlEvent>,
+    details: Happening<ControlCommand, ControlEvent>,
   ): Judgement<VoterChangeGhost> {
-    if (did.node === undefined) return { ghost: before.ghost, violation: undefined };
-    const facts = after.facts[did.node];
+    if (details.node === undefined) return { ghost: before.ghost, violation: undefined };
+    const facts = after.facts[details.node];
     const { leaders: known } = before.ghost;
-    const led = facts?.isLeading
-      ? withLeader(known, facts.epoch, did.node)
+    const leaderCheck = facts?.isLeading
+      ? withLeader(known, facts.epoch, details.node)
       : { leaders: known, violation: undefined };
-    const ghost = withOrders({ ...before.ghost, leaders: led.leaders }, did);
-    const wasServing = before.facts[did.node]?.isServing ?? false;
+    const ghost = withOrders({ ...before.ghost, leaders: leaderCheck.leaders }, details);
+    const wasServing = before.facts[details.node]?.isServing ?? false;
     const violation =
-      led.violation ??
-      (wasServing ? undefined : judgeServing(facts, ghost)) ??
-      judgeSets(after.facts.map(votersOf), 'in memory') ??
-      judgeSets(after.disks.map(votersOnDisk), 'on disk');
+      leaderCheck.violation ??
+      (wasServing ? undefined : checkServing(facts, ghost)) ??
+      checkVoterSets(after.facts.map(votersOf), 'in memory') ??
+      checkVoterSets(after.disks.map(votersOnDisk), 'on disk');
     return { ghost, violation };
   }
 }
 
-/** Whether a node knows of a joint set, or a set that a majority of its members knows is not yet known to all of them. */
+/** Whether a node knows of a joint set, or some set is known to a majority of its members but not yet to all of them. */
 function isChanging(facts: readonly ControlFacts[]): boolean {
   for (const { voters } of facts) {
     const [set, following] = voters;
     if (!set || following) return true;
     const text = JSON.stringify(voters);
-    let knowing = 0;
+    let knowingCount = 0;
     for (const [node, known] of facts.entries()) {
       const isMember = set.includes(NODES[node] ?? '');
-      if (isMember && JSON.stringify(known.voters) === text) knowing += 1;
+      if (isMember && JSON.stringify(known.voters) === text) knowingCount += 1;
     }
-    if (knowing < set.length && 2 * knowing > set.length) return true;
+    if (knowingCount < set.length && 2 * knowingCount > set.length) return true;
   }
   return false;
 }
 
 function withOrders(
   ghost: VoterChangeGhost,
-  did: Happening<ControlCommand, ControlEvent>,
+  details: Happening<ControlCommand, ControlEvent>,
 ): VoterChangeGhost {
-  const hasOrdered = ghost.hasOrdered || did.command?.order.id === SECOND_ORDER.id;
+  const hasOrdered = ghost.hasOrdered || details.command?.order.id === SECOND_ORDER.id;
   let { confirmed } = ghost;
-  for (const { status, call } of did.events) {
+  for (const { status, call } of details.events) {
     const { version } = call === 1 ? FIRST_ORDER : SECOND_ORDER;
     if (status === 200) confirmed = Math.max(confirmed, version);
   }
   return { ...ghost, hasOrdered, confirmed };
 }
 
-/** A leader that begins to serve must know what was confirmed. */
-function judgeServing(
+/** A leader that begins to serve must know every confirmed order. */
+function checkServing(
   facts: ControlFacts | undefined,
   { confirmed }: VoterChangeGhost,
 ): string | undefined {
@@ -181,25 +184,25 @@
 
 type VoterSets = readonly (readonly string[])[] | undefined;
 
-/** Sets that enough of their own members believe in could elect and commit by themselves: there may be one at most. */
-function judgeSets(views: readonly VoterSets[], where: string): string | undefined {
-  const believers = new Map<string, string[]>();
+/** Voter sets that a majority of their own members use could elect and commit on their own: at most one may exist. */
+function checkVoterSets(views: readonly VoterSets[], where: string): string | undefined {
+  const nodesBySets = new Map<string, string[]>();
   for (const [node, sets] of views.entries()) {
     if (!sets) continue;
     const text = JSON.stringify(sets);
-    believers.set(text, [...(believers.get(text) ?? []), NODES[node] ?? '']);
+    nodesBySets.set(text, [...(nodesBySets.get(text) ?? []), NODES[node] ?? '']);
   }
-  const able: string[] = [];
+  const quorate: string[] = [];
   for (const [node, sets] of views.entries()) {
     if (!sets) continue;
     const text = JSON.stringify(sets);
-    const by = believers.get(text) ?? [];
+    const by = nodesBySets.get(text) ?? [];
     if (by[0] !== NODES[node]) continue;
     const quorum = new Quorum(...sets.map(idsOf));
-    if (quorum.isMajority(new Set(by.map(nodeId)))) able.push(`${text} by ${by.join()}`);
+    if (quorum.isMajority(new Set(by.map(nodeId)))) quorate.push(`${text} by ${by.join()}`);
   }
-  if (able.length < 2) return undefined;
-  return `two sets of voters could decide apart, ${where}: ${able.join(' and ')}`;
+  if (quorate.length < 2) return undefined;
+  return `two sets of voters could decide independently, ${where}: ${quorate.join(' and ')}`;
 }
 
 function idsOf(set: readonly string[]): ReturnType<typeof nodeId>[] {
