--- a/src/simulation/exhaustive/exhaustive-command.ts
+++ b/src/simulation/exhaustive/exhaustive-command.ts
@@ -1,28 +1,39 @@
 import { Command, Flags } from '@oclif/core';
 import { MODEL_NAMES, SEARCHES, type Extent, type Search, type SearchReport } from './searches.js';
 
-/** A search is given up as partial beyond so many states; each takes some hundred bytes. */
-const MOST_STATES = 3_000_000;
+/** Default bound on the states of a search, which is partial if it reaches it; each state takes some hundred bytes. */
+const MAX_STATES = 3_000_000;
 
 function reportLine(report: SearchReport): string {
   const { model: name, depth, states, transitions, nodeStates, millis, isExhausted } = report;
-  const end = isExhausted ? ', nothing left' : '';
+  const end = isExhausted ? ', exhausted' : '';
   const counts = `${states} states, ${transitions} transitions, ${nodeStates} node states`;
   return `${name}: depth ${depth}${end}, ${counts}, ${(millis / 1000).toFixed(1)} s`;
 }
 
-/** Explores the small cores of the control side state by state, by hand and further than the tests do. */
+/** Explores the small cores of the control nodes state by state; for manual runs that go further than the tests. */
 export class ExhaustiveCommand extends Command {
   static override description =
-    'explore the control side state by state: every order of steps, or every choice of a few faults';
+    'explore the control nodes state by state: every order of steps, or every choice of a few faults';
   static override flags = {
-    model: Flags.option({ options: MODEL_NAMES, description: 'one model alone' })(),
-    long: Flags.boolean({ default: false, description: 'the searches that take minutes instead' }),
-    only: Flags.integer({ description: 'one search alone, by its place in the list, from 1' }),
-    depth: Flags.integer({ description: 'steps, for searches of every order' }),
-    faults: Flags.integer({ description: 'faults, for searches of long runs' }),
-    states: Flags.integer({ default: MOST_STATES, description: 'states at which a search ends' }),
-    json: Flags.boolean({ default: false, description: 'one JSON object a search' }),
+    model: Flags.option({
+      options: MODEL_NAMES,
+      description: 'run only the searches of one model',
+    })(),
+    long: Flags.boolean({
+      default: false,
+      description: 'run the long searches, which take minutes, instead of the short ones',
+    }),
+    only: Flags.integer({
+      description: 'run only the search with this number in the list, from 1',
+    }),
+    depth: Flags.integer({ description: 'maximum number of steps, for searches of every order' }),
+    faults: Flags.integer({ description: 'maximum number of faults, for searches of long runs' }),
+    states: Flags.integer({
+      default: MAX_STATES,
+      description: 'maximum number of states of a search',
+    }),
+    json: Flags.boolean({ default: false, description: 'print one JSON object per search' }),
   };
 
   async run(): Promise<void> {
--- a/src/simulation/exhaustive/searched-protocols.ts
+++ b/src/simulation/exhaustive/searched-protocols.ts
@@ -13,18 +13,20 @@
 } from './replication-protocol.js';
 import { VoterChangeProtocol } from './voter-change-protocol.js';
 
+/** The voters at the start of each search. */
 export const SEEDS = ['a', 'b', 'c'];
-/** A change of voters that is under way for good. */
+/** A joint set of voters: a change of voters that never completes. */
 export const JOINT = [SEEDS, ['a', 'b', 'd']];
-/** Enough for a leader to fall silent, and for its successor to wait for the end of its lease. */
+/** Enough for a leader to fail, and for its successor to wait for the end of its lease. */
 const ELECTION_CLOCK_STEPS = 4;
 const REPLICATION_CLOCK_STEPS = 2;
-/** From the start of the founding: enough for the change of voters and for another leader in its midst. */
+/** From the first start of the cluster: enough for the change of voters and for a new leader during it. */
 const CHANGE_CLOCK_STEPS = 12;
 const REFUSAL_CLOCK_STEPS = 3;
-/** It passes orders on to the leader. */
+/** A node that forwards orders to the leader. */
 const FOLLOWER = [1];
 
+/** Elections among three voters. */
 export function election(
   beginning: ElectionBeginning,
   hasLateSyncs: boolean,
@@ -39,6 +41,7 @@
   return new ElectionProtocol(beginning, faults, mistake);
 }
 
+/** Replication of writes by successive leaders, without lost disks. */
 export function replication(
   beginning: ReplicationBeginning,
   hasLateSyncs: boolean,
@@ -55,6 +58,7 @@
   return new ReplicationProtocol('replication', beginning, [SEEDS], faults, mistake);
 }
 
+/** Repair of one lost disk; two sets of voters stand for a change of voters in progress. */
 export function repair(
   beginning: ReplicationBeginning,
   sets: readonly (readonly string[])[],
@@ -72,18 +76,20 @@
   return new ReplicationProtocol(name, beginning, sets, faults, mistake);
 }
 
-/** The bounds of a change of voters that are the same in all its searches. */
-const CHANGE_FAULTS = { restarts: 1, wipes: 0, hasLateSyncs: false, hasSecondOrder: false };
+/** The bounds that all searches of a change of voters share. */
+const CHANGE_BOUNDS = { restarts: 1, wipes: 0, hasLateSyncs: false, hasSecondOrder: false };
 const FIRST_TWO = [0, 1];
 const ALL_FOUR = [0, 1, 2, 3];
 /**
- * From the start of the founding: the change begins at step 10; a leader in trouble at its end has a successor that serves
- * by step 16, which has made a second change by step 20.
+ * From the first start of the cluster: the change begins at step 10; if the leader fails at its end, a successor serves by
+ * step 16, and has made a second change by step 20.
  */
-const TROUBLED_CLOCK_STEPS = 20;
+const FAULTY_CHANGE_CLOCK_STEPS = 20;
+
+/** A change of voters with faults of all kinds, before and after the change as well. */
 export function voterChange(mistake?: ControlMistake): VoterChangeProtocol {
   const faults = {
-    ...CHANGE_FAULTS,
+    ...CHANGE_BOUNDS,
     clockSteps: CHANGE_CLOCK_STEPS,
     victims: ALL_FOUR,
     kinds: FAULT_KINDS,
@@ -93,14 +99,14 @@
   return new VoterChangeProtocol(faults, mistake);
 }
 
-/** Faults of these kinds at any moment of the change, of any node. */
+/** A change of voters with faults of these kinds at any node, only during the change. */
 export function troubledChange(
   kinds: readonly FaultKind[],
   mistake?: ControlMistake,
 ): VoterChangeProtocol {
   const faults = {
-    ...CHANGE_FAULTS,
-    clockSteps: TROUBLED_CLOCK_STEPS,
+    ...CHANGE_BOUNDS,
+    clockSteps: FAULTY_CHANGE_CLOCK_STEPS,
     victims: ALL_FOUR,
     kinds,
     isMidChange: true,
@@ -109,14 +115,14 @@
   return new VoterChangeProtocol(faults, mistake);
 }
 
-/** The leader of the change or the voter that is left beside it is in trouble. */
+/** A change of voters with faults of these kinds only at its leader or at the other remaining voter. */
 export function troubledVoters(
   clockSteps: number,
   kinds: readonly FaultKind[],
   mistake?: ControlMistake,
 ): VoterChangeProtocol {
   const faults = {
-    ...CHANGE_FAULTS,
+    ...CHANGE_BOUNDS,
     clockSteps,
     victims: FIRST_TWO,
     kinds,
@@ -126,17 +132,19 @@
   return new VoterChangeProtocol(faults, mistake);
 }
 
-/** The bounds of refusal that are the same in all its searches. */
-const REFUSAL_FAULTS = { restarts: 1, wipes: 0, hasLateSyncs: false, calls: 2 };
-/** Orders made from what the first one brings, and one made from what one of these brings. */
+/** The bounds that all searches of refusals share. */
+const REFUSAL_BOUNDS = { restarts: 1, wipes: 0, hasLateSyncs: false, calls: 2 };
+/** Competing orders with the same base, that of the first order. */
 export const RIVAL_ORDERS = ['next', 'other'] as const;
-/** Faults that are over as soon as they have happened. */
+/** Faults that do not last. */
 export const SHORT_FAULTS = ['drop', 'skip', 'restart'] as const;
+/** The competing orders, and one based on the first of them. */
 const NEWER_ORDERS = ['next', 'other', 'last'] as const;
 
+/** Two competing orders at a follower of a new cluster. */
 export function refusal(mistake?: RefusalMistake): RefusalProtocol {
   const faults = {
-    ...REFUSAL_FAULTS,
+    ...REFUSAL_BOUNDS,
     clockSteps: REFUSAL_CLOCK_STEPS,
     beginning: 'founded' as const,
     orders: ['first', 'rival'] as const,
@@ -147,14 +155,14 @@
   return new RefusalProtocol(faults, mistake);
 }
 
-/** What the searches of newer orders differ by. */
+/** The bounds by which the searches of orders on a newer base differ. */
 export type NewerOrders = Pick<RefusalBounds, 'beginning' | 'clockSteps'> &
   Partial<Pick<RefusalBounds, 'kinds' | 'orders'>>;
 
-/** Orders on a newer base, while a leader that was frozen before may be thawed, or where there is one leader alone. */
+/** Orders on a newer base, either with a former leader that may be thawed or with a single leader. */
 export function newerRefusal(bounds: NewerOrders, mistake?: RefusalMistake): RefusalProtocol {
   const faults = {
-    ...REFUSAL_FAULTS,
+    ...REFUSAL_BOUNDS,
     orders: NEWER_ORDERS,
     called: FIRST_TWO,
     kinds: [],
--- a/src/simulation/exhaustive/searches.ts
+++ b/src/simulation/exhaustive/searches.ts
@@ -20,6 +20,7 @@
 } from './searched-protocols.js';
 import { StateDigest } from './state-digest.js';
 
+/** The names by which the command selects a model. */
 export const MODEL_NAMES = [
   'election',
   'replication',
@@ -27,33 +28,36 @@
   'repair',
   'refusal',
 ] as const;
+/** The name of a model. */
 export type ModelName = (typeof MODEL_NAMES)[number];
 
-/** How far one search goes: every order of steps to a depth, or a number of faults in an otherwise calm run. */
+/** The extent of a search: every order of steps up to a depth, or long runs with a number of faults. */
 export type Extent =
   | { readonly kind: 'every-order'; readonly depth: number }
   | { readonly kind: 'faults'; readonly faults: number };
 
-/** What one search found, and how many states of single nodes it ran the real code from. */
+/** The result of a search, with the number of distinct states of single nodes from which it ran the production code. */
 export interface SearchReport extends Verdict {
   readonly nodeStates: number;
 }
 
+/** One search that the command or the tests can run. */
 export interface Search {
   readonly model: ModelName;
-  /** What it explores, as the command tells it. */
+  /** What it explores, as shown by the command. */
   readonly title: string;
-  /** Whether it takes minutes, so that it is run by hand alone. */
+  /** Whether it takes up to minutes, so that it is run only manually. */
   readonly isLong: boolean;
-  /** Chosen so that all searches together fit into a minute of one processor. */
+  /** The default extent: all short searches together take less than a minute on one processor. */
   readonly usual: Extent;
+  /** Runs the search up to this extent and number of states. */
   run(extent: Extent, states: number, progress?: (report: SearchReport) => void): SearchReport;
 }
 
-/** No calm run with a few faults is as long as this. */
-const LONGEST_RUN = 2000;
+/** Longer than any run with a few faults, so that it does not limit the search. */
+const MAX_RUN_STEPS = 2000;
 
-/** Explores one protocol. */
+/** Explores one protocol up to an extent and a number of states. */
 export function explore<Command, Event, Facts, Ghost>(
   protocol: Protocol<Command, Event, Facts, Ghost>,
   extent: Extent,
@@ -65,34 +69,36 @@
   function report(verdict: Verdict): SearchReport {
     return { ...verdict, nodeStates: cluster.localStates };
   }
-  function tell(verdict: Verdict): void {
+  function reportProgress(verdict: Verdict): void {
     progress?.(report(verdict));
   }
   try {
     if (extent.kind === 'faults') {
-      const bounds: Bounds = { depth: LONGEST_RUN, states };
-      return report(new Explorer(new Departures(cluster, extent.faults)).run(bounds, tell));
+      const bounds: Bounds = { depth: MAX_RUN_STEPS, states };
+      return report(
+        new Explorer(new Departures(cluster, extent.faults)).run(bounds, reportProgress),
+      );
     }
     const bounds: Bounds = { depth: extent.depth, states };
-    return report(new Explorer(new Interleavings(cluster)).run(bounds, tell));
+    return report(new Explorer(new Interleavings(cluster)).run(bounds, reportProgress));
   } finally {
     digest.close();
   }
 }
 
-/** A search over the protocol that `make` brings. */
+/** A short search of the protocol that `createProtocol` creates. */
 function search<Command, Event, Facts, Ghost>(
   model: ModelName,
   title: string,
   usual: Extent,
-  make: () => Protocol<Command, Event, Facts, Ghost>,
+  createProtocol: () => Protocol<Command, Event, Facts, Ghost>,
 ): Search {
   function run(
     extent: Extent,
     states: number,
     progress?: (report: SearchReport) => void,
   ): SearchReport {
-    return explore(make(), extent, states, progress);
+    return explore(createProtocol(), extent, states, progress);
   }
   return { model, title, isLong: false, usual, run };
 }
@@ -105,16 +111,16 @@
   return { kind: 'faults', faults };
 }
 
-/** Where the clocks stand when a search begins with a frozen former leader. */
+/** The clock step at which a search with a frozen former leader begins. */
 const AFTER_TAKEOVER_CLOCK_STEPS = 9;
-/** One step more than where they stand when a search begins with an order in force. */
+/** One more than the clock step at which a search with an order in force begins. */
 const AFTER_ORDER_CLOCK_STEPS = 4;
-/** A successor begins a second change at step 17 at the earliest; it is over by then also where it was begun anew. */
+/** A successor begins a second change at step 17 at the earliest; by this step it is over even if it was restarted. */
 const SECOND_CHANGE_CLOCK_STEPS = 23;
-/** From the start of the founding: up to a leader that has made the change in its second term. */
+/** From the first start of the cluster: until a restarted leader has made the change in its second term. */
 const RESTART_CLOCK_STEPS = 14;
 
-/** Run with the tests: together within half a minute of one processor. */
+/** Run with the tests: together less than half a minute on one processor. */
 const SHORT_SEARCHES: readonly Search[] = [
   search('election', 'first', everyOrder(5), () => election('first', false)),
   search('election', 'contested', everyOrder(4), () => election('contested', false)),
@@ -122,7 +128,7 @@
   search('election', 'after a leader', withFaults(1), () => election('after a leader', false)),
   search('replication', 'calm', everyOrder(5), () => replication('calm', true)),
   search('replication', 'takeover', everyOrder(5), () => replication('takeover', false)),
-  search('voter-change', 'the one that is gone returns', withFaults(0), voterChange),
+  search('voter-change', 'a failed voter returns', withFaults(0), voterChange),
   search('voter-change', 'a voter restarts during the change', withFaults(1), () =>
     troubledVoters(RESTART_CLOCK_STEPS, ['restart']),
   ),
@@ -148,29 +154,29 @@
   ),
 ];
 
-/** The same search, run by hand alone. */
-function long(found: Search): Search {
+/** The same search, marked as long. */
+function longSearch(found: Search): Search {
   return { ...found, isLong: true };
 }
 
 /** Seconds to minutes each. */
 const LONG_SEARCHES: readonly Search[] = [
-  long(
+  longSearch(
     search('voter-change', 'a node is frozen during the change', withFaults(1), () =>
       troubledChange(['freeze']),
     ),
   ),
-  long(
+  longSearch(
     search('voter-change', 'a node is cut off during the change', withFaults(1), () =>
       troubledChange(['cut']),
     ),
   ),
-  long(
+  longSearch(
     search('voter-change', 'a disk stalls during the change', withFaults(1), () =>
       troubledChange(['stall']),
     ),
   ),
-  long(
+  longSearch(
     search(
       'voter-change',
       'a node restarts, a message is lost or timers are late during the change',
@@ -178,12 +184,12 @@
       () => troubledChange(['restart', 'drop', 'skip']),
     ),
   ),
-  long(
-    search('voter-change', 'a message comes again during the change', withFaults(1), () =>
+  longSearch(
+    search('voter-change', 'a message is delivered again during the change', withFaults(1), () =>
       troubledChange(['receive']),
     ),
   ),
-  long(
+  longSearch(
     search(
       'voter-change',
       'a voter is frozen during the change, up to the end of a second one',
@@ -191,7 +197,7 @@
       () => troubledVoters(SECOND_CHANGE_CLOCK_STEPS, ['freeze']),
     ),
   ),
-  long(
+  longSearch(
     search(
       'refusal',
       'newer orders at a thawed leader and its successor, longer',
@@ -203,7 +209,7 @@
         }),
     ),
   ),
-  long(
+  longSearch(
     search('refusal', 'newer orders at the leader and a follower, longer', withFaults(0), () =>
       newerRefusal({
         beginning: 'after an order',
@@ -211,7 +217,7 @@
       }),
     ),
   ),
-  long(
+  longSearch(
     search(
       'refusal',
       'two newer orders at a thawed leader and its successor, a message lost, timers late or a restart',
@@ -227,4 +233,5 @@
   ),
 ];
 
+/** All searches, the short ones first. */
 export const SEARCHES: readonly Search[] = [...SHORT_SEARCHES, ...LONG_SEARCHES];
