--- a/src/simulation/exhaustive/cluster.ts
+++ b/src/simulation/exhaustive/cluster.ts
@@ -237,13 +237,13 @@
     const pending = step.writes.length === 0 ? node.pending : [...node.pending, ...step.writes];
     return {
       node: { local: step.local, disk: node.disk, pending },
-      messages: withAll(messages, step.sends.filter(this.#isWatched, this)),
+      messages: withAll(messages, step.sends.filter(this.#mayArriveLate, this)),
       sent: step.sends,
       events: step.events,
     };
   }
 
-  #isWatched(message: number): boolean {
+  #mayArriveLate(message: number): boolean {
     return this.envelope(message).messages.some(this.#protocol.isWatched);
   }
 
--- a/src/simulation/exhaustive/departures.ts
+++ b/src/simulation/exhaustive/departures.ts
@@ -187,17 +187,17 @@
     const { queue, ticked } = schedule;
     const { kind, node, item } = nextStep;
     const departures = schedule.departures + 1;
-    if (kind === 'receive' && this.#mayFail(schedule, 'drop', node)) {
+    if (kind === 'receive' && this.#allowsFault(schedule, 'drop', node)) {
       const lost = { ...schedule, queue: without(queue, item), departures };
       visit(stepCode({ ...nextStep, kind: 'drop' }), lost, undefined);
     }
-    if (kind === 'tick' && this.#mayFail(schedule, 'skip', node)) {
+    if (kind === 'tick' && this.#allowsFault(schedule, 'skip', node)) {
       const late = { ...schedule, ticked: ticked | (1 << node), departures };
       visit(stepCode({ ...nextStep, kind: 'skip' }), late, undefined);
     }
   }
 
-  #mayFail({ world }: Schedule<Ghost>, kind: FaultKind, node: number): boolean {
+  #allowsFault({ world }: Schedule<Ghost>, kind: FaultKind, node: number): boolean {
     return this.#cluster.mayFail(world, kind, node);
   }
 
@@ -211,7 +211,7 @@
     for (const { begin, field } of LASTING_FAULTS) {
       if (isInMask(schedule[field], node)) continue;
       if (!this.#hasFaultEffect(schedule, begin, node, nextStep)) continue;
-      if (!this.#mayFail(schedule, begin, node)) continue;
+      if (!this.#allowsFault(schedule, begin, node)) continue;
       const changed = { ...schedule, [field]: schedule[field] | (1 << node), departures };
       visit(stepCode(stepAt(begin, node)), changed, undefined);
     }
@@ -261,7 +261,7 @@
       const { to } = this.#cluster.envelope(id);
       if (isNodeStep && nextStep.node !== to) continue;
       if (has(schedule.queue, id) || isInMask(schedule.frozen, to)) continue;
-      if (!this.#mayFail(schedule, 'receive', to)) continue;
+      if (!this.#allowsFault(schedule, 'receive', to)) continue;
       this.#take(schedule, stepAt('receive', to, id), 1, visit);
     }
   }
@@ -276,7 +276,7 @@
     const { faults } = this.#cluster.protocol;
     const { restarts, wipes } = schedule.world;
     const isAllowed = kind === 'restart' ? restarts < faults.restarts : wipes < faults.wipes;
-    if (!isAllowed || !this.#mayFail(schedule, kind, node)) return;
+    if (!isAllowed || !this.#allowsFault(schedule, kind, node)) return;
     let { queue } = schedule;
     for (const id of idsOf(queue)) {
       if (this.#cluster.envelope(id).to === node) queue = without(queue, id);
