--- a/src/simulation/exhaustive/departures.ts
+++ b/src/simulation/exhaustive/departures.ts
@@ -128,7 +128,7 @@
   ): boolean {
     if (frozen === 0 && cut === 0 && stalled === 0) return false;
     if (nextStep?.kind === 'receive') return false;
-    if (this.#cluster.protocol.troublesEnd === 'at any pause') return true;
+    if (this.#cluster.protocol.troublesEnd === 'when no message is in transit') return true;
     return nextStep?.kind !== 'tick';
   }
 
@@ -144,8 +144,8 @@
       if (outcome.violation !== undefined) return outcome;
       if (step.kind === 'advance') break;
     }
-    const settled = { ...schedule, world: this.#cluster.settled(schedule.world) };
-    return { schedule: settled, violation: undefined, isIdle: false };
+    const canonical = { ...schedule, world: this.#cluster.settled(schedule.world) };
+    return { schedule: canonical, violation: undefined, isIdle: false };
   }
 
   #endLastingFaults(schedule: Schedule<Ghost>, visit: Visit<Schedule<Ghost>>): void {
--- a/src/simulation/exhaustive/election-protocol.ts
+++ b/src/simulation/exhaustive/election-protocol.ts
@@ -186,7 +186,7 @@
 > {
   readonly name: string;
   readonly firstFrozen = 0;
-  readonly troublesEnd = 'at any pause';
+  readonly troublesEnd = 'when no message is in transit';
   readonly clockStepMs = CLOCK_STEP_MS;
   readonly isBundled = false;
   readonly nodes: readonly NodeId[] = [nodeId('a'), nodeId('b'), nodeId('c')];
--- a/src/simulation/exhaustive/protocol.ts
+++ b/src/simulation/exhaustive/protocol.ts
@@ -102,7 +102,7 @@
    * When lasting faults may end, in searches that have them: whenever no message is in transit, or only when the clocks are
    * due to advance.
    */
-  readonly troublesEnd: 'at any pause' | 'with the clocks';
+  readonly troublesEnd: 'when no message is in transit' | 'when the clocks advance';
   /** Whether searches with faults may inject one of this kind at the node; `faults` limits crashes in addition. */
   mayFail(view: View<Facts, Ghost>, kind: FaultKind, node: number): boolean;
   /** Brings the newly started cluster to the state in which the search begins. */
--- a/src/simulation/exhaustive/refusal-protocol.ts
+++ b/src/simulation/exhaustive/refusal-protocol.ts
@@ -60,7 +60,7 @@
   readonly called: readonly number[];
   /** The kinds of faults that may be injected. */
   readonly kinds: readonly FaultKind[];
-  readonly troublesEnd: 'at any pause' | 'with the clocks';
+  readonly troublesEnd: 'when no message is in transit' | 'when the clocks advance';
 }
 
 /** History that the invariants need. */
--- a/src/simulation/exhaustive/searched-protocols.ts
+++ b/src/simulation/exhaustive/searched-protocols.ts
@@ -94,7 +94,7 @@
     victims: ALL_FOUR,
     kinds: FAULT_KINDS,
     isMidChange: false,
-    troublesEnd: 'at any pause' as const,
+    troublesEnd: 'when no message is in transit' as const,
   };
   return new VoterChangeProtocol(faults, mistake);
 }
@@ -110,7 +110,7 @@
     victims: ALL_FOUR,
     kinds,
     isMidChange: true,
-    troublesEnd: 'with the clocks' as const,
+    troublesEnd: 'when the clocks advance' as const,
   };
   return new VoterChangeProtocol(faults, mistake);
 }
@@ -127,7 +127,7 @@
     victims: FIRST_TWO,
     kinds,
     isMidChange: true,
-    troublesEnd: 'with the clocks' as const,
+    troublesEnd: 'when the clocks advance' as const,
   };
   return new VoterChangeProtocol(faults, mistake);
 }
@@ -150,7 +150,7 @@
     orders: ['first', 'rival'] as const,
     called: FOLLOWER,
     kinds: FAULT_KINDS,
-    troublesEnd: 'at any pause' as const,
+    troublesEnd: 'when no message is in transit' as const,
   };
   return new RefusalProtocol(faults, mistake);
 }
@@ -166,7 +166,7 @@
     orders: NEWER_ORDERS,
     called: FIRST_TWO,
     kinds: [],
-    troublesEnd: 'at any pause' as const,
+    troublesEnd: 'when no message is in transit' as const,
     ...bounds,
   };
   return new RefusalProtocol(faults, mistake);
--- a/src/simulation/exhaustive/voter-change-protocol.ts
+++ b/src/simulation/exhaustive/voter-change-protocol.ts
@@ -45,7 +45,7 @@
   readonly victims: readonly number[];
   readonly kinds: readonly FaultKind[];
   readonly isMidChange: boolean;
-  readonly troublesEnd: 'at any pause' | 'with the clocks';
+  readonly troublesEnd: 'when no message is in transit' | 'when the clocks advance';
 }
 
 /** History that the invariants need. */
