--- a/src/simulation/exhaustive/explorer.ts
+++ b/src/simulation/exhaustive/explorer.ts
@@ -42,7 +42,7 @@
   readonly counterexample: Counterexample | undefined;
 }
 
-/** Sets that share the texts, since V8 limits one Set to 2^24 entries. */
+/** Number of Sets among which the texts are divided, since V8 limits one Set to 2^24 entries. */
 const SHARD_COUNT = 64;
 
 /** A set of texts that may be larger than one Set. */
--- a/src/simulation/exhaustive/local-states.ts
+++ b/src/simulation/exhaustive/local-states.ts
@@ -167,7 +167,8 @@
     const canonical = this.#ids.get(hash) ?? local;
     this.#ids.set(hash, canonical);
     record.canonical = canonical;
-    // Steps always continue from the inputs that first led to the state, so that results do not depend on memory.
+    // Later steps always continue from the inputs that first led to the state, so that the results do not depend on which
+    // nodes are still in memory.
     if (canonical !== local) this.#live.delete(local);
     return canonical;
   }
--- a/src/simulation/exhaustive/private-fields.ts
+++ b/src/simulation/exhaustive/private-fields.ts
@@ -3,7 +3,7 @@
 
 const ALLOW_NATIVES = '--allow-natives-syntax';
 const DISALLOW_NATIVES = '--no-allow-natives-syntax';
-/** V8's property filter that selects private names only (`PRIVATE_NAMES_ONLY`). */
+/** V8's property filter that selects private names only. */
 const PRIVATE_NAMES_ONLY = 64;
 
 /** One private field of a class: its name in the source, and the private symbol by which V8 stores it. */
--- a/src/simulation/exhaustive/searches.ts
+++ b/src/simulation/exhaustive/searches.ts
@@ -115,7 +115,7 @@
 const AFTER_TAKEOVER_CLOCK_STEPS = 9;
 /** One more than the clock step at which a search with an order in force begins. */
 const AFTER_ORDER_CLOCK_STEPS = 4;
-/** A successor begins a second change at step 17 at the earliest; by this step it is over even if it was restarted. */
+/** A successor begins a second change at step 17 at the earliest; by this step it is over even if it was begun twice. */
 const SECOND_CHANGE_CLOCK_STEPS = 23;
 /** From the first start of the cluster: until a restarted leader has made the change in its second term. */
 const RESTART_CLOCK_STEPS = 14;
