--- a/src/simulation/exhaustive/bound-calls.ts
+++ b/src/simulation/exhaustive/bound-calls.ts
@@ -19,7 +19,7 @@
   readonly #native: unknown = Reflect.get(Function.prototype, BIND);
 
   /** Replaces `Function.prototype.bind` by a version that records each call. */
-  begin(): void {
+  startRecording(): void {
     const calls = this.#calls;
     const native = this.#native;
     if (typeof native !== 'function') return;
@@ -34,12 +34,12 @@
   }
 
   /** Restores the original `bind`; what was recorded stays available. */
-  end(): void {
+  stopRecording(): void {
     Reflect.set(Function.prototype, BIND, this.#native);
   }
 
   /** The recorded call of a bound function; undefined if it was not bound while recording was on. */
-  of(value: object): BoundCall | undefined {
+  callOf(value: object): BoundCall | undefined {
     return this.#calls.get(value);
   }
 }
--- a/src/simulation/exhaustive/departures.ts
+++ b/src/simulation/exhaustive/bounded-faults.ts
@@ -1,4 +1,4 @@
-import { prepared } from './calm-run.js';
+import { initialWorld } from './fault-free-run.js';
 import type { Cluster } from './cluster.js';
 import type { Model, Visit } from './explorer.js';
 import { has, idsOf, queued, without } from './message-text.js';
@@ -53,7 +53,7 @@
  * Injected any earlier, it would have the same effect. Where no choice is left, one step of the search runs on to the next
  * choice.
  */
-export class Departures<Command, Event, Facts, Ghost> implements Model<Schedule<Ghost>> {
+export class BoundedFaults<Command, Event, Facts, Ghost> implements Model<Schedule<Ghost>> {
   readonly #cluster: Cluster<Command, Event, Facts, Ghost>;
   readonly #maxFaults: number;
 
@@ -67,7 +67,7 @@
   }
 
   initial(): Schedule<Ghost> {
-    const world = prepared(this.#cluster);
+    const world = initialWorld(this.#cluster);
     const { firstFrozen: frozen } = this.#cluster.protocol;
     return { world, queue: '', ticked: 0, frozen, cut: 0, stalled: 0, departures: 0 };
   }
@@ -128,7 +128,7 @@
   ): boolean {
     if (frozen === 0 && cut === 0 && stalled === 0) return false;
     if (nextStep?.kind === 'receive') return false;
-    if (this.#cluster.protocol.troublesEnd === 'when no message is in transit') return true;
+    if (this.#cluster.protocol.lastingFaultsEnd === 'when no message is in transit') return true;
     return nextStep?.kind !== 'tick';
   }
 
@@ -144,7 +144,7 @@
       if (outcome.violation !== undefined) return outcome;
       if (step.kind === 'advance') break;
     }
-    const canonical = { ...schedule, world: this.#cluster.settled(schedule.world) };
+    const canonical = { ...schedule, world: this.#cluster.canonicalize(schedule.world) };
     return { schedule: canonical, violation: undefined, isIdle: false };
   }
 
@@ -198,7 +198,7 @@
   }
 
   #allowsFault({ world }: Schedule<Ghost>, kind: FaultKind, node: number): boolean {
-    return this.#cluster.mayFail(world, kind, node);
+    return this.#cluster.allowsFault(world, kind, node);
   }
 
   #beginLastingFaults(
--- a/src/simulation/exhaustive/cluster.ts
+++ b/src/simulation/exhaustive/cluster.ts
@@ -1,6 +1,6 @@
 import { moment, type Moment } from '../../common/ids.js';
 import type { Message } from '../../common/messages.js';
-import { written } from './disk.js';
+import { withWrite } from './disk.js';
 import { Interner } from './interner.js';
 import {
   LocalStates,
@@ -15,7 +15,7 @@
 import type { Step } from './steps.js';
 
 /** The cluster after a step, and what the step did. */
-export interface Taken<Ghost> {
+export interface StepResult<Ghost> {
   readonly world: World<Ghost>;
   /** Ids of the messages that the step sent. */
   readonly sent: readonly number[];
@@ -52,12 +52,12 @@
   }
 
   /** Number of distinct states of single nodes reached so far. */
-  get localStates(): number {
+  get localStateCount(): number {
     return this.#locals.size;
   }
 
   /** Starts all nodes from the protocol's first disks. */
-  fresh(): World<Ghost> {
+  boot(): World<Ghost> {
     const { firstDisks, firstGhost, nodes } = this.#protocol;
     const states: NodeState[] = [];
     for (const node of nodes.keys()) {
@@ -95,8 +95,8 @@
   }
 
   /** Whether the protocol allows a fault of this kind at the node in this state. */
-  mayFail(world: World<Ghost>, kind: FaultKind, node: number): boolean {
-    return this.#protocol.mayFail(this.#view(world), kind, node);
+  allowsFault(world: World<Ghost>, kind: FaultKind, node: number): boolean {
+    return this.#protocol.allowsFault(this.#view(world), kind, node);
   }
 
   /** Describes a step for a counterexample. */
@@ -143,7 +143,7 @@
     step: Step,
     isStalled: boolean,
     isIntermediate = false,
-  ): Taken<Ghost> | undefined {
+  ): StepResult<Ghost> | undefined {
     const before = world.nodes[step.node];
     if (!before) return undefined;
     if (step.kind === 'advance') {
@@ -169,12 +169,12 @@
   }
 
   /** The same state with each node's state replaced by its canonical representative. */
-  settled(world: World<Ghost>): World<Ghost> {
+  canonicalize(world: World<Ghost>): World<Ghost> {
     return { ...world, nodes: world.nodes.map(this.#canonicalNode, this) };
   }
 
   #canonicalNode(node: NodeState): NodeState {
-    const local = this.#locals.settle(node.local);
+    const local = this.#locals.canonicalize(node.local);
     return local === node.local ? node : { ...node, local };
   }
 
@@ -220,7 +220,7 @@
     while (result.node.pending.length > 0) {
       const [first = 0, ...pending] = result.node.pending;
       const write = this.#locals.writes.valueOf(first);
-      const disk = this.#disks.idOf(written(this.#disks.valueOf(result.node.disk), write));
+      const disk = this.#disks.idOf(withWrite(this.#disks.valueOf(result.node.disk), write));
       const key = `stored ${first}`;
       const step = this.#locals.step(result.node.local, now, key, { kind: 'stored', write });
       const next = this.#after({ ...result.node, disk, pending }, result.messages, step);
@@ -244,7 +244,7 @@
   }
 
   #mayArriveLate(message: number): boolean {
-    return this.envelope(message).messages.some(this.#protocol.isWatched);
+    return this.envelope(message).messages.some(this.#protocol.mayArriveLate);
   }
 
   #check(
@@ -253,7 +253,7 @@
     step: Step,
     sent: readonly number[],
     events: readonly Event[],
-  ): Omit<Taken<Ghost>, 'isSame'> {
+  ): Omit<StepResult<Ghost>, 'isSame'> {
     const isAdvance = step.kind === 'advance';
     const details = {
       node: isAdvance ? undefined : step.node,
@@ -263,7 +263,7 @@
       sent: sent.map(this.envelope, this),
       events,
     };
-    const check = this.#protocol.judge(this.#view(world), this.#view(next), details);
+    const check = this.#protocol.checkInvariants(this.#view(world), this.#view(next), details);
     return { world: { ...next, ghost: check.ghost }, sent, violation: check.violation };
   }
 
--- a/src/simulation/exhaustive/control-node.ts
+++ b/src/simulation/exhaustive/control-node.ts
@@ -10,7 +10,7 @@
 import { ControlCore } from '../../control/control-core.js';
 import { CONTROL_DEFAULTS } from '../../control/control-effect.js';
 import type { VoteSettings } from '../../election/vote-settings.js';
-import type { Boot, DiskWrite, Input, Output, Sent, Subject } from './local-states.js';
+import type { Boot, DiskWrite, Input, Output, OutgoingMessage, Subject } from './local-states.js';
 
 /** Classes of the control core whose instances never change with an idle planner, so that a digest leaves them out. */
 export const UNUSED_CLASSES: readonly string[] = [
@@ -71,7 +71,7 @@
   readonly isServing: boolean;
   readonly isLeading: boolean;
   readonly epoch: number;
-  readonly standing: string;
+  readonly replicaStatus: string;
 }
 
 /** Deliberate mistakes that the invariants must detect. */
@@ -92,7 +92,7 @@
 export type KnownConfig = Infer<typeof ConfigShape>;
 
 /** Parses the body of a configuration partition; undefined if it is empty. */
-export function docOf(body: string): KnownConfig | undefined {
+export function parseConfig(body: string): KnownConfig | undefined {
   return body === '' ? undefined : parseAs(ConfigShape, body);
 }
 
@@ -138,7 +138,7 @@
 
   facts(): ControlFacts {
     const { elector, isServing, replicaStatus: status, state } = this.#core;
-    const doc = docOf(
+    const doc = parseConfig(
       isServing ? state.body(CONFIG_PARTITION) : state.replicaBody(CONFIG_PARTITION),
     );
     return {
@@ -147,7 +147,7 @@
       isServing,
       isLeading: elector.isLeading(),
       epoch: elector.epoch,
-      standing: status.name,
+      replicaStatus: status.name,
     };
   }
 
@@ -157,7 +157,7 @@
     const latest = relay.latest('config');
     const isLatestNewer =
       latest !== undefined && isNewer(latest.version, state.versionOf(CONFIG_PARTITION));
-    const doc = docOf(isLatestNewer ? latest.body : state.replicaBody(CONFIG_PARTITION));
+    const doc = parseConfig(isLatestNewer ? latest.body : state.replicaBody(CONFIG_PARTITION));
     return doc?.voters ?? [this.#seeds];
   }
 
@@ -186,7 +186,7 @@
   }
 
   #output(): Output<ControlEvent> {
-    const sends: Sent[] = [];
+    const sends: OutgoingMessage[] = [];
     const writes: DiskWrite[] = [];
     const events: ControlEvent[] = [];
     for (const effect of this.#core.drain()) {
@@ -209,7 +209,7 @@
   /** Whether the mistake withholds a message: a skipped joint set is not sent to the old voters. */
   #isWithheld(to: string, message: Message): boolean {
     if (message.kind !== 'write') return false;
-    const voters = docOf(message.body)?.voters ?? [];
+    const voters = parseConfig(message.body)?.voters ?? [];
     return this.#skipsJointSet(voters) && voters[0]?.includes(to) === true;
   }
 
@@ -231,14 +231,14 @@
 
   #sentBody(body: string): string {
     if (this.#mistake === undefined || body === '') return body;
-    const [set, following] = docOf(body)?.voters ?? [];
+    const [set, following] = parseConfig(body)?.voters ?? [];
     if (!set || !following) return body;
     return this.#skipsJointSet([set, following]) ? withVoters(body, following) : body;
   }
 
   #storedBody(body: string): string {
     if (this.#mistake !== 'joint-set-not-stored' || body === '') return this.#sentBody(body);
-    const [set, following] = docOf(body)?.voters ?? [];
+    const [set, following] = parseConfig(body)?.voters ?? [];
     return set && following ? withVoters(body, set) : body;
   }
 }
--- a/src/simulation/exhaustive/disk.ts
+++ b/src/simulation/exhaustive/disk.ts
@@ -5,7 +5,7 @@
 }
 
 /** The disk after a write; an older version never replaces a newer one. */
-export function written(disk: readonly DiskWrite[], write: DiskWrite): readonly DiskWrite[] {
+export function withWrite(disk: readonly DiskWrite[], write: DiskWrite): readonly DiskWrite[] {
   const known = disk.find(isOfSlot.bind(undefined, write.slot));
   if (known && isOlder(write, known)) return disk;
   return [...disk.filter(isOfOtherSlot.bind(undefined, write.slot)), write].sort(bySlot);
--- a/src/simulation/exhaustive/election-protocol.ts
+++ b/src/simulation/exhaustive/election-protocol.ts
@@ -8,15 +8,15 @@
 import type { VoteSettings } from '../../election/vote-settings.js';
 import {
   CLOCK_STEP_MS,
-  type CalmRun,
+  type FaultFreeRun,
   type FaultBounds,
-  type Happening,
-  type Judgement,
+  type StepDetails,
+  type InvariantCheck,
   type NodeCommand,
   type Protocol,
   type View,
 } from './protocol.js';
-import { withLeader, type LeaderJudgement, type Leaders } from './leaders.js';
+import { withLeader, type LeaderCheck, type Leaders } from './leaders.js';
 import type { Boot, DiskWrite, Envelope, Input, Output, Subject } from './local-states.js';
 
 const VOTE_SLOT = 'vote';
@@ -186,7 +186,7 @@
 > {
   readonly name: string;
   readonly firstFrozen = 0;
-  readonly troublesEnd = 'when no message is in transit';
+  readonly lastingFaultsEnd = 'when no message is in transit';
   readonly clockStepMs = CLOCK_STEP_MS;
   readonly isBundled = false;
   readonly nodes: readonly NodeId[] = [nodeId('a'), nodeId('b'), nodeId('c')];
@@ -208,12 +208,12 @@
     return new ElectionNode(boot, this.nodes, this.#quorum, this.#mistake);
   }
 
-  prepare(run: CalmRun<ElectionCommand>): void {
+  prepare(run: FaultFreeRun<ElectionCommand>): void {
     if (this.#beginning === 'after a leader') run.tick(A);
-    run.forget();
+    run.discardMessages();
     if (this.#beginning !== 'contested') return;
     // The two best candidates propose at once; the third voter defers to the worse one first, then to the better one.
-    run.hold();
+    run.holdMessages();
     run.tick(A);
     run.tick(B);
     run.deliver(B, C, 'propose');
@@ -227,11 +227,11 @@
     run.deliver(C, B, 'granted');
   }
 
-  mayFail(): boolean {
+  allowsFault(): boolean {
     return true;
   }
 
-  isWatched(): boolean {
+  mayArriveLate(): boolean {
     return true;
   }
 
@@ -239,11 +239,11 @@
     return [];
   }
 
-  judge(
+  checkInvariants(
     before: View<ElectionFacts, ElectionGhost>,
     after: View<ElectionFacts, ElectionGhost>,
-    details: Happening<ElectionCommand, ElectionEvent>,
-  ): Judgement<ElectionGhost> {
+    details: StepDetails<ElectionCommand, ElectionEvent>,
+  ): InvariantCheck<ElectionGhost> {
     const unsynced = details.sent.find((envelope) => isUnsynced(after.disks, envelope));
     if (unsynced) {
       const violation = `sent before its record was synced: ${JSON.stringify(unsynced.messages)}`;
@@ -259,8 +259,8 @@
   }
 }
 
-function checkLeaders(after: View<ElectionFacts, ElectionGhost>, known: Leaders): LeaderJudgement {
-  let check: LeaderJudgement = { leaders: known, violation: undefined };
+function checkLeaders(after: View<ElectionFacts, ElectionGhost>, known: Leaders): LeaderCheck {
+  let check: LeaderCheck = { leaders: known, violation: undefined };
   for (const [node, { isLeading, epoch }] of after.facts.entries()) {
     if (!isLeading || check.violation !== undefined) continue;
     check = withLeader(check.leaders, epoch, node);
--- a/src/simulation/exhaustive/calm-run.ts
+++ b/src/simulation/exhaustive/fault-free-run.ts
@@ -1,11 +1,11 @@
 import type { Message } from '../../common/messages.js';
 import type { Cluster } from './cluster.js';
 import { idsOf } from './message-text.js';
-import type { CalmRun, World } from './protocol.js';
+import type { FaultFreeRun, World } from './protocol.js';
 import { stepAt, type Step } from './steps.js';
 
 /** Delivers every message once, in the order of sending, and finishes every write immediately. */
-class FaultFreeExecution<Command, Event, Facts, Ghost> implements CalmRun<Command> {
+class FaultFreeExecution<Command, Event, Facts, Ghost> implements FaultFreeRun<Command> {
   readonly #cluster: Cluster<Command, Event, Facts, Ghost>;
   #world: World<Ghost>;
   #isHolding = false;
@@ -13,7 +13,7 @@
 
   constructor(cluster: Cluster<Command, Event, Facts, Ghost>) {
     this.#cluster = cluster;
-    this.#world = cluster.fresh();
+    this.#world = cluster.boot();
   }
 
   get world(): World<Ghost> {
@@ -36,11 +36,11 @@
     this.#run(stepAt('wipe', node));
   }
 
-  forget(): void {
+  discardMessages(): void {
     this.#world = { ...this.#world, messages: '' };
   }
 
-  hold(): void {
+  holdMessages(): void {
     this.#isHolding = true;
   }
 
@@ -75,7 +75,7 @@
 }
 
 /** The initial state of a search, as its protocol prepares it. Throws if a step of the preparation breaks an invariant. */
-export function prepared<Command, Event, Facts, Ghost>(
+export function initialWorld<Command, Event, Facts, Ghost>(
   cluster: Cluster<Command, Event, Facts, Ghost>,
 ): World<Ghost> {
   const run = new FaultFreeExecution(cluster);
--- a/src/simulation/exhaustive/interleavings.ts
+++ b/src/simulation/exhaustive/interleavings.ts
@@ -1,4 +1,4 @@
-import { prepared } from './calm-run.js';
+import { initialWorld } from './fault-free-run.js';
 import type { Cluster } from './cluster.js';
 import type { Model, Visit } from './explorer.js';
 import { idsOf } from './message-text.js';
@@ -21,7 +21,7 @@
   }
 
   initial(): World<Ghost> {
-    return prepared(this.#cluster);
+    return initialWorld(this.#cluster);
   }
 
   key(world: World<Ghost>): string {
--- a/src/simulation/exhaustive/local-states.ts
+++ b/src/simulation/exhaustive/local-states.ts
@@ -16,7 +16,7 @@
 }
 
 /** A message that a node sends. */
-export interface Sent {
+export interface OutgoingMessage {
   readonly to: string;
   readonly message: Message;
 }
@@ -30,7 +30,7 @@
 
 /** What a node does in response to one input. */
 export interface Output<Event> {
-  readonly sends: readonly Sent[];
+  readonly sends: readonly OutgoingMessage[];
   readonly writes: readonly DiskWrite[];
   readonly events: readonly Event[];
 }
@@ -126,7 +126,7 @@
     const key = JSON.stringify(boot);
     const known = this.#boots.get(key);
     if (known !== undefined) return known;
-    const local = this.settle(this.#record(boot, undefined, this.#factory.start(boot)));
+    const local = this.canonicalize(this.#record(boot, undefined, this.#factory.start(boot)));
     this.#boots.set(key, local);
     return local;
   }
@@ -157,7 +157,7 @@
   }
 
   /** The canonical representative of a state: the first one found to be equal in everything that the node holds. */
-  settle(local: number): number {
+  canonicalize(local: number): number {
     const record = this.#recordOf(local);
     if (record.canonical !== undefined) return record.canonical;
     const subject = this.#rebuild(local);
@@ -173,7 +173,7 @@
     return canonical;
   }
 
-  #envelopes(from: number, sends: readonly Sent[]): number[] {
+  #envelopes(from: number, sends: readonly OutgoingMessage[]): number[] {
     const ids: number[] = [];
     const bundles = new Map<number, Message[]>();
     for (const { to, message } of sends) {
--- a/src/simulation/exhaustive/protocol.ts
+++ b/src/simulation/exhaustive/protocol.ts
@@ -38,7 +38,7 @@
 }
 
 /** What a step did apart from changing the state. */
-export interface Happening<Command, Event> {
+export interface StepDetails<Command, Event> {
   /** The node that took the step; undefined if the clocks advanced. */
   readonly node: number | undefined;
   readonly isAdvance: boolean;
@@ -49,7 +49,7 @@
 }
 
 /** The ghost state after a step, and the broken invariant, if any. */
-export interface Judgement<Ghost> {
+export interface InvariantCheck<Ghost> {
   readonly ghost: Ghost;
   readonly violation: string | undefined;
 }
@@ -102,25 +102,25 @@
    * When lasting faults may end, in searches that have them: whenever no message is in transit, or only when the clocks are
    * due to advance.
    */
-  readonly troublesEnd: 'when no message is in transit' | 'when the clocks advance';
+  readonly lastingFaultsEnd: 'when no message is in transit' | 'when the clocks advance';
   /** Whether searches with faults may inject one of this kind at the node; `faults` limits crashes in addition. */
-  mayFail(view: View<Facts, Ghost>, kind: FaultKind, node: number): boolean;
+  allowsFault(view: View<Facts, Ghost>, kind: FaultKind, node: number): boolean;
   /** Brings the newly started cluster to the state in which the search begins. */
-  prepare(run: CalmRun<Command>): void;
+  prepare(run: FaultFreeRun<Command>): void;
   /** Whether late copies of such a message are explored; other messages are delivered in time or not at all. */
-  isWatched(message: Message): boolean;
+  mayArriveLate(message: Message): boolean;
   /** The commands that clients may send in this state. */
   commands(view: View<Facts, Ghost>): readonly NodeCommand<Command>[];
   /** Checks the invariants after a step, and updates the ghost state. */
-  judge(
+  checkInvariants(
     before: View<Facts, Ghost>,
     after: View<Facts, Ghost>,
-    details: Happening<Command, Event>,
-  ): Judgement<Ghost>;
+    details: StepDetails<Command, Event>,
+  ): InvariantCheck<Ghost>;
 }
 
 /** The preparation of a search, in which no message is lost or late. */
-export interface CalmRun<Command> {
+export interface FaultFreeRun<Command> {
   /** The node checks its timers. */
   tick(node: number): void;
   /** The node receives a command. */
@@ -130,9 +130,9 @@
   /** The node crashes and restarts with an empty disk. */
   wipe(node: number): void;
   /** Discards the messages sent so far: they are never delivered again. */
-  forget(): void;
+  discardMessages(): void;
   /** From now on, messages are delivered only by `deliver`. */
-  hold(): void;
+  holdMessages(): void;
   /** Delivers the messages of this kind that one node sent to another. */
   deliver(from: number, to: number, kind: Message['kind']): void;
   /** From now on, no message is delivered to this node until the search begins. */
--- a/src/simulation/exhaustive/refusal-protocol.ts
+++ b/src/simulation/exhaustive/refusal-protocol.ts
@@ -5,7 +5,7 @@
 import {
   CONTROL_STEP_MS,
   ControlNode,
-  docOf,
+  parseConfig,
   type ConfigureOrder,
   type ControlCommand,
   type ControlEvent,
@@ -14,11 +14,11 @@
 import { isOfSlot } from './disk.js';
 import type { Boot, DiskWrite } from './local-states.js';
 import type {
-  CalmRun,
+  FaultFreeRun,
   FaultBounds,
   FaultKind,
-  Happening,
-  Judgement,
+  StepDetails,
+  InvariantCheck,
   NodeCommand,
   Protocol,
   View,
@@ -60,7 +60,7 @@
   readonly called: readonly number[];
   /** The kinds of faults that may be injected. */
   readonly kinds: readonly FaultKind[];
-  readonly troublesEnd: 'when no message is in transit' | 'when the clocks advance';
+  readonly lastingFaultsEnd: 'when no message is in transit' | 'when the clocks advance';
 }
 
 /** History that the invariants need. */
@@ -91,7 +91,7 @@
   readonly name = 'refusal';
   readonly nodes = NODES;
   readonly firstFrozen: number;
-  readonly troublesEnd: RefusalBounds['troublesEnd'];
+  readonly lastingFaultsEnd: RefusalBounds['lastingFaultsEnd'];
   readonly clockStepMs = CONTROL_STEP_MS;
   readonly isBundled = true;
   readonly faults: RefusalBounds;
@@ -102,7 +102,7 @@
   constructor(faults: RefusalBounds, mistake?: RefusalMistake) {
     this.faults = faults;
     this.firstFrozen = faults.beginning === 'former leader frozen' ? 1 << FIRST_LEADER : 0;
-    this.troublesEnd = faults.troublesEnd;
+    this.lastingFaultsEnd = faults.lastingFaultsEnd;
     this.#mistake = mistake;
   }
 
@@ -110,7 +110,7 @@
     return new ControlNode(NODES[boot.node] ?? '', NODES, true, boot);
   }
 
-  prepare(run: CalmRun<ControlCommand>): void {
+  prepare(run: FaultFreeRun<ControlCommand>): void {
     for (let step = 0; step < FOUNDING_CLOCK_STEPS; step += 1) {
       for (const node of NODES.keys()) run.tick(node);
       run.advance();
@@ -124,14 +124,14 @@
         run.advance();
       }
     }
-    run.forget();
+    run.discardMessages();
   }
 
-  mayFail(_view: RefusalView, kind: FaultKind): boolean {
+  allowsFault(_view: RefusalView, kind: FaultKind): boolean {
     return this.faults.kinds.includes(kind);
   }
 
-  isWatched(message: Message): boolean {
+  mayArriveLate(message: Message): boolean {
     const { kind } = message;
     return kind === 'write' || kind === 'writeReply' || kind === 'command' || kind === 'victory';
   }
@@ -150,11 +150,11 @@
     return found;
   }
 
-  judge(
+  checkInvariants(
     before: RefusalView,
     after: RefusalView,
-    details: Happening<ControlCommand, ControlEvent>,
-  ): Judgement<RefusalGhost> {
+    details: StepDetails<ControlCommand, ControlEvent>,
+  ): InvariantCheck<RefusalGhost> {
     let ghost = before.ghost;
     if (details.command) {
       const order = ORDERS.findIndex(hasId.bind(undefined, details.command.order.id));
@@ -183,7 +183,7 @@
   /** Whether the mistake refuses the order on arrival. */
   #isRefusedByMistake(
     { ghost, facts }: RefusalView,
-    { node, command }: Happening<ControlCommand, ControlEvent>,
+    { node, command }: StepDetails<ControlCommand, ControlEvent>,
   ): boolean {
     switch (this.#mistake) {
       case 'refused-for-a-pending-one':
@@ -236,7 +236,7 @@
   const quorum = new Quorum(NODES.map(nodeId));
   for (const [key, by] of holders) {
     if (!quorum.isMajority(by)) continue;
-    return docOf(key.slice(key.indexOf(' ') + 1))?.routing?.version ?? 0;
+    return parseConfig(key.slice(key.indexOf(' ') + 1))?.routing?.version ?? 0;
   }
   return undefined;
 }
--- a/src/simulation/exhaustive/repair-searches.test.ts
+++ b/src/simulation/exhaustive/repair-searches.test.ts
@@ -1,21 +1,26 @@
 import { expect, test } from 'vitest';
 import { repair, SEEDS } from './searched-protocols.js';
 import type { Search } from './searches.js';
-import { brokenBy, orders, searchesOf, shortcomingsOf } from './testing/search-checks.js';
+import {
+  violatedInvariant,
+  everyOrder,
+  shortSearchesOf,
+  findProblems,
+} from './testing/search-checks.js';
 
 async function checkSound(search: Search): Promise<void> {
-  expect(await shortcomingsOf(search)).toEqual([]);
+  expect(await findProblems(search)).toEqual([]);
 }
 
-for (const [index, search] of searchesOf('repair').entries()) {
+for (const [index, search] of shortSearchesOf('repair').entries()) {
   test(`search ${index + 1} of the repair finds no violation`, () => checkSound(search));
 }
 
 test('detects a repair from a single other voter', async () => {
   const protocol = repair('wiped', [SEEDS], 'repaired-by-one');
-  expect(await brokenBy(protocol, orders(7))).toContain('though "ab" was committed');
+  expect(await violatedInvariant(protocol, everyOrder(7))).toContain('though "ab" was committed');
 });
 test('detects a repaired voter that votes twice in an epoch', async () => {
   const protocol = repair('wiped after a grant', [SEEDS], 'grant-forgotten');
-  expect(await brokenBy(protocol, orders(7))).toContain('two leaders in epoch');
+  expect(await violatedInvariant(protocol, everyOrder(7))).toContain('two leaders in epoch');
 });
--- a/src/simulation/exhaustive/replica.ts
+++ b/src/simulation/exhaustive/replica.ts
@@ -19,7 +19,7 @@
 import type { Message } from '../../common/messages.js';
 import type { Quorum } from '../../common/quorum.js';
 import type { Version } from '../../common/version.js';
-import type { Boot, DiskWrite, Input, Output, Sent, Subject } from './local-states.js';
+import type { Boot, DiskWrite, Input, Output, OutgoingMessage, Subject } from './local-states.js';
 
 /** Deliberate mistakes that the invariants must detect. */
 export type ReplicaMistake =
@@ -48,7 +48,7 @@
 
 /** What the invariants need to know of one replica. */
 export interface ReplicaFacts {
-  readonly standing: ReplicaStatusName;
+  readonly replicaStatus: ReplicaStatusName;
   /** The newest epoch that it has adopted, synced or not. */
   readonly epoch: number;
   /** Its current epoch, if the grant of it is on disk; else 0. */
@@ -80,7 +80,7 @@
   #repairEpoch = 0;
   readonly #unsyncedRepairs = new Set<string>();
   #healthyAtVoteCount: number | undefined;
-  #sends: Sent[] = [];
+  #sends: OutgoingMessage[] = [];
   #writes: DiskWrite[] = [];
   #events: ReplicaEvent[] = [];
 
@@ -125,7 +125,7 @@
 
   facts(): ReplicaFacts {
     return {
-      standing: this.#replicaStatus.name,
+      replicaStatus: this.#replicaStatus.name,
       epoch: this.#epoch,
       granted: this.#granted(),
       grantLeader: this.#grantLeader,
--- a/src/simulation/exhaustive/replication-protocol.ts
+++ b/src/simulation/exhaustive/replication-protocol.ts
@@ -6,10 +6,10 @@
 import type { Boot, DiskWrite, Envelope } from './local-states.js';
 import { CLOCK_STEP_MS } from './protocol.js';
 import type {
-  CalmRun,
+  FaultFreeRun,
   FaultBounds,
-  Happening,
-  Judgement,
+  StepDetails,
+  InvariantCheck,
   NodeCommand,
   Protocol,
   View,
@@ -92,7 +92,7 @@
 > {
   readonly name: string;
   readonly firstFrozen = 0;
-  readonly troublesEnd = 'when no message is in transit';
+  readonly lastingFaultsEnd = 'when no message is in transit';
   readonly clockStepMs = CLOCK_STEP_MS;
   readonly isBundled = false;
   readonly nodes: readonly NodeId[];
@@ -131,12 +131,12 @@
     return new Replica(boot, this.nodes, this.#quorum, this.#mistake);
   }
 
-  prepare(run: CalmRun<ReplicaCommand>): void {
+  prepare(run: FaultFreeRun<ReplicaCommand>): void {
     run.command(FIRST_LEADER, { do: 'lead' });
     run.command(FIRST_LEADER, { do: 'write', letter: 'a' });
-    run.forget();
+    run.discardMessages();
     if (this.#beginning === 'calm') return;
-    run.hold();
+    run.holdMessages();
     if (this.#beginning === 'wiped') {
       run.command(FIRST_LEADER, { do: 'write', letter: 'b' });
       run.deliver(FIRST_LEADER, SECOND_LEADER, 'write');
@@ -154,23 +154,23 @@
       run.deliver(FIRST_LEADER, SECOND_LEADER, 'write');
       return;
     }
-    run.forget();
+    run.discardMessages();
     this.#wipe(run, THIRD_NODE);
   }
 
   /** The node loses its disk, and sends read requests to all others. */
-  #wipe(run: CalmRun<ReplicaCommand>, node: number): void {
-    run.forget();
+  #wipe(run: FaultFreeRun<ReplicaCommand>, node: number): void {
+    run.discardMessages();
     run.wipe(node);
     run.advance();
     run.tick(node);
   }
 
-  mayFail(): boolean {
+  allowsFault(): boolean {
     return true;
   }
 
-  isWatched(): boolean {
+  mayArriveLate(): boolean {
     return true;
   }
 
@@ -182,7 +182,7 @@
         found.push({ node, command: { do: 'write', letter: LETTERS.charAt(changes) } });
       }
       if (this.#mayLead(view, node)) found.push({ node, command: { do: 'lead' } });
-      if (facts.standing !== 'sound') continue;
+      if (facts.replicaStatus !== 'sound') continue;
       for (let round = 1; round <= this.faults.elections; round += 1) {
         const epoch = FIRST_EPOCH + 2 * round;
         if (facts.epoch < epoch)
@@ -206,11 +206,11 @@
     return this.#majority.isMajority(new Set(by));
   }
 
-  judge(
+  checkInvariants(
     before: ReplicationView,
     after: ReplicationView,
-    details: Happening<ReplicaCommand, ReplicaEvent>,
-  ): Judgement<ReplicationGhost> {
+    details: StepDetails<ReplicaCommand, ReplicaEvent>,
+  ): InvariantCheck<ReplicationGhost> {
     let ghost = before.ghost;
     let violation: string | undefined;
     const facts = details.node === undefined ? undefined : after.facts[details.node];
--- a/src/simulation/exhaustive/searched-protocols.ts
+++ b/src/simulation/exhaustive/searched-protocols.ts
@@ -16,7 +16,7 @@
 /** The voters at the start of each search. */
 export const SEEDS = ['a', 'b', 'c'];
 /** A joint set of voters: a change of voters that never completes. */
-export const JOINT = [SEEDS, ['a', 'b', 'd']];
+export const JOINT_VOTERS = [SEEDS, ['a', 'b', 'd']];
 /** Enough for a leader to fail, and for its successor to wait for the end of its lease. */
 const ELECTION_CLOCK_STEPS = 4;
 const REPLICATION_CLOCK_STEPS = 2;
@@ -94,13 +94,13 @@
     victims: ALL_FOUR,
     kinds: FAULT_KINDS,
     isMidChange: false,
-    troublesEnd: 'when no message is in transit' as const,
+    lastingFaultsEnd: 'when no message is in transit' as const,
   };
   return new VoterChangeProtocol(faults, mistake);
 }
 
 /** A change of voters with faults of these kinds at any node, only during the change. */
-export function troubledChange(
+export function voterChangeWithFaults(
   kinds: readonly FaultKind[],
   mistake?: ControlMistake,
 ): VoterChangeProtocol {
@@ -110,13 +110,13 @@
     victims: ALL_FOUR,
     kinds,
     isMidChange: true,
-    troublesEnd: 'when the clocks advance' as const,
+    lastingFaultsEnd: 'when the clocks advance' as const,
   };
   return new VoterChangeProtocol(faults, mistake);
 }
 
 /** A change of voters with faults of these kinds only at its leader or at the other remaining voter. */
-export function troubledVoters(
+export function voterChangeWithVoterFaults(
   clockSteps: number,
   kinds: readonly FaultKind[],
   mistake?: ControlMistake,
@@ -127,7 +127,7 @@
     victims: FIRST_TWO,
     kinds,
     isMidChange: true,
-    troublesEnd: 'when the clocks advance' as const,
+    lastingFaultsEnd: 'when the clocks advance' as const,
   };
   return new VoterChangeProtocol(faults, mistake);
 }
@@ -150,23 +150,26 @@
     orders: ['first', 'rival'] as const,
     called: FOLLOWER,
     kinds: FAULT_KINDS,
-    troublesEnd: 'when no message is in transit' as const,
+    lastingFaultsEnd: 'when no message is in transit' as const,
   };
   return new RefusalProtocol(faults, mistake);
 }
 
 /** The bounds by which the searches of orders on a newer base differ. */
-export type NewerOrders = Pick<RefusalBounds, 'beginning' | 'clockSteps'> &
+export type NewerBaseBounds = Pick<RefusalBounds, 'beginning' | 'clockSteps'> &
   Partial<Pick<RefusalBounds, 'kinds' | 'orders'>>;
 
 /** Orders on a newer base, either with a former leader that may be thawed or with a single leader. */
-export function newerRefusal(bounds: NewerOrders, mistake?: RefusalMistake): RefusalProtocol {
+export function refusalOnNewerBase(
+  bounds: NewerBaseBounds,
+  mistake?: RefusalMistake,
+): RefusalProtocol {
   const faults = {
     ...REFUSAL_BOUNDS,
     orders: NEWER_ORDERS,
     called: FIRST_TWO,
     kinds: [],
-    troublesEnd: 'when no message is in transit' as const,
+    lastingFaultsEnd: 'when no message is in transit' as const,
     ...bounds,
   };
   return new RefusalProtocol(faults, mistake);
--- a/src/simulation/exhaustive/searches.ts
+++ b/src/simulation/exhaustive/searches.ts
@@ -1,21 +1,21 @@
 import { Cluster } from './cluster.js';
 import { UNUSED_CLASSES } from './control-node.js';
-import { Departures } from './departures.js';
+import { BoundedFaults } from './bounded-faults.js';
 import { Explorer, type Bounds, type Verdict } from './explorer.js';
 import { Interleavings } from './interleavings.js';
 import type { Protocol } from './protocol.js';
 import {
   election,
-  JOINT,
-  newerRefusal,
+  JOINT_VOTERS,
+  refusalOnNewerBase,
   refusal,
   repair,
   replication,
   RIVAL_ORDERS,
   SEEDS,
   SHORT_FAULTS,
-  troubledChange,
-  troubledVoters,
+  voterChangeWithFaults,
+  voterChangeWithVoterFaults,
   voterChange,
 } from './searched-protocols.js';
 import { StateDigest } from './state-digest.js';
@@ -67,7 +67,7 @@
   const digest = new StateDigest(UNUSED_CLASSES);
   const cluster = new Cluster(protocol, digest);
   function report(verdict: Verdict): SearchReport {
-    return { ...verdict, nodeStates: cluster.localStates };
+    return { ...verdict, nodeStates: cluster.localStateCount };
   }
   function reportProgress(verdict: Verdict): void {
     progress?.(report(verdict));
@@ -76,7 +76,7 @@
     if (extent.kind === 'faults') {
       const bounds: Bounds = { depth: MAX_RUN_STEPS, states };
       return report(
-        new Explorer(new Departures(cluster, extent.faults)).run(bounds, reportProgress),
+        new Explorer(new BoundedFaults(cluster, extent.faults)).run(bounds, reportProgress),
       );
     }
     const bounds: Bounds = { depth: extent.depth, states };
@@ -130,24 +130,24 @@
   search('replication', 'takeover', everyOrder(5), () => replication('takeover', false)),
   search('voter-change', 'a failed voter returns', withFaults(0), voterChange),
   search('voter-change', 'a voter restarts during the change', withFaults(1), () =>
-    troubledVoters(RESTART_CLOCK_STEPS, ['restart']),
+    voterChangeWithVoterFaults(RESTART_CLOCK_STEPS, ['restart']),
   ),
   search('repair', 'calm', everyOrder(5), () => repair('calm', [SEEDS])),
   search('repair', 'wiped', everyOrder(7), () => repair('wiped', [SEEDS])),
   search('repair', 'wiped after a grant', everyOrder(7), () =>
     repair('wiped after a grant', [SEEDS]),
   ),
-  search('repair', 'calm, two sets', everyOrder(4), () => repair('calm', JOINT)),
-  search('repair', 'wiped, two sets', everyOrder(6), () => repair('wiped', JOINT)),
+  search('repair', 'calm, two sets', everyOrder(4), () => repair('calm', JOINT_VOTERS)),
+  search('repair', 'wiped, two sets', everyOrder(6), () => repair('wiped', JOINT_VOTERS)),
   search('refusal', 'two orders at a follower', withFaults(0), refusal),
   search('refusal', 'newer orders at a thawed leader and its successor', withFaults(0), () =>
-    newerRefusal({
+    refusalOnNewerBase({
       beginning: 'former leader frozen',
       clockSteps: AFTER_TAKEOVER_CLOCK_STEPS,
     }),
   ),
   search('refusal', 'newer orders at the leader and a follower', withFaults(0), () =>
-    newerRefusal({
+    refusalOnNewerBase({
       beginning: 'after an order',
       clockSteps: AFTER_ORDER_CLOCK_STEPS,
     }),
@@ -163,17 +163,17 @@
 const LONG_SEARCHES: readonly Search[] = [
   longSearch(
     search('voter-change', 'a node is frozen during the change', withFaults(1), () =>
-      troubledChange(['freeze']),
+      voterChangeWithFaults(['freeze']),
     ),
   ),
   longSearch(
     search('voter-change', 'a node is cut off during the change', withFaults(1), () =>
-      troubledChange(['cut']),
+      voterChangeWithFaults(['cut']),
     ),
   ),
   longSearch(
     search('voter-change', 'a disk stalls during the change', withFaults(1), () =>
-      troubledChange(['stall']),
+      voterChangeWithFaults(['stall']),
     ),
   ),
   longSearch(
@@ -181,12 +181,12 @@
       'voter-change',
       'a node restarts, a message is lost or timers are late during the change',
       withFaults(1),
-      () => troubledChange(['restart', 'drop', 'skip']),
+      () => voterChangeWithFaults(['restart', 'drop', 'skip']),
     ),
   ),
   longSearch(
     search('voter-change', 'a message is delivered again during the change', withFaults(1), () =>
-      troubledChange(['receive']),
+      voterChangeWithFaults(['receive']),
     ),
   ),
   longSearch(
@@ -194,7 +194,7 @@
       'voter-change',
       'a voter is frozen during the change, up to the end of a second one',
       withFaults(1),
-      () => troubledVoters(SECOND_CHANGE_CLOCK_STEPS, ['freeze']),
+      () => voterChangeWithVoterFaults(SECOND_CHANGE_CLOCK_STEPS, ['freeze']),
     ),
   ),
   longSearch(
@@ -203,7 +203,7 @@
       'newer orders at a thawed leader and its successor, longer',
       withFaults(0),
       () =>
-        newerRefusal({
+        refusalOnNewerBase({
           beginning: 'former leader frozen',
           clockSteps: AFTER_TAKEOVER_CLOCK_STEPS + 2,
         }),
@@ -211,7 +211,7 @@
   ),
   longSearch(
     search('refusal', 'newer orders at the leader and a follower, longer', withFaults(0), () =>
-      newerRefusal({
+      refusalOnNewerBase({
         beginning: 'after an order',
         clockSteps: AFTER_ORDER_CLOCK_STEPS + 2,
       }),
@@ -223,7 +223,7 @@
       'two newer orders at a thawed leader and its successor, a message lost, timers late or a restart',
       withFaults(1),
       () =>
-        newerRefusal({
+        refusalOnNewerBase({
           beginning: 'former leader frozen',
           clockSteps: AFTER_TAKEOVER_CLOCK_STEPS,
           kinds: SHORT_FAULTS,
--- a/src/simulation/exhaustive/state-digest.ts
+++ b/src/simulation/exhaustive/state-digest.ts
@@ -62,12 +62,12 @@
   constructor(ignored: readonly string[] = []) {
     this.#ignored = new Set(ignored);
     this.#session.connect();
-    this.#boundCalls.begin();
+    this.#boundCalls.startRecording();
   }
 
   /** Releases the inspector session, and restores `Function.prototype.bind`. */
   close(): void {
-    this.#boundCalls.end();
+    this.#boundCalls.stopRecording();
     this.#session.disconnect();
   }
 
@@ -140,7 +140,7 @@
 
   /** A bound method is represented by its name and the bound values; any other function could hide state in its scope. */
   #functionText(value: object, path: readonly unknown[]): string {
-    const call = this.#boundCalls.of(value);
+    const call = this.#boundCalls.callOf(value);
     if (call) return this.#callText(call.target, call.bound, path);
     if (!isBound(value)) return 'function';
     const inner = this.#properties(value).internalProperties ?? [];
--- a/src/simulation/exhaustive/testing/search-checks.ts
+++ b/src/simulation/exhaustive/testing/search-checks.ts
@@ -13,14 +13,14 @@
 }
 
 /** All short searches of one model, which run with the tests. */
-export function searchesOf(model: ModelName): readonly Search[] {
+export function shortSearchesOf(model: ModelName): readonly Search[] {
   const found: Search[] = [];
   for (const search of SEARCHES) if (search.model === model && !search.isLong) found.push(search);
   return found;
 }
 
 /** Runs a search to its usual extent, and returns its problems: none if it is complete and finds no violation. */
-export async function shortcomingsOf(search: Search): Promise<string[]> {
+export async function findProblems(search: Search): Promise<string[]> {
   await yieldToRunner();
   const { usual } = search;
   const { counterexample, states, depth, isExhausted } = search.run(usual, MAX_STATES);
@@ -36,7 +36,7 @@
 }
 
 /** Returns the invariant that a search of a protocol finds broken, or `none`. */
-export async function brokenBy<Command, Event, Facts, Ghost>(
+export async function violatedInvariant<Command, Event, Facts, Ghost>(
   protocol: Protocol<Command, Event, Facts, Ghost>,
   extent: Extent,
 ): Promise<string> {
@@ -45,11 +45,11 @@
 }
 
 /** The extent of a search of every order of steps. */
-export function orders(depth: number): Extent {
+export function everyOrder(depth: number): Extent {
   return { kind: 'every-order', depth };
 }
 
 /** The extent of a search of long runs with faults. */
-export function faults(count: number): Extent {
+export function withFaults(count: number): Extent {
   return { kind: 'faults', faults: count };
 }
--- a/src/simulation/exhaustive/voter-change-protocol.ts
+++ b/src/simulation/exhaustive/voter-change-protocol.ts
@@ -5,7 +5,7 @@
 import {
   CONTROL_STEP_MS,
   ControlNode,
-  docOf,
+  parseConfig,
   type ControlCommand,
   type ControlEvent,
   type ControlFacts,
@@ -15,11 +15,11 @@
 import { withLeader, type Leaders } from './leaders.js';
 import type { Boot, DiskWrite } from './local-states.js';
 import type {
-  CalmRun,
+  FaultFreeRun,
   FaultBounds,
   FaultKind,
-  Happening,
-  Judgement,
+  StepDetails,
+  InvariantCheck,
   NodeCommand,
   Protocol,
   View,
@@ -45,7 +45,7 @@
   readonly victims: readonly number[];
   readonly kinds: readonly FaultKind[];
   readonly isMidChange: boolean;
-  readonly troublesEnd: 'when no message is in transit' | 'when the clocks advance';
+  readonly lastingFaultsEnd: 'when no message is in transit' | 'when the clocks advance';
 }
 
 /** History that the invariants need. */
@@ -68,7 +68,7 @@
 > {
   readonly name = 'voter change';
   readonly nodes = NODES;
-  readonly troublesEnd: VoterChangeBounds['troublesEnd'];
+  readonly lastingFaultsEnd: VoterChangeBounds['lastingFaultsEnd'];
   readonly clockStepMs = CONTROL_STEP_MS;
   readonly isBundled = true;
   readonly firstFrozen = 1 << FAILED_VOTER;
@@ -79,7 +79,7 @@
 
   constructor(faults: VoterChangeBounds, mistake?: ControlMistake) {
     this.faults = faults;
-    this.troublesEnd = faults.troublesEnd;
+    this.lastingFaultsEnd = faults.lastingFaultsEnd;
     this.#mistake = mistake;
   }
 
@@ -88,7 +88,7 @@
     return new ControlNode(me, SEEDS, me !== SPARE, boot, this.#mistake);
   }
 
-  prepare(run: CalmRun<ControlCommand>): void {
+  prepare(run: FaultFreeRun<ControlCommand>): void {
     for (let step = 0; step < FOUNDING_CLOCK_STEPS; step += 1) {
       for (const node of NODES.keys()) run.tick(node);
       run.advance();
@@ -99,16 +99,16 @@
       for (const node of NODES.keys()) if (node !== FAILED_VOTER) run.tick(node);
       run.advance();
     }
-    run.forget();
+    run.discardMessages();
   }
 
-  mayFail({ facts }: ChangeView, kind: FaultKind, node: number): boolean {
+  allowsFault({ facts }: ChangeView, kind: FaultKind, node: number): boolean {
     const { kinds, victims, isMidChange } = this.faults;
     if (!kinds.includes(kind) || !victims.includes(node)) return false;
     return !isMidChange || isChanging(facts);
   }
 
-  isWatched(message: Message): boolean {
+  mayArriveLate(message: Message): boolean {
     const { kind } = message;
     return kind === 'write' || kind === 'writeReply' || kind === 'granted' || kind === 'victory';
   }
@@ -122,11 +122,11 @@
     return found;
   }
 
-  judge(
+  checkInvariants(
     before: ChangeView,
     after: ChangeView,
-    details: Happening<ControlCommand, ControlEvent>,
-  ): Judgement<VoterChangeGhost> {
+    details: StepDetails<ControlCommand, ControlEvent>,
+  ): InvariantCheck<VoterChangeGhost> {
     if (details.node === undefined) return { ghost: before.ghost, violation: undefined };
     const facts = after.facts[details.node];
     const { leaders: known } = before.ghost;
@@ -162,7 +162,7 @@
 
 function withOrders(
   ghost: VoterChangeGhost,
-  details: Happening<ControlCommand, ControlEvent>,
+  details: StepDetails<ControlCommand, ControlEvent>,
 ): VoterChangeGhost {
   const hasOrdered = ghost.hasOrdered || details.command?.order.id === SECOND_ORDER.id;
   let { confirmed } = ghost;
@@ -215,5 +215,5 @@
 
 function votersOnDisk(disk: readonly DiskWrite[]): VoterSets {
   const write = disk.find((write) => isOfSlot(CONFIG_PARTITION, write));
-  return write && docOf(write.body)?.voters;
+  return write && parseConfig(write.body)?.voters;
 }
--- a/src/simulation/exhaustive/voter-change-searches.test.ts
+++ b/src/simulation/exhaustive/voter-change-searches.test.ts
@@ -1,13 +1,18 @@
 import { expect, test } from 'vitest';
-import { troubledVoters, voterChange } from './searched-protocols.js';
+import { voterChangeWithVoterFaults, voterChange } from './searched-protocols.js';
 import type { Search } from './searches.js';
-import { brokenBy, faults, searchesOf, shortcomingsOf } from './testing/search-checks.js';
+import {
+  violatedInvariant,
+  withFaults,
+  shortSearchesOf,
+  findProblems,
+} from './testing/search-checks.js';
 
 async function checkSound(search: Search): Promise<void> {
-  expect(await shortcomingsOf(search)).toEqual([]);
+  expect(await findProblems(search)).toEqual([]);
 }
 
-for (const [index, search] of searchesOf('voter-change').entries()) {
+for (const [index, search] of shortSearchesOf('voter-change').entries()) {
   test(`search ${index + 1} of the voter change finds no violation`, () => checkSound(search));
 }
 
@@ -17,23 +22,23 @@
 
 test('detects new voters that take over without a joint set', async () => {
   const protocol = voterChange('joint-set-skipped');
-  expect(await brokenBy(protocol, faults(0))).toContain(
+  expect(await violatedInvariant(protocol, withFaults(0))).toContain(
     'two sets of voters could decide independently',
   );
 });
 test('detects a joint set that is lost at a restart', async () => {
   const mistake = 'joint-set-not-stored';
-  const protocol = troubledVoters(FIRST_CHANGE_CLOCK_STEPS, ['restart'], mistake);
-  expect(await brokenBy(protocol, faults(1))).toContain(
+  const protocol = voterChangeWithVoterFaults(FIRST_CHANGE_CLOCK_STEPS, ['restart'], mistake);
+  expect(await violatedInvariant(protocol, withFaults(1))).toContain(
     'two sets of voters could decide independently',
   );
-  expect(await brokenBy(protocol, faults(0))).toBe('none');
+  expect(await violatedInvariant(protocol, withFaults(0))).toBe('none');
 });
 test('detects a second change without a joint set', async () => {
   const mistake = 'second-joint-set-skipped';
-  const protocol = troubledVoters(SECOND_CHANGE_CLOCK_STEPS, ['freeze'], mistake);
-  expect(await brokenBy(protocol, faults(1))).toContain(
+  const protocol = voterChangeWithVoterFaults(SECOND_CHANGE_CLOCK_STEPS, ['freeze'], mistake);
+  expect(await violatedInvariant(protocol, withFaults(1))).toContain(
     'two sets of voters could decide independently',
   );
-  expect(await brokenBy(protocol, faults(0))).toBe('none');
+  expect(await violatedInvariant(protocol, withFaults(0))).toBe('none');
 });
