--- a/src/control/control-command.ts
+++ b/src/control/control-command.ts
@@ -5,7 +5,7 @@
 import { untilStopped } from '../common/shutdown.js';
 import { TableControlProcess } from './table-control-process.js';
 
-/** `haretrack control`: runs a control node that places by the policy table. */
+/** `haretrack control`: runs a control node that places models at runners by the policy table. */
 export class ControlCommand extends ProgramCommand {
   static override aliases = ['mind'];
   static override deprecateAliases = true;
@@ -18,7 +18,8 @@
     platform: Flags.string({ description: "address of the platform's list of machines" }),
     store: Flags.string({ description: 'address of the weight store' }),
     blindMs: Flags.integer({
-      description: 'without a freshness confirmation for this long, a proxy rejects new requests',
+      description:
+        'freshness bound in ms, as set for the proxies: one whose configuration stays unconfirmed for longer rejects new requests',
     }),
   };
 
--- a/src/control/lease.ts
+++ b/src/control/lease.ts
@@ -4,16 +4,20 @@
 
 /** The lease of the leader, without which no orders may be sent to runners. */
 export interface Lease {
-  /** Whether the node leads, serves and holds the lease at this moment. */
+  /**
+   * Whether the node holds the lease at this moment as a leader that has taken over the complete state
+   * (`Leadership.isServing`) and is not in a planned stop.
+   */
   mayOrder(now: Moment): boolean;
   /** When the lease ends unless it is renewed; no order may be sent after that. */
   leaseEnd(): Moment;
 }
 
 /**
- * No order is written within this time, in milliseconds, before the lease ends, and one in flight is canceled then. It
- * is longer than a runner may take to accept an order (`ACCEPT_WITHIN_MS`): an order that was checked right before it
- * was written is accepted within the lease, even if this process was suspended in between.
+ * No order is written within this time, in milliseconds, before the lease ends, and one in flight is canceled when this
+ * time begins. It is longer than a runner may take to accept an order of `OrderSender` (`ACCEPT_WITHIN_MS`), counted
+ * from the runner's `100 Continue`, which precedes the check of the lease. So such an order is accepted only within the
+ * lease, even if this process was suspended between the check and the write.
  */
 export const LEASE_MARGIN_MS = 350;
 
--- a/src/control/voter-handover.ts
+++ b/src/control/voter-handover.ts
@@ -9,7 +9,8 @@
 
 /**
  * The planned stop of a voter. The voter stays until a spare has replaced it through a joint configuration, so that the
- * number of live voters never falls. It does not wait if no spare has announced itself.
+ * number of live voters never falls. While this node knows no spare and the leader has not replied, it waits for
+ * `REPLY_TIMEOUT_MS` only; otherwise until the leader permits the stop, for `HANDOVER_TIMEOUT_MS` at most.
  */
 export class VoterHandover {
   readonly #beganAt: Moment;
