--- a/src/placement/fleet-report.ts
+++ b/src/placement/fleet-report.ts
@@ -17,6 +17,7 @@
   readonly #state: PlacementState;
   #fleet: Fleet = { flows: 0, runners: [], waits: [] };
   #reportedWaitKeys = '';
+  /** What waits for a load in this plan; `dueAt`: when that load is expected to be complete, ms; 0 if unknown. */
   #waits: { model: ModelState; adapter: string; dueAt: number }[] = [];
 
   constructor(state: PlacementState) {
@@ -41,7 +42,8 @@
           ? model.loadMs + ((waitsAhead + 1) * 1000) / perSecond
           : 0;
     this.#waits.push({ model, adapter, dueAt: delayMs > 0 ? now + delayMs : 0 });
-    // Operators see only long waits; a model that is loaded within a moment is not worth a document update.
+    // Operators see a wait in the model's document. Only a long wait for the model itself, not for an adapter, is written
+    // there: a short one is not worth storing the document again.
     if (
       adapter !== '' ||
       model.unservedSince === undefined ||
@@ -52,7 +54,10 @@
     if (doc.wait === '') this.#state.put({ ...doc, wait: 'waits for a load' });
   }
 
-  /** Publishes a change of the set of waits. A changed due time alone is published only along with other changes. */
+  /**
+   * Marks the fleet as stale if the set of waits has changed. New expected times of the same waits do not: they are
+   * published with the next change of the fleet.
+   */
   updateWaits(): void {
     const keys: string[] = [];
     for (const { model, adapter } of this.#waits) keys.push(`${model.key}\n${adapter}`);
@@ -83,6 +88,7 @@
     const { id, address, zone, service, slots } = runner.listed;
     const holds: { model: string; adapters: string[] }[] = [];
     const coming: { model: string; adapter: string; readyMs: number }[] = [];
+    // Loads in progress are added to `coming` below, from the orders; a model that is being unloaded is not published.
     for (const loadedModel of runner.holds.values()) {
       if (loadedModel.phase !== 'ready') continue;
       const adapters: string[] = [];
@@ -90,7 +96,8 @@
         if (adapter.phase === 'ready') adapters.push(name);
       holds.push({ model: loadedModel.model.name, adapters });
     }
-    // The completion time of orders at an unreachable runner is unknown.
+    // After a failed order (until `suspectUntil`) the runner may be unreachable: when its loads complete is unknown, so
+    // they are not published.
     let expectedDoneMs = 0;
     for (const order of runner.suspectUntil > now ? [] : runner.queue) {
       if (order.intent.verb === 'unload') continue;
@@ -103,6 +110,8 @@
         readyMs: Math.max(50, Math.round(expectedDoneMs / 50) * 50),
       });
     }
+    // Loads of models that an earlier leader intended, by its documents, may be running: when they complete is unknown,
+    // so a remaining time is assumed.
     for (const { intent } of runner.restoredIntents) {
       if (intent.verb === 'load' && intent.adapter === '' && !runner.holds.has(intent.model))
         coming.push({ model: intent.model, adapter: '', readyMs: 500 });
--- a/src/placement/placement-state.ts
+++ b/src/placement/placement-state.ts
@@ -111,7 +111,10 @@
     for (const loadedModel of runner.holds.values()) this.modelsToRecord.add(loadedModel.model);
   }
 
-  /** Records models without a replica in service now that the runner leaves, or that its zone is evacuated. */
+  /**
+   * Sets `lastReplicaLostAt` of the runner's models that have no replica left in service, here or elsewhere. Called
+   * after a change of the runner's `isLeaving` or of the evacuated zones.
+   */
   noteLostReplicas(now: number, runner: RunnerState): void {
     for (const loadedModel of runner.holds.values())
       if (this.replicaCounts(now, loadedModel.model).all === 0)
--- a/src/placement/placer-types.ts
+++ b/src/placement/placer-types.ts
@@ -13,7 +13,7 @@
   readonly isPresumedLost: boolean;
 }
 
-/** The input of a plan. */
+/** The input of a plan of `Placer`, which places by the policy table; `Planner` has another one, `PlannerInput`. */
 export interface PlanInput {
   readonly table: Table;
   readonly catalog: Catalog;
@@ -26,7 +26,7 @@
   readonly demandWindowMs: number;
   /** Requests per second below which a model counts as idle. */
   readonly idleRate: number;
-  /** By which factor a new model's worth must exceed that of the model evicted for it. */
+  /** By which factor a new model's worth (`DesiredModel.worth`) must exceed that of the model evicted for it. */
   readonly worthRatio: number;
   /** How long an unplaced model stays loaded, so that every proxy has received the change. */
   readonly unloadDelayMs: number;
@@ -46,14 +46,16 @@
 /** A model that matches a row of the policy table with a positive weight. */
 export interface DesiredModel {
   readonly model: string;
+  /** Memory that it needs, in the unit of the `Catalog` and of a runner's `room`. */
   readonly size: number;
   readonly weight: number;
   /** Requests per second. */
   readonly rate: number;
+  /** Weight multiplied by rate, raised after a long wait; the cost of an eviction is the worth that it loses. */
   readonly worth: number;
 }
 
-/** A model's placements: the serving runner and its standby in another zone. */
+/** The role of a runner at which a model is placed: the primary, or the understudy, a standby in another zone. */
 export type PlacementRole = 'primary' | 'understudy';
 
 /** The key of a model, or of one of its adapters if `adapter` is not empty. */
@@ -61,7 +63,7 @@
   return `${model}\n${adapter}`;
 }
 
-/** The key of a model at a runner. */
+/** The key of a hold: a model at a runner that has loaded it, or is loading or unloading it. */
 export function holdKey(runner: string, model: string): string {
   return `${runner}\n${model}`;
 }
--- a/src/placement/planner-configuration.ts
+++ b/src/placement/planner-configuration.ts
@@ -40,6 +40,7 @@
     this.#state.routing = routing;
     const names = new Set<string>();
     for (const { name, engine } of routing?.services ?? []) {
+      // The runners of a service without an engine load no models: there is nothing to place.
       if (!engine) continue;
       names.add(name);
       this.#applyEngine(this.#findOrCreateService(now, name, engine), engine);
@@ -59,11 +60,12 @@
     const { capWindowMs, adapterMs } = this.#state.settings;
     const service = new ServiceState(name, engine, capWindowMs, adapterMs);
     this.#state.services.set(name, service);
-    // An earlier leader may have used part of the store's rate limit just before.
-    const startedLoads = this.#state.hasEarlierDocs
+    // An earlier leader may have started loads just before. How many is unknown: half of what the store's rate limit
+    // allows within its window is assumed.
+    const assumedLoads = this.#state.hasEarlierDocs
       ? Math.ceil(this.#storeRateLimit.windowBudget(service) / 2)
       : 0;
-    for (let load = 0; load < startedLoads; load += 1) service.storeLoadWindow.add(now);
+    for (let load = 0; load < assumedLoads; load += 1) service.storeLoadWindow.add(now);
     return service;
   }
 
@@ -84,6 +86,8 @@
     runner.serviceState?.runners.delete(runner);
     const replacement = this.#inventory.addRunner(now, runner.listed);
     this.#state.runnersNeedingReport.delete(runner);
+    // A runner whose service was not configured got no orders from here, so its models are as certain as before. At any
+    // other runner, orders that were removed above may still change its models: its report is needed first.
     replacement.areHoldsKnown = runner.areHoldsKnown && runner.serviceState === undefined;
     if (replacement.serviceState && !replacement.areHoldsKnown)
       this.#state.runnersNeedingReport.add(replacement);
@@ -107,6 +111,7 @@
     state.adapterMb = model.adapterSizeMb;
     state.maxAdapters = model.adapters;
     service.models.set(model.name, state);
+    // The sizes may have changed: the cached sums must be computed again.
     for (const runner of state.holders.keys()) runner.usedMb = undefined;
   }
 
@@ -115,6 +120,7 @@
     if (key === this.#evacuatedZonesKey) return;
     this.#evacuatedZonesKey = key;
     this.#state.evacuatedZones = new Set(zones);
+    // All runners are checked, since any zone may have changed; only models without a replica in service count as lost.
     for (const runner of this.#state.runners.values()) {
       this.#state.noteLostReplicas(now, runner);
       this.#state.onRunnerAvailabilityChanged(runner);
--- a/src/placement/planner-records.ts
+++ b/src/placement/planner-records.ts
@@ -53,6 +53,7 @@
   readonly serviceState: ServiceState | undefined;
   listed: ListedRunner;
   isLeaving: boolean;
+  /** Until when it is warming up: proxies limit its request rate, and loads prefer other runners. 0 if it is not. */
   coldUntil: number;
   readonly holds: Map<string, LoadedModel>;
   /** Models known to be on its own disk. */
@@ -79,11 +80,12 @@
   lastOrderCount: number | undefined;
   /** An order since its last report got no clear answer. */
   hasUnansweredOrder: boolean;
-  /** Until when it gets no new orders after a failed one. */
+  /** Until when it gets no new orders after an order to it failed: it may be unreachable. */
   suspectUntil: number;
   failures: number;
+  /** The sum that `PlacementState.usedMb` caches; undefined if it must be computed again. */
   usedMb: number | undefined;
-  /** Intents of an earlier leader that it may be executing. */
+  /** Intents that an earlier leader stored in documents, and that it may be executing. */
   restoredIntents: OpenIntent[];
 }
 
