--- a/src/proxy/buffered-relay.ts
+++ b/src/proxy/buffered-relay.ts
@@ -27,6 +27,7 @@
   start(): void {
     this.#runnerResponse.on('data', (chunk) => this.#onData(chunk));
     this.#runnerResponse.once('end', () => this.#onEnd());
+    // 'close' also follows a complete response: `onDisconnect` then has no effect, since the attempt is done.
     this.#runnerResponse.once('close', () => this.#handler.onDisconnect(this.#attempt));
   }
 
@@ -38,6 +39,7 @@
     const attempt = this.#attempt;
     if (attempt.isDone) return;
     attempt.complete();
+    // Reported only now: the first data marks the response as started, after which a buffered request is not retried.
     this.#handler.onData(attempt);
     const { exchange } = attempt;
     const body = Buffer.concat(this.#chunks);
--- a/src/proxy/in-flight-requests.ts
+++ b/src/proxy/in-flight-requests.ts
@@ -15,7 +15,7 @@
     }
   /** Write the request to the runner. */
   | { readonly do: 'write'; readonly id: number; readonly attempt: number }
-  /** Forward the response to the client, from the head that arrived. `table`: number of the policy table that was used. */
+  /** Forward the response, whose head has arrived, to the client. `table`: number of the policy table that was used. */
   | {
       readonly do: 'forward';
       readonly id: number;
@@ -28,7 +28,7 @@
   | { readonly do: 'abort'; readonly id: number }
   /** Close the connection to the runner. */
   | { readonly do: 'cancel'; readonly id: number; readonly attempt: number }
-  /** Answer a request that gets no runner's response with an error. `retryMs`: when to retry; 0 if unknown. */
+  /** Respond to the client with an error instead of a runner's response. `retryMs`: when to retry; 0 if unknown. */
   | {
       readonly do: 'respondError';
       readonly id: number;
@@ -39,7 +39,7 @@
 
 /** Timeouts of requests at runners. */
 export interface InFlightSettings {
-  /** Timeout of connecting, ms; limited to an eighth of the row's time limit. */
+  /** Timeout of connecting, ms; at most an eighth of the time limit (`lateMs`) of the request's policy table row. */
   readonly connectTimeoutMs: number;
   /** How long a response may make no progress, whether because of the runner or of the client, ms. */
   readonly idleTimeoutMs: number;
@@ -75,6 +75,9 @@
 /**
  * The state of each request in flight. Does no I/O: events of the connections are passed in, and the resulting steps are
  * drained. Both the HTTP forwarder and the simulator drive it, so that its rules are also tested on virtual time.
+ *
+ * Each `run` verdict of the router starts an attempt here: a run and an attempt are the same thing. The deadline of a
+ * request is its arrival plus the time limit of its row.
  */
 export class InFlightRequests {
   readonly #router: PolicyRouter;
@@ -133,17 +136,18 @@
       // Data that arrived during a stall of this process is read only after this tick.
       if (gap > EVENT_LOOP_STALL_MS)
         request.lastActivityAt = later(request.lastActivityAt, gap + STALL_RECOVERY_MS);
-      this.#check(now, request);
+      this.#applyTimeouts(now, request);
     }
     this.applyVerdicts(now);
   }
 
-  #check(now: Moment, request: InFlightRequest): void {
+  /** Ends a request whose deadline has passed, and an attempt that exceeds the connect timeout or the idle timeout. */
+  #applyTimeouts(now: Moment, request: InFlightRequest): void {
     const { verdict, stage } = request;
     if (!verdict || stage === 'pending') return;
-    // A stream that has started in time continues; any other request ends at its limit.
-    const isLate = now >= verdict.deadline && !(stage === 'responding' && verdict.row.stream);
-    if (isLate) this.#onDeadline(now, request);
+    // A stream that has started before the deadline continues; any other request ends there.
+    const isExpired = now >= verdict.deadline && !(stage === 'responding' && verdict.row.stream);
+    if (isExpired) this.#onDeadline(now, request);
     else if (
       stage === 'connecting' &&
       now >=
@@ -172,7 +176,8 @@
       this.#abortResponse(now, request);
       return;
     }
-    // Recorded as a completed run: the time that it took so far is a lower bound of a run's duration.
+    // Once written, recorded as a completed run: the time that it took so far is a lower bound of a run's duration.
+    // Before that, the router only removes the request, as it does for a client that disconnects.
     if (request.stage === 'written') this.#router.onRunCompleted(now, id);
     else this.#router.onClientDisconnect(now, id);
     this.#end(request);
@@ -189,7 +194,7 @@
 
   /** The connection is established, new or reused. Whether the request may still be written is decided only now. */
   onConnect(now: Moment, id: number, attempt: number): void {
-    const request = this.#current(id, attempt, 'connecting');
+    const request = this.#findInStage(id, attempt, 'connecting');
     if (!request) return;
     if (this.#router.mayWrite(now, id)) {
       request.stage = 'written';
@@ -206,7 +211,7 @@
 
   /** The head of a response arrived. */
   onHeaders(now: Moment, id: number, attempt: number, head: RunnerResponseHead): void {
-    const request = this.#current(id, attempt, 'written');
+    const request = this.#findInStage(id, attempt, 'written');
     if (!request?.verdict) return;
     if (!head.isStarted) {
       // The runner states that it has not started to process this request and will not.
@@ -225,13 +230,13 @@
 
   /** Bytes of the response arrived. */
   onData(now: Moment, id: number, attempt: number): void {
-    const request = this.#current(id, attempt, 'responding');
+    const request = this.#findInStage(id, attempt, 'responding');
     if (request) request.lastActivityAt = now;
   }
 
   /** The runner's response ended. */
   onComplete(now: Moment, id: number, attempt: number): void {
-    const request = this.#current(id, attempt, 'responding');
+    const request = this.#findInStage(id, attempt, 'responding');
     if (!request) return;
     // Without a length or chunks, a complete response ends in the same way as one whose runner crashed.
     if (!request.hasSelfDefinedLength) {
@@ -245,7 +250,10 @@
     this.applyVerdicts(now);
   }
 
-  /** The connection to the runner failed, or closed before the response was complete. */
+  /**
+   * The connection to the runner failed, or closed before the response was complete. `isStale`: it was an idle
+   * connection that closed as it was reused, before any response arrived.
+   */
   onDisconnect(now: Moment, id: number, attempt: number, isStale: boolean): void {
     const request = this.#inFlightRequests.get(id);
     if (!request || request.attempt !== attempt || request.stage === 'pending') return;
@@ -256,6 +264,7 @@
     } else {
       this.#counters.add(isStale ? 'runs.stale' : 'runs.broke');
       request.stage = 'pending';
+      // No response has started, so the router may retry the request; the result is whether it does.
       if (this.#router.onRunFailed(now, id, true, isStale)) this.#counters.add('repeats');
       else {
         this.#end(request);
@@ -284,7 +293,8 @@
 
   // ---- transitions
 
-  #current(
+  /** The request, if this attempt is its current one and is in this stage. */
+  #findInStage(
     id: number,
     attempt: number,
     stage: InFlightRequest['stage'],
@@ -311,6 +321,7 @@
     this.#counters.add('streams.broken');
     this.#end(request);
     this.#steps.push({ do: 'abort', id: request.info.id });
+    // Part of the response was forwarded: the router must not retry the request.
     this.#router.onRunFailed(now, request.info.id, false);
   }
 
@@ -360,7 +371,10 @@
   }
 }
 
-/** The value of Retry-After, seconds: from `retryMs`, or the error's default if that is 0 (unknown); 0 for no header. */
+/**
+ * The value of Retry-After, in seconds; 0 for no header. An error whose default is 0 never has one; for others it is
+ * `retryMs` rounded up and limited to 1 to 120 s, or the default if `retryMs` is 0 (unknown).
+ */
 export function retryAfterSeconds(kind: ErrorCode, retryMs: number): number {
   const { retryAfterSeconds: retryAfter } = ERROR_RESPONSES[kind];
   return retryAfter === 0 || retryMs === 0
--- a/src/proxy/open-requests.ts
+++ b/src/proxy/open-requests.ts
@@ -41,6 +41,7 @@
 
   /** Removes a request that has ended, with whatever outcome. */
   remove(request: RoutedRequest): void {
+    // Has no effect on a request that was not waiting.
     this.#demand.onWaitEnd(request);
     this.#requests.delete(request.head.id);
   }
--- a/src/proxy/request-placement.ts
+++ b/src/proxy/request-placement.ts
@@ -12,12 +12,18 @@
 
 /** A request whose runners are all busy is placed again after this time. */
 const BUSY_WAIT_MS = 20;
-/** Minimum time after the start of its last attempt for which an interrupted request waits for another runner. */
-const MIN_RESUME_WAIT_MS = 300;
+/**
+ * An interrupted request may wait for another runner until half of its route's gap target has passed since its last
+ * attempt was sent, or this time if that is longer.
+ */
+const MIN_RESUME_WINDOW_MS = 300;
 /** Retry delays given to clients: when all runners are busy, and when the service does not have the model. */
 const BUSY_RETRY_AFTER_MS = 250;
 const UNKNOWN_MODEL_RETRY_AFTER_MS = 1000;
-/** The lowest urgency (highest number) that is passed on to a runner. */
+/**
+ * The lowest urgency that is passed on to a runner. The urgency is the route's priority, on the same scale (0 is the
+ * most urgent); higher numbers are passed on as this one.
+ */
 const LOWEST_URGENCY = 9;
 
 /** Places each request: sends it to the best runner, queues it, or rejects it. */
@@ -40,6 +46,7 @@
     }
     const runner = picker.pick(now, request);
     if (runner) this.#send(now, request, runner);
+    // Not for a plain service (empty `modelUnit`), which needs no model to be loaded.
     else if (request.modelUnit !== '' && !picker.isLoaded(now, request))
       this.#awaitLoad(now, request);
     // The runners that have the model are full, ejected or already tried: a later attempt may succeed.
@@ -47,7 +54,7 @@
     else outcomes.reject(request, 'full', BUSY_RETRY_AFTER_MS);
   }
 
-  /** Places all waiting requests again, by priority; called when configuration or fleet have changed. */
+  /** Places all waiting requests again, the most urgent first; called when configuration or fleet have changed. */
   placeAll(now: Moment): void {
     const waiting: RoutedRequest[] = [];
     for (const request of this.#state.requests.all())
@@ -97,6 +104,7 @@
       this.#wait(now, request, verdict.forMs);
       return;
     }
+    // Its client is expected to retry once the load completes, in `expectedMs`: it still counts as waiting demand.
     demand.onClientRetryExpected(now, request, verdict.expectedMs);
     outcomes.reject(request, 'not-loaded', verdict.retryAfterMs);
   }
@@ -104,6 +112,7 @@
   #send(now: Moment, request: RoutedRequest, runner: TrackedRunner): void {
     const { id, address } = runner.info;
     request.phase = 'connecting';
+    // Counts every attempt; `attemptsSent` counts only those that were written to a runner.
     request.attempt += 1;
     request.runner = id;
     request.sentAt = now;
@@ -118,6 +127,7 @@
       address,
       timeLeftMs: Math.max(1, Math.floor(request.deadline - now)),
       urgency: Math.min(LOWEST_URGENCY, request.route.priority),
+      // A safe request may be processed again, so its response is buffered: a retry is possible until it is complete.
       isBuffered: request.route.kind === 'safe',
       isResumable: request.route.kind === 'stream' && request.route.isResumable,
       needsNewConnection: request.needsNewConnection,
@@ -126,7 +136,7 @@
   }
 }
 
-/** When the client stops waiting: it awaits the rest of a response that has started until the deadline. */
+/** When the client stops waiting: at the deadline if a response has started, else at the end of its patience. */
 function giveUpAt(request: RoutedRequest): Moment {
   return request.isResponseStarted ? request.deadline : request.patienceEnd;
 }
@@ -135,13 +145,13 @@
 function shouldWait(now: Moment, request: RoutedRequest): boolean {
   const { route } = request;
   if (request.deadline - now <= MIN_TIME_LEFT_MS * 2) return false;
-  // If it is rejected early, its client can still retry in time.
+  // A request that may be rejected waits only briefly: if it is rejected early, its client can still retry in time.
   if (isRejectable(request))
     return request.attemptsSent === 0 && now - request.arrivedAt < route.latencyTargetMs / 4;
   // It may continue at another runner: capacity may become free before the client notices the gap.
   return (
     isRetryable(request) &&
     request.attemptsSent < route.maxAttempts &&
-    now - request.sentAt < Math.max(MIN_RESUME_WAIT_MS, route.gapTargetMs / 2)
+    now - request.sentAt < Math.max(MIN_RESUME_WINDOW_MS, route.gapTargetMs / 2)
   );
 }
