--- a/src/common/call.ts
+++ b/src/common/call.ts
@@ -32,10 +32,10 @@
       // The rest is read and discarded, so that the sender can finish and read the response.
       stream.off('data', onData);
       stream.resume();
-      reject(new Error(`body is larger than ${maxBytes} bytes`));
+      reject(new Error(`a body of more than ${maxBytes} bytes`));
     }
     function onClose(): void {
-      reject(new Error('body ended before it was complete'));
+      reject(new Error('the body broke off'));
     }
     stream.on('data', onData);
     stream.once('end', () => {
--- a/src/common/status-port.ts
+++ b/src/common/status-port.ts
@@ -38,7 +38,7 @@
       const endpoints = this.#metrics ? 'GET /counters and GET /metrics' : 'GET /counters';
       const body = JSON.stringify({
         defect: 'unmapped',
-        text: `this port serves only ${endpoints}`,
+        text: `there is only ${endpoints} here`,
       });
       send(response, 404, { contentType: JSON_TYPE, body });
     }
--- a/src/control/command-answers.ts
+++ b/src/control/command-answers.ts
@@ -43,7 +43,7 @@
   const kind: ErrorCode = id === '' ? 'no-leader' : 'unsure-edit';
   const outcome = id === '' ? 'turned-away' : 'unsure';
   const text =
-    id === '' ? 'the leader was lost' : `the leader was lost; query the outcome of edit ${id}`;
+    id === '' ? 'the leader was lost' : `the leader was lost; ask what became of edit ${id}`;
   return {
     status: ERROR_RESPONSES[kind].status,
     body: JSON.stringify({ outcome, defect: kind, id, text }),
--- a/src/control/command-forwarding.ts
+++ b/src/control/command-forwarding.ts
@@ -111,7 +111,7 @@
     if (now < this.#backlogUntil || now - this.#lastTickAt > EVENT_LOOP_STALL_MS) {
       this.#counters.countRefused('too-old');
       throw new NoLeaderError(
-        'this node was stalled and cannot tell how old the command is; nothing was done',
+        'this node stood still and cannot tell how old the order is; nothing was done',
       );
     }
   }
@@ -122,7 +122,7 @@
     if (message.epoch !== epoch || now - message.leaderTime > MAX_COMMAND_AGE_MS) {
       this.#counters.countRefused('too-old');
       throw new NoLeaderError(
-        'the command was too long in transit, or was forwarded to another leader; nothing was done',
+        'the order took too long on its way, or came for another leader; nothing was done',
       );
     }
   }
--- a/src/control/operator-edits.ts
+++ b/src/control/operator-edits.ts
@@ -97,7 +97,7 @@
   submit(now: Moment, origin: Origin, verb: string, body: string): void {
     try {
       if (verb === 'edit')
-        this.#queryOutcome(now, origin, mustParseAs(EditShapes.edit, body, 'the query'));
+        this.#queryOutcome(now, origin, mustParseAs(EditShapes.edit, body, 'the ask'));
       else this.#applyAndWrite(now, origin, verb, body);
     } catch (thrown) {
       const error = toHaretrackError(thrown);
@@ -220,9 +220,7 @@
     if (recorded) {
       // A retry has the id of the edit and gets its outcome; the edit is not applied again.
       if (recorded.outcome === 'closed')
-        throw new VersionConflictError(
-          `edit ${id} was closed by a query for its outcome before it arrived`,
-        );
+        throw new VersionConflictError(`edit ${id} was asked about before it came, and closed`);
       this.#write(now, { origin, id, outcome: 'accepted', occasion: 'again' }, doc);
       return;
     }
@@ -248,7 +246,7 @@
       const kind = verb === 'configure' || verb === 'amend' ? 'routing' : 'table';
       if (!mayBeForgotten(doc, edit?.base, kind)) throw thrown;
       throw new OutcomeUnknownError(
-        `edit ${edit?.id ?? ''} was made from table ${edit?.base ?? 0}; records of edits that old were discarded, so whether it was accepted is unknown`,
+        `edit ${edit?.id ?? ''} was made from table ${edit?.base ?? 0}, so long ago that whether it was accepted is no longer known`,
       );
     }
   }
@@ -262,7 +260,7 @@
     const recorded = doc.edits.find((edit) => edit.id === id);
     if (!recorded && mayBeForgotten(doc, base))
       throw new OutcomeUnknownError(
-        `edit ${id} is not among the last ${MAX_EDITS}, so whether it was accepted before is unknown`,
+        `edit ${id} is not among the last ${MAX_EDITS}: whether it was accepted before is no longer known`,
       );
     // The answer must remain true under later leaders, so it is committed like an edit before it is sent.
     const occasion = 'question';
@@ -302,7 +300,7 @@
   const edit = mustParseAs(EditShapes.swap, body, 'the swap');
   const [current] = doc.voters;
   if (!current || doc.voters.length !== 1)
-    throw new VersionConflictError('another swap is in progress');
+    throw new VersionConflictError('another swap is under way');
   if (!current.includes(edit.old) || current.includes(edit.new))
     throw new MalformedRequestError(`${edit.old} is no voter, or ${edit.new} is one`);
   return {
--- a/src/control/quorum-reads.ts
+++ b/src/control/quorum-reads.ts
@@ -214,7 +214,7 @@
     const item = relay.latest('config');
     const isOfOwnEpoch = isNewest && item?.version.epoch === leadership.epoch;
     if (!leadership.isServing || !item || (!isOfOwnEpoch && isNewer(newest, item.version)))
-      this.#reject(origin, 'a newer configuration is being written; retry the read');
+      this.#reject(origin, 'a newer configuration is being written; ask again');
     else effects.answer(origin, { status: 200, body: item.body });
   }
 
--- a/src/policy/language.ts
+++ b/src/policy/language.ts
@@ -70,7 +70,7 @@
         line,
         head,
         'statement',
-        `'${head?.text ?? ''}' is not a statement; expected 'map' or 'row'`,
+        `'${head?.text ?? ''}' begins no statement; expected 'map' or 'row'`,
       );
   }
 
@@ -82,7 +82,7 @@
     }
     if (to.text !== 'to') this.#addFault(line, to, 'mapping', `expected 'to', found '${to.text}'`);
     if (extra)
-      this.#addFault(line, extra, 'mapping', `'${extra.text}' is unexpected after a mapping`);
+      this.#addFault(line, extra, 'mapping', `'${extra.text}' is more than a mapping holds`);
     this.#lineNumbers.set(`mappings[${this.#mappings.length}]`, line.number);
     this.#lineNumbers.set(`${method.text} ${path.text}`, line.number);
     this.#mappings.push({ method: method.text, path: path.text, type: type.text });
@@ -166,7 +166,7 @@
           );
           break;
         default:
-          this.#addFault(line, keyword, 'row', `'${keyword.text}' is not a cell of a row`);
+          this.#addFault(line, keyword, 'row', `'${keyword.text}' is no cell of a row`);
       }
     }
     this.#lineNumbers.set(`rows[${this.#rows.length}]`, line.number);
@@ -187,12 +187,7 @@
   ): void {
     const match = token ? pattern.exec(token.text) : null;
     if (!match) {
-      this.#addFault(
-        line,
-        token,
-        cell,
-        `'${token?.text ?? ''}' is not a valid value for ${keyword.text}`,
-      );
+      this.#addFault(line, token, cell, `'${token?.text ?? ''}' is no value for ${keyword.text}`);
       return;
     }
     row[key] = Number(match[1]) * factor(match[2]);
--- a/src/proxy/policy-forwarder.ts
+++ b/src/proxy/policy-forwarder.ts
@@ -184,12 +184,12 @@
         clientResponse,
         requestId,
         'malformed',
-        'the body must be JSON and name a model',
+        'the body must be JSON that names its model',
       );
   }
 
   #rejectTooLarge(clientResponse: ServerResponse, requestId: string): void {
-    const text = `the body exceeds ${this.#settings.maxBodyBytes} bytes`;
+    const text = `more than ${this.#settings.maxBodyBytes} bytes`;
     this.#responses.send(clientResponse, requestId, 'too-large', text);
   }
 
--- a/src/route/routing.ts
+++ b/src/route/routing.ts
@@ -126,7 +126,7 @@
       faults.push({
         item: route.name,
         field: 'prefix',
-        text: `has the same host and prefix as ${other}`,
+        text: `has the place of ${other}`,
       });
     routesByPrefix.set(hostAndPrefix, route.name);
     let weight = 0;
--- a/src/state/quorum-coordinator.ts
+++ b/src/state/quorum-coordinator.ts
@@ -130,8 +130,7 @@
    */
   write(now: Moment, partition: PartitionName, body: string, token: number): number {
     const entry = this.#partitions.get(partition);
-    if (!entry?.written)
-      throw new Error(`${partition} is not writable: its rewrite in this epoch is not committed`);
+    if (!entry?.written) throw new Error(`${partition} is not owned here`);
     const count = (entry.pendingWrite?.version.count ?? entry.written.version.count) + 1;
     if (entry.pendingWrite)
       entry.queuedWrite = { body, tokens: [...(entry.queuedWrite?.tokens ?? []), token] };
