--- a/src/rehearsal/proxy-connections.ts
+++ b/src/rehearsal/proxy-connections.ts
@@ -4,77 +4,85 @@
 import type { SimClients } from './sim-clients.js';
 import type { Hear, SimConnection } from './sim-connection.js';
 
-/** The simulated proxy whose connections these are. */
+/** What `ProxyConnections` needs of its simulated proxy. */
 export interface ConnectedProxy {
   readonly clients: SimClients;
+  /** The mutation that this proxy runs with, or ''. */
   readonly wrong: MutationKind | '';
-  /** Nothing while the process is down. */
+  /** Undefined while the process is down. */
   inFlightRequests(): InFlightRequests | undefined;
   now(): Moment;
-  /** Runs when the process is awake. */
+  /** Runs a callback now, or once the process is no longer frozen. */
   perform(run: () => void): void;
+  /** Runs a callback after a delay, ms. */
   later(delay: number, run: () => void): void;
+  /** Carries out the steps that the request handling has queued. */
   obey(): void;
+  /** Opens a connection to a back end. */
   open(backEnd: string, hear: Hear): SimConnection;
 }
 
-/** One attempt of a request on its connection. */
+/** One attempt of a request, and its connection. */
 export interface Attempt {
   readonly line: SimConnection;
   readonly attempt: number;
+  /** The connection was an idle one. */
   readonly isReused: boolean;
+  /** The response headers have arrived. */
   hasHead: boolean;
   readonly backEnd: string;
+  /** The connection may be kept for reuse after a complete response. */
   readonly isKept: boolean;
 }
 
 type ConnectStep = Extract<ForwardStep, { do: 'connect' }>;
 
-/** A kept connection stands so soon, ms. */
-const KEPT_MS = 0.05;
+/** Delay until a reused connection reports that it is connected, ms. */
+const REUSE_DELAY_MS = 0.05;
 
-/** The connections of a simulated proxy to back ends: those that requests use, and idle ones that are kept. */
+/** A simulated proxy's connections to back ends: those in use by requests, and a pool of idle ones. */
 export class ProxyConnections {
   readonly #proxy: ConnectedProxy;
   readonly #attempts = new Map<number, Attempt>();
-  readonly #kept = new Map<string, SimConnection[]>();
+  readonly #idleConnections = new Map<string, SimConnection[]>();
 
   constructor(proxy: ConnectedProxy) {
     this.#proxy = proxy;
   }
 
-  /** The attempt of a request that is under way. */
+  /** Returns a request's current attempt. */
   get(id: number): Attempt | undefined {
     return this.#attempts.get(id);
   }
 
-  /** The process died. */
+  /** Closes all connections after the process was killed. */
   closeAll(): void {
     for (const attempt of this.#attempts.values()) attempt.line.close();
     this.#attempts.clear();
-    for (const lines of this.#kept.values()) for (const line of lines) line.close();
-    this.#kept.clear();
+    for (const lines of this.#idleConnections.values()) for (const line of lines) line.close();
+    this.#idleConnections.clear();
   }
 
+  /** Starts an attempt: closes the connection of the previous one, and reuses an idle connection where the row allows it. */
   connect(id: number, step: ConnectStep): void {
     const { runner, row } = step.verdict;
     this.release(id, false);
-    const kept = row.repeatable ? this.#kept.get(runner)?.pop() : undefined;
-    const hear = this.#hear(id, step.attempt);
-    const line = kept ?? this.#proxy.open(runner, hear);
+    const idleConnection = row.repeatable ? this.#idleConnections.get(runner)?.pop() : undefined;
+    const hear = this.#callbacks(id, step.attempt);
+    const line = idleConnection ?? this.#proxy.open(runner, hear);
     line.hear = hear;
     this.#attempts.set(id, {
       line,
       attempt: step.attempt,
-      isReused: kept !== undefined,
+      isReused: idleConnection !== undefined,
       hasHead: false,
       backEnd: runner,
       isKept: row.repeatable,
     });
-    if (kept) this.#proxy.later(KEPT_MS, hear.connected);
+    if (idleConnection) this.#proxy.later(REUSE_DELAY_MS, hear.connected);
   }
 
-  /** Its attempt is over; after a whole answer the connection may be kept. */
+  /** Ends a request's attempt; after a complete response the connection may be kept for reuse. */
   release(id: number, isWhole: boolean): void {
     const attempt = this.#attempts.get(id);
     if (!attempt) return;
@@ -84,25 +92,25 @@
       line.close();
       return;
     }
-    const lines = this.#kept.get(backEnd) ?? [];
-    this.#kept.set(backEnd, lines);
+    const lines = this.#idleConnections.get(backEnd) ?? [];
+    this.#idleConnections.set(backEnd, lines);
     lines.push(line);
-    // Idle, it is heard of only when the back end closes it.
-    const idle = () => this.#drop(backEnd, line);
-    line.hear = { connected: ignore, head: ignore, text: ignore, ended: idle, broke: idle };
+    // On an idle connection only its end matters: the back end has closed it.
+    const onClosed = () => this.#drop(backEnd, line);
+    line.hear = { connected: ignore, head: ignore, text: ignore, ended: onClosed, broke: onClosed };
   }
 
   #drop(backEnd: string, line: SimConnection): void {
-    const lines = this.#kept.get(backEnd) ?? [];
-    this.#kept.set(
+    const lines = this.#idleConnections.get(backEnd) ?? [];
+    this.#idleConnections.set(
       backEnd,
       lines.filter((other) => line !== other),
     );
     line.close();
   }
 
-  /** What comes in on a connection waits in its socket while the process is frozen. */
-  #hear(id: number, attempt: number): Hear {
+  /** Returns the callbacks of an attempt's connection; while the process is frozen, events wait as data in a socket does. */
+  #callbacks(id: number, attempt: number): Hear {
     return {
       connected: () => this.#connected(id, attempt),
       head: (isBegun, isBounded) => this.#head(id, attempt, isBegun, isBounded),
@@ -112,38 +120,38 @@
     };
   }
 
-  #hears(
+  #deferEvent(
     id: number,
     attempt: number,
     run: (requests: InFlightRequests, attempt: Attempt) => void,
   ): void {
     const requests = this.#proxy.inFlightRequests();
-    this.#proxy.perform(() => this.#heard(id, attempt, requests, run));
+    this.#proxy.perform(() => this.#handleEvent(id, attempt, requests, run));
   }
 
-  #heard(
+  #handleEvent(
     id: number,
-    number: number,
+    attemptNumber: number,
     requests: InFlightRequests | undefined,
     run: (requests: InFlightRequests, attempt: Attempt) => void,
   ): void {
     const attempt = this.#attempts.get(id);
-    if (attempt?.attempt !== number || !requests) return;
+    if (attempt?.attempt !== attemptNumber || !requests) return;
     run(requests, attempt);
     this.#proxy.obey();
   }
 
   #connected(id: number, attempt: number): void {
     const proxy = this.#proxy;
-    this.#hears(id, attempt, (requests: InFlightRequests) => {
+    this.#deferEvent(id, attempt, (requests: InFlightRequests) => {
       requests.onConnect(proxy.now(), id, attempt);
     });
   }
 
   #head(id: number, attempt: number, isBegun: boolean, isBounded: boolean): void {
     const proxy = this.#proxy;
-    this.#hears(id, attempt, (requests: InFlightRequests, heard: Attempt) => {
-      heard.hasHead = isBegun;
+    this.#deferEvent(id, attempt, (requests: InFlightRequests, current: Attempt) => {
+      current.hasHead = isBegun;
       requests.onHeaders(proxy.now(), id, attempt, {
         isStarted: isBegun,
         hasSelfDefinedLength: isBounded || proxy.wrong === 'unbounded-as-whole',
@@ -153,7 +161,7 @@
 
   #text(id: number, attempt: number, piece: string): void {
     const proxy = this.#proxy;
-    this.#hears(id, attempt, (requests: InFlightRequests) => {
+    this.#deferEvent(id, attempt, (requests: InFlightRequests) => {
       const client = proxy.clients.get(id);
       if (!client?.isReading) return;
       client.check.take(piece);
@@ -163,22 +171,22 @@
 
   #ended(id: number, attempt: number): void {
     const proxy = this.#proxy;
-    this.#hears(id, attempt, (requests: InFlightRequests) => {
-      // What its client has not read holds up the end as well.
+    this.#deferEvent(id, attempt, (requests: InFlightRequests) => {
+      // A client that does not read holds back the end of the response as well as its data.
       if (proxy.clients.get(id)?.isReading === true) requests.onComplete(proxy.now(), id, attempt);
     });
   }
 
   #broke(id: number, attempt: number): void {
     const proxy = this.#proxy;
-    this.#hears(id, attempt, (requests: InFlightRequests, heard: Attempt) => {
-      if (proxy.wrong === 'ends-made-up' && heard.hasHead)
+    this.#deferEvent(id, attempt, (requests: InFlightRequests, current: Attempt) => {
+      if (proxy.wrong === 'ends-made-up' && current.hasHead)
         requests.onComplete(proxy.now(), id, attempt);
-      else requests.onDisconnect(proxy.now(), id, attempt, heard.isReused && !heard.hasHead);
+      else requests.onDisconnect(proxy.now(), id, attempt, current.isReused && !current.hasHead);
     });
   }
 }
 
 function ignore(): void {
-  /* nothing is asked on an idle connection */
+  /* an idle connection has no request in flight */
 }
--- a/src/rehearsal/proxy-trace.ts
+++ b/src/rehearsal/proxy-trace.ts
@@ -3,8 +3,8 @@
 import type { TraceValue } from './run-trace.js';
 
 /**
- * What a proxy does, as a trace holds it: a word of the trace's own, then values in a fixed order. Where the code's
- * names change, only this mapping does; its words and the order of the values never change.
+ * Returns a proxy's step in the format of traces: a name that only traces use, then values in a fixed order. When the
+ * names in the code change, only this mapping follows; the names in traces and the order of the values never change.
  */
 export function stepValues(step: ForwardStep): readonly TraceValue[] {
   switch (step.do) {
@@ -25,6 +25,7 @@
   }
 }
 
+/** Returns a step of a proxy's connection probe in the format of traces. */
 export function probeValues(step: ConnectionProbeStep): readonly TraceValue[] {
   return step.do === 'open' ? ['open', step.id, step.address, step.generation] : ['close', step.id];
 }
