--- a/src/rehearsal/caller-traffic.ts
+++ b/src/rehearsal/caller-traffic.ts
@@ -2,15 +2,15 @@
 import type { Seeded } from './seeded.js';
 import type { Traffic } from './sim-clients.js';
 
-const MODELS = 8;
-/** How long it takes for the busiest model to change, ms. */
+const MODEL_COUNT = 8;
+/** Interval at which the busiest model changes, ms. */
 const SHIFT_MS = 8000;
-const LOOKUP_CHANCE = 0.3;
-const STREAM_CHANCE = 0.75;
-const ADAPTER_CHANCE = 0.5;
-const MOST_TOKENS = 12;
+const LOOKUP_PROBABILITY = 0.3;
+const STREAM_PROBABILITY = 0.75;
+const ADAPTER_PROBABILITY = 0.5;
+const MAX_TOKENS = 12;
 
-/** A lookup at a plain back end. */
+/** Returns a request for a plain back end. */
 export function lookup(): Traffic {
   return {
     type: 'lookup',
@@ -23,13 +23,13 @@
   };
 }
 
-/** What a caller asks for next; it shifts with time, so that places have to follow. */
+/** Draws a caller's next request; the popular models change with time, so that the placement has to follow. */
 export function drawTraffic(scheduler: Scheduler, seeded: Seeded): Traffic {
-  if (seeded.isLikely(LOOKUP_CHANCE)) return lookup();
+  if (seeded.isLikely(LOOKUP_PROBABILITY)) return lookup();
   const shift = Math.floor(scheduler.now / SHIFT_MS);
-  const model = `m-${(shift + Math.floor(3 * seeded.next() ** 2)) % MODELS}`;
-  const adapter = model === 'm-0' && seeded.isLikely(ADAPTER_CHANCE) ? 'm-0-a' : '';
-  const isStream = seeded.isLikely(STREAM_CHANCE);
+  const model = `m-${(shift + Math.floor(3 * seeded.next() ** 2)) % MODEL_COUNT}`;
+  const adapter = model === 'm-0' && seeded.isLikely(ADAPTER_PROBABILITY) ? 'm-0-a' : '';
+  const isStream = seeded.isLikely(STREAM_PROBABILITY);
   return {
     type: isStream ? 'check' : 'sum',
     method: 'POST',
@@ -37,6 +37,6 @@
     model,
     adapter,
     once: true,
-    tokens: 1 + seeded.below(MOST_TOKENS),
+    tokens: 1 + seeded.below(MAX_TOKENS),
   };
 }
--- a/src/rehearsal/seeded.ts
+++ b/src/rehearsal/seeded.ts
@@ -1,16 +1,16 @@
-/** Spreads neighbouring seeds, so that their runs begin well apart. */
-const SPREAD = 2654435761;
+/** Multiplier of seeds: neighboring seeds start far apart in the generator's sequence. */
+const SEED_MULTIPLIER = 2654435761;
 
-/** A seeded source of numbers: the same seed gives the same run. */
+/** A seeded pseudorandom number generator: the same seed gives the same sequence. */
 export class Seeded {
   #state: number;
 
-  /** A spread of 1 begins at the seed itself, as runs whose seeds were recorded so need. */
-  constructor(seed: number, spread = SPREAD) {
-    this.#state = (seed * spread) >>> 0;
+  /** A multiplier of 1 starts at the seed itself; runs whose seeds were recorded that way need it. */
+  constructor(seed: number, multiplier = SEED_MULTIPLIER) {
+    this.#state = (seed * multiplier) >>> 0;
   }
 
-  /** From 0 up to, not including, 1. */
+  /** Returns the next number from 0 (inclusive) to 1 (exclusive). */
   next(): number {
     this.#state = (this.#state + 0x6d2b79f5) >>> 0;
     let mixed = this.#state;
@@ -19,23 +19,27 @@
     return ((mixed ^ (mixed >>> 14)) >>> 0) / 4294967296;
   }
 
-  below(most: number): number {
-    return Math.floor(this.next() * most);
+  /** Returns an integer from 0 (inclusive) to `limit` (exclusive). */
+  below(limit: number): number {
+    return Math.floor(this.next() * limit);
   }
 
+  /** Returns a number from `low` (inclusive) to `high` (exclusive). */
   between(low: number, high: number): number {
     return low + this.next() * (high - low);
   }
 
-  isLikely(chance: number): boolean {
-    return this.next() < chance;
+  /** Returns true with the given probability (0 to 1). */
+  isLikely(probability: number): boolean {
+    return this.next() < probability;
   }
 
+  /** Returns a uniformly chosen item, or undefined if there are none. */
   pick<T>(items: readonly T[]): T | undefined {
     return items[this.below(items.length)];
   }
 
-  /** Of a few, the first most often: an item's share falls with its place. */
+  /** Returns an item with a bias towards the front: the probability of an item falls with its index. */
   pickSkewed<T>(items: readonly T[]): T | undefined {
     return items[Math.floor(items.length * this.next() ** 2)];
   }
--- a/src/rehearsal/stage.ts
+++ b/src/rehearsal/stage.ts
@@ -9,15 +9,18 @@
 import type { SimProxy } from './sim-proxy.js';
 import type { Condition } from './trouble-kinds.js';
 
-/** Runners with models, plain back ends and zones of every simulated fleet. */
+/** Ids of the runners, which serve models, of every simulated fleet. */
 export const RUNNERS = ['r0', 'r1', 'r2', 'r3'] as const;
+/** Ids of the plain back ends, which serve no models. */
 export const PLAIN = ['k0', 'k1', 'k2'] as const;
+/** Zones of every simulated fleet. */
 export const ZONES = ['a', 'b', 'c'] as const;
-/** Room of a runner, and loads that the weight store allows at once, where no trouble changes them. */
+/** Capacity of a runner, in the unit of model sizes, unless a fault changes it. */
 export const RUNNER_ROOM = 35;
+/** Concurrent loads that the weight store allows, unless a fault changes the number. */
 export const LOADS_AT_ONCE = 2;
 
-/** A simulated fleet, as troubles meet it. */
+/** The view of a simulated fleet that fault injection works on. */
 export interface Stage {
   readonly scheduler: Scheduler;
   readonly seeded: Seeded;
@@ -28,10 +31,11 @@
   readonly agents: readonly SimAgent[];
   readonly proxies: readonly SimProxy[];
   readonly findings: RunFindings;
+  /** Tells whether a condition holds at present, so that faults can be counted by condition. */
   readonly holds: (condition: Condition) => boolean;
 }
 
-/** What one trouble may strike, as drawn, and for how long. */
+/** The randomly chosen targets of one fault and its duration; each fault uses those that apply to it. */
 export interface Strike {
   readonly spanMs: number;
   readonly controlNode: SimControl;
@@ -40,44 +44,44 @@
   readonly proxy: SimProxy;
   readonly runner: string;
   readonly plain: string;
-  /** The runner or the plain back end. */
+  /** Either the runner or the plain back end. */
   readonly backEnd: string;
 }
 
-/** A kill or a cut, for all families of troubles. */
+/** Kills, restarts and network cuts that all families of faults share. */
 export class StageHands {
-  readonly #stage: Stage;
+  readonly #fleet: Stage;
 
-  constructor(stage: Stage) {
-    this.#stage = stage;
+  constructor(fleet: Stage) {
+    this.#fleet = fleet;
   }
 
-  /** Cuts lines from each to each, and heals them after the span. */
-  cut(from: readonly string[], to: readonly string[], isBoth: boolean, spanMs: number): void {
-    const { scheduler, network } = this.#stage;
+  /** Cuts the network from each node of `from` to each of `to` (and back, if `isBidirectional`), and heals it after the span. */
+  cut(from: readonly string[], to: readonly string[], isBidirectional: boolean, spanMs: number): void {
+    const { scheduler, network } = this.#fleet;
     for (const a of from) {
       for (const b of to) {
         if (a === b) continue;
         network.cut(a, b);
         scheduler.after(spanMs, () => network.heal(a, b));
-        if (!isBoth) continue;
+        if (!isBidirectional) continue;
         network.cut(b, a);
         scheduler.after(spanMs, () => network.heal(b, a));
       }
     }
   }
 
-  /** Everybody and every back end but one. */
+  /** Returns the ids of all nodes and back ends except one. */
   allBut(id: string): string[] {
     const ids: string[] = [];
-    for (const each of [...this.#stage.nodes.keys(), ...RUNNERS, ...PLAIN])
-      if (each !== id) ids.push(each);
+    for (const otherId of [...this.#fleet.nodes.keys(), ...RUNNERS, ...PLAIN])
+      if (otherId !== id) ids.push(otherId);
     return ids;
   }
 
-  /** A killed process's lines are reset at once, where they are not cut. */
+  /** Kills a control node or an agent; peers see its connections reset after a network delay, unless the network is cut. */
   kill(node: SimControl | SimAgent): void {
-    const { scheduler, network, nodes } = this.#stage;
+    const { scheduler, network, nodes } = this.#fleet;
     if (!node.isUp) return;
     node.kill();
     for (const [id, other] of nodes) {
@@ -86,26 +90,29 @@
     }
   }
 
+  /** Kills a proxy; its agent sees the connection closed after 1 ms. */
   killProxy(proxy: SimProxy): void {
     if (!proxy.isUp) return;
     proxy.kill();
-    for (const agent of this.#stage.agents)
+    for (const agent of this.#fleet.agents)
       if (agent.proxies.has(proxy.id))
-        this.#stage.scheduler.after(1, () => agent.perform(() => agent.gone(proxy.id)));
+        this.#fleet.scheduler.after(1, () => agent.perform(() => agent.gone(proxy.id)));
   }
 
-  /** Kills a control node or an agent, and starts it again after the span. */
+  /** Kills a control node or an agent and starts it again after the span. */
   restart(node: SimControl | SimAgent, spanMs: number): void {
     this.kill(node);
-    this.#stage.scheduler.after(spanMs, () => node.start());
+    this.#fleet.scheduler.after(spanMs, () => node.start());
   }
 
+  /** Kills a proxy and starts it again after the span. */
   restartProxy(proxy: SimProxy, spanMs: number): void {
     this.killProxy(proxy);
-    this.#stage.scheduler.after(spanMs, () => proxy.start());
+    this.#fleet.scheduler.after(spanMs, () => proxy.start());
   }
 }
 
+/** Returns the id of a node, as a callback for `map`. */
 export function idOf(node: SimNode): string {
   return node.id;
 }
--- a/src/rehearsal/tally.ts
+++ b/src/rehearsal/tally.ts
@@ -4,42 +4,49 @@
 import type { Observable } from 'rxjs';
 
 const CountShape = type({ messages: number(), bytes: number() });
+/** Schema of `TallyFigures`. */
 export const TallyShape = type({
   sent: record(string(), CountShape),
   received: record(string(), CountShape),
 });
+/** Messages sent and received, by message kind. */
 export type TallyFigures = Infer<typeof TallyShape>;
+/** A number of messages and their total size in bytes. */
 export interface Count {
   messages: number;
   bytes: number;
 }
 
 const LENGTH_BYTES = 4;
-const NEWS_HEAD = new Map<string, number>();
+/** Size of an update's frame with an empty body, in bytes, by topic. */
+const UPDATE_HEAD_BYTES = new Map<string, number>();
 
-/** What a message takes on a line, its length field with it; hellos and empty frames are not counted. */
+/** Returns the bytes that a message takes on a connection, including its length field; excludes hellos and empty frames. */
 export function frameBytes(message: Message): number {
-  // News are large and come to many: their size is worked out from one with an empty body. Bodies are plain ASCII here.
+  // Updates are large and sent to many nodes, so their size is computed from one with an empty body. Bodies are ASCII here.
   if (message.kind !== 'update' || message.body.length < 256)
     return LENGTH_BYTES + encodeMessage(message).length;
-  let head = NEWS_HEAD.get(message.topic);
-  if (head === undefined) {
-    head = LENGTH_BYTES + encodeMessage({ ...message, body: '' }).length;
-    NEWS_HEAD.set(message.topic, head);
+  let headBytes = UPDATE_HEAD_BYTES.get(message.topic);
+  if (headBytes === undefined) {
+    headBytes = LENGTH_BYTES + encodeMessage({ ...message, body: '' }).length;
+    UPDATE_HEAD_BYTES.set(message.topic, headBytes);
   }
-  // The length of a text is written in groups of seven bits; an empty one has one group already.
-  return head + message.body.length + Math.floor(Math.log2(message.body.length) / 7);
+  // The length of a string is a varint of seven bits a byte; the length of an empty string already takes one byte.
+  return headBytes + message.body.length + Math.floor(Math.log2(message.body.length) / 7);
 }
 
-/** Messages and bytes by kind, and the time the counting itself took. */
+/** Counts messages and bytes by message kind, those of updates and deltas by topic as well. */
 export class Tally {
   readonly #sent = new Map<string, Count>();
   readonly #received = new Map<string, Count>();
+  /** Time spent on the counting itself, ms. */
   countingMs = 0;
 
+  /** Counts a message that was sent. */
   sent(message: Message): void {
     this.#add(this.#sent, message);
   }
+  /** Counts a message that was received. */
   received(message: Message): void {
     this.#add(this.#received, message);
   }
@@ -57,12 +64,13 @@
     this.countingMs += performance.now() - start;
   }
 
+  /** Returns a copy of the counts so far. */
   figures(): TallyFigures {
     return { sent: Object.fromEntries(this.#sent), received: Object.fromEntries(this.#received) };
   }
 }
 
-/** An exchange whose messages are counted as they go and come. */
+/** Wraps an exchange and counts the messages that it sends and receives. */
 export class CountedExchange {
   readonly #exchange: Exchange;
   readonly #tally: Tally;
@@ -72,34 +80,41 @@
     this.#tally = tally;
   }
 
+  /** Messages received, not yet counted. */
   get incoming$(): Observable<Incoming> {
     return this.#exchange.incoming$;
   }
+  /** Ids of peers whose connection ended. */
   get disconnected$(): Observable<string> {
     return this.#exchange.disconnected$;
   }
 
-  /** Called by whoever takes what came in, once for each message. */
+  /** Counts a received message; the subscriber of `incoming$` calls it once for each message. */
   took(message: Message): void {
     this.#tally.received(message);
   }
 
+  /** Counts a message and sends it. */
   send(to: string, message: Message): void {
     this.#tally.sent(message);
     this.#exchange.send(to, message);
   }
 
+  /** Opens a connection to a peer. */
   dial(id: string): void {
     this.#exchange.dial(id);
   }
+  /** Starts to listen; resolves with the port. */
   open(): Promise<number> {
     return this.#exchange.open();
   }
+  /** Closes the exchange and its connections. */
   close(): void {
     this.#exchange.close();
   }
 }
 
+/** Returns the sum over all message kinds. */
 export function total(counts: Readonly<Record<string, Count>>): Count {
   const sum = { messages: 0, bytes: 0 };
   for (const { messages, bytes } of Object.values(counts)) {
@@ -109,20 +124,23 @@
   return sum;
 }
 
-function less(
+function subtract(
   after: Readonly<Record<string, Count>>,
   before: Readonly<Record<string, Count>>,
 ): Record<string, Count> {
-  const left: Record<string, Count> = {};
+  const remaining: Record<string, Count> = {};
   for (const [kind, { messages, bytes }] of Object.entries(after)) {
-    const was = before[kind] ?? { messages: 0, bytes: 0 };
-    if (messages > was.messages)
-      left[kind] = { messages: messages - was.messages, bytes: bytes - was.bytes };
+    const previous = before[kind] ?? { messages: 0, bytes: 0 };
+    if (messages > previous.messages)
+      remaining[kind] = { messages: messages - previous.messages, bytes: bytes - previous.bytes };
   }
-  return left;
+  return remaining;
 }
 
-/** What was counted between two readings. */
+/** Returns what was counted between two readings, without kinds of which no more messages were counted. */
 export function difference(after: TallyFigures, before: TallyFigures): TallyFigures {
-  return { sent: less(after.sent, before.sent), received: less(after.received, before.received) };
+  return {
+    sent: subtract(after.sent, before.sent),
+    received: subtract(after.received, before.received),
+  };
 }
