--- a/src/rehearsal/callers.ts
+++ b/src/rehearsal/callers.ts
@@ -9,37 +9,38 @@
 
 const OutcomeShape = type({ outcome: string() });
 
-/** Sends a deployment's mix of traffic to its proxies and records what came back. */
+/** Generates a deployment's mix of traffic, sends it to the proxies and records the responses. */
 export class Callers {
-  readonly #flows: readonly string[];
+  readonly #proxies: readonly string[];
   readonly #seeded: Seeded;
   readonly #agent = new Agent({ keepAlive: true, maxSockets: 2000 });
   readonly #records: CallerRecord[] = [];
-  readonly #ticks: NodeJS.Timeout[] = [];
-  #count = 0;
-  #running = 0;
+  readonly #timers: NodeJS.Timeout[] = [];
+  #sentCount = 0;
+  #inFlightCount = 0;
   #onIdle: (() => void) | undefined;
 
-  constructor(flows: readonly string[], seed: number) {
-    this.#flows = flows;
+  constructor(proxies: readonly string[], seed: number) {
+    this.#proxies = proxies;
     this.#seeded = new Seeded(seed);
   }
 
+  /** One record for each finished request, in the order in which they finished. */
   get records(): readonly CallerRecord[] {
     return this.#records;
   }
 
-  /** Begins a kind of traffic at its rate; the gaps between requests vary as callers' do. */
+  /** Starts to send a kind of traffic at its rate times `factor`, with exponentially distributed gaps between requests. */
   begin(kind: TrafficKind, factor = 1): void {
     const self = {
       send: (kind: TrafficKind, model?: string, flow?: string) => this.send(kind, model, flow),
       seeded: this.#seeded,
-      ticks: this.#ticks,
+      timers: this.#timers,
     };
     function next(): void {
-      const gap = (-Math.log(1 - self.seeded.next()) * 1000) / (kind.perSecond * factor);
-      const tick = setTimeout(fire, gap);
-      self.ticks.push(tick);
+      const gapMs = (-Math.log(1 - self.seeded.next()) * 1000) / (kind.perSecond * factor);
+      const timer = setTimeout(fire, gapMs);
+      self.timers.push(timer);
     }
     function fire(): void {
       void self.send(kind);
@@ -48,10 +49,10 @@
     next();
   }
 
-  /** Stops sending and waits for what is under way. */
+  /** Stops sending and waits until no request is in flight. */
   async end(): Promise<void> {
-    for (const tick of this.#ticks) clearTimeout(tick);
-    if (this.#running > 0) await new Promise<void>((done) => this.#setIdle(done));
+    for (const timer of this.#timers) clearTimeout(timer);
+    if (this.#inFlightCount > 0) await new Promise<void>((done) => this.#setIdle(done));
     this.#agent.destroy();
   }
 
@@ -59,36 +60,41 @@
     this.#onIdle = done;
   }
 
+  /**
+   * Sends one request and resolves with its record. The model and the proxy are chosen at random unless given; a
+   * failed request is recorded as well.
+   */
   async send(kind: TrafficKind, model?: string, flow?: string): Promise<CallerRecord> {
-    this.#count += 1;
-    this.#running += 1;
-    const id = `${kind.type}-${this.#count}`;
-    const address = flow ?? this.#seeded.pick(this.#flows) ?? '';
-    const named = model ?? this.#seeded.pickSkewed(kind.models) ?? '';
+    this.#sentCount += 1;
+    this.#inFlightCount += 1;
+    const id = `${kind.type}-${this.#sentCount}`;
+    const address = flow ?? this.#seeded.pick(this.#proxies) ?? '';
+    const chosenModel = model ?? this.#seeded.pickSkewed(kind.models) ?? '';
     const hasAdapter =
       this.#seeded.isLikely(0.3) &&
       kind.models.length > 0 &&
-      !named.startsWith('rare') &&
-      !named.startsWith('seldom');
-    const adapter = hasAdapter ? `${named}-a0` : '';
+      !chosenModel.startsWith('rare') &&
+      !chosenModel.startsWith('seldom');
+    const adapter = hasAdapter ? `${chosenModel}-a0` : '';
     const parts: string[] = [];
     const group = this.#seeded.below(4);
-    for (let index = 0; index < kind.parts; index += 1) parts.push(`${named}-${group}-${index}`);
+    for (let index = 0; index < kind.parts; index += 1)
+      parts.push(`${chosenModel}-${group}-${index}`);
     const body =
       kind.models.length === 0
         ? ''
         : JSON.stringify({
-            model: named,
+            model: chosenModel,
             adapter,
             parts,
             tokens: kind.tokens,
             stream: kind.stream,
           });
-    const path = kind.models.length === 0 ? `${kind.path}/${this.#count}` : kind.path;
-    const record = await this.#call(kind, id, named, address, path, body);
+    const path = kind.models.length === 0 ? `${kind.path}/${this.#sentCount}` : kind.path;
+    const record = await this.#call(kind, id, chosenModel, address, path, body);
     this.#records.push(record);
-    this.#running -= 1;
-    if (this.#running === 0) this.#onIdle?.();
+    this.#inFlightCount -= 1;
+    if (this.#inFlightCount === 0) this.#onIdle?.();
     return record;
   }
 
@@ -123,14 +129,14 @@
         : { 'content-type': 'application/json', 'content-length': Buffer.byteLength(body) }),
     };
     const agent = this.#agent;
-    return new Promise((done: (record: CallerRecord) => void) => {
-      let isOver = false;
-      function end(part: Partial<CallerRecord> & { status: number; outcome: string }): void {
-        if (isOver) return;
-        isOver = true;
-        done({ ...base, endedAt: Date.now(), ...part });
+    return new Promise((resolve: (record: CallerRecord) => void) => {
+      let isFinished = false;
+      function finish(result: Partial<CallerRecord> & { status: number; outcome: string }): void {
+        if (isFinished) return;
+        isFinished = true;
+        resolve({ ...base, endedAt: Date.now(), ...result });
       }
-      const sent = request({
+      const clientRequest = request({
         host,
         port,
         method: kind.method,
@@ -139,27 +145,27 @@
         agent,
         timeout: 120_000,
       });
-      sent.once('response', (returned: IncomingMessage) => {
-        const status = returned.statusCode ?? 0;
-        const table = Number(returned.headers['x-table'] ?? -1);
+      clientRequest.once('response', (response: IncomingMessage) => {
+        const status = response.statusCode ?? 0;
+        const table = Number(response.headers['x-table'] ?? -1);
         const check = new LineCheck(id);
         let text = '';
-        returned.setEncoding('utf8');
-        function cut(): void {
-          end({ status, outcome: 'broken', run: check.run, table });
+        response.setEncoding('utf8');
+        function abort(): void {
+          finish({ status, outcome: 'broken', run: check.run, table });
         }
-        returned.on('data', (chunk: string) => {
+        response.on('data', (chunk: string) => {
           if (status === 200) check.take(chunk);
           else text += chunk;
         });
-        returned.once('end', () => {
-          if (!returned.complete) {
-            cut();
+        response.once('end', () => {
+          if (!response.complete) {
+            abort();
             return;
           }
           if (status === 200) {
             check.end();
-            end({
+            finish({
               status,
               outcome: 'done',
               run: check.run,
@@ -169,26 +175,27 @@
             });
           } else {
             const outcome = parseAs(OutcomeShape, text)?.outcome ?? 'other';
-            end({
+            finish({
               status,
               outcome,
               isWhole: true,
-              retryAfter: Number(returned.headers['retry-after'] ?? 0),
+              retryAfter: Number(response.headers['retry-after'] ?? 0),
               table,
             });
           }
         });
-        returned.once('error', cut);
-        returned.once('close', cut);
+        response.once('error', abort);
+        response.once('close', abort);
       });
-      sent.once('error', () => {
-        end({ status: 0, outcome: 'unreached' });
+      clientRequest.once('error', () => {
+        finish({ status: 0, outcome: 'unreached' });
       });
-      sent.end(body === '' ? undefined : body);
+      clientRequest.end(body === '' ? undefined : body);
     });
   }
 }
 
+/** Requests of one type, counted by outcome. */
 export interface Summary {
   readonly type: string;
   readonly sent: number;
@@ -200,10 +207,11 @@
   readonly other: number;
 }
 
+/** Counts the outcomes of requests by request type. */
 export function summarise(records: readonly CallerRecord[]): Summary[] {
   const byType = new Map<string, Summary>();
   for (const record of records) {
-    const known = byType.get(record.type) ?? {
+    const summary = byType.get(record.type) ?? {
       type: record.type,
       sent: 0,
       done: 0,
@@ -223,7 +231,7 @@
           unreached: 'unreached',
         } as const
       )[record.outcome] ?? 'other';
-    byType.set(record.type, { ...known, sent: known.sent + 1, [key]: known[key] + 1 });
+    byType.set(record.type, { ...summary, sent: summary.sent + 1, [key]: summary[key] + 1 });
   }
   return [...byType.values()];
 }
--- a/src/rehearsal/deployment.test.ts
+++ b/src/rehearsal/deployment.test.ts
@@ -1,7 +1,7 @@
 import { expect, test } from 'vitest';
 import { compile } from '../policy/language.js';
 import { DAKAR, HAMLET, SOFIA } from './deployment.js';
-test("the deployments have the brief's sizes and sound tables", () => {
+test('the deployments have the specified sizes and their policy tables compile without faults', () => {
   const [dakar, sofia] = [DAKAR, SOFIA];
   expect([
     dakar.edges,
--- a/src/rehearsal/deployment.ts
+++ b/src/rehearsal/deployment.ts
@@ -1,33 +1,41 @@
 import type { Catalog } from '../placement/shapes.js';
 
+/** One type of request that callers send, and its rate. */
 export interface TrafficKind {
   readonly type: string;
   readonly method: string;
   readonly path: string;
-  /** Requests a second over the whole fleet. */
+  /** Requests per second over the whole fleet. */
   readonly perSecond: number;
+  /** Models that requests name; empty for requests to plain back ends. */
   readonly models: readonly string[];
   readonly stream: boolean;
+  /** The request must not run twice. */
   readonly once: boolean;
   readonly tokens: number;
-  /** How many shared prompt parts a request names. */
+  /** Number of shared prompt parts that a request names. */
   readonly parts: number;
 }
 
+/** A model runner of a deployment. */
 export interface RunnerSpec {
   readonly id: string;
   readonly zone: string;
+  /** Capacity for models, in the unit of model sizes. */
   readonly room: number;
+  /** Requests that it runs concurrently. */
   readonly slots: number;
 }
+/** A plain back end, which serves no models, of a deployment. */
 export interface PlainSpec {
   readonly id: string;
   readonly zone: string;
   readonly service: string;
+  /** Processing time of a request, ms. */
   readonly workMs: number;
 }
 
-/** One of the brief's deployments, in numbers. */
+/** The size, catalog, policy table and traffic of a deployment. */
 export interface Deployment {
   readonly name: string;
   readonly zones: readonly string[];
@@ -40,6 +48,7 @@
   readonly traffic: readonly TrafficKind[];
 }
 
+/** Models of the same size, and the number of adapters spread over them. */
 interface Family {
   readonly name: string;
   readonly count: number;
@@ -47,7 +56,7 @@
   readonly adapters: number;
 }
 
-function names(family: Family): string[] {
+function modelNames(family: Family): string[] {
   const list: string[] = [];
   for (let index = 0; index < family.count; index += 1)
     list.push(`${family.name}-${String(index).padStart(2, '0')}`);
@@ -58,7 +67,7 @@
   const models: Catalog['models'] = [];
   const adapters: Catalog['adapters'] = [];
   for (const family of families) {
-    const list = names(family);
+    const list = modelNames(family);
     for (const name of list) models.push({ name, size: family.size });
     for (let index = 0; index < family.adapters; index += 1) {
       const model = list[index % list.length] ?? '';
@@ -104,6 +113,7 @@
 const LEDGER: Family = { name: 'ledger', count: 6, size: 20, adapters: 4 };
 const RARE: Family = { name: 'rare', count: 8, size: 12, adapters: 0 };
 
+/** Tills, customs checks, ledgers and kiosk lookups. */
 export const DAKAR: Deployment = {
   name: 'dakar',
   zones: ZONES,
@@ -130,7 +140,7 @@
       method: 'POST',
       path: '/v1/checks',
       perSecond: 12,
-      models: names(RECEIPT),
+      models: modelNames(RECEIPT),
       stream: true,
       once: true,
       tokens: 20,
@@ -141,7 +151,7 @@
       method: 'POST',
       path: '/v1/verdicts',
       perSecond: 2,
-      models: names(CUSTOMS),
+      models: modelNames(CUSTOMS),
       stream: true,
       once: true,
       tokens: 12,
@@ -152,7 +162,7 @@
       method: 'POST',
       path: '/v1/ledgers',
       perSecond: 0.3,
-      models: names(LEDGER),
+      models: modelNames(LEDGER),
       stream: false,
       once: true,
       tokens: 40,
@@ -177,6 +187,7 @@
 const SUMMARY: Family = { name: 'summary', count: 4, size: 24, adapters: 8 };
 const SELDOM: Family = { name: 'seldom', count: 8, size: 12, adapters: 0 };
 
+/** Live and slow moderation, summaries and ranking pages. */
 export const SOFIA: Deployment = {
   name: 'sofia',
   zones: ZONES,
@@ -203,7 +214,7 @@
       method: 'POST',
       path: '/v1/notes/live',
       perSecond: 10,
-      models: names(LIVE),
+      models: modelNames(LIVE),
       stream: true,
       once: true,
       tokens: 20,
@@ -214,7 +225,7 @@
       method: 'POST',
       path: '/v1/notes/slow',
       perSecond: 1,
-      models: names(NOTE),
+      models: modelNames(NOTE),
       stream: true,
       once: true,
       tokens: 20,
@@ -225,7 +236,7 @@
       method: 'POST',
       path: '/v1/summaries',
       perSecond: 0.3,
-      models: names(SUMMARY),
+      models: modelNames(SUMMARY),
       stream: false,
       once: true,
       tokens: 40,
@@ -245,7 +256,7 @@
   ],
 };
 
-/** Small enough for a test: everything once or twice. */
+/** A deployment small enough for a test. */
 export const HAMLET: Deployment = {
   name: 'hamlet',
   zones: ZONES,
@@ -293,6 +304,7 @@
   ],
 };
 
+/** All deployments by name. */
 export const DEPLOYMENTS: Readonly<Record<string, Deployment>> = {
   dakar: DAKAR,
   sofia: SOFIA,
