--- a/src/rehearsal/fleet-command.ts
+++ b/src/rehearsal/fleet-command.ts
@@ -8,9 +8,10 @@
 import { Fleet, type ProgramOf } from './fleet.js';
 import { Rehearsal } from './rehearsal.js';
 
-/** How often it is asked who leads. */
-const LEADER_WATCH_MS = 500;
+/** Interval at which the current leader is polled, ms. */
+const LEADER_POLL_MS = 500;
 
+/** The command `rehearsal fleet`: runs a deployment with traffic, optionally with failures, and checks its records. */
 export class FleetCommand extends Command {
   static override aliases = ['myth:fleet'];
   static override deprecateAliases = true;
@@ -48,8 +49,8 @@
     const say = this.log.bind(this);
     let isGood = false;
     const leaders = new Set<string>();
-    let watch: NodeJS.Timeout | undefined;
-    // Ended from outside, it leaves no process behind.
+    let leaderPoll: NodeJS.Timeout | undefined;
+    // A signal to this process must not leave the deployment's processes behind.
     async function stopAll(): Promise<void> {
       await fleet.stop();
       process.exit(1);
@@ -59,10 +60,10 @@
     try {
       const rehearsal = new Rehearsal(fleet, say);
       await rehearsal.begin();
-      watch = setInterval(() => {
+      leaderPoll = setInterval(() => {
         void rehearsal.leaderName().then((name) => leaders.add(name));
-      }, LEADER_WATCH_MS);
-      const callers = new Callers(fleet.edges.map(flowOf), flags.seed);
+      }, LEADER_POLL_MS);
+      const callers = new Callers(fleet.edges.map(proxyAddressOf), flags.seed);
       isGood = await rehearsal.run(callers, {
         seconds: flags.seconds,
         factor: flags.factor,
@@ -74,7 +75,7 @@
     } catch (thrown) {
       this.log(`rehearsal ended early: ${reasonOf(thrown)}`);
     } finally {
-      clearInterval(watch);
+      clearInterval(leaderPoll);
       for (const name of leaders)
         this.log(`${name} led, of ${programOf(name) === undefined ? 'this' : 'the other'} build`);
       await fleet.stop();
@@ -86,8 +87,8 @@
 }
 
 /**
- * Every other control node, agent and proxy runs the other build, if there is one; an agent never the same as the proxy
- * beside it.
+ * Lets every second control node, agent and proxy run the other build, if there is one. An agent and the proxy beside it
+ * run different builds.
  */
 function mixedPrograms(otherBuild: string | undefined): ProgramOf {
   return (name) => {
@@ -98,6 +99,6 @@
   };
 }
 
-function flowOf(edge: { readonly flow: string }): string {
+function proxyAddressOf(edge: { readonly flow: string }): string {
   return edge.flow;
 }
--- a/src/rehearsal/fleet.test.ts
+++ b/src/rehearsal/fleet.test.ts
@@ -8,40 +8,40 @@
 import { tmpdir } from 'node:os';
 import { join } from 'node:path';
 
-function say(): void {
-  /* the test says it all */
+function ignore(): void {
+  /* the test needs no progress messages */
 }
-interface Ran {
+interface CommandResult {
   readonly code: number;
   readonly text: string;
 }
-async function word(root: string, args: readonly string[]): Promise<Ran> {
-  const path = join(root, 'word.out');
+async function runCommand(root: string, args: readonly string[]): Promise<CommandResult> {
+  const path = join(root, 'command.out');
   const out = openSync(path, 'w');
   const child = spawn(process.execPath, [PROGRAM, ...args], { stdio: ['ignore', out, out] });
-  const code = await new Promise((done: (code: number) => void) => {
+  const code = await new Promise((resolve: (code: number) => void) => {
     child.once('exit', (code: number | null) => {
-      done(code ?? -1);
+      resolve(code ?? -1);
     });
   });
   return { code, text: readFileSync(path, 'utf8') };
 }
-function flowOf(edge: EdgePlace): string {
+function proxyAddressOf(edge: EdgePlace): string {
   return edge.flow;
 }
-function apiFlag(controlNode: ControlPlace): string[] {
+function apiFlags(controlNode: ControlPlace): string[] {
   return ['--api', controlNode.api];
 }
-test('separate processes find one another, take a table, serve a stream, and a cell moves places', async () => {
+test('separate processes connect, apply a policy table and serve a stream, and an edited table cell changes the placement', async () => {
   const root = mkdtempSync(join(tmpdir(), 'hamlet-'));
   const fleet = new Fleet(HAMLET, root);
   try {
-    const rehearsal = new Rehearsal(fleet, say);
+    const rehearsal = new Rehearsal(fleet, ignore);
     await rehearsal.begin();
-    const callers = new Callers(fleet.edges.map(flowOf), 1);
+    const callers = new Callers(fleet.edges.map(proxyAddressOf), 1);
     const [check] = HAMLET.traffic;
     if (!check) throw new Error('no traffic');
-    // A streamed request is served whole; tries until a place is ready, as a client told to come back would.
+    // A streamed request is served to its end; it is retried until the model is loaded, as a client with Retry-After does.
     await fleet.until(
       'a streamed request served',
       30_000,
@@ -49,45 +49,49 @@
         check !== undefined &&
         (await callers.send({ ...check, models: ['receipt-00'] })).outcome === 'done',
     );
-    const api = fleet.controlNodes.flatMap(apiFlag);
+    const api = fleet.controlNodes.flatMap(apiFlags);
     expect(
-      await word(root, ['operator', 'set', 'check/receipt-*', 'weight', '99', ...api]),
+      await runCommand(root, ['operator', 'set', 'check/receipt-*', 'weight', '99', ...api]),
     ).toMatchObject({ code: 0 });
-    expect((await word(root, ['operator', 'table', ...api])).text).toContain(
+    expect((await runCommand(root, ['operator', 'table', ...api])).text).toContain(
       'row check receipt-* weight 99',
     );
     expect(
-      await word(root, ['operator', 'set', 'check/receipt-*', 'weight', '0', ...api]),
+      await runCommand(root, ['operator', 'set', 'check/receipt-*', 'weight', '0', ...api]),
     ).toMatchObject({ code: 1 });
-    // One cell decides which rare models are wanted: the others lose their seats within seconds.
+    // One cell of the table selects which rare models are in use; the others are unloaded within seconds.
     await fleet.until('rare models placed', 60_000, async (): Promise<boolean> =>
-      / {2}rare-0[1-3] runner/.test((await word(root, ['operator', 'status', ...api])).text),
+      / {2}rare-0[1-3] runner/.test((await runCommand(root, ['operator', 'status', ...api])).text),
     );
     expect(
-      await word(root, ['operator', 'set', 'check/rare-*', 'model', 'rare-00', ...api]),
+      await runCommand(root, ['operator', 'set', 'check/rare-*', 'model', 'rare-00', ...api]),
     ).toMatchObject({ code: 0 });
     await fleet.until(
-      'the other rare models lose their seats',
+      'the other rare models are unloaded',
       15_000,
       async (): Promise<boolean> =>
-        !/ {2}rare-0[1-3] runner/.test((await word(root, ['operator', 'status', ...api])).text),
+        !/ {2}rare-0[1-3] runner/.test(
+          (await runCommand(root, ['operator', 'status', ...api])).text,
+        ),
     );
-    // The spreadsheet's other half: the placement is followed until it has settled, and each row stands beside its places.
-    const watched = await word(root, ['operator', 'table', '--watch', ...api]);
+    // --watch follows the placement until it has settled, and --live prints each row together with its placements.
+    const watched = await runCommand(root, ['operator', 'table', '--watch', ...api]);
     expect(watched).toMatchObject({ code: 0 });
     expect(watched.text).toContain('settled');
-    expect((await word(root, ['operator', 'table', '--live', ...api])).text).toMatch(
+    expect((await runCommand(root, ['operator', 'table', '--live', ...api])).text).toMatch(
       /check\/receipt-\* {2}weight 99[^\n]*\n {2}receipt-0\d {2}runner-\d+ \(\w+\) \/ runner-\d+/,
     );
     expect(
-      await word(root, ['operator', 'rows', '--remove', 'check/rare-00', ...api]),
+      await runCommand(root, ['operator', 'rows', '--remove', 'check/rare-00', ...api]),
     ).toMatchObject({
       code: 0,
     });
-    expect((await word(root, ['operator', 'status', ...api])).text).toMatch(
+    expect((await runCommand(root, ['operator', 'status', ...api])).text).toMatch(
       /receipt-00 runner-\d+ \/ runner-\d+/,
     );
-    expect(await word(root, ['control', '--listen', 'nowhere:1', '--zone', 'A'])).toMatchObject({
+    expect(
+      await runCommand(root, ['control', '--listen', 'nowhere:1', '--zone', 'A']),
+    ).toMatchObject({
       code: 2,
     });
     await callers.end();
--- a/src/rehearsal/fleet.ts
+++ b/src/rehearsal/fleet.ts
@@ -11,13 +11,16 @@
 import type { Deployment } from './deployment.js';
 import type { Machine } from '../placement/shapes.js';
 
+/** A process of the deployment: its arguments, and the running child process, if any. */
 interface Program {
   readonly name: string;
   readonly args: readonly string[];
   process: ChildProcess | undefined;
-  hasExited: Promise<number> | undefined;
+  /** Resolves with the exit code of the process that was started last. */
+  exitCode: Promise<number> | undefined;
 }
 
+/** Addresses, data folder and zone of a control node. */
 export interface ControlPlace {
   readonly name: string;
   readonly listen: string;
@@ -25,44 +28,50 @@
   readonly data: string;
   readonly zone: string;
 }
+/** Addresses and zone of an edge, which is an agent and the proxy beside it. */
 export interface EdgePlace {
   readonly name: string;
+  /** Where the agent listens for nodes. */
   readonly listen: string;
+  /** Where the agent listens for its proxy. */
   readonly feed: string;
+  /** Where the proxy listens for callers. */
   readonly flow: string;
   readonly flowStatus: string;
   readonly linkStatus: string;
   readonly zone: string;
 }
 
-/** Says which build's program a process runs; the present build's where it says nothing. */
+/** Returns the path of the program that a process runs, or undefined for this build's program. */
 export type ProgramOf = (name: string) => string | undefined;
 
+/** Path of this build's program. */
 export const PROGRAM = fileURLToPath(new URL('../../bin/run.js', import.meta.url));
 
 /**
- * A loopback number of this rehearsal's own. On the common one, a port found free may be taken by some
- * outgoing connection before the process that it is meant for has started.
+ * A loopback address that only this rehearsal uses. On 127.0.0.1, an outgoing connection of another process may take a
+ * port that was found free before the process that it is meant for has started.
  */
-const HOST = `127.${64 + (process.pid % 64)}.${(process.pid >> 6) % 250}.${1 + ((process.pid >> 14) % 250)}`;
+const LOOPBACK_HOST = `127.${64 + (process.pid % 64)}.${(process.pid >> 6) % 250}.${1 + ((process.pid >> 14) % 250)}`;
 
+/** Returns addresses whose ports are free at present. */
 async function freeAddresses(count: number): Promise<string[]> {
   const servers = [];
   const addresses: string[] = [];
   for (let index = 0; index < count; index += 1) {
     const server = createServer();
     servers.push(server);
-    addresses.push(`${HOST}:${await bindServer(server, `${HOST}:0`)}`);
+    addresses.push(`${LOOPBACK_HOST}:${await bindServer(server, `${LOOPBACK_HOST}:0`)}`);
   }
   for (const server of servers) {
-    await new Promise<void>((done: () => void) => {
-      server.close(done);
+    await new Promise<void>((resolve: () => void) => {
+      server.close(resolve);
     });
   }
   return addresses;
 }
 
-/** A whole deployment as separate processes on loopback, with stubs for the outside. */
+/** A whole deployment as separate processes on loopback, with stubs for the external systems. */
 export class Fleet {
   readonly #deployment: Deployment;
   readonly #root: string;
@@ -70,7 +79,7 @@
   readonly #controlNodes: ControlPlace[] = [];
   readonly #edges: EdgePlace[] = [];
   readonly #cuts = new Cuts();
-  readonly #backs = new Map<
+  readonly #backEnds = new Map<
     string,
     { address: string; zone: string; records: string; service: string }
   >();
@@ -86,42 +95,50 @@
     this.#programOf = programOf;
   }
 
+  /** The deployment that is run. */
   get deployment(): Deployment {
     return this.#deployment;
   }
+  /** Folder of the settings, logs, records and data of all processes. */
   get root(): string {
     return this.#root;
   }
+  /** All control nodes, including those added later. */
   get controlNodes(): readonly ControlPlace[] {
     return this.#controlNodes;
   }
+  /** All edges. */
   get edges(): readonly EdgePlace[] {
     return this.#edges;
   }
-  /** The relays between the nodes, where they can be cut. */
+  /** Relays between the nodes, through which the network can be cut. */
   get cuts(): Cuts {
     return this.#cuts;
   }
+  /** Address of the platform stub. */
   get platform(): string {
     return this.#platform;
   }
+  /** Names of all processes. */
   get names(): readonly string[] {
     return [...this.#programs.keys()];
   }
 
+  /** Returns the paths of the record files of all stubs. */
   backRecords(): string[] {
     const paths = [this.#platformRecords, this.#storeRecords];
-    for (const back of this.#backs.values()) paths.push(back.records);
+    for (const backEnd of this.#backEnds.values()) paths.push(backEnd.records);
     return paths;
   }
 
+  /** Returns the zone of each back end, by id. */
   zones(): ReadonlyMap<string, string> {
     const zones = new Map<string, string>();
-    for (const [id, back] of this.#backs) zones.set(id, back.zone);
+    for (const [id, backEnd] of this.#backEnds) zones.set(id, backEnd.zone);
     return zones;
   }
 
-  /** Writes all settings and starts every process. */
+  /** Writes the settings files and starts all processes. */
   async start(): Promise<void> {
     const { deployment } = { deployment: this.#deployment };
     mkdirSync(this.#root, { recursive: true });
@@ -132,11 +149,11 @@
         deployment.runners.length +
         deployment.plain.length,
     );
-    function next(): string {
+    function nextAddress(): string {
       return addresses.pop() ?? '';
     }
-    this.#platform = next();
-    this.#store = next();
+    this.#platform = nextAddress();
+    this.#store = nextAddress();
     this.#platformRecords = join(this.#root, 'platform.records');
     this.#storeRecords = join(this.#root, 'store.records');
     const machines: Machine[] = [];
@@ -147,16 +164,16 @@
       '--listen',
       this.#store,
       '--settings',
-      this.#settings('store', {
+      this.#writeSettings('store', {
         catalog: deployment.catalog,
         msPerSize: 20,
         records: this.#storeRecords,
       }),
     ]);
     for (const { id, zone, room, slots } of deployment.runners) {
-      const address = next();
+      const address = nextAddress();
       const records = join(this.#root, `${id}.records`);
-      this.#backs.set(id, { address, zone, records, service: '' });
+      this.#backEnds.set(id, { address, zone, records, service: '' });
       machines.push({ id, address, zone, service: '', leaving: false });
       this.#define(id, [
         'rehearsal',
@@ -165,7 +182,7 @@
         '--listen',
         address,
         '--settings',
-        this.#settings(id, {
+        this.#writeSettings(id, {
           id,
           room,
           slots,
@@ -178,9 +195,9 @@
       ]);
     }
     for (const { id, zone, service, workMs } of deployment.plain) {
-      const address = next();
+      const address = nextAddress();
       const records = join(this.#root, `${id}.records`);
-      this.#backs.set(id, { address, zone, records, service });
+      this.#backEnds.set(id, { address, zone, records, service });
       machines.push({ id, address, zone, service, leaving: false });
       this.#define(id, [
         'rehearsal',
@@ -189,7 +206,7 @@
         '--listen',
         address,
         '--settings',
-        this.#settings(id, { id, workMs, records }),
+        this.#writeSettings(id, { id, workMs, records }),
       ]);
     }
     this.#define('platform', [
@@ -199,38 +216,42 @@
       '--listen',
       this.#platform,
       '--settings',
-      this.#settings('platform', { machines, records: this.#platformRecords }),
+      this.#writeSettings('platform', { machines, records: this.#platformRecords }),
     ]);
     for (let index = 0; index < deployment.controlNodes; index += 1) {
       const zone = deployment.zones[index % deployment.zones.length] ?? '';
       this.#controlNodes.push({
         name: `mind-${index}`,
-        listen: next(),
-        api: next(),
+        listen: nextAddress(),
+        api: nextAddress(),
         data: join(this.#root, `mind-${index}.data`),
         zone,
       });
     }
     const seeds = this.#controlNodes.map(listenOf);
     for (const controlNode of this.#controlNodes)
-      this.#defineControl(controlNode, seeds, await this.#reach(controlNode.listen, seeds));
+      this.#defineControl(
+        controlNode,
+        seeds,
+        await this.#relayAddresses(controlNode.listen, seeds),
+      );
     for (let index = 0; index < deployment.edges; index += 1) {
       const zone = deployment.zones[index % deployment.zones.length] ?? '';
       const edge: EdgePlace = {
         name: `edge-${index}`,
-        listen: next(),
-        feed: next(),
-        flow: next(),
-        flowStatus: next(),
-        linkStatus: next(),
+        listen: nextAddress(),
+        feed: nextAddress(),
+        flow: nextAddress(),
+        flowStatus: nextAddress(),
+        linkStatus: nextAddress(),
         zone,
       };
       this.#edges.push(edge);
-      const reach = await this.#reach(edge.listen, seeds);
+      const reach = await this.#relayAddresses(edge.listen, seeds);
       this.#define(`link-${index}`, [
         'agent',
         '--settings',
-        this.#settings(`link-${index}`, {
+        this.#writeSettings(`link-${index}`, {
           listen: edge.listen,
           feed: edge.feed,
           zone,
@@ -242,7 +263,7 @@
       this.#define(`flow-${index}`, [
         'proxy',
         '--settings',
-        this.#settings(`flow-${index}`, {
+        this.#writeSettings(`flow-${index}`, {
           listen: edge.flow,
           link: edge.feed,
           zone,
@@ -253,8 +274,8 @@
     for (const name of this.#programs.keys()) this.run(name);
   }
 
-  /** Nodes reach the control nodes through relays of their own; among themselves links dial directly. */
-  async #reach(from: string, seeds: readonly string[]): Promise<Record<string, string>> {
+  /** Each node connects to the control nodes through relays of its own; agents connect to each other directly. */
+  async #relayAddresses(from: string, seeds: readonly string[]): Promise<Record<string, string>> {
     const reach: Record<string, string> = {};
     for (const seed of seeds) if (seed !== from) reach[seed] = await this.#cuts.path(from, seed);
     return reach;
@@ -269,7 +290,7 @@
     this.#define(controlNode.name, [
       'control',
       '--settings',
-      this.#settings(controlNode.name, {
+      this.#writeSettings(controlNode.name, {
         listen,
         api,
         zone,
@@ -282,7 +303,7 @@
     ]);
   }
 
-  /** A core machine that is new: empty, at addresses of its own. */
+  /** Starts a new control node without data, at new addresses. */
   async addControlNode(zone: string): Promise<ControlPlace> {
     const [listen = '', api = ''] = await freeAddresses(2);
     const name = `mind-${this.#controlNodes.length}`;
@@ -299,16 +320,18 @@
     return controlNode;
   }
 
-  #settings(name: string, value: object): string {
+  /** Writes a settings file and returns its path. */
+  #writeSettings(name: string, value: object): string {
     const path = join(this.#root, `${name}.json`);
     writeFileSync(path, JSON.stringify(value));
     return path;
   }
 
   #define(name: string, args: readonly string[]): void {
-    this.#programs.set(name, { name, args, process: undefined, hasExited: undefined });
+    this.#programs.set(name, { name, args, process: undefined, exitCode: undefined });
   }
 
+  /** Starts a process, unless it runs already. */
   run(name: string): void {
     const program = this.#programs.get(name);
     if (!program || program.process) return;
@@ -317,32 +340,38 @@
       stdio: ['ignore', log, log],
     });
     program.process = child;
-    program.hasExited = new Promise((done: (code: number) => void) => {
+    program.exitCode = new Promise((resolve: (code: number) => void) => {
       child.once('exit', (code: number | null) => {
         if (program && program.process === child) program.process = undefined;
-        done(code ?? -1);
+        resolve(code ?? -1);
       });
     });
   }
 
-  /** Sends a signal to one process; SIGKILL and SIGTERM are waited for. Returns the exit code. */
+  /**
+   * Sends a signal to a process and, except for SIGSTOP and SIGCONT, waits for its exit. Returns the exit code, 0 for those two, or -1 if a
+   * signal ended the process or it was not running.
+   */
   async signal(name: string, signal: NodeJS.Signals): Promise<number> {
     const program = this.#programs.get(name);
     if (!program?.process) return -1;
-    const { hasExited } = program;
+    const { exitCode } = program;
     program.process.kill(signal);
     if (signal === 'SIGSTOP' || signal === 'SIGCONT') return 0;
-    return (await hasExited) ?? -1;
+    return (await exitCode) ?? -1;
   }
 
+  /** Tells whether a process is running. */
   isRunning(name: string): boolean {
     return this.#programs.get(name)?.process !== undefined;
   }
 
+  /** Deletes the data of a control node. */
   wipe(controlNode: ControlPlace): void {
     rmSync(controlNode.data, { recursive: true, force: true });
   }
 
+  /** Kills all processes and closes the relays. */
   async stop(): Promise<void> {
     for (const name of this.#programs.keys()) {
       void this.signal(name, 'SIGCONT');
@@ -351,20 +380,23 @@
     this.#cuts.close();
   }
 
-  // ---- talking to it
+  // ---- Requests to the deployment
 
-  /** A call to the operators' API of the first control node that returns anything; each may pass it on. */
+  /**
+   * Calls the operators' API of each control node in turn, or of `only`, and returns the first response other than a 503;
+   * any control node may forward the call. Returns status 0 and the last error if there is none.
+   */
   async operate(
     method: string,
     path: string,
     body?: object,
     only?: ControlPlace,
   ): Promise<{ readonly status: number; readonly value: Record<string, unknown> }> {
-    let last: unknown = 'no control node';
+    let lastError: unknown = 'no control node';
     for (const controlNode of only ? [only] : this.#controlNodes) {
-      let returned: CallReply;
+      let reply: CallReply;
       try {
-        returned = await call(
+        reply = await call(
           method,
           controlNode.api,
           path,
@@ -372,56 +404,67 @@
           12_000,
         );
       } catch (thrown) {
-        last = thrown;
+        lastError = thrown;
         continue;
       }
-      const raw: unknown = JSON.parse(returned.body);
+      const raw: unknown = JSON.parse(reply.body);
       const value: Record<string, unknown> =
         typeof raw === 'object' && raw !== null ? { ...raw } : {};
-      if (returned.status === 503 && only === undefined) {
-        last = value['text'];
+      if (reply.status === 503 && only === undefined) {
+        lastError = value['text'];
         continue;
       }
-      return { status: returned.status, value };
+      return { status: reply.status, value };
     }
-    return { status: 0, value: { text: reasonOf(last) } };
+    return { status: 0, value: { text: reasonOf(lastError) } };
   }
 
-  /** The same, again until it is taken; every try has the same edit id, so that it is done once. */
+  /**
+   * Retries a call until its status is neither 0, 503 nor 504, or until the time limit; returns the last response. Every
+   * attempt carries the same edit id, so that the edit is applied once.
+   */
   async operateUntil(
     method: string,
     path: string,
     body: object | undefined,
     limitMs: number,
   ): Promise<{ readonly status: number; readonly value: Record<string, unknown> }> {
-    const end = Date.now() + limitMs;
+    const deadline = Date.now() + limitMs;
     for (;;) {
-      const returned = await this.operate(method, path, body);
+      const reply = await this.operate(method, path, body);
       if (
-        (returned.status !== 0 && returned.status !== 503 && returned.status !== 504) ||
-        Date.now() > end
+        (reply.status !== 0 && reply.status !== 503 && reply.status !== 504) ||
+        Date.now() > deadline
       )
-        return returned;
+        return reply;
       await pause(200);
     }
   }
 
-  /** Waits until what is asked for holds, or says it did not in time. */
-  async until(what: string, limitMs: number, holds: () => Promise<boolean>): Promise<number> {
+  /**
+   * Polls a condition until it holds and returns the time that took, ms. A condition that throws counts as not met. Throws
+   * an error that names the condition if it does not hold within the time limit.
+   */
+  async until(
+    description: string,
+    limitMs: number,
+    holds: () => Promise<boolean>,
+  ): Promise<number> {
     const start = Date.now();
     for (;;) {
-      let isSo = false;
+      let isMet = false;
       try {
-        isSo = await holds();
+        isMet = await holds();
       } catch {
-        /* not reached yet is not so yet */
+        /* a process that cannot be reached yet does not meet the condition */
       }
-      if (isSo) return Date.now() - start;
-      if (Date.now() - start > limitMs) throw new Error(`not within ${limitMs} ms: ${what}`);
+      if (isMet) return Date.now() - start;
+      if (Date.now() - start > limitMs) throw new Error(`not within ${limitMs} ms: ${description}`);
       await pause(50);
     }
   }
 
+  /** Marks a machine in the platform's list as leaving, or removes the mark. */
   async mark(id: string, leaving: boolean): Promise<void> {
     await call('POST', this.#platform, '/mark', JSON.stringify({ id, leaving }), 2000);
   }
