--- a/src/rehearsal/loss-measure.test.ts
+++ b/src/rehearsal/loss-measure.test.ts
@@ -1,15 +1,15 @@
 import { expect, test } from 'vitest';
 import { measureLosses, measureTakeover } from './loss-measure.js';
-test('after one loss somebody may order again within a bounded time', async () => {
+test('after a single loss of the leader, a control node may issue orders again within a bounded time', async () => {
   for (const { loss, mostMs } of await measureLosses(1, 4)) {
-    // No sooner than the span in which nobody may order, and no later than it takes to notice, elect and wait.
+    // At least the waiting time in which no node may issue orders, at most the time for detection, election and waiting.
     expect(mostMs, loss).toBeGreaterThanOrEqual(3000);
     expect(mostMs, loss).toBeLessThan(8000);
   }
 }, 600_000);
-test('when a primary is gone its understudy serves most of its calls', async () => {
+test('after the loss of a primary runner, the secondary serves most of its requests', async () => {
   const { outcomes, undisturbed } = await measureTakeover(1, 12);
-  // Which runner is lost is drawn: where nobody calls its models, there is nothing to compare.
+  // The seed decides which runner is lost; without requests for its models there would be nothing to compare.
   expect(undisturbed['done'] ?? 0).toBeGreaterThan(100);
   expect(outcomes['done'] ?? 0).toBeGreaterThan((undisturbed['done'] ?? 0) * 0.6);
 }, 600_000);
--- a/src/rehearsal/loss-measure.ts
+++ b/src/rehearsal/loss-measure.ts
@@ -1,6 +1,7 @@
 import { Simulation } from './simulation.js';
 import type { SimControl } from './sim-control.js';
 
+/** Time without a control node that may issue orders, after one kind of loss of the leader. */
 export interface LossMeasure {
   readonly loss: string;
   readonly runs: number;
@@ -8,11 +9,12 @@
   readonly mostMs: number;
 }
 
+/** Outcomes of requests after the loss of a runner, and the same without the loss. */
 export interface TakeoverMeasure {
   readonly runs: number;
-  /** Calls of the next five seconds for models whose primary went, by what their callers heard. */
+  /** Requests of the five seconds after the loss, for models whose primary runner was lost, by outcome. */
   readonly outcomes: Readonly<Record<string, number>>;
-  /** The same five seconds for the same models, had nothing happened. */
+  /** Requests of the same five seconds for the same models in a run without the loss, by outcome. */
   readonly undisturbed: Readonly<Record<string, number>>;
 }
 
@@ -23,25 +25,28 @@
   return a - b;
 }
 
-/** Time in which nobody may order runners after one single loss of the holder, in virtual milliseconds over seeds. */
+/**
+ * Measures the time in which no control node may issue orders to runners after a single loss of the leader, in virtual
+ * milliseconds, over `seeds` seeds starting at `from`.
+ */
 export async function measureLosses(from: number, seeds: number): Promise<LossMeasure[]> {
-  const list: LossMeasure[] = [];
+  const measures: LossMeasure[] = [];
   for (const loss of LOSSES) {
-    const gaps: number[] = [];
+    const gapsMs: number[] = [];
     for (let seed = from; seed < from + seeds; seed += 1) {
-      gaps.push(gapAfter(loss, seed));
-      // A seed is real work: whoever else runs here must be heard in between.
+      gapsMs.push(gapAfter(loss, seed));
+      // A seed takes real processor time: yields to the event loop in between.
       await new Promise(setImmediate);
     }
-    gaps.sort(byValue);
-    list.push({
+    gapsMs.sort(byValue);
+    measures.push({
       loss,
-      runs: gaps.length,
-      medianMs: Math.round(gaps[Math.floor(gaps.length / 2)] ?? -1),
-      mostMs: Math.round(gaps[gaps.length - 1] ?? -1),
+      runs: gapsMs.length,
+      medianMs: Math.round(gapsMs[Math.floor(gapsMs.length / 2)] ?? -1),
+      mostMs: Math.round(gapsMs[gapsMs.length - 1] ?? -1),
     });
   }
-  return list;
+  return measures;
 }
 
 function gapAfter(loss: (typeof LOSSES)[number], seed: number): number {
@@ -62,14 +67,14 @@
         network.cut(leader.id, other.id);
         network.cut(other.id, leader.id);
       }
-  let last = scheduler.now;
+  let lastOrderableAt = scheduler.now;
   for (let step = 0; step < 3000; step += 1) {
     scheduler.runUntil(scheduler.now + STEP_MS);
-    if (loss === 'cut off' && mayOrder(leader)) last = scheduler.now;
-    const next = simulation.controlNodes.find(
+    if (loss === 'cut off' && mayOrder(leader)) lastOrderableAt = scheduler.now;
+    const successor = simulation.controlNodes.find(
       (controlNode) => controlNode !== leader && mayOrder(controlNode),
     );
-    if (next) return scheduler.now - last;
+    if (successor) return scheduler.now - lastOrderableAt;
   }
   return 1e9;
 }
@@ -82,7 +87,7 @@
   );
 }
 
-/** What callers of a model hear while its primary's machine is gone without a word. */
+/** Counts the outcomes of a model's requests after the machine of its primary runner vanishes without notice. */
 export async function measureTakeover(from: number, seeds: number): Promise<TakeoverMeasure> {
   const outcomes: Record<string, number> = {};
   const undisturbed: Record<string, number> = {};
@@ -99,10 +104,10 @@
       const models = simulation.modelsAt(runner);
       if (isLost) simulation.vanish(runner);
       scheduler.runUntil(45_000);
-      const into = isLost ? outcomes : undisturbed;
+      const counts = isLost ? outcomes : undisturbed;
       for (const call of simulation.calls) {
         if (call.sentAt < 30_000 || call.sentAt >= 35_000 || !models.has(call.model)) continue;
-        into[call.outcome] = (into[call.outcome] ?? 0) + 1;
+        counts[call.outcome] = (counts[call.outcome] ?? 0) + 1;
       }
     }
   }
--- a/src/rehearsal/measure-command.ts
+++ b/src/rehearsal/measure-command.ts
@@ -3,6 +3,7 @@
 import { measureTable } from './table-measure.js';
 import { measureCrowd, measureDraw, measureNews, measureRelay } from './measures.js';
 
+/** The command `rehearsal measure`: runs one of the measurements and prints its results as JSON lines. */
 export class MeasureCommand extends Command {
   static override aliases = ['myth:measure'];
   static override deprecateAliases = true;
--- a/src/rehearsal/measures.ts
+++ b/src/rehearsal/measures.ts
@@ -11,6 +11,7 @@
 import { Seeded } from './seeded.js';
 import { Simulation } from './simulation.js';
 
+/** Time and messages that it takes to bring a change to all proxies. */
 export interface NewsMeasure {
   readonly edges: number;
   readonly configMs: number;
@@ -19,29 +20,30 @@
   readonly quietMessagesPerSecond: number;
 }
 
-/** How long a configuration and a leaving mark take to the last proxy, and what they cost in messages, on virtual time. */
+/** Measures, in virtual time, how long a configuration and a leaving mark take to reach the last proxy, and their messages. */
 export function measureNews(edges: number, seed: number): NewsMeasure {
   const simulation = new Simulation({ seed, edges, stormMs: 0, troubles: [] });
   const { scheduler, network } = simulation;
   simulation.start();
   scheduler.runUntil(15_000);
-  const before = network.sent;
+  const messagesBefore = network.sent;
   scheduler.runUntil(16_000);
-  const quiet = network.sent - before;
+  const idleMessages = network.sent - messagesBefore;
   const { table } = compile(
     'map POST /v1/checks to check\nrow check m-* weight 10 take 100/s late 10s once stream',
   );
-  let toldAt = -1;
+  let acknowledgedAt = -1;
   const start = scheduler.now;
   const sentBefore = network.sent;
   simulation
     .leader()
     ?.command('table', JSON.stringify({ id: 'm', base: 0, table }), (status: number) => {
-      if (status === 200) toldAt = scheduler.now;
+      if (status === 200) acknowledgedAt = scheduler.now;
     });
-  while (toldAt < 0 && scheduler.now < start + 10_000) scheduler.runUntil(scheduler.now + 1);
-  const configMs = toldAt - start;
-  const configMessages = network.sent - sentBefore - Math.round((quiet * configMs) / 1000);
+  while (acknowledgedAt < 0 && scheduler.now < start + 10_000)
+    scheduler.runUntil(scheduler.now + 1);
+  const configMs = acknowledgedAt - start;
+  const configMessages = network.sent - sentBefore - Math.round((idleMessages * configMs) / 1000);
   const markStart = scheduler.now;
   simulation.mark('r0', true);
   while (!simulation.haveAllMarks() && scheduler.now < markStart + 10_000)
@@ -51,29 +53,31 @@
     configMs,
     markMs: scheduler.now - markStart,
     configMessages,
-    quietMessagesPerSecond: quiet,
+    quietMessagesPerSecond: idleMessages,
   };
 }
 
+/** Share of prompt parts that were cached on the chosen runner, for one way of choosing. */
 export interface DrawMeasure {
   readonly chosen: string;
   readonly requests: number;
   readonly keptShare: number;
 }
 
-interface Bench {
-  readonly decision: PolicyRouter;
+interface RouterSetup {
+  readonly router: PolicyRouter;
   readonly rowText: string;
 }
 
-function makeDecision(rowText: string, runners: readonly string[], slots: number): Bench {
-  const decision = new PolicyRouter({
+/** Returns a router with a policy table and one model on all the runners, the first as its primary. */
+function makeRouter(rowText: string, runners: readonly string[], slots: number): RouterSetup {
+  const router = new PolicyRouter({
     ...POLICY_ROUTER_DEFAULTS,
     freshnessBoundMs: 1e9,
     proxyId: 'f',
   });
   const now = moment(0);
-  decision.onUpdate(
+  router.onUpdate(
     now,
     'config',
     { epoch: 2, count: 1 },
@@ -85,7 +89,7 @@
     seats.push({ runner: id, primary: seats.length === 0, adapters: [] });
     placed.push({ id, address: `${id}:1`, zone: id, service: '', slots, upMs: 60_000 });
   }
-  decision.onUpdate(
+  router.onUpdate(
     now,
     'places',
     { epoch: 2, count: 1 },
@@ -96,22 +100,25 @@
       shares: [],
     }),
   );
-  decision.onFreshnessConfirmed(decision.startFreshnessRequest(now), { epoch: 0, count: 0 }, 0);
-  return { decision, rowText };
+  router.onFreshnessConfirmed(router.startFreshnessRequest(now), { epoch: 0, count: 0 }, 0);
+  return { router, rowText };
 }
 
-/** The share of prompt parts that the drawn runner still keeps, against a random draw among those of the same pair with a free slot. */
+/**
+ * Measures the share of prompt parts that the chosen runner still has cached, and compares it with a random choice among
+ * the runners of the same pair that have a free slot.
+ */
 export function measureDraw(seed: number): DrawMeasure[] {
   const results: DrawMeasure[] = [];
   for (const chosen of ['ours', 'random']) {
     const seeded = new Seeded(seed);
     const scheduler = new Scheduler();
-    const { decision } = makeDecision(
+    const { router } = makeRouter(
       'map POST /c to check\nrow check m late 60s take 10000/s',
       ['a', 'b'],
       4,
     );
-    const kept = new Map<string, string[]>([
+    const cachedParts = new Map<string, string[]>([
       ['a', []],
       ['b', []],
     ]);
@@ -120,70 +127,80 @@
       ['b', 0],
     ]);
     let [parts, hits] = [0, 0];
-    const count = 4000;
-    function run(runner: string, wanted: readonly string[]): number {
-      const held = kept.get(runner) ?? [];
+    const requestCount = 4000;
+    function runDurationMs(runner: string, requestedParts: readonly string[]): number {
+      const cached = cachedParts.get(runner) ?? [];
       let missed = 0;
-      for (const part of wanted) {
+      for (const part of requestedParts) {
         parts += 1;
-        if (held.includes(part)) hits += 1;
+        if (cached.includes(part)) hits += 1;
         else missed += 1;
       }
-      // A runner keeps the last 24 parts it was given.
-      kept.set(runner, [...wanted, ...held.filter((part) => !wanted.includes(part))].slice(0, 24));
-      // A part that is not kept costs 100 ms more.
+      // A runner caches the last 24 parts that it processed.
+      cachedParts.set(
+        runner,
+        [...requestedParts, ...cached.filter((part) => !requestedParts.includes(part))].slice(
+          0,
+          24,
+        ),
+      );
+      // A part that is not cached costs 100 ms more.
       return 200 + missed * 100;
     }
-    const wants = new Map<number, readonly string[]>();
-    function obey(): void {
-      for (const verdict of decision.drainVerdicts()) {
+    const partsById = new Map<number, readonly string[]>();
+    function applyVerdicts(): void {
+      for (const verdict of router.drainVerdicts()) {
         if (verdict.do !== 'run') continue;
-        scheduler.after(run(verdict.runner, wants.get(verdict.id) ?? []), () => end(verdict.id));
+        scheduler.after(runDurationMs(verdict.runner, partsById.get(verdict.id) ?? []), () =>
+          complete(verdict.id),
+        );
       }
     }
-    function end(id: number): void {
-      decision.onRunCompleted(moment(scheduler.now), id);
-      obey();
+    function complete(id: number): void {
+      router.onRunCompleted(moment(scheduler.now), id);
+      applyVerdicts();
     }
     const waiting: number[] = [];
-    function drawRandom(): void {
+    function dispatchRandom(): void {
       for (;;) {
-        const free = ['a', 'b'].filter(hasSlot);
-        const id = free.length > 0 ? waiting.shift() : undefined;
+        const freeRunners = ['a', 'b'].filter(hasSlot);
+        const id = freeRunners.length > 0 ? waiting.shift() : undefined;
         if (id === undefined) return;
-        const runner = seeded.pick(free) ?? 'a';
+        const runner = seeded.pick(freeRunners) ?? 'a';
         running.set(runner, (running.get(runner) ?? 0) + 1);
-        scheduler.after(run(runner, wants.get(id) ?? []), () => endRandom(runner));
+        scheduler.after(runDurationMs(runner, partsById.get(id) ?? []), () =>
+          completeRandom(runner),
+        );
       }
     }
     function hasSlot(runner: string): boolean {
       return (running.get(runner) ?? 0) < 4;
     }
-    function endRandom(runner: string): void {
+    function completeRandom(runner: string): void {
       running.set(runner, (running.get(runner) ?? 1) - 1);
-      drawRandom();
+      dispatchRandom();
     }
     function arrive(id: number): void {
       const group = seeded.below(12);
-      const wanted = [`${group}-0`, `${group}-1`, `${group}-2`];
-      wants.set(id, wanted);
+      const requestedParts = [`${group}-0`, `${group}-1`, `${group}-2`];
+      partsById.set(id, requestedParts);
       if (chosen === 'random') {
         waiting.push(id);
-        drawRandom();
+        dispatchRandom();
         return;
       }
-      decision.onRequest(moment(scheduler.now), {
+      router.onRequest(moment(scheduler.now), {
         id,
         method: 'POST',
         path: '/c',
         model: 'm',
         adapter: '',
-        prefixBlocks: wanted,
+        prefixBlocks: requestedParts,
       });
-      obey();
+      applyVerdicts();
     }
-    for (let id = 1; id <= count; id += 1) scheduler.at(id * 60, arrive.bind(undefined, id));
-    scheduler.runUntil(count * 60 + 20_000);
+    for (let id = 1; id <= requestCount; id += 1) scheduler.at(id * 60, arrive.bind(undefined, id));
+    scheduler.runUntil(requestCount * 60 + 20_000);
     results.push({
       chosen,
       requests: parts / 3,
@@ -193,6 +210,7 @@
   return results;
 }
 
+/** Requests served in time under overload, by weight, for one order of service. */
 export interface CrowdMeasure {
   readonly order: string;
   readonly heavyServed: number;
@@ -202,46 +220,46 @@
   readonly mostWaitOfTurnedAwayMs: number;
 }
 
-/** A crowd of twice what can be served: how much of each weight is served in time, against first come first served. */
+/** Measures which share of each weight is served in time at twice the capacity, and compares it with first come, first served. */
 export function measureCrowd(seed: number): CrowdMeasure[] {
   const results: CrowdMeasure[] = [];
   for (const order of ['by weight', 'first come']) {
     const weight = order === 'by weight' ? 100 : 10;
     const seeded = new Seeded(seed);
     const scheduler = new Scheduler();
-    const { decision } = makeDecision(
+    const { router } = makeRouter(
       `map POST /h to heavy\nmap POST /l to light\nrow heavy m weight ${weight} take 100000/s late 5s\nrow light m weight 10 take 100000/s late 5s`,
       ['a', 'b'],
       2,
     );
-    const asked = new Map<number, { readonly isHeavy: boolean; readonly at: number }>();
-    let [heavyServed, lightServed, heavyAsked, lightAsked, mostWait] = [0, 0, 0, 0, 0];
-    function obey(): void {
-      for (const verdict of decision.drainVerdicts()) {
-        const item = asked.get(verdict.id);
-        if (!item) continue;
+    const requests = new Map<number, { readonly isHeavy: boolean; readonly at: number }>();
+    let [heavyServed, lightServed, heavyAsked, lightAsked, maxRejectionWaitMs] = [0, 0, 0, 0, 0];
+    function applyVerdicts(): void {
+      for (const verdict of router.drainVerdicts()) {
+        const entry = requests.get(verdict.id);
+        if (!entry) continue;
         if (verdict.do === 'reject') {
-          mostWait = Math.max(mostWait, scheduler.now - item.at);
+          maxRejectionWaitMs = Math.max(maxRejectionWaitMs, scheduler.now - entry.at);
           continue;
         }
         // Each run takes about 400 ms.
-        const span = seeded.between(300, 500);
-        const isInTime = scheduler.now + span <= item.at + 5000;
-        if (isInTime && item.isHeavy) heavyServed += 1;
+        const durationMs = seeded.between(300, 500);
+        const isInTime = scheduler.now + durationMs <= entry.at + 5000;
+        if (isInTime && entry.isHeavy) heavyServed += 1;
         else if (isInTime) lightServed += 1;
-        scheduler.after(span, () => end(verdict.id));
+        scheduler.after(durationMs, () => complete(verdict.id));
       }
     }
-    function end(id: number): void {
-      decision.onRunCompleted(moment(scheduler.now), id);
-      obey();
+    function complete(id: number): void {
+      router.onRunCompleted(moment(scheduler.now), id);
+      applyVerdicts();
     }
     function arrive(id: number): void {
       const isHeavy = seeded.isLikely(0.4);
       if (isHeavy) heavyAsked += 1;
       else lightAsked += 1;
-      asked.set(id, { isHeavy, at: scheduler.now });
-      decision.onRequest(moment(scheduler.now), {
+      requests.set(id, { isHeavy, at: scheduler.now });
+      router.onRequest(moment(scheduler.now), {
         id,
         method: 'POST',
         path: isHeavy ? '/h' : '/l',
@@ -249,15 +267,15 @@
         adapter: '',
         prefixBlocks: [],
       });
-      obey();
+      applyVerdicts();
     }
     function tick(): void {
-      decision.tick(moment(scheduler.now));
-      obey();
+      router.tick(moment(scheduler.now));
+      applyVerdicts();
       if (scheduler.now < 30_000) scheduler.after(25, tick);
     }
     tick();
-    // Eight slots at 400 ms serve 20 a second; 40 a second ask.
+    // Eight slots at 400 ms serve 20 requests per second; 40 per second arrive.
     for (let id = 1; id <= 800; id += 1)
       scheduler.at(seeded.between(0, 20_000), arrive.bind(undefined, id));
     scheduler.runUntil(40_000);
@@ -267,12 +285,13 @@
       lightServed,
       heavyAsked,
       lightAsked,
-      mostWaitOfTurnedAwayMs: Math.round(mostWait),
+      mostWaitOfTurnedAwayMs: Math.round(maxRejectionWaitMs),
     });
   }
   return results;
 }
 
+/** Mean time of a request through the proxy and through a bare HTTP relay. */
 export interface RelayMeasure {
   readonly rounds: number;
   readonly proxyMs: number;
@@ -280,15 +299,15 @@
   readonly ratio: number;
 }
 
-/** The time a request takes through the proxy, as a ratio to a bare relay of Node's http in the same run. */
+/** Measures the time of a request through the proxy, and its ratio to a bare relay with Node's `http` in the same run. */
 export async function measureRelay(rounds: number): Promise<RelayMeasure> {
-  const backServer = createServer((asked: IncomingMessage, returned: ServerResponse) => {
+  const backEndServer = createServer((asked: IncomingMessage, returned: ServerResponse) => {
     asked.resume();
     returned.end('{"ok":true}');
   });
-  const backAddress = `127.0.0.1:${await bindServer(backServer, '127.0.0.1:0')}`;
-  const { host, port } = parseAddress(backAddress);
-  const bareServer = createServer((asked: IncomingMessage, returned: ServerResponse) => {
+  const backEndAddress = `127.0.0.1:${await bindServer(backEndServer, '127.0.0.1:0')}`;
+  const { host, port } = parseAddress(backEndAddress);
+  const relayServer = createServer((asked: IncomingMessage, returned: ServerResponse) => {
     const sent = request({ host, port, method: asked.method, path: '/run', agent: false });
     sent.once('response', (inner: IncomingMessage) => {
       returned.writeHead(inner.statusCode ?? 502, { 'content-type': 'application/json' });
@@ -296,14 +315,14 @@
     });
     asked.pipe(sent);
   });
-  const bareAddress = `127.0.0.1:${await bindServer(bareServer, '127.0.0.1:0')}`;
-  const decision = new PolicyRouter({
+  const relayAddress = `127.0.0.1:${await bindServer(relayServer, '127.0.0.1:0')}`;
+  const router = new PolicyRouter({
     ...POLICY_ROUTER_DEFAULTS,
     freshnessBoundMs: 1e9,
     proxyId: 'f',
   });
   const now = monotonicNow();
-  decision.onUpdate(
+  router.onUpdate(
     now,
     'config',
     { epoch: 2, count: 1 },
@@ -316,9 +335,9 @@
     }),
   );
   const runners = [
-    { id: 'r', address: backAddress, zone: 'z', service: '', slots: 64, upMs: 60_000 },
+    { id: 'r', address: backEndAddress, zone: 'z', service: '', slots: 64, upMs: 60_000 },
   ];
-  decision.onUpdate(
+  router.onUpdate(
     now,
     'places',
     { epoch: 2, count: 1 },
@@ -329,33 +348,33 @@
       shares: [],
     }),
   );
-  decision.onFreshnessConfirmed(decision.startFreshnessRequest(now), { epoch: 0, count: 0 }, 0);
-  const executor = new PolicyForwarder(
-    decision,
+  router.onFreshnessConfirmed(router.startFreshnessRequest(now), { epoch: 0, count: 0 }, 0);
+  const forwarder = new PolicyForwarder(
+    router,
     { maxBodyBytes: 65_536, connectTimeoutMs: 500, idleTimeoutMs: 20_000 },
     new Counters(),
     monotonicNow,
   );
-  const proxyAddress = `127.0.0.1:${await executor.listen('127.0.0.1:0')}`;
+  const proxyAddress = `127.0.0.1:${await forwarder.listen('127.0.0.1:0')}`;
   const body = JSON.stringify({ model: 'm', prompt: 'x'.repeat(500) });
   let [proxyMs, relayMs] = [0, 0];
   for (let round = 0; round < rounds + 50; round += 1) {
-    // In turn, so that whatever else the machine does weighs on both alike; the first fifty warm up.
-    const proxy = await timeOf(proxyAddress, body);
-    const relay = await timeOf(bareAddress, body);
+    // The two alternate, so that other load on the machine affects both alike; the first fifty rounds warm up.
+    const proxy = await requestMs(proxyAddress, body);
+    const relay = await requestMs(relayAddress, body);
     if (round < 50) continue;
     proxyMs += proxy;
     relayMs += relay;
   }
-  await executor.stop(0);
-  for (const server of [backServer, bareServer]) {
+  await forwarder.stop(0);
+  for (const server of [backEndServer, relayServer]) {
     server.closeAllConnections();
     server.close();
   }
   return { rounds, proxyMs: proxyMs / rounds, relayMs: relayMs / rounds, ratio: proxyMs / relayMs };
 }
 
-function timeOf(address: string, body: string): Promise<number> {
+function requestMs(address: string, body: string): Promise<number> {
   const { host, port } = parseAddress(address);
   const start: Moment = monotonicNow();
   return new Promise((done: (millis: number) => void, fail: (thrown: unknown) => void) => {
--- a/src/rehearsal/table-measure.ts
+++ b/src/rehearsal/table-measure.ts
@@ -14,21 +14,23 @@
 import { moment } from '../common/ids.js';
 import { Simulation } from './simulation.js';
 
+/** Cost of a policy table of a given size. */
 export interface TableMeasure {
   readonly rows: number;
   readonly bytes: number;
-  /** Microseconds a request, found by the index and by walking the table, in the same run. */
+  /** Time to find a request's row by the index, in µs. */
   readonly drawUs: number;
+  /** Time to find a request's row by a linear scan in the same run, in µs. */
   readonly walkUs: number;
-  /** Each of these holds up the loop it runs on. */
+  /** Times to compile the table, to check it, and to apply it at a proxy; each blocks the event loop that it runs on. */
   readonly compileMs: number;
   readonly checkMs: number;
   readonly takenByProxyMs: number;
-  /** From the leader to the last of twelve proxies, in virtual milliseconds. */
+  /** Time until the leader reports the table as in force at the last of twelve proxies, in virtual milliseconds. */
   readonly inForceMs: number;
 }
 
-function tableOf(count: number): Table {
+function makeTable(count: number): Table {
   const rows: Row[] = [];
   const mappings: Mapping[] = [];
   for (let index = 0; index < count; index += 1) {
@@ -50,7 +52,7 @@
   return { rows, mappings };
 }
 
-function walk(table: Table, path: string, model: string): boolean {
+function findByScan(table: Table, path: string, model: string): boolean {
   let best: Mapping | undefined;
   for (const mapping of table.mappings)
     if (
@@ -64,72 +66,76 @@
   return false;
 }
 
-function find(table: Table, path: string, model: string): boolean {
+function findByIndex(table: Table, path: string, model: string): boolean {
   const mapping = findMapping(table, 'POST', path);
   return mapping !== undefined && findRow(table, mapping.type, model) !== undefined;
 }
 
-function microsOf(
+function lookupMicros(
   table: Table,
-  look: (table: Table, path: string, model: string) => boolean,
+  lookUp: (table: Table, path: string, model: string) => boolean,
   times: number,
 ): number {
   const start = monotonicNow();
   let found = 0;
   for (let index = 0; index < times; index += 1) {
     const at = (index * 7919) % table.rows.length;
-    if (look(table, `/v1/t-${at}${at % 2 === 0 ? '/x' : ''}`, `m-${at}`)) found += 1;
+    if (lookUp(table, `/v1/t-${at}${at % 2 === 0 ? '/x' : ''}`, `m-${at}`)) found += 1;
   }
   if (found !== times) throw new Error(`found ${found} of ${times}`);
   return ((monotonicNow() - start) * 1000) / times;
 }
 
-function millisOf(run: () => void): number {
+function elapsedMs(run: () => void): number {
   const start = monotonicNow();
   run();
   return Math.round(monotonicNow() - start);
 }
 
+/**
+ * Measures a table of `count` rows and mappings. Throws an error if the table has faults or a lookup finds no row.
+ */
 export function measureTable(count: number): TableMeasure {
-  const table = tableOf(count);
+  const table = makeTable(count);
   const text = printTable(table);
   const body = JSON.stringify({ number: 1, table, emptied: [], voters: [] });
-  const decision = new PolicyRouter({
+  const router = new PolicyRouter({
     ...POLICY_ROUTER_DEFAULTS,
     freshnessBoundMs: 1e9,
     proxyId: 'f',
   });
-  find(table, '/v1/t-0/x', 'm-0');
+  findByIndex(table, '/v1/t-0/x', 'm-0');
   return {
     rows: count,
     bytes: body.length,
-    drawUs: microsOf(table, find, 20_000),
-    walkUs: microsOf(table, walk, 200),
-    compileMs: millisOf(() => {
+    drawUs: lookupMicros(table, findByIndex, 20_000),
+    walkUs: lookupMicros(table, findByScan, 200),
+    compileMs: elapsedMs(() => {
       if (compile(text).faults.length > 0) throw new Error('the table has faults');
     }),
-    checkMs: millisOf(() => {
+    checkMs: elapsedMs(() => {
       checkTable(table);
     }),
-    takenByProxyMs: millisOf(() => {
-      decision.onUpdate(moment(0), 'config', { epoch: 2, count: 1 }, body);
+    takenByProxyMs: elapsedMs(() => {
+      router.onUpdate(moment(0), 'config', { epoch: 2, count: 1 }, body);
     }),
-    inForceMs: inForce(table),
+    inForceMs: measureInForceMs(table),
   };
 }
 
-function inForce(table: Table): number {
+function measureInForceMs(table: Table): number {
   const simulation = new Simulation({ seed: 1, edges: 12, stormMs: 0, troubles: [] });
   const { scheduler } = simulation;
   simulation.start();
   scheduler.runUntil(15_000);
   const start = scheduler.now;
-  let yes = -1;
+  let acknowledgedMs = -1;
   simulation
     .leader()
     ?.command('table', JSON.stringify({ id: 'large', base: 0, table }), (status: number) => {
-      if (status === 200) yes = scheduler.now - start;
+      if (status === 200) acknowledgedMs = scheduler.now - start;
     });
-  for (let step = 0; step < 300 && yes < 0; step += 1) scheduler.runUntil(scheduler.now + 10);
-  return Math.round(yes);
+  for (let step = 0; step < 300 && acknowledgedMs < 0; step += 1)
+    scheduler.runUntil(scheduler.now + 10);
+  return Math.round(acknowledgedMs);
 }
