--- a/src/rehearsal/stub-backend.ts
+++ b/src/rehearsal/stub-backend.ts
@@ -3,7 +3,7 @@
 import { pause } from './stub-runner.js';
 import { replyJson, StubServer } from './stub-server.js';
 
-/** A stub for a plain back end: kiosk lookups, ranking pages. */
+/** A stub of a plain back end, such as kiosk lookups or ranking pages: responds after a fixed time and records requests. */
 export class StubBackend {
   readonly #id: string;
   readonly #workMs: number;
@@ -13,15 +13,17 @@
     this.#id = id;
     this.#workMs = workMs;
     this.#server = new StubServer(
-      (method, path, body, returned, asked) => this.#serve(method, path, body, returned, asked),
+      (method, path, body, response, request) => this.#serve(method, path, body, response, request),
       records,
     );
   }
 
+  /** Starts to listen; resolves with the port. */
   async listen(address: string): Promise<number> {
     return this.#server.listen(address);
   }
 
+  /** Closes the server and its connections. */
   close(): void {
     this.#server.close();
   }
@@ -30,10 +32,10 @@
     _method: string,
     path: string,
     _body: string,
-    returned: ServerResponse,
-    asked: IncomingMessage,
+    response: ServerResponse,
+    request: IncomingMessage,
   ): Promise<void> {
-    const id = String(asked.headers['x-request-id'] ?? '');
+    const id = String(request.headers['x-request-id'] ?? '');
     const run = randomUUID();
     this.#server.record({
       what: 'run',
@@ -48,7 +50,7 @@
       concurrent: 0,
     });
     await pause(this.#workMs);
-    replyJson(returned, 200, { id, run, path, runner: this.#id, end: 0 });
+    replyJson(response, 200, { id, run, path, runner: this.#id, end: 0 });
     this.#server.record({ what: 'ran', runner: this.#id, id, run, whole: true });
   }
 }
--- a/src/rehearsal/stub-command.ts
+++ b/src/rehearsal/stub-command.ts
@@ -47,6 +47,7 @@
   }
 }
 
+/** The command `rehearsal stub`: runs a stub of an external system until it is stopped. */
 export class StubCommand extends Command {
   static override aliases = ['myth:stand'];
   static override deprecateAliases = true;
--- a/src/rehearsal/stub-platform.ts
+++ b/src/rehearsal/stub-platform.ts
@@ -7,31 +7,33 @@
 const PutShape = type({ machines: array(MachineShape) });
 const MarkShape = type({ id: string(), leaving: boolean() });
 
-/** A stub for the platform's list of machines; the rehearsal changes it through PUT and POST. */
+/** A stub of the platform's list of machines; a rehearsal changes the list by PUT and POST requests. */
 export class StubPlatform {
   readonly #server: StubServer;
   #machines: readonly Machine[];
-  // Revisions go on from the wall clock, so that a restarted platform's list is newer than the one before.
+  // Revisions start at the wall clock, so that the list of a restarted platform is newer than the one before.
   #revision = Date.now();
-  #shown = 0;
+  #lastServedRevision = 0;
 
   constructor(machines: readonly Machine[], records: string) {
     this.#machines = machines;
     this.#server = new StubServer(
-      (method, path, body, returned) => this.#serve(method, path, body, returned),
+      (method, path, body, response) => this.#serve(method, path, body, response),
       records,
     );
   }
 
+  /** Starts to listen; resolves with the port. */
   async listen(address: string): Promise<number> {
     return this.#server.listen(address);
   }
 
+  /** Closes the server and its connections. */
   close(): void {
     this.#server.close();
   }
 
-  #serve(method: string, path: string, body: string, returned: ServerResponse): void {
+  #serve(method: string, path: string, body: string, response: ServerResponse): void {
     if (method === 'PUT' && path === '/machines') {
       const put = parseAs(PutShape, body);
       if (put) {
@@ -49,11 +51,11 @@
         this.#server.record({ what: 'mark', ...mark, revision: this.#revision });
       }
     }
-    if (method === 'GET' && this.#shown < this.#revision) {
-      // From here on the fleet knows of it.
-      this.#shown = this.#revision;
+    if (method === 'GET' && this.#lastServedRevision < this.#revision) {
+      // From this time on the control nodes know the revision.
+      this.#lastServedRevision = this.#revision;
       this.#server.record({ what: 'shown', revision: this.#revision });
     }
-    replyJson(returned, 200, { revision: this.#revision, machines: this.#machines });
+    replyJson(response, 200, { revision: this.#revision, machines: this.#machines });
   }
 }
--- a/src/rehearsal/stub-runner.ts
+++ b/src/rehearsal/stub-runner.ts
@@ -24,20 +24,27 @@
   stream: optional(boolean()),
 });
 
+/** Settings of a `StubRunner`. */
 export interface StubRunnerSettings {
   readonly id: string;
+  /** Capacity for models and adapters, in the unit of their sizes. */
   readonly room: number;
+  /** Requests that it runs concurrently. */
   readonly slots: number;
+  /** Address of the weight store. */
   readonly store: string;
+  /** Path of the file of records; none are written if empty. */
   readonly records: string;
-  /** Milliseconds a token takes, and a prompt part that is not kept. */
+  /** Time to generate a token, ms. */
   readonly tokenMs: number;
+  /** Time to process a prompt part that is not cached, ms. */
   readonly partMs: number;
-  /** How long after its start it is slower. */
+  /** Time after its start during which it is slower, ms. */
   readonly coldMs: number;
 }
 
-interface HeldUnit {
+/** A model, or an adapter of a model, that the runner holds. */
+interface LoadedUnit {
   readonly model: string;
   readonly adapter: string;
   readonly size: number;
@@ -45,30 +52,32 @@
   running: number;
 }
 
-/** A stub for a model runner: holds models and adapters in its room, obeys orders, runs requests, records all. */
+/** A stub of a model runner: loads and unloads models and adapters on order, runs requests, and records all of it. */
 export class StubRunner {
   readonly #settings: StubRunnerSettings;
   readonly #server: StubServer;
   readonly #boot = randomUUID();
-  readonly #bornAt = Date.now();
-  readonly #holds = new Map<string, HeldUnit>();
-  readonly #orders = new Set<string>();
-  #keptParts: string[] = [];
-  #running = 0;
+  readonly #startedAt = Date.now();
+  readonly #holds = new Map<string, LoadedUnit>();
+  readonly #orderIds = new Set<string>();
+  #cachedParts: string[] = [];
+  #runningCount = 0;
 
   constructor(settings: StubRunnerSettings) {
     this.#settings = settings;
     this.#server = new StubServer(
-      (method, path, body, returned, asked) => this.#serve(method, path, body, returned, asked),
+      (method, path, body, response, request) => this.#serve(method, path, body, response, request),
       settings.records,
     );
   }
 
+  /** Records the boot id and starts to listen; resolves with the port. */
   async listen(address: string): Promise<number> {
     this.#server.record({ what: 'boot', runner: this.#settings.id, boot: this.#boot });
     return this.#server.listen(address);
   }
 
+  /** Closes the server and its connections. */
   close(): void {
     this.#server.close();
   }
@@ -77,13 +86,13 @@
     method: string,
     path: string,
     body: string,
-    returned: ServerResponse,
-    asked: IncomingMessage,
+    response: ServerResponse,
+    request: IncomingMessage,
   ): Promise<void> | void {
-    if (method === 'GET' && path === '/report') return replyJson(returned, 200, this.#report());
-    if (method === 'POST' && path === '/orders') return this.#order(body, returned, asked);
-    if (method === 'POST' && path === '/run') return this.#run(body, returned, asked);
-    return replyJson(returned, 404, { text: 'no such thing here' });
+    if (method === 'GET' && path === '/report') return replyJson(response, 200, this.#report());
+    if (method === 'POST' && path === '/orders') return this.#order(body, response, request);
+    if (method === 'POST' && path === '/run') return this.#run(body, response, request);
+    return replyJson(response, 404, { text: 'no such thing here' });
   }
 
   #report(): object {
@@ -94,25 +103,25 @@
       boot: this.#boot,
       room: this.#settings.room,
       slots: this.#settings.slots,
-      upMs: Date.now() - this.#bornAt,
+      upMs: Date.now() - this.#startedAt,
       holds,
     };
   }
 
-  #used(): number {
+  #usedCapacity(): number {
     let used = 0;
     for (const unit of this.#holds.values()) used += unit.size;
     return used;
   }
 
-  #order(body: string, returned: ServerResponse, asked: IncomingMessage): void {
+  #order(body: string, response: ServerResponse, request: IncomingMessage): void {
     const order = parseAs(OrderShape, body);
     if (!order) {
-      replyJson(returned, 400, { text: 'no order' });
+      replyJson(response, 400, { text: 'no order' });
       return;
     }
-    const within = Number(asked.headers['x-take-within-ms'] ?? Infinity);
-    if (this.#server.sinceContinue(asked) > within) {
+    const maxDelayMs = Number(request.headers['x-take-within-ms'] ?? Infinity);
+    if (this.#server.sinceContinue(request) > maxDelayMs) {
       this.#server.record({
         what: 'late-order',
         runner: this.#settings.id,
@@ -120,12 +129,12 @@
         holder: order.holder,
         epoch: order.epoch,
       });
-      replyJson(returned, 409, { text: 'too late after the word to go on' });
+      replyJson(response, 409, { text: 'too late after the word to go on' });
       return;
     }
     const key = `${order.model}\n${order.adapter}`;
     const unit = this.#holds.get(key);
-    const fits = this.#used() + order.size <= this.#settings.room;
+    const fits = this.#usedCapacity() + order.size <= this.#settings.room;
     this.#server.record({
       what: 'order',
       runner: this.#settings.id,
@@ -135,29 +144,29 @@
       adapter: order.adapter,
       holder: order.holder,
       epoch: order.epoch,
-      isRepeat: this.#orders.has(order.id),
-      overRoom: order.verb === 'load' && !unit && !fits && !this.#orders.has(order.id),
+      isRepeat: this.#orderIds.has(order.id),
+      overRoom: order.verb === 'load' && !unit && !fits && !this.#orderIds.has(order.id),
       staleBoot: order.boot !== this.#boot,
     });
     if (order.boot !== this.#boot) {
-      replyJson(returned, 409, { text: 'meant for who was here before' });
+      replyJson(response, 409, { text: 'meant for who was here before' });
       return;
     }
-    if (this.#orders.has(order.id)) {
-      replyJson(returned, 202, { text: 'already taken' });
+    if (this.#orderIds.has(order.id)) {
+      replyJson(response, 202, { text: 'already taken' });
       return;
     }
-    this.#orders.add(order.id);
+    this.#orderIds.add(order.id);
     if (order.verb === 'load') {
       if (unit) {
-        replyJson(returned, 202, { text: 'held' });
+        replyJson(response, 202, { text: 'held' });
         return;
       }
       if (!fits) {
-        replyJson(returned, 409, { text: 'does not fit' });
+        replyJson(response, 409, { text: 'does not fit' });
         return;
       }
-      const next: HeldUnit = {
+      const next: LoadedUnit = {
         model: order.model,
         adapter: order.adapter,
         size: order.size,
@@ -170,34 +179,34 @@
       unit.state = 'unloading';
       this.#dropIfIdle(key, unit);
     }
-    replyJson(returned, 202, { text: 'taken' });
+    replyJson(response, 202, { text: 'taken' });
   }
 
-  async #fetch(key: string, unit: HeldUnit): Promise<void> {
+  async #fetch(key: string, unit: LoadedUnit): Promise<void> {
     try {
-      const returned = await call(
+      const response = await call(
         'POST',
         this.#settings.store,
         '/fetches',
         JSON.stringify({ runner: this.#settings.id, model: unit.model, adapter: unit.adapter }),
         60_000,
       );
-      if (returned.status !== 200) throw new Error('the store turned it away');
+      if (response.status !== 200) throw new Error('the store rejected the fetch');
       unit.state = 'ready';
     } catch {
       this.#holds.delete(key);
     }
   }
 
-  #dropIfIdle(key: string, unit: HeldUnit): void {
+  #dropIfIdle(key: string, unit: LoadedUnit): void {
     if (unit.state === 'unloading' && unit.running === 0) this.#holds.delete(key);
   }
 
-  async #run(body: string, returned: ServerResponse, asked: IncomingMessage): Promise<void> {
-    const id = String(asked.headers['x-request-id'] ?? '');
+  async #run(body: string, response: ServerResponse, request: IncomingMessage): Promise<void> {
+    const id = String(request.headers['x-request-id'] ?? '');
     const run = parseAs(RunShape, body);
     if (!run) {
-      replyJson(returned, 400, { text: 'no request' }, { 'x-run': 'none' });
+      replyJson(response, 400, { text: 'no request' }, { 'x-run': 'none' });
       return;
     }
     const unit = this.#holds.get(`${run.model}\n`);
@@ -208,26 +217,26 @@
     const isHeld =
       unit?.state === 'ready' &&
       (run.adapter === undefined || run.adapter === '' || adapter?.state === 'ready');
-    if (!unit || !isHeld || this.#running >= this.#settings.slots)
+    if (!unit || !isHeld || this.#runningCount >= this.#settings.slots)
       this.#server.record({ what: 'none', runner: this.#settings.id, id });
     if (!unit || !isHeld) {
-      replyJson(returned, 409, { text: 'not held here' }, { 'x-run': 'none' });
+      replyJson(response, 409, { text: 'not held here' }, { 'x-run': 'none' });
       return;
     }
-    if (this.#running >= this.#settings.slots) {
-      replyJson(returned, 503, { text: 'full' }, { 'x-run': 'none' });
+    if (this.#runningCount >= this.#settings.slots) {
+      replyJson(response, 503, { text: 'full' }, { 'x-run': 'none' });
       return;
     }
-    this.#running += 1;
+    this.#runningCount += 1;
     unit.running += 1;
     const runId = randomUUID();
-    const upMs = Date.now() - this.#bornAt;
+    const upMs = Date.now() - this.#startedAt;
     const parts = run.parts ?? [];
-    const kept = parts.filter(this.#keptParts.includes, this.#keptParts).length;
-    this.#keptParts = [...parts, ...this.#keptParts.filter((part) => !parts.includes(part))].slice(
-      0,
-      24,
-    );
+    const kept = parts.filter(this.#cachedParts.includes, this.#cachedParts).length;
+    this.#cachedParts = [
+      ...parts,
+      ...this.#cachedParts.filter((part) => !parts.includes(part)),
+    ].slice(0, 24);
     this.#server.record({
       what: 'run',
       runner: this.#settings.id,
@@ -238,71 +247,80 @@
       parts: parts.length,
       kept,
       upMs,
-      concurrent: this.#running,
+      concurrent: this.#runningCount,
     });
-    const slowness = upMs < this.#settings.coldMs ? 3 : 1;
-    const isDone = await this.#produce(
+    const slowdownFactor = upMs < this.#settings.coldMs ? 3 : 1;
+    const isComplete = await this.#respond(
       run.tokens ?? 8,
-      (parts.length - kept) * this.#settings.partMs * slowness,
-      this.#settings.tokenMs * slowness,
+      (parts.length - kept) * this.#settings.partMs * slowdownFactor,
+      this.#settings.tokenMs * slowdownFactor,
       run.stream === true,
       runId,
       id,
-      returned,
+      response,
     );
-    this.#running -= 1;
+    this.#runningCount -= 1;
     unit.running -= 1;
     this.#dropIfIdle(`${run.model}\n`, unit);
-    this.#server.record({ what: 'ran', runner: this.#settings.id, id, run: runId, whole: isDone });
+    this.#server.record({
+      what: 'ran',
+      runner: this.#settings.id,
+      id,
+      run: runId,
+      whole: isComplete,
+    });
   }
 
-  /** Streams one line a token, each numbered, and a last one that says it is the end. */
-  async #produce(
+  /**
+   * Writes one numbered line per token and a last line with the number of tokens, streamed or at once. Returns false if the
+   * connection was closed before the response was complete.
+   */
+  async #respond(
     tokens: number,
     promptMs: number,
     tokenMs: number,
     isStream: boolean,
     run: string,
     id: string,
-    returned: ServerResponse,
+    response: ServerResponse,
   ): Promise<boolean> {
     await pause(promptMs);
     const lines: string[] = [];
-    if (isStream) returned.writeHead(200, { 'content-type': 'application/x-ndjson' });
+    if (isStream) response.writeHead(200, { 'content-type': 'application/x-ndjson' });
     for (let index = 0; index < tokens; index += 1) {
       await pause(tokenMs);
-      if (returned.destroyed) return false;
+      if (response.destroyed) return false;
       const line = `${JSON.stringify({ id, run, index, runner: this.#settings.id })}\n`;
       if (!isStream) lines.push(line);
-      else if (!returned.write(line)) await untilDrained(returned);
+      else if (!response.write(line)) await untilDrained(response);
     }
     lines.push(`${JSON.stringify({ id, run, end: tokens })}\n`);
-    if (returned.destroyed) return false;
+    if (response.destroyed) return false;
     if (!isStream)
-      returned.writeHead(200, {
+      response.writeHead(200, {
         'content-type': 'application/x-ndjson',
         'content-length': Buffer.byteLength(lines.join('')),
       });
     await new Promise<void>((done: () => void) => {
-      returned.once('close', done);
-      returned.end(lines.join(''), done);
+      response.once('close', done);
+      response.end(lines.join(''), done);
     });
-    return returned.writableFinished;
+    return response.writableFinished;
   }
 }
 
-/** A stub takes time for its work as a real back end would. */
+/** Resolves after a time, ms; at once for a time of 0 or less. */
 export function pause(millis: number): Promise<void> {
   return millis > 0
-    ? new Promise((done: () => void) => {
-        setTimeout(done, millis);
+    ? new Promise((resolve: () => void) => {
+        setTimeout(resolve, millis);
       })
     : Promise.resolve();
 }
 
-function untilDrained(returned: ServerResponse): Promise<void> {
+function untilDrained(response: ServerResponse): Promise<void> {
   return new Promise((done: () => void) => {
-    returned.once('drain', done);
-    returned.once('close', done);
+    response.once('drain', done);
+    response.once('close', done);
   });
 }
--- a/src/rehearsal/stub-server.ts
+++ b/src/rehearsal/stub-server.ts
@@ -3,75 +3,79 @@
 import { readBody } from '../common/call.js';
 import { bindServer } from '../common/listen.js';
 
+/** Handles one request of a stub. */
 export type Serve = (
   method: string,
   path: string,
   body: string,
-  returned: ServerResponse,
-  asked: IncomingMessage,
+  response: ServerResponse,
+  request: IncomingMessage,
 ) => Promise<void> | void;
 
+/** Sends a JSON response. */
 export function replyJson(
-  returned: ServerResponse,
+  response: ServerResponse,
   status: number,
   value: unknown,
   headers: Record<string, string> = {},
 ): void {
   const body = JSON.stringify(value);
-  returned.writeHead(status, {
+  response.writeHead(status, {
     'content-type': 'application/json',
     'content-length': Buffer.byteLength(body),
     ...headers,
   });
-  returned.end(body);
+  response.end(body);
 }
 
-/** What all stubs share: an HTTP port, and a record of what was seen that outlasts a kill. */
+/** The HTTP server of a stub, and its file of records, which is written at once and so survives a kill. */
 export class StubServer {
   readonly #server: Server;
   readonly #records: string;
   readonly #continuedAt = new WeakMap<IncomingMessage, number>();
 
-  constructor(serve: Serve, records: string) {
+  constructor(handler: Serve, records: string) {
     this.#records = records;
-    async function take(asked: IncomingMessage, returned: ServerResponse): Promise<void> {
+    async function handle(request: IncomingMessage, response: ServerResponse): Promise<void> {
       try {
-        await serve(
-          asked.method ?? 'GET',
-          asked.url ?? '/',
-          await readBody(asked),
-          returned,
-          asked,
+        await handler(
+          request.method ?? 'GET',
+          request.url ?? '/',
+          await readBody(request),
+          response,
+          request,
         );
       } catch {
-        returned.destroy();
+        response.destroy();
       }
     }
-    this.#server = createServer(take);
+    this.#server = createServer(handle);
     const continuedAt = this.#continuedAt;
-    this.#server.on('checkContinue', (asked: IncomingMessage, returned: ServerResponse) => {
-      continuedAt.set(asked, performance.now());
-      returned.writeContinue();
-      void take(asked, returned);
+    this.#server.on('checkContinue', (request: IncomingMessage, response: ServerResponse) => {
+      continuedAt.set(request, performance.now());
+      response.writeContinue();
+      void handle(request, response);
     });
     this.#server.keepAliveTimeout = 5000;
   }
 
-  /** How long ago this request was told to go on, on a clock that does not jump. */
-  sinceContinue(asked: IncomingMessage): number {
-    return performance.now() - (this.#continuedAt.get(asked) ?? performance.now());
+  /** Returns the time since `100 Continue` was sent for a request, by the monotonic clock, ms; 0 if it was not sent. */
+  sinceContinue(request: IncomingMessage): number {
+    return performance.now() - (this.#continuedAt.get(request) ?? performance.now());
   }
 
-  /** Wall-clock milliseconds go with each record: all of a rehearsal runs on one machine. */
+  /** Appends a record with the wall-clock time, ms, which is comparable as all of a rehearsal runs on one machine. */
   record(value: Readonly<Record<string, unknown>>): void {
     if (this.#records !== '')
       appendFileSync(this.#records, `${JSON.stringify({ at: Date.now(), ...value })}\n`);
   }
 
+  /** Starts to listen; resolves with the port. */
   async listen(address: string): Promise<number> {
     return bindServer(this.#server, address);
   }
 
+  /** Closes the server and its connections. */
   close(): void {
     this.#server.closeAllConnections();
     this.#server.close();
--- a/src/rehearsal/stub-store.ts
+++ b/src/rehearsal/stub-store.ts
@@ -7,26 +7,28 @@
 
 const FetchShape = type({ runner: string(), model: string(), adapter: string() });
 
-/** A stub for the weight store: a catalogue, and fetches that take their time, so many at once and no more. */
+/** A stub of the weight store: a catalog, and fetches that take a time by size and whose concurrency is limited. */
 export class StubStore {
   readonly #catalog: Catalog;
   readonly #msPerSize: number;
   readonly #server: StubServer;
-  #running = 0;
+  #runningCount = 0;
 
   constructor(catalog: Catalog, msPerSize: number, records: string) {
     this.#catalog = catalog;
     this.#msPerSize = msPerSize;
     this.#server = new StubServer(
-      (method, path, body, returned) => this.#serve(method, path, body, returned),
+      (method, path, body, response) => this.#serve(method, path, body, response),
       records,
     );
   }
 
+  /** Starts to listen; resolves with the port. */
   async listen(address: string): Promise<number> {
     return this.#server.listen(address);
   }
 
+  /** Closes the server and its connections. */
   close(): void {
     this.#server.close();
   }
@@ -35,27 +37,32 @@
     method: string,
     path: string,
     body: string,
-    returned: ServerResponse,
+    response: ServerResponse,
   ): Promise<void> {
     if (method === 'GET' && path === '/catalog') {
-      replyJson(returned, 200, this.#catalog);
+      replyJson(response, 200, this.#catalog);
       return;
     }
     const asked = parseAs(FetchShape, body);
     if (method !== 'POST' || path !== '/fetches' || !asked) {
-      replyJson(returned, 404, { text: 'no such thing here' });
+      replyJson(response, 404, { text: 'no such thing here' });
       return;
     }
-    const isOver = this.#running >= this.#catalog.limit;
-    this.#server.record({ what: 'fetch', ...asked, running: this.#running + 1, over: isOver });
-    if (isOver) {
-      replyJson(returned, 429, { text: 'too many fetches at once' });
+    const isOverLimit = this.#runningCount >= this.#catalog.limit;
+    this.#server.record({
+      what: 'fetch',
+      ...asked,
+      running: this.#runningCount + 1,
+      over: isOverLimit,
+    });
+    if (isOverLimit) {
+      replyJson(response, 429, { text: 'too many fetches at once' });
       return;
     }
-    this.#running += 1;
+    this.#runningCount += 1;
     await pause(this.#sizeOf(asked.model, asked.adapter) * this.#msPerSize);
-    this.#running -= 1;
-    replyJson(returned, 200, { text: 'fetched' });
+    this.#runningCount -= 1;
+    replyJson(response, 200, { text: 'fetched' });
   }
 
   #sizeOf(model: string, adapter: string): number {
