--- a/src/rehearsal/synthetic-edges.ts
+++ b/src/rehearsal/synthetic-edges.ts
@@ -6,37 +6,41 @@
 import { EdgePlaceShape, modelName } from './scale-shape.js';
 import { total } from './tally.js';
 
+/** Schema of the settings of `SyntheticEdges`. */
 export const SyntheticEdgesShape = type({ edges: array(EdgePlaceShape), seeds: array(string()) });
 const ReachedShape = type({ topic: string(), epoch: number(), count: number() });
 const DemandAskShape = type({ units: number(), models: number(), services: number() });
 const WantShape = type({ service: string(), model: string(), waiting: number() });
 
-/** Many agents and proxies in one process, each with lines of its own. */
+/** Many agents and synthetic proxies in one process, each with its own connections. */
 export class SyntheticEdges implements ScalePart {
-  readonly #links: ScaleAgent[] = [];
-  readonly #flows: SyntheticProxy[] = [];
+  readonly #agents: ScaleAgent[] = [];
+  readonly #proxies: SyntheticProxy[] = [];
 
   constructor(settings: Infer<typeof SyntheticEdgesShape>) {
     const bodies = new Bodies();
     for (const place of settings.edges) {
-      this.#links.push(new ScaleAgent(place, settings.seeds, bodies));
-      // Beside a watched one stands a real proxy.
-      if (!place.isWatched) this.#flows.push(new SyntheticProxy(place));
+      this.#agents.push(new ScaleAgent(place, settings.seeds, bodies));
+      // A watched edge has a real proxy, in a process of its own.
+      if (!place.isWatched) this.#proxies.push(new SyntheticProxy(place));
     }
   }
 
+  /** Starts the agents, then the synthetic proxies. */
   async start(): Promise<void> {
-    for (const link of this.#links) await link.start();
-    // Spread over a second, as processes that start by themselves are.
-    for (const [index, flow] of this.#flows.entries())
-      setTimeout(() => flow.start(), (index * 1000) / this.#flows.length);
+    for (const agent of this.#agents) await agent.start();
+    // Starts are spread over a second, as those of independent processes are.
+    for (const [index, proxy] of this.#proxies.entries())
+      setTimeout(() => proxy.start(), (index * 1000) / this.#proxies.length);
   }
 
+  /** Stops all proxies and agents. */
   async stop(): Promise<void> {
-    for (const flow of this.#flows) flow.stop();
-    for (const link of this.#links) link.stop();
+    for (const proxy of this.#proxies) proxy.stop();
+    for (const agent of this.#agents) agent.stop();
   }
 
+  /** Handles the verbs `figures`, `reached`, `demand` (of all proxies from now on) and `want` (demand of one proxy, once). */
   async ask(verb: string, body: string): Promise<string> {
     if (verb === 'figures') return JSON.stringify(this.#figures());
     if (verb === 'reached')
@@ -46,7 +50,7 @@
       return '';
     }
     const want = mustParseAs(WantShape, body, 'the ask');
-    this.#flows[0]?.tell([
+    this.#proxies[0]?.tell([
       {
         service: want.service,
         model: want.model,
@@ -63,8 +67,8 @@
   #reached({ topic, epoch, count }: Infer<typeof ReachedShape>): object {
     let reached = 0;
     let lastAt = 0;
-    for (const flow of this.#flows) {
-      const at = flow.reachedAt(topic, { epoch, count });
+    for (const proxy of this.#proxies) {
+      const at = proxy.reachedAt(topic, { epoch, count });
       if (at === undefined) continue;
       reached += 1;
       lastAt = Math.max(lastAt, at);
@@ -73,7 +77,7 @@
   }
 
   #demand({ units, models, services }: Infer<typeof DemandAskShape>): void {
-    for (const [index, flow] of this.#flows.entries()) {
+    for (const [index, proxy] of this.#proxies.entries()) {
       const list = [];
       for (let unit = 0; unit < units; unit += 1) {
         const model = (index * units + unit * 7) % models;
@@ -86,7 +90,7 @@
           running: 1,
         });
       }
-      flow.demand = list;
+      proxy.demand = list;
     }
   }
 
@@ -96,14 +100,19 @@
     const received: Record<string, { messages: number; bytes: number }> = {};
     let countingMs = 0;
     const repeats = { messages: 0, bytes: 0 };
-    for (const link of this.#links) {
-      const { sent: out, received: into } = link.nodeTally.figures();
-      links.push({ id: link.id, parent: link.parent, sent: total(out), received: total(into) });
-      add(sent, out);
-      add(received, into);
-      countingMs += link.nodeTally.countingMs + link.feedTally.countingMs;
-      repeats.messages += link.repeats.messages;
-      repeats.bytes += link.repeats.bytes;
+    for (const agent of this.#agents) {
+      const { sent: sentCounts, received: receivedCounts } = agent.nodeTally.figures();
+      links.push({
+        id: agent.id,
+        parent: agent.parent,
+        sent: total(sentCounts),
+        received: total(receivedCounts),
+      });
+      add(sent, sentCounts);
+      add(received, receivedCounts);
+      countingMs += agent.nodeTally.countingMs + agent.feedTally.countingMs;
+      repeats.messages += agent.repeats.messages;
+      repeats.bytes += agent.repeats.bytes;
     }
     return { ...ownCost(), countingMs, tally: { sent, received }, links, repeats };
   }
--- a/src/rehearsal/synthetic-proxy.ts
+++ b/src/rehearsal/synthetic-proxy.ts
@@ -5,23 +5,29 @@
 import type { EdgePlace } from './scale-shape.js';
 import { sharedNow } from './scale-part.js';
 
-const TELL_MS = 1000;
-const UNTOLD_MS = 100;
-const REMEMBERED = 50;
+/** Interval of freshness requests and demand reports, ms. */
+const REPORT_INTERVAL_MS = 1000;
+/** The same until the first configuration and fleet have arrived, ms. */
+const STARTUP_INTERVAL_MS = 100;
+/** Versions per topic whose time of arrival is kept. */
+const MAX_ARRIVALS_PER_TOPIC = 50;
 
-interface Taken {
+interface Arrival {
   readonly version: Version;
   readonly at: number;
 }
 
-/** Says what a proxy says to the agent beside it, and notes when which news came; it serves nobody and keeps no bodies. */
+/**
+ * Sends what a proxy sends to its agent, and records when which update arrived. It serves no requests and keeps no bodies
+ * of updates.
+ */
 export class SyntheticProxy {
   readonly #place: EdgePlace;
   readonly #exchange: Exchange;
-  readonly #taken = new Map<string, Taken[]>();
+  readonly #arrivals = new Map<string, Arrival[]>();
   #nonce = newIncarnation();
   #timer: NodeJS.Timeout | undefined;
-  /** What it tells of requests that came, a second. */
+  /** Demand that it reports once a second. */
   demand: FleetDemand['units'] = [];
 
   constructor(place: EdgePlace) {
@@ -33,15 +39,18 @@
     this.#exchange.incoming$.subscribe((incoming: Incoming) => this.#receive(incoming));
   }
 
+  /** Connects to the agent and starts the periodic reports. */
   start(): void {
     this.#tick();
   }
 
+  /** Stops the reports and closes the connection. */
   stop(): void {
     clearTimeout(this.#timer);
     this.#exchange.close();
   }
 
+  /** Sends a demand report to the agent. */
   tell(units: FleetDemand['units']): void {
     this.#exchange.send(this.#place.feed, {
       kind: 'demand',
@@ -49,30 +58,32 @@
     });
   }
 
-  /** When it first had that version or a newer one. */
+  /** Returns when it first had that version or a newer one, by the machine's shared clock, ms; undefined if it has neither. */
   reachedAt(topic: string, version: Version): number | undefined {
-    for (const taken of this.#taken.get(topic) ?? [])
-      if (compareVersions(taken.version, version) >= 0) return taken.at;
+    for (const arrival of this.#arrivals.get(topic) ?? [])
+      if (compareVersions(arrival.version, version) >= 0) return arrival.at;
     return undefined;
   }
 
   #version(topic: string): Version {
-    return this.#taken.get(topic)?.at(-1)?.version ?? NO_VERSION;
+    return this.#arrivals.get(topic)?.at(-1)?.version ?? NO_VERSION;
   }
 
   #tick(): void {
     this.#exchange.dial(this.#place.feed);
-    this.#ask();
+    this.#requestUpdates();
     if (this.demand.length > 0) this.tell(this.demand);
     this.#timer = setTimeout(
       () => this.#tick(),
-      this.#taken.has('config') && this.#taken.has('fleet') ? TELL_MS : UNTOLD_MS,
+      this.#arrivals.has('config') && this.#arrivals.has('fleet')
+        ? REPORT_INTERVAL_MS
+        : STARTUP_INTERVAL_MS,
     );
   }
 
-  #ask(): void {
+  #requestUpdates(): void {
     const have = [];
-    for (const topic of this.#taken.keys()) have.push({ topic, ...this.#version(topic) });
+    for (const topic of this.#arrivals.keys()) have.push({ topic, ...this.#version(topic) });
     this.#nonce += 1;
     this.#exchange.send(this.#place.feed, {
       kind: 'freshnessRequest',
@@ -86,15 +97,18 @@
     const { message } = incoming;
     if (message.kind !== 'update' && message.kind !== 'delta') return;
     const version = { epoch: message.epoch, count: message.count };
-    const held = this.#version(message.topic);
-    if (compareVersions(version, held) <= 0) return;
-    // A change that does not follow on what is held is asked for anew, as a proxy does.
-    if (message.kind === 'delta' && (held.epoch !== message.epoch || held.count !== message.from)) {
-      this.#ask();
+    const current = this.#version(message.topic);
+    if (compareVersions(version, current) <= 0) return;
+    // On a delta that does not apply to the current version it requests updates again, as a real proxy does.
+    if (
+      message.kind === 'delta' &&
+      (current.epoch !== message.epoch || current.count !== message.from)
+    ) {
+      this.#requestUpdates();
       return;
     }
-    this.#taken.set(message.topic, [
-      ...(this.#taken.get(message.topic) ?? []).slice(1 - REMEMBERED),
+    this.#arrivals.set(message.topic, [
+      ...(this.#arrivals.get(message.topic) ?? []).slice(1 - MAX_ARRIVALS_PER_TOPIC),
       { version, at: sharedNow() },
     ]);
     if (message.topic === 'config') this.#exchange.send(incoming.from, { kind: 'ack', ...version });
@@ -102,5 +116,5 @@
 }
 
 function ignore(): void {
-  /* the run judges by what arrives */
+  /* connection errors need no report: the run checks what arrives */
 }
--- a/src/rehearsal/synthetic-runners.ts
+++ b/src/rehearsal/synthetic-runners.ts
@@ -6,6 +6,7 @@
 import { ADAPTER_MS, listedRunners, LOAD_MS, ScaleShapeShape } from './scale-shape.js';
 import { replyJson, StubServer } from './stub-server.js';
 
+/** Schema of the settings of `SyntheticRunners`. */
 export const SyntheticRunnersShape = type({ shape: ScaleShapeShape, address: string() });
 const OrderShape = type({
   runner: string(),
@@ -16,9 +17,10 @@
 });
 const LeaveShape = type({ index: number(), isLeaving: boolean() });
 
-const PAGE = 500;
+/** Runners per page of the list. */
+const PAGE_SIZE = 500;
 
-interface Synthetic {
+interface SyntheticRunner {
   readonly listed: ListedRunner;
   readonly holds: Map<string, Set<string>>;
   isBusy: boolean;
@@ -26,19 +28,19 @@
   orders: number;
 }
 
-/** All runners of a run and the platform's list of them, at one address: they take orders and serve nobody. */
+/** All runners of a run, and the platform's list of them, at one address; they accept orders and serve no requests. */
 export class SyntheticRunners implements ScalePart {
   readonly #address: string;
   readonly #server: StubServer;
-  readonly #runners: Synthetic[] = [];
-  readonly #byId = new Map<string, Synthetic>();
-  #calls = 0;
+  readonly #runners: SyntheticRunner[] = [];
+  readonly #byId = new Map<string, SyntheticRunner>();
+  #callCount = 0;
   #listedBytes = 0;
 
   constructor(settings: Infer<typeof SyntheticRunnersShape>) {
     this.#address = settings.address;
     this.#server = new StubServer(
-      (method, url, body, returned) => this.#serve(method, url, body, returned),
+      (method, url, body, response) => this.#serve(method, url, body, response),
       '',
     );
     for (const listed of listedRunners(settings.shape, settings.address)) {
@@ -50,14 +52,17 @@
     }
   }
 
+  /** Starts to listen. */
   async start(): Promise<void> {
     await this.#server.listen(this.#address);
   }
 
+  /** Closes the server and its connections. */
   async stop(): Promise<void> {
     this.#server.close();
   }
 
+  /** Returns the cost of this process, the number of calls and the bytes of the lists; the verb `leave` first changes a mark. */
   async ask(verb: string, body: string): Promise<string> {
     if (verb === 'leave') {
       const { index, isLeaving } = mustParseAs(LeaveShape, body, 'the ask');
@@ -67,64 +72,65 @@
     return JSON.stringify({
       ...ownCost(),
       countingMs: 0,
-      calls: this.#calls,
+      calls: this.#callCount,
       listedBytes: this.#listedBytes,
     });
   }
 
-  #serve(method: string, url: string, body: string, returned: ServerResponse): void {
+  #serve(method: string, url: string, body: string, response: ServerResponse): void {
     const [path = '', query = ''] = url.split('?');
-    const asked = new URLSearchParams(query);
-    this.#calls += 1;
+    const parameters = new URLSearchParams(query);
+    this.#callCount += 1;
     if (path === '/runners') {
-      this.#list(Number(asked.get('page') ?? 0), returned);
+      this.#list(Number(parameters.get('page') ?? 0), response);
       return;
     }
     if (path === '/report') {
-      const runner = this.#byId.get(asked.get('runner') ?? '');
+      const runner = this.#byId.get(parameters.get('runner') ?? '');
       if (runner)
-        replyJson(returned, 200, {
+        replyJson(response, 200, {
           holds: holdsOf(runner),
           isBusy: runner.isBusy,
           orderCount: runner.orders,
           waiting: 0,
           active: 0,
         });
-      else replyJson(returned, 404, {});
+      else replyJson(response, 404, {});
       return;
     }
-    replyJson(returned, method === 'POST' && path === '/order' ? this.#order(body) : 404, {});
+    replyJson(response, method === 'POST' && path === '/order' ? this.#order(body) : 404, {});
   }
 
-  #list(page: number, returned: ServerResponse): void {
+  #list(page: number, response: ServerResponse): void {
     const runners = [];
-    for (const runner of this.#runners.slice(page * PAGE, (page + 1) * PAGE))
+    for (const runner of this.#runners.slice(page * PAGE_SIZE, (page + 1) * PAGE_SIZE))
       runners.push({ ...runner.listed, isLeaving: runner.isLeaving, holds: holdsOf(runner) });
-    const next = (page + 1) * PAGE < this.#runners.length ? page + 1 : null;
+    const next = (page + 1) * PAGE_SIZE < this.#runners.length ? page + 1 : null;
     this.#listedBytes += JSON.stringify(runners).length;
-    replyJson(returned, 200, { runners, next });
+    replyJson(response, 200, { runners, next });
   }
 
   #order(body: string): number {
     const order = mustParseAs(OrderShape, body, 'the order');
     const runner = this.#byId.get(order.runner);
     if (!runner) return 421;
-    const held = runner.holds.get(order.model);
-    const isHeld = held !== undefined && (order.adapter === '' || held.has(order.adapter));
-    if (isHeld === (order.verb === 'load')) return 200;
+    const loadedAdapters = runner.holds.get(order.model);
+    const isLoaded =
+      loadedAdapters !== undefined && (order.adapter === '' || loadedAdapters.has(order.adapter));
+    if (isLoaded === (order.verb === 'load')) return 200;
     if (runner.isBusy || (order.count !== undefined && order.count !== runner.orders)) return 409;
     runner.isBusy = true;
     runner.orders += 1;
     setTimeout(
-      (synthetic: Synthetic) => {
-        synthetic.isBusy = false;
+      (target: SyntheticRunner) => {
+        target.isBusy = false;
         if (order.verb === 'unload') {
-          if (order.adapter === '') synthetic.holds.delete(order.model);
-          else synthetic.holds.get(order.model)?.delete(order.adapter);
+          if (order.adapter === '') target.holds.delete(order.model);
+          else target.holds.get(order.model)?.delete(order.adapter);
           return;
         }
-        if (order.adapter === '') synthetic.holds.set(order.model, new Set());
-        else synthetic.holds.get(order.model)?.add(order.adapter);
+        if (order.adapter === '') target.holds.set(order.model, new Set());
+        else target.holds.get(order.model)?.add(order.adapter);
       },
       order.verb === 'unload' ? 1 : order.adapter === '' ? LOAD_MS : ADAPTER_MS,
       runner,
@@ -134,7 +140,7 @@
 }
 
 function holdsOf(
-  runner: Synthetic,
+  runner: SyntheticRunner,
 ): { readonly model: string; readonly adapters: readonly string[] }[] {
   const holds = [];
   for (const [model, adapters] of runner.holds) holds.push({ model, adapters: [...adapters] });
