--- a/src/rehearsal/stage.ts
+++ b/src/rehearsal/stage.ts
@@ -57,7 +57,12 @@
   }
 
   /** Cuts the network from each node of `from` to each of `to` (and back, if `isBidirectional`), and heals it after the span. */
-  cut(from: readonly string[], to: readonly string[], isBidirectional: boolean, spanMs: number): void {
+  cut(
+    from: readonly string[],
+    to: readonly string[],
+    isBidirectional: boolean,
+    spanMs: number,
+  ): void {
     const { scheduler, network } = this.#fleet;
     for (const a of from) {
       for (const b of to) {
