--- a/src/rehearsal/scale-agent.ts
+++ b/src/rehearsal/scale-agent.ts
@@ -8,26 +8,30 @@
 import type { EdgePlace } from './scale-shape.js';
 import { CountedExchange, frameBytes, type Count, Tally } from './tally.js';
 
+/** Interval of the agent's ticks, ms. */
 const TICK_MS = 100;
-const BLIND_MS = 2500;
+/** Age at which the agent's information counts as stale, ms. */
+const FRESHNESS_BOUND_MS = 2500;
 
-/** Bodies of updates that the agents of one process share: a synthetic agent holds no copy of its own. */
+/** The most recent bodies of updates, shared by the agents of one process so that each holds no copy of its own. */
 export class Bodies {
-  readonly #known = new Map<string, string>();
+  readonly #bodiesByVersion = new Map<string, string>();
 
+  /** Returns the message with the shared copy of its body; the first message with a body provides that copy. */
   share(message: Message): Message {
     if (message.kind !== 'update') return message;
     const key = `${message.topic} ${message.epoch}.${message.count}`;
-    const body = this.#known.get(key);
+    const body = this.#bodiesByVersion.get(key);
     if (body !== undefined) return { ...message, body };
-    this.#known.set(key, message.body);
-    const [oldest] = this.#known.keys();
-    if (this.#known.size > 6 && oldest !== undefined) this.#known.delete(oldest);
+    this.#bodiesByVersion.set(key, message.body);
+    const [oldest] = this.#bodiesByVersion.keys();
+    if (this.#bodiesByVersion.size > 6 && oldest !== undefined)
+      this.#bodiesByVersion.delete(oldest);
     return message;
   }
 }
 
-/** An agent as a deployment puts it together, counted; many of them may stand in one process. */
+/** An agent assembled as in a deployment, whose messages are counted; many of them can run in one process. */
 export class ScaleAgent implements AgentPorts {
   readonly tickMs = TICK_MS;
   readonly #place: EdgePlace;
@@ -36,9 +40,11 @@
   readonly #feed: CountedExchange;
   readonly #core: AgentCore;
   readonly #runtime: AgentRuntime;
+  /** Messages exchanged with control nodes and other agents. */
   readonly nodeTally = new Tally();
+  /** Messages exchanged with the proxy. */
   readonly feedTally = new Tally();
-  /** Updates that came though they were held already. */
+  /** Updates received although the agent already had that version or a newer one. */
   readonly repeats: Count = { messages: 0, bytes: 0 };
 
   constructor(place: EdgePlace, seeds: readonly string[], bodies: Bodies) {
@@ -58,7 +64,7 @@
         me,
         zone,
         seeds,
-        freshnessBoundMs: BLIND_MS,
+        freshnessBoundMs: FRESHNESS_BOUND_MS,
         incarnation: newIncarnation(),
         isDeployed: true,
       },
@@ -67,22 +73,27 @@
     this.#runtime = new AgentRuntime(this.#core, this.#nodes, this.#feed, this);
   }
 
+  /** Address of the agent, which is its id. */
   get id(): string {
     return this.#place.link;
   }
+  /** Id of the node that it receives updates from, or ''. */
   get parent(): string {
     return this.#core.parent;
   }
 
+  /** Starts to listen and runs the first tick. */
   async start(): Promise<void> {
     await this.#runtime.start();
     this.#runtime.tick();
   }
 
+  /** Stops the ticks and closes the connections. */
   stop(): void {
     this.#runtime.stop();
   }
 
+  /** Counts a received message and returns it with a shared body. */
   inspect(incoming: Incoming): Message {
     const message = this.#bodies.share(incoming.message);
     if (incoming.role === 'flow') this.#feed.took(message);
@@ -97,15 +108,17 @@
     return message;
   }
 
+  /** Discards log lines. */
   log(): void {
-    /* nobody reads notes of thousands of agents */
+    /* the log of thousands of agents is not read */
   }
 
+  /** Does nothing: a run requests the figures. */
   onTicked(): void {
-    /* a run asks for figures itself */
+    /* a run requests the figures */
   }
 }
 
 function ignore(): void {
-  /* the run judges by what arrives */
+  /* connection errors need no report: the run checks what arrives */
 }
--- a/src/rehearsal/scale-control.ts
+++ b/src/rehearsal/scale-control.ts
@@ -26,6 +26,7 @@
 import { ownCost, type ScalePart } from './scale-part.js';
 import { CountedExchange, Tally } from './tally.js';
 
+/** Schema of the settings of `ScaleControl`. */
 export const ScaleControlShape = type({
   me: string(),
   zone: string(),
@@ -56,10 +57,10 @@
   active: number(),
 });
 
-// As a control node of a deployment is put together: the same ticks and spans.
+// The same intervals as a control node of a deployment has.
 const TICK_MS = 50;
-const LIST_MS = 1000;
-const CALL_MS = 5000;
+const LIST_INTERVAL_MS = 1000;
+const CALL_TIMEOUT_MS = 5000;
 const LIST_LAG_MS = 800;
 const VOTE = {
   pingMs: 250,
@@ -69,11 +70,11 @@
   peerTimeoutMs: 1200,
 } as const;
 
-function listedOf(runner: Infer<typeof ListedShape>): ListedRunner {
+function toListedRunner(runner: Infer<typeof ListedShape>): ListedRunner {
   return { ...runner, remainingMs: runner.remainingMs };
 }
 
-/** A real control node with a planner, whose platform and runners are the run's own. */
+/** A real control node with a planner, which uses the platform and the runners of the scale run. */
 export class ScaleControl implements ScalePart, ControlRuntimePorts {
   readonly tickMs = TICK_MS;
   readonly waitsForHandover = true;
@@ -84,31 +85,32 @@
   readonly #store: FileStore;
   readonly #runtime: ControlRuntime;
   #isListing = false;
-  #lists = 0;
+  #listCount = 0;
   #listMs = 0;
   #writtenBytes = 0;
-  #writes = 0;
+  #writeCount = 0;
 
   constructor(settings: Infer<typeof ScaleControlShape>) {
     this.#settings = settings;
     const { me, zone, data } = settings;
     this.#exchange = new CountedExchange(
       new Exchange({ id: me, role: 'mind', zone, listen: me, reach: {} }, (error) =>
-        this.#tell(error),
+        this.#logError(error),
       ),
       this.#tally,
     );
     this.#runtime = new ControlRuntime(this.#exchange, this);
-    this.#store = new FileStore(join(data, 'parts'), (error) => this.#tell(error));
+    this.#store = new FileStore(join(data, 'parts'), (error) => this.#logError(error));
   }
 
+  /** Restores the stored state and starts the control node. */
   async start(): Promise<void> {
     const stored = await this.#store.readAll();
     const { me, zone, seeds } = this.#settings;
     const deployed = {
       dialect: new PlainRouting(),
       isFirstStart: true,
-      listMs: LIST_MS,
+      listMs: LIST_INTERVAL_MS,
       planner: new Planner({ lagMs: LIST_LAG_MS }),
     };
     const core = new ControlCore(
@@ -130,21 +132,23 @@
     this.#runtime.startTicks();
   }
 
+  /** Closes the control node. */
   async stop(): Promise<void> {
     this.#runtime.close();
   }
 
+  /** Handles the verbs `figures` and `bodies` (sizes of the current updates, in bytes); any other runs an operator's command. */
   async ask(verb: string, body: string): Promise<string> {
     if (verb === 'figures') return JSON.stringify(this.#figures());
-    // Put together only where asked for: what travels by its changes is not held whole.
+    // Assembled on request only: updates that are sent as deltas are not held whole.
     const relay = this.#runtime.core?.relay;
     if (verb === 'bodies')
       return JSON.stringify({
         config: relay?.latest('config')?.body.length ?? 0,
         fleet: relay?.latest('fleet')?.body.length ?? 0,
       });
-    const { verb: commanded, body: said } = mustParseAs(CommandShape, body, 'the command');
-    return JSON.stringify(await this.#runtime.request(commanded, said));
+    const { verb: commandVerb, body: commandBody } = mustParseAs(CommandShape, body, 'the command');
+    return JSON.stringify(await this.#runtime.request(commandVerb, commandBody));
   }
 
   #figures(): object {
@@ -161,89 +165,94 @@
       fleetEpoch: fleet?.epoch ?? 0,
       fleetCount: fleet?.count ?? 0,
       orders: core?.ordersSent ?? 0,
-      lists: this.#lists,
+      lists: this.#listCount,
       listMs: this.#listMs,
-      writes: this.#writes,
+      writes: this.#writeCount,
       writtenBytes: this.#writtenBytes,
     };
   }
 
+  /** Returns the ids of the other control nodes. */
   peers(core: ControlCore): readonly string[] {
     return core.peers;
   }
 
+  /** Counts a received message and returns the command that delivers it. */
   onMessage(incoming: Incoming): CoreCommand {
     this.#exchange.took(incoming.message);
     return (core) => deliverWithZone(incoming, core);
   }
 
+  /** Writes a partition to the store, and counts the write. */
   write({ partition, version, body }: StoreEffect): Promise<void> {
-    this.#writes += 1;
+    this.#writeCount += 1;
     this.#writtenBytes += body.length;
     return this.#store.write(partition, version, body);
   }
 
+  /** Requests the list of runners or a runner's status, or sends an order. */
   perform(effect: OutsideEffect, core: ControlCore): void {
     switch (effect.do) {
       case 'askList':
-        void this.#list();
+        void this.#requestList();
         break;
       case 'askStatus':
-        void this.#status(effect.runner, effect.address);
+        void this.#requestStatus(effect.runner, effect.address);
         break;
       case 'order':
-        void this.#order(effect, core);
+        void this.#sendOrder(effect, core);
         break;
       default:
         break;
     }
   }
 
+  /** Rethrows: a failed command ends the run. */
   onCommandFailed(thrown: unknown): void {
     throw thrown;
   }
 
-  #tell(error: HaretrackError): void {
+  #logError(error: HaretrackError): void {
     this.#log.warn({ defect: error.code }, error.message);
   }
 
-  async #list(): Promise<void> {
+  async #requestList(): Promise<void> {
     if (this.#isListing) return;
     this.#isListing = true;
     const start = performance.now();
     try {
       const runners: ListedRunner[] = [];
       for (let page: number | null = 0; page !== null;) {
-        const returned = await call(
+        const response = await call(
           'GET',
           this.#settings.runners,
           `/runners?page=${page}`,
           undefined,
-          CALL_MS,
+          CALL_TIMEOUT_MS,
         );
-        const read = mustParseAs(PageShape, returned.body, 'the list of runners');
-        for (const runner of read.runners) runners.push(listedOf(runner));
-        page = read.next;
+        const listPage = mustParseAs(PageShape, response.body, 'the list of runners');
+        for (const runner of listPage.runners) runners.push(toListedRunner(runner));
+        page = listPage.next;
       }
       this.#runtime.submit((core: ControlCore) => {
         core.onRunnerList(monotonicNow(), runners);
       });
-      this.#lists += 1;
+      this.#listCount += 1;
       this.#listMs += performance.now() - start;
     } catch (thrown) {
-      this.#log.warn({ reason: reasonOf(thrown) }, 'no list of runners');
+      this.#log.warn({ reason: reasonOf(thrown) }, 'the list of runners could not be read');
     } finally {
       this.#isListing = false;
     }
   }
 
-  async #status(runner: string, address: string): Promise<void> {
+  async #requestStatus(runner: string, address: string): Promise<void> {
     const askedAt = monotonicNow();
     let status: RunnerStatus | undefined;
     try {
       status = parseAs(
         StatusShape,
-        (await call('GET', address, `/report?runner=${runner}`, undefined, CALL_MS)).body,
+        (await call('GET', address, `/report?runner=${runner}`, undefined, CALL_TIMEOUT_MS)).body,
       );
     } catch {
       status = undefined;
@@ -253,7 +262,7 @@
     });
   }
 
-  async #order(effect: OrderEffect, core: ControlCore): Promise<void> {
+  async #sendOrder(effect: OrderEffect, core: ControlCore): Promise<void> {
     const { intent, address } = effect;
     let outcome: OrderResult = 'unsure';
     try {
@@ -262,15 +271,15 @@
         address,
         '/order',
         JSON.stringify({ ...intent, fence: core.elector.epoch }),
-        CALL_MS,
+        CALL_TIMEOUT_MS,
       );
       outcome =
         status === 202 ? 'taken' : status === 200 ? 'held' : status === 409 ? 'busy' : 'refused';
     } catch {
-      /* it may have come through */
+      /* the runner may have received the order */
     }
-    this.#runtime.submit((owner: ControlCore) => {
-      owner.onOrderOutcome(monotonicNow(), intent.id, outcome);
+    this.#runtime.submit((currentCore: ControlCore) => {
+      currentCore.onOrderOutcome(monotonicNow(), intent.id, outcome);
     });
   }
 }
--- a/src/rehearsal/scale-dialect.ts
+++ b/src/rehearsal/scale-dialect.ts
@@ -54,27 +54,28 @@
   }),
 });
 
-/** A configuration as the scale run writes it; its field names are part of the sizes that are measured. */
+/** A configuration document of the scale run; its field names count towards the measured sizes. */
 export type RoutingText = Infer<typeof RoutingShape>;
-/** One route of it. */
+/** One route of a configuration document. */
 export type RouteText = Infer<typeof RouteShape>;
 
-/** A configuration format of haretrack's own, so that no deployment's is measured in place of haretrack. */
+/** A plain configuration format, so that the measurements do not include the cost of any deployment's own format. */
 export class PlainRouting implements ConfigDialect {
+  /** Parses a document; returns a single fault if it does not match the schema. */
   read(text: string): {
     readonly routing: Routing | undefined;
     readonly faults: readonly RoutingFault[];
   } {
-    const read = parseAs(RoutingShape, text);
-    if (!read)
+    const document = parseAs(RoutingShape, text);
+    if (!document)
       return {
         routing: undefined,
         faults: [{ item: 'configuration', field: '', text: 'cannot be read' }],
       };
-    return { routing: routingOf(read), faults: [] };
+    return { routing: routingOf(document), faults: [] };
   }
 
-  /** The scale run sends whole documents alone. */
+  /** Returns undefined: the scale run sends whole documents only. */
   amend(): string | undefined {
     return undefined;
   }
@@ -100,8 +101,9 @@
   return { ...rest, capacityMb: roomMb };
 }
 
-/** No request comes in a scale run: what a proxy would ask of it is answered with nothing. */
+/** A request dialect without content: the proxies of a scale run receive no requests. */
 export class NoRequests implements RequestDialect {
+  /** Returns empty annotations. */
   readRequest(_headers: IncomingHttpHeaders): RequestAnnotations {
     return {
       attemptId: '',
@@ -114,14 +116,17 @@
     };
   }
 
+  /** Adds nothing. */
   annotateRunnerRequest(): void {
     /* nothing is sent */
   }
 
+  /** Returns the status as that of an unprocessed request. */
   readResponse(status: number): ResponseStatus {
     return { status, isUnprocessed: true, isGenuine: false };
   }
 
+  /** Returns a 503 without headers. */
   rejection(): { readonly status: number; readonly headers: OutgoingHttpHeaders } {
     return { status: 503, headers: {} };
   }
--- a/src/rehearsal/scale-proxy.ts
+++ b/src/rehearsal/scale-proxy.ts
@@ -4,6 +4,7 @@
 import { NoRequests, PlainRouting } from './scale-dialect.js';
 import { ownCost, type ScalePart } from './scale-part.js';
 
+/** Schema of the settings of `ScaleProxy`. */
 export const ScaleProxyShape = type({
   listen: string(),
   readiness: string(),
@@ -11,7 +12,7 @@
   zone: string(),
 });
 
-/** A real proxy that nobody asks: what it costs to be told. */
+/** A real proxy without requests, which measures the cost of receiving updates. */
 export class ScaleProxy implements ScalePart {
   readonly #proxy: ProxyProcess;
 
@@ -35,14 +36,17 @@
     );
   }
 
+  /** Starts the proxy. */
   async start(): Promise<void> {
     await this.#proxy.start();
   }
 
+  /** Stops the proxy. */
   async stop(): Promise<void> {
     await this.#proxy.stop();
   }
 
+  /** Returns the cost of this process and the proxy's counters, whatever the verb. */
   async ask(): Promise<string> {
     return JSON.stringify({ ...ownCost(), countingMs: 0, ...this.#proxy.counters() });
   }
