--- a/src/rehearsal/scale-command.ts
+++ b/src/rehearsal/scale-command.ts
@@ -6,8 +6,8 @@
 import { ScaleRun, type ScalePoint } from './scale-run.js';
 import type { ScaleShape } from './scale-shape.js';
 
-/** The points of each series; what a series does not name stands as in BASE. */
-const BASE: ScaleShape = {
+/** Sizes of a point that its series does not set. */
+const BASE_SHAPE: ScaleShape = {
   nodes: 100,
   runners: 1000,
   models: 190,
@@ -16,6 +16,7 @@
   zones: 11,
   controlNodes: 3,
 };
+/** The points of each series, as differences from the base. */
 const SERIES: Readonly<Record<string, readonly Partial<ScaleShape>[]>> = {
   nodes: [{ nodes: 30 }, { nodes: 100 }, { nodes: 300 }, { nodes: 600 }, { nodes: 1000 }],
   runners: [{ runners: 1000 }, { runners: 2000 }, { runners: 5000 }, { runners: 11_000 }],
@@ -30,6 +31,7 @@
   target: [{ nodes: 1000, runners: 11_000, models: 1900, adapters: 16_000 }],
 };
 
+/** The command `rehearsal scale`: measures the cost of the control plane at growing sizes, and plots it. */
 export class ScaleCommand extends Command {
   static override aliases = ['myth:scale'];
   static override deprecateAliases = true;
@@ -42,15 +44,15 @@
       description: 'what grows from point to point',
     }),
     nodes: Flags.integer({
-      default: BASE.nodes,
+      default: BASE_SHAPE.nodes,
       description: 'nodes, where the series says nothing of them',
     }),
     runners: Flags.integer({
-      default: BASE.runners,
+      default: BASE_SHAPE.runners,
       description: 'runners, where the series says nothing of them',
     }),
     models: Flags.integer({
-      default: BASE.models,
+      default: BASE_SHAPE.models,
       description: 'models, where the series says nothing of them',
     }),
     processes: Flags.integer({
@@ -85,7 +87,7 @@
       const points: ScalePoint[] = [];
       for (const change of SERIES[flags.series] ?? []) {
         const shape = {
-          ...BASE,
+          ...BASE_SHAPE,
           nodes: flags.nodes,
           runners: flags.runners,
           models: flags.models,
@@ -108,7 +110,7 @@
       if (flags.out === '') this.log(JSON.stringify(points));
     }
     if (flags.out !== '') {
-      // The plotting library is loaded by whoever plots, and by no other command.
+      // Loaded here, so that no other command loads the plotting library.
       const { plotSeries } = await import('./scale-plot.js');
       for (const file of await plotSeries(flags.out)) this.log(file);
     }
--- a/src/rehearsal/scale-part.ts
+++ b/src/rehearsal/scale-part.ts
@@ -2,26 +2,29 @@
 import { number, string, type } from 'superstruct';
 import { reasonOf } from '../common/errors.js';
 
-/** One part of a scale run, in this process or in one of its own; it is asked by a verb and a JSON body. */
+/** One part of a scale run, in this process or in one of its own. */
 export interface ScalePart {
+  /** Handles a request, which has a verb and a JSON body; resolves with the JSON reply, or ''. Rejects if it fails. */
   ask(verb: string, body: string): Promise<string>;
+  /** Stops the part. */
   stop(): Promise<void>;
 }
 
 const AskShape = type({ id: number(), verb: string(), body: string() });
 const ReplyShape = type({ id: number(), body: string(), fault: string() });
-const ALONE_MS = 1000;
-/** A process that measures itself holds no more than this, MB. */
-const HEAP_MB = 4096;
+/** Interval at which a part checks that its parent still runs, ms. */
+const PARENT_CHECK_MS = 1000;
+/** Limit of the heap of a process that measures itself, MB. */
+const MAX_HEAP_MB = 4096;
 
-/** A part in a process of its own, asked over the line that Node keeps between the two. */
+/** A part in a child process, which receives its requests over Node's IPC channel. */
 export class ForkedPart implements ScalePart {
   readonly #child: ChildProcess;
-  readonly #waiting = new Map<
+  readonly #pending = new Map<
     number,
-    { readonly done: (body: string) => void; readonly fail: (thrown: Error) => void }
+    { readonly resolve: (body: string) => void; readonly reject: (thrown: Error) => void }
   >();
-  #id = 0;
+  #lastId = 0;
 
   constructor(program: string, kind: string, settings: string) {
     this.#child = fork(
@@ -37,52 +40,55 @@
         settings,
       ],
       {
-        execArgv: [`--max-old-space-size=${HEAP_MB}`],
+        execArgv: [`--max-old-space-size=${MAX_HEAP_MB}`],
         stdio: ['ignore', 'inherit', 'inherit', 'ipc'],
       },
     );
-    this.#child.on('message', (message) => this.#take(message));
-    this.#child.on('exit', () => this.#ended());
+    this.#child.on('message', (message) => this.#onReply(message));
+    this.#child.on('exit', () => this.#onExit());
   }
 
+  /** Sends a request to the child; rejects if the part fails or the child exits. */
   ask(verb: string, body: string): Promise<string> {
-    this.#id += 1;
-    const id = this.#id;
-    const waiting = this.#waiting;
-    const returned = new Promise<string>(
-      (done: (body: string) => void, fail: (thrown: Error) => void) => {
-        waiting.set(id, { done, fail });
+    this.#lastId += 1;
+    const id = this.#lastId;
+    const pending = this.#pending;
+    const reply = new Promise<string>(
+      (resolve: (body: string) => void, reject: (thrown: Error) => void) => {
+        pending.set(id, { resolve, reject });
       },
     );
     this.#child.send({ id, verb, body });
-    return returned;
+    return reply;
   }
 
+  /** Kills the child and waits for its exit. */
   async stop(): Promise<void> {
     const child = this.#child;
     if (child.exitCode !== null || child.signalCode !== null) return;
-    const end = new Promise<void>((done: () => void) => {
-      child.once('exit', done);
+    const exited = new Promise<void>((resolve: () => void) => {
+      child.once('exit', resolve);
     });
     child.kill('SIGKILL');
-    await end;
+    await exited;
   }
 
-  #take(message: unknown): void {
+  #onReply(message: unknown): void {
     if (!ReplyShape.is(message)) return;
-    const waiting = this.#waiting.get(message.id);
-    this.#waiting.delete(message.id);
-    if (message.fault === '') waiting?.done(message.body);
-    else waiting?.fail(new Error(message.fault));
+    const pending = this.#pending.get(message.id);
+    this.#pending.delete(message.id);
+    if (message.fault === '') pending?.resolve(message.body);
+    else pending?.reject(new Error(message.fault));
   }
 
-  #ended(): void {
-    for (const { fail } of this.#waiting.values()) fail(new Error('a part of the run ended'));
-    this.#waiting.clear();
+  #onExit(): void {
+    for (const { reject } of this.#pending.values())
+      reject(new Error('a process of the scale run exited'));
+    this.#pending.clear();
   }
 }
 
-/** Serves a part to the process that forked this one; it ends with that one. */
+/** Serves a part to the parent process, which forked this one; exits once the parent is gone. Never resolves. */
 export function servePart(part: ScalePart, parent: number): Promise<never> {
   process.on('message', async (message: unknown): Promise<void> => {
     if (!AskShape.is(message)) return;
@@ -94,24 +100,24 @@
     }
     process.send?.(reply);
   });
-  // The line that Node keeps does not tell when the other end was killed; whose child we are does.
+  // The IPC channel does not report that the parent was killed; a changed parent process id does.
   setInterval(() => {
     if (process.ppid !== parent) process.exit(0);
-  }, ALONE_MS);
-  return new Promise<never>(waitForever);
+  }, PARENT_CHECK_MS);
+  return new Promise<never>(neverResolve);
 }
 
-function waitForever(): void {
-  /* the process ends before this does */
+function neverResolve(): void {
+  /* the process exits first */
 }
 
-/** Processor time and memory of this process so far. */
+/** Returns the processor time of this process so far, ms, and its memory, MB. */
 export function ownCost(): { cpuMs: number; rssMb: number } {
   const { user, system } = process.cpuUsage();
   return { cpuMs: (user + system) / 1000, rssMb: process.memoryUsage.rss() / 1e6 };
 }
 
-/** A clock that all processes of one machine share. */
+/** Returns the time by a monotonic clock that all processes of one machine share, ms. */
 export function sharedNow(): number {
   return Number(process.hrtime.bigint() / 1000n) / 1000;
 }
--- a/src/rehearsal/scale-run.ts
+++ b/src/rehearsal/scale-run.ts
@@ -32,27 +32,38 @@
 const BodiesShape = type({ config: number(), fleet: number() });
 const ReachedShape = type({ reached: number(), lastAt: number() });
 const ReplyShape = type({ status: number(), body: string() });
+/** Options of a `ScaleRun`. */
 export interface ScaleOptions {
   readonly shape: ScaleShape;
-  /** Processes of their own, or all of it in this one: then processor time and memory tell nothing, counts do. */
+  /**
+   * Whether the parts run in processes of their own. If they all run in this process, the counts are valid, but processor
+   * time and memory are not.
+   */
   readonly isForked: boolean;
+  /** Path of the program that the processes run. */
   readonly program: string;
-  /** Over how many processes the synthetic edges are spread. */
+  /** Number of processes over which the synthetic edges are spread. */
   readonly processes: number;
+  /** Duration of a phase without changes, ms. */
   readonly restMs: number;
+  /** Number of changes of the configuration, and of the fleet. */
   readonly changes: number;
-  /** What a proxy tells of once a second in the phase with demand. */
+  /** Number of models that each proxy reports demand for once a second in the phase with demand; 0 skips the phase. */
   readonly units: number;
+  /** Number of models that are loaded; 0 skips the phase. */
   readonly loads: number;
+  /** Receives lines on the progress. */
   readonly say: (text: string) => void;
 }
 
+/** The results of a run. */
 export interface ScalePoint {
   readonly shape: ScaleShape;
   readonly isForked: boolean;
   readonly processes: number;
   readonly configBytes: number;
   readonly fleetBytes: number;
+  /** Time from the start until all proxies had the configuration and the fleet, ms. */
   readonly toldMs: number;
   readonly phases: readonly PhaseFigures[];
 }
@@ -63,29 +74,35 @@
 const PROXY_PORT = 20_463;
 const READY_PORT = 20_464;
 const RUNNERS_PORT = 20_465;
-const WAIT_MS = 180_000;
+/** Limit of every wait, ms. */
+const WAIT_TIMEOUT_MS = 180_000;
+/** Time without changes after which a fleet counts as settled, ms. */
 const SETTLED_MS = 2500;
-const LOAD_WAIT_MS = 2500;
+/** Time between the requested loads, ms. */
+const LOAD_INTERVAL_MS = 2500;
 
 /** One point of the scale run: a fleet of synthetic edges and runners beside real control nodes. */
 export class ScaleRun {
   readonly #options: ScaleOptions;
   readonly #data: string;
-  /** Loopback has room for a fleet: each node has an address of its own, and ports below those given to callers. */
-  readonly #net = 1 + Math.floor(Math.random() * 250);
+  /** Second octet of the loopback addresses: each node has its own address, with ports below the ephemeral range. */
+  readonly #subnet = 1 + Math.floor(Math.random() * 250);
   readonly #controlNodes: ScalePart[] = [];
   readonly #edges: ScalePart[] = [];
   #watchedAgent: ScalePart | undefined;
   #watchedProxy: ScalePart | undefined;
   #runners: ScalePart | undefined;
   #version = 0;
-  #flows = 0;
+  #proxyCount = 0;
 
   constructor(options: ScaleOptions) {
     this.#options = options;
     this.#data = mkdtempSync(join(tmpdir(), 'haretrack-scale-'));
   }
 
+  /**
+   * Starts the fleet, runs all phases and stops the fleet. Throws if a wait takes too long or a process exits.
+   */
   async run(): Promise<ScalePoint> {
     const { shape, isForked, processes, say } = this.#options;
     try {
@@ -93,9 +110,15 @@
       await this.#startAll();
       await this.#configure();
       const leader = await this.#leader();
-      await this.#untilReached('config', { epoch: leader.configEpoch, count: leader.configCount });
-      const told = await this.#untilSettled();
-      await this.#untilReached('fleet', { epoch: told.fleetEpoch, count: told.fleetCount });
+      await this.#waitUntilReached('config', {
+        epoch: leader.configEpoch,
+        count: leader.configCount,
+      });
+      const settled = await this.#waitUntilSettled();
+      await this.#waitUntilReached('fleet', {
+        epoch: settled.fleetEpoch,
+        count: settled.fleetCount,
+      });
       const toldMs = sharedNow() - start;
       const bodies = mustParseAs(
         BodiesShape,
@@ -103,17 +126,17 @@
         'the bodies',
       );
       say(
-        `${shape.nodes} nodes told after ${Math.round(toldMs)} ms; configuration ${bodies.config} bytes, fleet ${bodies.fleet} bytes`,
+        `${shape.nodes} nodes up to date after ${Math.round(toldMs)} ms; configuration ${bodies.config} bytes, fleet ${bodies.fleet} bytes`,
       );
       const phases: PhaseFigures[] = [];
-      const rest = await this.#phase('rest', undefined, 0, () => this.#rest());
+      const rest = await this.#phase('rest', undefined, 0, () => this.#waitAtRest());
       phases.push(rest);
       if (this.#options.units > 0) {
-        await this.#demand(this.#options.units);
-        await this.#untilSettled();
-        phases.push(await this.#phase('demand', undefined, 0, () => this.#rest()));
-        await this.#demand(0);
-        await this.#untilSettled();
+        await this.#setDemand(this.#options.units);
+        await this.#waitUntilSettled();
+        phases.push(await this.#phase('demand', undefined, 0, () => this.#waitAtRest()));
+        await this.#setDemand(0);
+        await this.#waitUntilSettled();
       }
       phases.push(
         await this.#phase('configuration change', rest, this.#options.changes, () =>
@@ -124,7 +147,9 @@
         await this.#phase('fleet change', rest, this.#options.changes, () => this.#fleetChanges()),
       );
       if (this.#options.loads > 0)
-        phases.push(await this.#phase('load', rest, this.#options.loads, () => this.#loads()));
+        phases.push(
+          await this.#phase('load', rest, this.#options.loads, () => this.#requestLoads()),
+        );
       for (const { phase, inForceMs, all, repeats } of phases)
         say(
           `${phase}: in force ${inForceMs.map(Math.round).join(' ')} ms, ${Math.round(all.messages)} messages, ${Math.round(all.bytes)} bytes, repeats ${Math.round(repeats.messages)}`,
@@ -143,18 +168,18 @@
     }
   }
 
-  // ---- the parts
+  // ---- Parts
 
   async #startAll(): Promise<void> {
     const { shape, processes, isForked } = this.#options;
-    const runners = `127.${this.#net}.253.1:${RUNNERS_PORT}`;
-    this.#runners = await this.#start('runners', { shape, address: runners });
+    const runners = `127.${this.#subnet}.253.1:${RUNNERS_PORT}`;
+    this.#runners = await this.#startPart('runners', { shape, address: runners });
     const seeds: string[] = [];
     for (let index = 0; index < shape.controlNodes; index += 1)
-      seeds.push(`127.${this.#net}.254.${index + 1}:${CONTROL_PORT}`);
+      seeds.push(`127.${this.#subnet}.254.${index + 1}:${CONTROL_PORT}`);
     for (const [index, me] of seeds.entries()) {
       this.#controlNodes.push(
-        await this.#start('mind', {
+        await this.#startPart('mind', {
           me,
           zone: zoneName(index % shape.zones),
           seeds,
@@ -165,8 +190,8 @@
     }
     const groups: EdgePlace[][] = [];
     for (let index = 0; index < shape.nodes; index += 1) {
-      const host = `127.${this.#net}.${Math.floor(index / 250)}.${(index % 250) + 1}`;
-      // One edge of a forked run has its agent and a real proxy each in a process of its own.
+      const host = `127.${this.#subnet}.${Math.floor(index / 250)}.${(index % 250) + 1}`;
+      // In a forked run, one edge has its agent and a real proxy in processes of their own.
       const isWatched = isForked && index === 0;
       const place = {
         link: `${host}:${AGENT_PORT}`,
@@ -175,8 +200,8 @@
         isWatched,
       };
       if (isWatched) {
-        this.#watchedAgent = await this.#start('edges', { edges: [place], seeds });
-        this.#watchedProxy = await this.#start('proxy', {
+        this.#watchedAgent = await this.#startPart('edges', { edges: [place], seeds });
+        this.#watchedProxy = await this.#startPart('proxy', {
           listen: `${host}:${PROXY_PORT}`,
           readiness: `${host}:${READY_PORT}`,
           link: place.feed,
@@ -184,16 +209,16 @@
         });
         continue;
       }
-      this.#flows += 1;
+      this.#proxyCount += 1;
       const group = groups[index % processes] ?? [];
       group.push(place);
       groups[index % processes] = group;
     }
     for (const edges of groups)
-      if (edges) this.#edges.push(await this.#start('edges', { edges, seeds }));
+      if (edges) this.#edges.push(await this.#startPart('edges', { edges, seeds }));
   }
 
-  async #start(kind: string, settings: object): Promise<ScalePart> {
+  async #startPart(kind: string, settings: object): Promise<ScalePart> {
     const text = JSON.stringify(settings);
     if (this.#options.isForked) return new ForkedPart(this.#options.program, kind, text);
     return startPart(kind, text);
@@ -211,7 +236,7 @@
     rmSync(this.#data, { recursive: true, force: true });
   }
 
-  // ---- phases
+  // ---- Phases
 
   async #phase(
     phase: string,
@@ -225,7 +250,7 @@
     return figuresOf(phase, before, after, rest, changes, inForceMs);
   }
 
-  async #rest(): Promise<number[]> {
+  async #waitAtRest(): Promise<number[]> {
     await pause(this.#options.restMs);
     return [];
   }
@@ -236,7 +261,7 @@
       const start = sharedNow();
       await this.#configure();
       const leader = await this.#leader();
-      const lastAt = await this.#untilReached('config', {
+      const lastAt = await this.#waitUntilReached('config', {
         epoch: leader.configEpoch,
         count: leader.configCount,
       });
@@ -246,19 +271,19 @@
     return times;
   }
 
-  /** A runner is listed as leaving, or no longer: one change of one runner. */
+  /** Each change lists one runner as leaving, or no longer as leaving. */
   async #fleetChanges(): Promise<number[]> {
     const times: number[] = [];
     for (let index = 0; index < this.#options.changes; index += 1) {
       const before = await this.#leader();
       const start = sharedNow();
       await this.#runners?.ask('leave', JSON.stringify({ index: 1, isLeaving: index % 2 === 0 }));
-      const leader = await this.#until(
+      const leader = await this.#waitUntil(
         () => this.#leader(),
-        hasFleetAfter.bind(undefined, before.fleetCount),
-        'a change of the fleet told',
+        hasNewerFleet.bind(undefined, before.fleetCount),
+        'an update of the fleet',
       );
-      const lastAt = await this.#untilReached('fleet', {
+      const lastAt = await this.#waitUntilReached('fleet', {
         epoch: leader.fleetEpoch,
         count: leader.fleetCount,
       });
@@ -268,8 +293,8 @@
     return times;
   }
 
-  /** A proxy says that somebody waits for a model that nobody holds. */
-  async #loads(): Promise<number[]> {
+  /** For each load, a proxy reports a request that waits for a model that no runner holds. */
+  async #requestLoads(): Promise<number[]> {
     const { shape, loads } = this.#options;
     for (let index = 0; index < loads; index += 1) {
       const model = heldModels(shape) + index;
@@ -282,12 +307,13 @@
           waiting: 1,
         }),
       );
-      await pause(LOAD_WAIT_MS);
+      await pause(LOAD_INTERVAL_MS);
     }
     return [];
   }
 
-  async #demand(units: number): Promise<void> {
+  /** Sets the number of models that each proxy reports demand for. */
+  async #setDemand(units: number): Promise<void> {
     const { shape } = this.#options;
     for (const part of this.#edges)
       await part.ask(
@@ -296,7 +322,7 @@
       );
   }
 
-  // ---- waiting
+  // ---- Waiting
 
   async #configure(): Promise<void> {
     const { shape } = this.#options;
@@ -305,94 +331,104 @@
       base: this.#version,
       text: routingText(shape, this.#version + 1),
     });
-    await this.#until(
+    await this.#waitUntil(
       this.#command.bind(this, JSON.stringify({ verb: 'configure', body })),
-      isTaken,
-      'a configuration taken',
+      isAccepted,
+      'an accepted configuration',
     );
     this.#version += 1;
   }
 
   async #command(body: string): Promise<number> {
-    const returned = await this.#controlNodes[0]?.ask('command', body);
-    return mustParseAs(ReplyShape, returned ?? '', 'the return').status;
+    const reply = await this.#controlNodes[0]?.ask('command', body);
+    return mustParseAs(ReplyShape, reply ?? '', 'the reply').status;
   }
 
-  async #until<T>(ask: () => Promise<T>, isGood: (value: T) => boolean, what: string): Promise<T> {
-    const end = sharedNow() + WAIT_MS;
+  async #waitUntil<T>(
+    poll: () => Promise<T>,
+    isMet: (value: T) => boolean,
+    description: string,
+  ): Promise<T> {
+    const deadline = sharedNow() + WAIT_TIMEOUT_MS;
     for (;;) {
-      const value = await ask();
-      if (isGood(value)) return value;
-      if (sharedNow() > end) throw new Error(`waited too long for ${what}`);
+      const value = await poll();
+      if (isMet(value)) return value;
+      if (sharedNow() > deadline) throw new Error(`waited too long for ${description}`);
       await pause(25);
     }
   }
 
-  async #untilReached(topic: string, version: Version): Promise<number> {
-    function hasAll(flows: number, { reached }: { readonly reached: number }): boolean {
-      return reached >= flows;
+  async #waitUntilReached(topic: string, version: Version): Promise<number> {
+    function hasAll(proxies: number, { reached }: { readonly reached: number }): boolean {
+      return reached >= proxies;
     }
-    const { lastAt } = await this.#until(
+    const { lastAt } = await this.#waitUntil(
       this.#reached.bind(this, JSON.stringify({ topic, ...version })),
-      hasAll.bind(undefined, this.#flows),
+      hasAll.bind(undefined, this.#proxyCount),
       `${topic} in force everywhere`,
     );
     return lastAt;
   }
 
-  async #reached(ask: string): Promise<{ readonly reached: number; readonly lastAt: number }> {
+  async #reached(request: string): Promise<{ readonly reached: number; readonly lastAt: number }> {
     let reached = 0;
     let lastAt = 0;
     for (const part of this.#edges) {
-      const own = mustParseAs(ReachedShape, await part.ask('reached', ask), 'the return');
-      reached += own.reached;
-      lastAt = Math.max(lastAt, own.lastAt);
+      const partial = mustParseAs(ReachedShape, await part.ask('reached', request), 'the reply');
+      reached += partial.reached;
+      lastAt = Math.max(lastAt, partial.lastAt);
     }
     return { reached, lastAt };
   }
 
-  /** The leader's figures once it has told nothing new of the fleet for a while. */
-  async #untilSettled(): Promise<ControlFigures> {
-    const end = sharedNow() + WAIT_MS;
-    let known = -1;
-    let since = sharedNow();
+  /** Waits until the leader has published no update of the fleet for a while, and returns its figures. */
+  async #waitUntilSettled(): Promise<ControlFigures> {
+    const deadline = sharedNow() + WAIT_TIMEOUT_MS;
+    let lastCount = -1;
+    let unchangedSince = sharedNow();
     for (;;) {
       const leader = await this.#leader();
-      if (leader.fleetCount !== known || leader.fleetCount === 0) {
-        known = leader.fleetCount;
-        since = sharedNow();
+      if (leader.fleetCount !== lastCount || leader.fleetCount === 0) {
+        lastCount = leader.fleetCount;
+        unchangedSince = sharedNow();
       }
-      // A fleet that never rests is a figure too: it is measured as it is.
+      // A fleet that never settles is measured too, after a fifth of the time limit.
       if (
-        sharedNow() - since > SETTLED_MS ||
-        (sharedNow() > end - WAIT_MS * 0.8 && leader.fleetCount > 0)
+        sharedNow() - unchangedSince > SETTLED_MS ||
+        (sharedNow() > deadline - WAIT_TIMEOUT_MS * 0.8 && leader.fleetCount > 0)
       )
         return leader;
-      if (sharedNow() > end) throw new Error('waited too long for a fleet');
+      if (sharedNow() > deadline) throw new Error('waited too long for a fleet');
       await pause(100);
     }
   }
 
   async #leader(): Promise<ControlFigures> {
-    const end = sharedNow() + WAIT_MS;
+    const deadline = sharedNow() + WAIT_TIMEOUT_MS;
     for (;;) {
       for (const part of this.#controlNodes) {
         const figures = await readControl(part);
         if (figures.isLeading) return figures;
       }
-      if (sharedNow() > end) throw new Error('waited too long for a leader');
+      if (sharedNow() > deadline) throw new Error('waited too long for a leader');
       await pause(50);
     }
   }
 
   async #snapshot(): Promise<Snapshot> {
-    const [controlNodes, edges, links, flows] = await Promise.all([
+    const [controlNodes, edges, watchedAgents, watchedProxies] = await Promise.all([
       Promise.all(this.#controlNodes.map(readControl)),
       Promise.all(this.#edges.map(readEdges)),
       Promise.all(this.#watchedAgent ? [readEdges(this.#watchedAgent)] : []),
       Promise.all(this.#watchedProxy ? [readCost(this.#watchedProxy)] : []),
     ]);
-    return { at: sharedNow(), controlNodes, edges, watchedAgent: links[0], watchedProxy: flows[0] };
+    return {
+      at: sharedNow(),
+      controlNodes,
+      edges,
+      watchedAgent: watchedAgents[0],
+      watchedProxy: watchedProxies[0],
+    };
   }
 }
 
@@ -405,9 +441,9 @@
 async function readCost(part: ScalePart): Promise<Cost> {
   return mustParseAs(CostShape, await part.ask('figures', ''), 'the figures');
 }
-function hasFleetAfter(count: number, leader: ControlFigures): boolean {
+function hasNewerFleet(count: number, leader: ControlFigures): boolean {
   return leader.fleetCount > count;
 }
-function isTaken(status: number): boolean {
+function isAccepted(status: number): boolean {
   return status === 200;
 }
--- a/src/rehearsal/scale-shape.ts
+++ b/src/rehearsal/scale-shape.ts
@@ -3,7 +3,7 @@
 import type { EngineModel } from '../route/routing.js';
 import type { RouteText, RoutingText } from './scale-dialect.js';
 
-/** How large the fleet of one point of the scale run is. */
+/** Schema of `ScaleShape`. */
 export const ScaleShapeShape = type({
   nodes: number(),
   runners: number(),
@@ -13,42 +13,55 @@
   zones: number(),
   controlNodes: number(),
 });
+/** Sizes of the fleet and its configuration in one point of the scale run. */
 export type ScaleShape = Infer<typeof ScaleShapeShape>;
 
-/** Where one synthetic edge stands: its link for nodes, its feed for the proxy beside it. */
+/** Schema of `EdgePlace`. */
 export const EdgePlaceShape = type({
   link: string(),
   feed: string(),
   zone: string(),
   isWatched: boolean(),
 });
+/**
+ * Addresses and zone of an edge: its agent listens at `link` for nodes and at `feed` for its proxy. A watched edge has a
+ * real proxy, and its agent and proxy have processes of their own.
+ */
 export type EdgePlace = Infer<typeof EdgePlaceShape>;
 
-/** So many runners stand behind one service; a larger fleet has more services, not larger ones. */
-const RUNNERS_A_SERVICE = 1000;
-const HOLDS_A_RUNNER = 3;
+/** Runners per service; a larger fleet has more services, not larger ones. */
+const RUNNERS_PER_SERVICE = 1000;
+const MODELS_PER_RUNNER = 3;
 const MODEL_MB = 65_000;
 const ADAPTER_MB = 12;
+/** Time to load a model, ms. */
 export const LOAD_MS = 600;
+/** Time to load an adapter, ms. */
 export const ADAPTER_MS = 15;
 
+/** Returns the name of a zone. */
 export function zoneName(index: number): string {
   return `zone-${index}`;
 }
 
+/** Returns the number of services, at least one and at most one per model. */
 export function serviceCount(shape: ScaleShape): number {
-  return Math.max(1, Math.min(shape.models, Math.ceil(shape.runners / RUNNERS_A_SERVICE)));
+  return Math.max(1, Math.min(shape.models, Math.ceil(shape.runners / RUNNERS_PER_SERVICE)));
 }
+/** Returns the name of a service. */
 export function serviceName(index: number): string {
   return `service-${index}`;
 }
 
-/** The last tenth of all models is held nowhere at first, so that there is something to load. */
+/**
+ * Returns the number of models that runners hold at the start. No runner holds the last tenth, so that there are models to
+ * load.
+ */
 export function heldModels(shape: ScaleShape): number {
   return Math.ceil(shape.models * 0.9);
 }
 
-/** Names as long as the deployments' own, since their bytes are what is counted. */
+/** Returns the name of a model, which is as long as those of real deployments because its bytes are counted. */
 export function modelName(index: number): string {
   return `model-${String(index).padStart(5, '0')}`;
 }
@@ -86,7 +99,7 @@
   };
 }
 
-/** A whole configuration; from one version to the next, one route's time-out changes. */
+/** Returns a whole configuration document; each version changes the timeout of one route. */
 export function routingText(shape: ScaleShape, version: number): string {
   const services: RoutingText['services'] = [];
   for (let index = 0; index < serviceCount(shape); index += 1) {
@@ -102,7 +115,7 @@
         slots: 64,
         cacheTokens: 225_298,
         models,
-        roomMb: MODEL_MB * HOLDS_A_RUNNER + 1000,
+        roomMb: MODEL_MB * MODELS_PER_RUNNER + 1000,
         adapterSlots: 8,
         loadsPerSecond: 7,
       },
@@ -120,7 +133,7 @@
   return JSON.stringify(routing);
 }
 
-/** The runners as the platform lists them at first: full, each model of a service on as many as there is room for. */
+/** Returns the runners as the platform lists them at the start: all are full, and share the models of their service evenly. */
 export function listedRunners(shape: ScaleShape, address: string): ListedRunner[] {
   const services = serviceCount(shape);
   const models: number[][] = [];
@@ -128,13 +141,13 @@
     models.push(modelsOf(shape, index, heldModels(shape)));
   const runners: ListedRunner[] = [];
   for (let index = 0; index < shape.runners; index += 1) {
-    const own = models[index % services] ?? [];
-    const first = Math.floor(index / services) * HOLDS_A_RUNNER;
+    const serviceModels = models[index % services] ?? [];
+    const first = Math.floor(index / services) * MODELS_PER_RUNNER;
     const held = new Set<number>();
-    for (let step = 0; step < HOLDS_A_RUNNER; step += 1)
-      held.add(own[(first + step) % own.length] ?? 0);
+    for (let step = 0; step < MODELS_PER_RUNNER; step += 1)
+      held.add(serviceModels[(first + step) % serviceModels.length] ?? 0);
     const holds = [];
-    // Some adapters are held as well: two a runner, as far as its models have any.
+    // Each runner also holds two adapters, if the fleet has any.
     for (const model of held)
       holds.push({
         model: modelName(model),
