--- a/src/rehearsal/scale-figures.ts
+++ b/src/rehearsal/scale-figures.ts
@@ -2,7 +2,9 @@
 import { difference, TallyShape, total, type Count, type TallyFigures } from './tally.js';
 
 const CountShape = type({ messages: number(), bytes: number() });
+/** Schema of `Cost`. */
 export const CostShape = type({ cpuMs: number(), rssMb: number(), countingMs: number() });
+/** Schema of `ControlFigures`. */
 export const ControlFiguresShape = type({
   cpuMs: number(),
   rssMb: number(),
@@ -19,6 +21,7 @@
   writes: number(),
   writtenBytes: number(),
 });
+/** Schema of `EdgesFigures`. */
 export const EdgesFiguresShape = type({
   cpuMs: number(),
   rssMb: number(),
@@ -27,38 +30,46 @@
   repeats: CountShape,
   links: array(type({ id: string(), parent: string(), sent: CountShape, received: CountShape })),
 });
+/** What a control node has counted since its start. */
 export type ControlFigures = Infer<typeof ControlFiguresShape>;
+/** What a process of agents has counted since its start. */
 export type EdgesFigures = Infer<typeof EdgesFiguresShape>;
+/** Processor time, memory, and the time spent on counting, of a process. */
 export type Cost = Infer<typeof CostShape>;
 
-/** What one process of a role did in a second of a phase, or for one change beyond what it does at rest. */
+/** What one process of a role did per second of a phase, or per change in addition to its activity at rest. */
 export interface RoleFigures {
   readonly sent: Count;
   readonly received: Count;
   readonly cpuMs: number;
   readonly rssMb: number;
 }
+/** Mean messages of an agent at one depth of the tree of agents. */
 export interface DepthFigures {
+  /** Number of hops from a control node. */
   readonly depth: number;
   readonly links: number;
   readonly sent: Count;
   readonly received: Count;
 }
+/** All figures of one phase. */
 export interface PhaseFigures {
   readonly phase: string;
   readonly seconds: number;
-  /** How many changes or loads the figures are divided by; 0 where they are by the second. */
+  /** Number of changes or loads that the figures are divided by; 0 if they are per second. */
   readonly changes: number;
   readonly roles: Readonly<Record<string, RoleFigures>>;
-  /** Links by their steps from a control node, in the mean. */
+  /** Mean figures of agents by their depth in the tree. */
   readonly depths: readonly DepthFigures[];
-  /** All that all nodes sent to others. */
+  /** Messages that all nodes sent to others. */
   readonly all: Count;
-  /** Of it news that came where they were held already. */
+  /** Those of them that were updates to an agent that already had the version. */
   readonly repeats: Count;
-  /** By kind, of the leader, a follower and a link in the mean. */
+  /** Messages by kind, of the leader, and the mean of followers and of agents. */
   readonly kinds: Readonly<Record<string, TallyFigures>>;
+  /** Time until each change was in force at the last proxy, ms. */
   readonly inForceMs: readonly number[];
+  /** Number of updates of the fleet that the leader published. */
   readonly fleetNews: number;
   readonly orders: number;
   readonly writes: number;
@@ -67,7 +78,9 @@
   readonly listMs: number;
 }
 
+/** The counts of all processes at one time. */
 export interface Snapshot {
+  /** By the machine's shared clock, ms. */
   readonly at: number;
   readonly controlNodes: readonly ControlFigures[];
   readonly edges: readonly EdgesFigures[];
@@ -75,18 +88,19 @@
   readonly watchedProxy: Cost | undefined;
 }
 
-interface Side {
+/** Counts of a process, or the mean over the processes of a role. */
+interface RoleCounts {
   readonly cpuMs: number;
   readonly countingMs: number;
   readonly rssMb: number;
   readonly tally: TallyFigures;
 }
 
-const NOTHING: Count = { messages: 0, bytes: 0 };
+const NO_COUNT: Count = { messages: 0, bytes: 0 };
 const NO_TALLY: TallyFigures = { sent: {}, received: {} };
 
-/** By the second where there are no changes; else what is beyond rest, by the change. */
-class Scale {
+/** Scales counts: per second if there are no changes, otherwise per change after subtracting the activity at rest. */
+class Scaler {
   readonly #seconds: number;
   readonly #changes: number;
 
@@ -127,37 +141,41 @@
   }
 }
 
-/** Several processes of a role as one in the mean. */
-function sideOf(before: readonly Side[], after: readonly Side[], members: number): Side {
+/** Returns the difference between two readings as the mean over the members of a role. */
+function meanCounts(
+  before: readonly RoleCounts[],
+  after: readonly RoleCounts[],
+  members: number,
+): RoleCounts {
   let [cpuMs, countingMs, rssMb] = [0, 0, 0];
   const tallies: TallyFigures[] = [];
-  for (const [index, side] of after.entries()) {
+  for (const [index, counts] of after.entries()) {
     const was = before[index];
-    cpuMs += side.cpuMs - (was?.cpuMs ?? 0);
-    countingMs += side.countingMs - (was?.countingMs ?? 0);
-    rssMb += side.rssMb;
-    tallies.push(difference(side.tally, was?.tally ?? NO_TALLY));
+    cpuMs += counts.cpuMs - (was?.cpuMs ?? 0);
+    countingMs += counts.countingMs - (was?.countingMs ?? 0);
+    rssMb += counts.rssMb;
+    tallies.push(difference(counts.tally, was?.tally ?? NO_TALLY));
   }
   return {
     cpuMs: cpuMs / members,
     countingMs: countingMs / members,
     rssMb: rssMb / members,
-    tally: meanOf(tallies, members),
+    tally: meanTally(tallies, members),
   };
 }
 
-function meanOf(tallies: readonly TallyFigures[], members: number): TallyFigures {
+function meanTally(tallies: readonly TallyFigures[], members: number): TallyFigures {
   const mean: { sent: Record<string, Count>; received: Record<string, Count> } = {
     sent: {},
     received: {},
   };
   for (const tally of tallies) {
-    for (const way of ['sent', 'received'] as const) {
-      for (const [kind, { messages, bytes }] of Object.entries(tally[way])) {
-        const known = mean[way][kind] ?? NOTHING;
-        mean[way][kind] = {
-          messages: known.messages + messages / members,
-          bytes: known.bytes + bytes / members,
+    for (const direction of ['sent', 'received'] as const) {
+      for (const [kind, { messages, bytes }] of Object.entries(tally[direction])) {
+        const sum = mean[direction][kind] ?? NO_COUNT;
+        mean[direction][kind] = {
+          messages: sum.messages + messages / members,
+          bytes: sum.bytes + bytes / members,
         };
       }
     }
@@ -165,19 +183,20 @@
   return mean;
 }
 
-function roleOf(side: Side, rest: RoleFigures | undefined, scale: Scale): RoleFigures {
+function roleOf(counts: RoleCounts, rest: RoleFigures | undefined, scaler: Scaler): RoleFigures {
   return {
-    sent: scale.count(total(side.tally.sent), rest?.sent),
-    received: scale.count(total(side.tally.received), rest?.received),
-    // What the counting itself took is none of the role's.
-    cpuMs: scale.value(side.cpuMs - side.countingMs, rest?.cpuMs ?? 0),
-    rssMb: Math.round(side.rssMb * 10) / 10,
+    sent: scaler.count(total(counts.tally.sent), rest?.sent),
+    received: scaler.count(total(counts.tally.received), rest?.received),
+    // The time spent on counting is not part of the role's cost.
+    cpuMs: scaler.value(counts.cpuMs - counts.countingMs, rest?.cpuMs ?? 0),
+    rssMb: Math.round(counts.rssMb * 10) / 10,
   };
 }
 
+/** Returns an agent's number of hops from a control node, given the parent of each agent. */
 export function depthOf(id: string, parents: ReadonlyMap<string, string>): number {
   let depth = 1;
-  // Parents are told one by one, so that for a moment two may name each other.
+  // Agents learn their parents one by one, so that for a moment two may be each other's parent; the limit ends such a cycle.
   for (let at = parents.get(id) ?? ''; at !== '' && depth < 20; at = parents.get(at) ?? '')
     depth += 1;
   return depth;
@@ -187,7 +206,7 @@
   before: Snapshot,
   after: Snapshot,
   rest: PhaseFigures | undefined,
-  scale: Scale,
+  scaler: Scaler,
 ): DepthFigures[] {
   const parents = new Map<string, string>();
   const was = new Map<string, { readonly sent: Count; readonly received: Count }>();
@@ -199,13 +218,13 @@
   const sums = new Map<number, { links: number; sent: Count; received: Count }>();
   for (const link of links) {
     const depth = depthOf(link.id, parents);
-    const sum = sums.get(depth) ?? { links: 0, sent: { ...NOTHING }, received: { ...NOTHING } };
+    const sum = sums.get(depth) ?? { links: 0, sent: { ...NO_COUNT }, received: { ...NO_COUNT } };
     sums.set(depth, sum);
-    const old = was.get(link.id);
+    const previous = was.get(link.id);
     sum.links += 1;
-    for (const way of ['sent', 'received'] as const) {
-      sum[way].messages += link[way].messages - (old?.[way].messages ?? 0);
-      sum[way].bytes += link[way].bytes - (old?.[way].bytes ?? 0);
+    for (const direction of ['sent', 'received'] as const) {
+      sum[direction].messages += link[direction].messages - (previous?.[direction].messages ?? 0);
+      sum[direction].bytes += link[direction].bytes - (previous?.[direction].bytes ?? 0);
     }
   }
   const depths: DepthFigures[] = [];
@@ -214,8 +233,8 @@
     depths.push({
       depth,
       links: sum.links,
-      sent: scale.count(shareOf(sum.sent, sum.links), known?.sent),
-      received: scale.count(shareOf(sum.received, sum.links), known?.received),
+      sent: scaler.count(shareOf(sum.sent, sum.links), known?.sent),
+      received: scaler.count(shareOf(sum.received, sum.links), known?.received),
     });
   }
   return depths;
@@ -231,7 +250,7 @@
   return controlNode.isLeading;
 }
 
-/** What happened between two snapshots, by role. */
+/** Returns what happened between two snapshots, by role. */
 export function figuresOf(
   phase: string,
   before: Snapshot,
@@ -241,43 +260,47 @@
   inForceMs: readonly number[],
 ): PhaseFigures {
   const seconds = (after.at - before.at) / 1000;
-  const scale = new Scale(seconds, changes);
+  const scaler = new Scaler(seconds, changes);
   const at = Math.max(0, after.controlNodes.findIndex(isLeading));
-  function isLeader(_mind: ControlFigures, index: number): boolean {
+  function isLeader(_controlNode: ControlFigures, index: number): boolean {
     return index === at;
   }
-  function isFollower(_mind: ControlFigures, index: number): boolean {
+  function isFollower(_controlNode: ControlFigures, index: number): boolean {
     return index !== at;
   }
   let links = 0;
-  const [repeats, all] = [{ ...NOTHING }, { ...NOTHING }];
+  const [repeats, all] = [{ ...NO_COUNT }, { ...NO_COUNT }];
   for (const [index, part] of after.edges.entries()) {
     links += part.links.length;
     repeats.messages += part.repeats.messages - (before.edges[index]?.repeats.messages ?? 0);
     repeats.bytes += part.repeats.bytes - (before.edges[index]?.repeats.bytes ?? 0);
   }
-  const sides: Record<string, Side> = {
-    leader: sideOf(before.controlNodes.filter(isLeader), after.controlNodes.filter(isLeader), 1),
-    follower: sideOf(
+  const countsByRole: Record<string, RoleCounts> = {
+    leader: meanCounts(
+      before.controlNodes.filter(isLeader),
+      after.controlNodes.filter(isLeader),
+      1,
+    ),
+    follower: meanCounts(
       before.controlNodes.filter(isFollower),
       after.controlNodes.filter(isFollower),
       Math.max(1, after.controlNodes.length - 1),
     ),
-    link: sideOf(before.edges, after.edges, Math.max(1, links)),
+    link: meanCounts(before.edges, after.edges, Math.max(1, links)),
   };
   if (before.watchedAgent && after.watchedAgent)
-    sides['watched link'] = sideOf([before.watchedAgent], [after.watchedAgent], 1);
+    countsByRole['watched link'] = meanCounts([before.watchedAgent], [after.watchedAgent], 1);
   if (before.watchedProxy && after.watchedProxy)
-    sides['watched flow'] = sideOf(
+    countsByRole['watched flow'] = meanCounts(
       [{ ...before.watchedProxy, tally: NO_TALLY }],
       [{ ...after.watchedProxy, tally: NO_TALLY }],
       1,
     );
   const roles: Record<string, RoleFigures> = {};
   const kinds: Record<string, TallyFigures> = {};
-  for (const [role, side] of Object.entries(sides)) {
-    roles[role] = roleOf(side, rest?.roles[role], scale);
-    if (role !== 'watched flow') kinds[role] = scale.tally(side.tally, rest?.kinds[role]);
+  for (const [role, counts] of Object.entries(countsByRole)) {
+    roles[role] = roleOf(counts, rest?.roles[role], scaler);
+    if (role !== 'watched flow') kinds[role] = scaler.tally(counts.tally, rest?.kinds[role]);
   }
   const members: [string, number][] = [
     ['leader', 1],
@@ -285,12 +308,12 @@
     ['link', links],
   ];
   for (const [role, count] of members) {
-    const sent = total(sides[role]?.tally.sent ?? {});
+    const sent = total(countsByRole[role]?.tally.sent ?? {});
     all.messages += sent.messages * count;
     all.bytes += sent.bytes * count;
   }
   const [was, is] = [before.controlNodes[at], after.controlNodes[at]];
-  function grown(
+  function increase(
     key: 'fleetCount' | 'orders' | 'writes' | 'writtenBytes' | 'lists' | 'listMs',
   ): number {
     return (is?.[key] ?? 0) - (was?.[key] ?? 0);
@@ -300,16 +323,16 @@
     seconds: Math.round(seconds * 1000) / 1000,
     changes,
     roles,
-    depths: depthsOf(before, after, rest, scale),
-    all: scale.count(all, rest?.all),
-    repeats: scale.count(repeats, rest?.repeats),
+    depths: depthsOf(before, after, rest, scaler),
+    all: scaler.count(all, rest?.all),
+    repeats: scaler.count(repeats, rest?.repeats),
     kinds,
     inForceMs: inForceMs.map(Math.round),
-    fleetNews: grown('fleetCount'),
-    orders: grown('orders'),
-    writes: grown('writes'),
-    writtenBytes: grown('writtenBytes'),
-    lists: grown('lists'),
-    listMs: Math.round(grown('listMs')),
+    fleetNews: increase('fleetCount'),
+    orders: increase('orders'),
+    writes: increase('writes'),
+    writtenBytes: increase('writtenBytes'),
+    lists: increase('lists'),
+    listMs: Math.round(increase('listMs')),
   };
 }
--- a/src/rehearsal/scale-fit.test.ts
+++ b/src/rehearsal/scale-fit.test.ts
@@ -1,6 +1,6 @@
 import { expect, test } from 'vitest';
 import { fitOf } from './scale-fit.js';
-test('a line is found with nothing left over', () => {
+test('points on a line are fitted without a residual', () => {
   const fit = fitOf([
     [10, 25],
     [20, 45],
@@ -12,7 +12,7 @@
   expect(fit.residual).toBeLessThan(1e-9);
   expect(fit.points).toBe(4);
 });
-test('what grows with the square is seen as such', () => {
+test('quadratic growth is found by its exponent', () => {
   const fit = fitOf([
     [10, 100],
     [20, 400],
@@ -20,6 +20,6 @@
     [80, 6400],
   ]);
   expect(fit.exponent).toBeCloseTo(2);
-  // A line through it is told by its residual to be none.
+  // The residual shows that a line does not fit.
   expect(fit.residual).toBeGreaterThan(0.08);
 });
--- a/src/rehearsal/scale-plot.ts
+++ b/src/rehearsal/scale-plot.ts
@@ -30,14 +30,17 @@
 type Point = Infer<typeof PointShape>;
 type Phase = Infer<typeof PhaseShape>;
 
+/** Series that can be plotted; each is named after the size that grows. */
 export const GROWING = ['nodes', 'runners', 'models', 'routes'] as const;
 
+/** One point of a plot. */
 interface Row {
   readonly panel: string;
   readonly role: string;
   readonly x: number;
   readonly y: number;
 }
+/** The fit of one curve: the figure of a role in one panel of a series. */
 export interface NamedFit extends Fit {
   readonly series: string;
   readonly panel: string;
@@ -46,16 +49,16 @@
 }
 
 function medianOf(times: readonly number[]): number {
-  return [...times].sort(byNumber)[Math.floor(times.length / 2)] ?? 0;
+  return [...times].sort(byValue)[Math.floor(times.length / 2)] ?? 0;
 }
-function byNumber(a: number, b: number): number {
+function byValue(a: number, b: number): number {
   return a - b;
 }
 
-/** Everything of a phase that is followed as the fleet grows. */
+/** Returns all figures of a phase that are plotted against the size of the fleet. */
 function rowsOfPhase(x: number, { phase, roles, all, inForceMs }: Phase): Row[] {
-  const isBySecond = phase === 'rest' || phase === 'demand';
-  const unit = isBySecond ? 'a second' : 'a change';
+  const isPerSecond = phase === 'rest' || phase === 'demand';
+  const unit = isPerSecond ? 'a second' : 'a change';
   const rows: Row[] = [];
   for (const [role, { sent, received, cpuMs, rssMb }] of Object.entries(roles)) {
     if (role !== 'watched flow' && role !== 'watched link') {
@@ -65,7 +68,7 @@
       );
       rows.push({ panel: `${phase}: messages sent ${unit}`, role, x, y: sent.messages });
     }
-    // Hollow ones share a process: only those that stand alone tell of processor time and memory.
+    // Synthetic agents share a process; only roles with a process of their own have meaningful processor time and memory.
     if (role !== 'link')
       rows.push(
         { panel: `${phase}: processor ms ${unit}`, role, x, y: cpuMs },
@@ -119,8 +122,8 @@
 function specOf(series: string, rows: readonly Row[], fits: readonly NamedFit[]): TopLevelSpec {
   const values = [];
   for (const row of rows) values.push({ ...row, line: null });
-  for (const { panel, role, slope, start, values: known } of fits) {
-    for (const x of [known[0]?.[0] ?? 0, known.at(-1)?.[0] ?? 0])
+  for (const { panel, role, slope, start, values: points } of fits) {
+    for (const x of [points[0]?.[0] ?? 0, points.at(-1)?.[0] ?? 0])
       values.push({ panel, role, x, y: null, line: start + slope * x });
   }
   return {
@@ -153,23 +156,26 @@
   };
 }
 
-/** Draws each series that the folder holds, with its fits as dashed lines, and writes all fits beside them. */
+/**
+ * Plots each series in the folder, with its fits as dashed lines, and writes all fits to `fits.json`. Returns the paths of
+ * the plots; throws if the file of a series does not match its schema.
+ */
 export async function plotSeries(folder: string): Promise<string[]> {
   const files: string[] = [];
-  const all: NamedFit[] = [];
+  const allFits: NamedFit[] = [];
   for (const series of GROWING) {
     const path = join(folder, `${series}.json`);
     if (!existsSync(path)) continue;
     const { points } = mustParseAs(SeriesShape, readFileSync(path, 'utf8'), path);
     const rows = rowsOf(series, points);
     const fits = fitsOf(series, rows);
-    all.push(...fits);
+    allFits.push(...fits);
     const view = new View(parse(compile(specOf(series, rows, fits)).spec), { renderer: 'none' });
     const file = join(folder, `${series}.svg`);
     writeFileSync(file, `${await view.toSVG()}\n`);
     files.push(file);
   }
-  writeFileSync(join(folder, 'fits.json'), `[\n${all.map(lineOf).join(',\n')}\n]\n`);
+  writeFileSync(join(folder, 'fits.json'), `[\n${allFits.map(lineOf).join(',\n')}\n]\n`);
   return files;
 }
 
