--- a/src/rehearsal/scale-run.test.ts
+++ b/src/rehearsal/scale-run.test.ts
@@ -4,13 +4,13 @@
 import { runInPacedTime } from './testing/paced-time.js';
 
 /**
- * Small, and all in this process: what is counted is the same, only memory and processor time tell nothing. Time is paced,
- * so that a second is as many ticks of each program on a busy machine as on an idle one.
+ * Small fleets in this process: the counts are those of a forked run, only memory and processor time are not valid. Time
+ * is paced, so that a second has the same number of ticks of each program on a busy machine as on an idle one.
  */
-const SIZES = [12, 48];
+const NODE_COUNTS = [12, 48];
 const points: ScalePoint[] = [];
 function ignore(): void {
-  /* figures are looked at alone */
+  /* the test checks the figures only */
 }
 
 function runOne(nodes: number): Promise<ScalePoint> {
@@ -27,7 +27,7 @@
   }).run();
 }
 function runSizes(): Promise<ScalePoint[]> {
-  return Promise.all(SIZES.map(runOne));
+  return Promise.all(NODE_COUNTS.map(runOne));
 }
 
 function phaseOf(point: ScalePoint | undefined, name: string): PhaseFigures {
@@ -40,13 +40,13 @@
   points.push(...(await runInPacedTime(runSizes)));
 });
 
-interface Sum {
+interface Cost {
   messages: number;
   bytes: number;
 }
 
-/** What a change itself brings about: news, acks, and writes among the voters; all that is said anyway is left out. */
-function costOf(point: ScalePoint, name: string): Sum {
+/** Messages that a change itself causes: updates, acks, and writes among the voters, without periodic messages. */
+function costOf(point: ScalePoint, name: string): Cost {
   const { kinds, repeats } = phaseOf(point, name);
   const sum = { messages: -repeats.messages, bytes: -repeats.bytes };
   const members: [string, number][] = [
@@ -63,31 +63,31 @@
   }
   return sum;
 }
-/** docs/CAPACITY.md: at rest a link sends and receives what it does in any fleet; all else is its control node's. */
-test('at rest a link says no more in a larger fleet', () => {
+/** docs/CAPACITY.md: at rest an agent's messages do not depend on the size of the fleet, only a control node's do. */
+test('at rest, an agent sends and receives no more in a larger fleet', () => {
   for (const point of points) {
     const { link } = phaseOf(point, 'rest').roles;
     expect(link?.sent.messages ?? Infinity).toBeLessThan(6);
     expect((link?.sent.bytes ?? Infinity) + (link?.received.bytes ?? Infinity)).toBeLessThan(1000);
   }
 });
-/** Each node takes one copy of a change and acks it. */
-test('a change takes a bounded number of messages a node', () => {
+/** Each node receives one copy of a change and acknowledges it. */
+test('a change takes a bounded number of messages per node', () => {
   for (const point of points) {
     const config = phaseOf(point, 'configuration change');
     expect(config.inForceMs).toHaveLength(2);
     const cost = costOf(point, 'configuration change');
-    // News and ack for each node, and for the voters what they write and return.
+    // An update and an ack for each node, and the writes and replies of the voters.
     expect(cost.messages).toBeLessThan(2.1 * point.shape.nodes + 10);
     expect(cost.bytes).toBeLessThan((point.shape.nodes + 10) * (point.configBytes + 200));
     const fleet = phaseOf(point, 'fleet change');
-    // Slow machines may tell one change in two words.
-    const words = fleet.fleetNews / fleet.changes;
-    expect(words).toBeLessThanOrEqual(2);
+    // A slow machine may split one change into two updates.
+    const updatesPerChange = fleet.fleetNews / fleet.changes;
+    expect(updatesPerChange).toBeLessThanOrEqual(2);
     expect(costOf(point, 'fleet change').messages).toBeLessThan(
-      (1.1 * point.shape.nodes + 5) * words + 40,
+      (1.1 * point.shape.nodes + 5) * updatesPerChange + 40,
     );
-    // Asks that cross the news bring them once more: the slower the machine, the more, but no more than one for each node.
+    // A freshness request that crosses an update on the way repeats it: more often on slow machines, at most once per node.
     for (const { repeats } of [config, fleet])
       expect(repeats.messages).toBeLessThan(1.2 * point.shape.nodes);
   }
@@ -101,7 +101,7 @@
     [costOf(small, 'configuration change'), costOf(large, 'configuration change')],
   ];
   for (const [first, last] of pairs) {
-    // In step with the nodes or slower.
+    // Growth is at most proportional to the number of nodes.
     expect((last?.messages ?? Infinity) / (first?.messages ?? 0)).toBeLessThan(factor * 1.2);
     expect((last?.bytes ?? Infinity) / (first?.bytes ?? 0)).toBeLessThan(factor * 1.2);
   }
--- a/src/rehearsal/testing/paced-time.ts
+++ b/src/rehearsal/testing/paced-time.ts
@@ -2,7 +2,8 @@
 import { setImmediate as nextEventLoopTurn } from 'node:timers/promises';
 import { vi } from 'vitest';
 
-const PACED = [
+/** Timers and clocks that are replaced. */
+const PACED_APIS = [
   'setTimeout',
   'clearTimeout',
   'setInterval',
@@ -10,28 +11,28 @@
   'performance',
   'hrtime',
 ] as const;
-/** By how much the paced clock goes on at a time, ms. */
+/** Step of the paced clock, ms. */
 const STEP_MS = 10;
-/** So many turns of the event loop in a row without input or output show that none is under way. */
+/** Turns of the event loop without input or output after which none is assumed to be in progress. */
 const IDLE_TURNS = 3;
 
 /**
- * Runs work with the timers and clocks of this process paced: they go on by a step only once the process is idle, which is
- * when everything written to a socket of its own was read and every file operation has returned. A late event loop, as on a
- * busy machine, delays the steps and changes nothing of what happens in each, so that rates per paced second are the same
- * on any machine. Returns or throws what the work does, with timers and clocks as they were.
+ * Runs work with paced timers and clocks, which advance by a step only once the process is idle: everything written to its
+ * own sockets was read, and every file operation has returned. A late event loop, as on a busy machine, delays the steps
+ * but does not change what happens in each, so that rates per paced second are the same on any machine. Restores the
+ * timers and clocks, and returns or throws what the work does.
  */
 export async function runInPacedTime<T>(work: () => Promise<T>): Promise<T> {
-  vi.useFakeTimers({ toFake: [...PACED] });
+  vi.useFakeTimers({ toFake: [...PACED_APIS] });
   try {
-    return await pace(work());
+    return await advanceUntilDone(work());
   } finally {
     vi.useRealTimers();
   }
 }
 
-/** Lets the paced clock go on until the work is done. */
-async function pace<T>(work: Promise<T>): Promise<T> {
+/** Advances the paced clock until the work is done. */
+async function advanceUntilDone<T>(work: Promise<T>): Promise<T> {
   let isDone = false;
   function finish(): void {
     isDone = true;
@@ -44,19 +45,19 @@
   return work;
 }
 
-/** Resolves once the event loop waits for nothing but timers. */
+/** Resolves once the event loop waits for timers only. */
 async function untilIdle(): Promise<void> {
   let idleTurns = 0;
   while (idleTurns < IDLE_TURNS) {
-    const before = inputEvents();
+    const before = ioEventCount();
     await nextEventLoopTurn();
-    const isBusy = inputEvents() > before || hasFileOperation();
+    const isBusy = ioEventCount() > before || hasFileOperation();
     idleTurns = isBusy ? 0 : idleTurns + 1;
   }
 }
 
-/** Events of sockets and of finished file operations that this process has handled so far. */
-function inputEvents(): number {
+/** Returns the number of socket events and finished file operations that this process has handled so far. */
+function ioEventCount(): number {
   return realClock.nodeTiming.uvMetricsInfo.events;
 }
 
