--- a/src/rehearsal/fleet-command.ts
+++ b/src/rehearsal/fleet-command.ts
@@ -16,26 +16,26 @@
   static override aliases = ['myth:fleet'];
   static override deprecateAliases = true;
   static override description =
-    'start a whole deployment on loopback, send its traffic, and judge what was seen';
+    'run a whole deployment on loopback, send its traffic, and check the records';
   static override args = {
     deployment: Args.string({ required: true, options: Object.keys(DEPLOYMENTS) }),
   };
   static override flags = {
-    seconds: Flags.integer({ default: 30, description: 'how long traffic is sent' }),
-    seed: Flags.integer({ default: 1, description: 'seed of the callers' }),
+    seconds: Flags.integer({ default: 30, description: 'duration of the traffic in seconds' }),
+    seed: Flags.integer({ default: 1, description: 'seed of the traffic' }),
     rehearse: Flags.string({
       default: 'none',
-      description: 'failures to bring about: none, or all',
+      description: 'failures to cause: none or all',
       options: ['none', 'all'],
     }),
     step: Flags.string({
       default: '',
-      description: 'of the rehearsal, only the step of this name',
+      description: 'run only the step with this name',
     }),
-    keep: Flags.boolean({ default: false, description: 'keep logs and records' }),
-    factor: Flags.integer({ default: 1, description: 'multiplies the traffic' }),
+    keep: Flags.boolean({ default: false, description: 'keep the logs and records' }),
+    factor: Flags.integer({ default: 1, description: 'multiplier of the traffic rate' }),
     'other-build': Flags.string({
-      description: "another build's bin/run.js, which half of the processes run",
+      description: 'bin/run.js of another build, which half of the processes run',
     }),
   };
 
--- a/src/rehearsal/measure-command.ts
+++ b/src/rehearsal/measure-command.ts
@@ -7,7 +7,8 @@
 export class MeasureCommand extends Command {
   static override aliases = ['myth:measure'];
   static override deprecateAliases = true;
-  static override description = 'measure on virtual time, or as ratios within one run';
+  static override description =
+    'run a measurement in virtual time, or one that compares times within a run';
   static override args = {
     topic: Args.string({
       required: true,
@@ -16,7 +17,10 @@
   };
   static override flags = {
     seed: Flags.integer({ default: 1 }),
-    rounds: Flags.integer({ default: 1000, description: 'rounds of the relay measure' }),
+    rounds: Flags.integer({
+      default: 1000,
+      description: 'number of rounds of the relay measurement',
+    }),
   };
 
   async run(): Promise<void> {
--- a/src/rehearsal/scale-command.ts
+++ b/src/rehearsal/scale-command.ts
@@ -36,44 +36,51 @@
   static override aliases = ['myth:scale'];
   static override deprecateAliases = true;
   static override description =
-    'synthetic edges and runners beside real control nodes: what control costs by role, and how it grows';
+    'measure the cost of the control plane by role and its growth, with synthetic edges and runners and real control nodes';
   static override flags = {
     series: Flags.string({
       default: 'nodes',
       options: Object.keys(SERIES),
-      description: 'what grows from point to point',
+      description: 'size that grows from point to point',
     }),
     nodes: Flags.integer({
       default: BASE_SHAPE.nodes,
-      description: 'nodes, where the series says nothing of them',
+      description: 'number of nodes, unless the series sets it',
     }),
     runners: Flags.integer({
       default: BASE_SHAPE.runners,
-      description: 'runners, where the series says nothing of them',
+      description: 'number of runners, unless the series sets it',
     }),
     models: Flags.integer({
       default: BASE_SHAPE.models,
-      description: 'models, where the series says nothing of them',
+      description: 'number of models, unless the series sets it',
     }),
     processes: Flags.integer({
       default: 3,
-      description: 'over how many processes the synthetic edges are spread',
+      description: 'number of processes of the synthetic edges',
+    }),
+    seconds: Flags.integer({
+      default: 8,
+      description: 'duration of each phase without changes in seconds',
     }),
-    seconds: Flags.integer({ default: 8, description: 'how long each phase without changes is' }),
     changes: Flags.integer({
       default: 5,
-      description: 'changes of configuration, and of the fleet, at each point',
+      description: 'number of configuration changes, and of fleet changes, at each point',
     }),
     units: Flags.integer({
       default: 40,
-      description: 'models that each proxy tells demand of, a second, in the phase with demand',
+      description:
+        'number of models that each proxy reports demand for every second in the phase with demand',
     }),
-    loads: Flags.integer({ default: 4, description: 'loads at each point' }),
+    loads: Flags.integer({ default: 4, description: 'number of loads at each point' }),
     out: Flags.string({
       default: '',
-      description: 'folder for the figures (JSON) and the plots (SVG)',
+      description: 'output folder for the figures (JSON) and the plots (SVG)',
+    }),
+    plot: Flags.boolean({
+      default: false,
+      description: 'only plot the figures in the output folder',
     }),
-    plot: Flags.boolean({ default: false, description: 'only draw what the folder holds' }),
     part: Flags.string({ hidden: true, options: [...PART_KINDS] }),
     parent: Flags.integer({ hidden: true, default: process.ppid }),
     settings: Flags.string({ hidden: true, default: '' }),
--- a/src/rehearsal/stub-command.ts
+++ b/src/rehearsal/stub-command.ts
@@ -51,12 +51,12 @@
 export class StubCommand extends Command {
   static override aliases = ['myth:stand'];
   static override deprecateAliases = true;
-  static override description = 'run a stub for an outside system';
+  static override description = 'run a stub of an external system';
   static override args = {
     kind: Args.string({ required: true, options: ['runner', 'plain', 'platform', 'store'] }),
   };
   static override flags = {
-    listen: Flags.string({ required: true, description: 'own address' }),
+    listen: Flags.string({ required: true, description: 'address to listen on' }),
     settings: Flags.string({ required: true, description: 'settings file (JSON)' }),
   };
 
