--- a/src/rehearsal/scale-shape.ts
+++ b/src/rehearsal/scale-shape.ts
@@ -16,7 +16,7 @@
 /** Sizes of the fleet and its configuration in one point of the scale run. */
 export type ScaleShape = Infer<typeof ScaleShapeShape>;
 
-/** Schema of `EdgePlace`. */
+/** Schema of `ScaleEdge`. */
 export const EdgePlaceShape = type({
   link: string(),
   feed: string(),
