--- a/src/rehearsal/fleet.ts
+++ b/src/rehearsal/fleet.ts
@@ -23,8 +23,11 @@
 /** Addresses, data folder and zone of a control node. */
 export interface ControlPlace {
   readonly name: string;
+  /** Where it listens for nodes. */
   readonly listen: string;
+  /** Where it serves the operators' API. */
   readonly api: string;
+  /** Folder of its data. */
   readonly data: string;
   readonly zone: string;
 }
@@ -37,7 +40,9 @@
   readonly feed: string;
   /** Where the proxy listens for callers. */
   readonly flow: string;
+  /** Where the proxy serves its status and counters. */
   readonly flowStatus: string;
+  /** Where the agent serves its status. */
   readonly linkStatus: string;
   readonly zone: string;
 }
@@ -383,8 +388,9 @@
   // ---- Requests to the deployment
 
   /**
-   * Calls the operators' API of each control node in turn, or of `only`, and returns the first response other than a 503;
-   * any control node may forward the call. Returns status 0 and the last error if there is none.
+   * Calls the operators' API of each control node in turn, and returns the first response other than a 503; any control
+   * node may forward the call. With `only`, calls that node alone and returns its response, also a 503. Returns status 0
+   * and the last error if there is no such response.
    */
   async operate(
     method: string,
--- a/src/rehearsal/measures.ts
+++ b/src/rehearsal/measures.ts
@@ -128,7 +128,8 @@
     ]);
     let [parts, hits] = [0, 0];
     const requestCount = 4000;
-    function runDurationMs(runner: string, requestedParts: readonly string[]): number {
+    /** Processes a request's prompt parts on a runner, updates its cache and returns the duration of the run, ms. */
+    function processPrompt(runner: string, requestedParts: readonly string[]): number {
       const cached = cachedParts.get(runner) ?? [];
       let missed = 0;
       for (const part of requestedParts) {
@@ -151,7 +152,7 @@
     function applyVerdicts(): void {
       for (const verdict of router.drainVerdicts()) {
         if (verdict.do !== 'run') continue;
-        scheduler.after(runDurationMs(verdict.runner, partsById.get(verdict.id) ?? []), () =>
+        scheduler.after(processPrompt(verdict.runner, partsById.get(verdict.id) ?? []), () =>
           complete(verdict.id),
         );
       }
@@ -168,7 +169,7 @@
         if (id === undefined) return;
         const runner = seeded.pick(freeRunners) ?? 'a';
         running.set(runner, (running.get(runner) ?? 0) + 1);
-        scheduler.after(runDurationMs(runner, partsById.get(id) ?? []), () =>
+        scheduler.after(processPrompt(runner, partsById.get(id) ?? []), () =>
           completeRandom(runner),
         );
       }
--- a/src/rehearsal/proxy-connections.ts
+++ b/src/rehearsal/proxy-connections.ts
@@ -11,6 +11,7 @@
   readonly wrong: MutationKind | '';
   /** Undefined while the process is down. */
   inFlightRequests(): InFlightRequests | undefined;
+  /** Current time by the proxy's clock. */
   now(): Moment;
   /** Runs a callback now, or once the process is no longer frozen. */
   perform(run: () => void): void;
--- a/src/rehearsal/scale-figures.ts
+++ b/src/rehearsal/scale-figures.ts
@@ -109,6 +109,7 @@
     this.#changes = changes;
   }
 
+  /** Scales one number, rounded to three decimals. */
   value(raw: number, perSecondAtRest: number): number {
     const share =
       this.#changes === 0
@@ -117,6 +118,7 @@
     return Math.round(share * 1000) / 1000;
   }
 
+  /** Scales messages and bytes. */
   count(raw: Count, rest: Count | undefined): Count {
     return {
       messages: this.value(raw.messages, rest?.messages ?? 0),
@@ -124,6 +126,7 @@
     };
   }
 
+  /** Scales the counts of each message kind. */
   counts(
     raw: Readonly<Record<string, Count>>,
     rest: Readonly<Record<string, Count>> | undefined,
@@ -133,6 +136,7 @@
     return scaled;
   }
 
+  /** Scales what was sent and received. */
   tally(raw: TallyFigures, rest: TallyFigures | undefined): TallyFigures {
     return {
       sent: this.counts(raw.sent, rest?.sent),
