--- a/src/rehearsal/fleet-command.ts
+++ b/src/rehearsal/fleet-command.ts
@@ -8,33 +8,34 @@
 import { Fleet, type ProgramOf } from './fleet.js';
 import { Rehearsal } from './rehearsal.js';
 
-/** How often it is asked who leads. */
-const LEADER_WATCH_MS = 500;
+/** Interval at which the current leader is polled, ms. */
+const LEADER_POLL_MS = 500;
 
+/** The command `rehearsal fleet`: runs a deployment with traffic, optionally with failures, and checks its records. */
 export class FleetCommand extends Command {
   static override aliases = ['myth:fleet'];
   static override deprecateAliases = true;
   static override description =
-    'start a whole deployment on loopback, send its traffic, and judge what was seen';
+    'run a whole deployment on loopback, send its traffic, and check the records';
   static override args = {
     deployment: Args.string({ required: true, options: Object.keys(DEPLOYMENTS) }),
   };
   static override flags = {
-    seconds: Flags.integer({ default: 30, description: 'how long traffic is sent' }),
-    seed: Flags.integer({ default: 1, description: 'seed of the callers' }),
+    seconds: Flags.integer({ default: 30, description: 'duration of the traffic in seconds' }),
+    seed: Flags.integer({ default: 1, description: 'seed of the traffic' }),
     rehearse: Flags.string({
       default: 'none',
-      description: 'failures to bring about: none, or all',
+      description: 'failures to cause: none or all',
       options: ['none', 'all'],
     }),
     step: Flags.string({
       default: '',
-      description: 'of the rehearsal, only the step of this name',
+      description: 'run only the step with this name',
     }),
-    keep: Flags.boolean({ default: false, description: 'keep logs and records' }),
-    factor: Flags.integer({ default: 1, description: 'multiplies the traffic' }),
+    keep: Flags.boolean({ default: false, description: 'keep the logs and records' }),
+    factor: Flags.integer({ default: 1, description: 'multiplier of the traffic rate' }),
     'other-build': Flags.string({
-      description: "another build's bin/run.js, which half of the processes run",
+      description: 'bin/run.js of another build, which half of the processes run',
     }),
   };
 
@@ -48,8 +49,8 @@
     const say = this.log.bind(this);
     let isGood = false;
     const leaders = new Set<string>();
-    let watch: NodeJS.Timeout | undefined;
-    // Ended from outside, it leaves no process behind.
+    let leaderPoll: NodeJS.Timeout | undefined;
+    // A signal to this process must not leave the deployment's processes behind.
     async function stopAll(): Promise<void> {
       await fleet.stop();
       process.exit(1);
@@ -59,10 +60,10 @@
     try {
       const rehearsal = new Rehearsal(fleet, say);
       await rehearsal.begin();
-      watch = setInterval(() => {
+      leaderPoll = setInterval(() => {
         void rehearsal.leaderName().then((name) => leaders.add(name));
-      }, LEADER_WATCH_MS);
-      const callers = new Callers(fleet.edges.map(flowOf), flags.seed);
+      }, LEADER_POLL_MS);
+      const callers = new Callers(fleet.edges.map(proxyAddressOf), flags.seed);
       isGood = await rehearsal.run(callers, {
         seconds: flags.seconds,
         factor: flags.factor,
@@ -74,7 +75,7 @@
     } catch (thrown) {
       this.log(`rehearsal ended early: ${reasonOf(thrown)}`);
     } finally {
-      clearInterval(watch);
+      clearInterval(leaderPoll);
       for (const name of leaders)
         this.log(`${name} led, of ${programOf(name) === undefined ? 'this' : 'the other'} build`);
       await fleet.stop();
@@ -86,8 +87,8 @@
 }
 
 /**
- * Every other control node, agent and proxy runs the other build, if there is one; an agent never the same as the proxy
- * beside it.
+ * Lets every second control node, agent and proxy run the other build, if there is one. An agent and the proxy beside it
+ * run different builds.
  */
 function mixedPrograms(otherBuild: string | undefined): ProgramOf {
   return (name) => {
@@ -98,6 +99,6 @@
   };
 }
 
-function flowOf(edge: { readonly flow: string }): string {
+function proxyAddressOf(edge: { readonly flow: string }): string {
   return edge.flow;
 }
--- a/src/rehearsal/scale-command.ts
+++ b/src/rehearsal/scale-command.ts
@@ -6,8 +6,8 @@
 import { ScaleRun, type ScalePoint } from './scale-run.js';
 import type { ScaleShape } from './scale-shape.js';
 
-/** The points of each series; what a series does not name stands as in BASE. */
-const BASE: ScaleShape = {
+/** Sizes of a point that its series does not set. */
+const BASE_SHAPE: ScaleShape = {
   nodes: 100,
   runners: 1000,
   models: 190,
@@ -16,6 +16,7 @@
   zones: 11,
   controlNodes: 3,
 };
+/** The points of each series, as differences from the base. */
 const SERIES: Readonly<Record<string, readonly Partial<ScaleShape>[]>> = {
   nodes: [{ nodes: 30 }, { nodes: 100 }, { nodes: 300 }, { nodes: 600 }, { nodes: 1000 }],
   runners: [{ runners: 1000 }, { runners: 2000 }, { runners: 5000 }, { runners: 11_000 }],
@@ -30,48 +31,56 @@
   target: [{ nodes: 1000, runners: 11_000, models: 1900, adapters: 16_000 }],
 };
 
+/** The command `rehearsal scale`: measures the cost of the control plane at growing sizes, and plots it. */
 export class ScaleCommand extends Command {
   static override aliases = ['myth:scale'];
   static override deprecateAliases = true;
   static override description =
-    'synthetic edges and runners beside real control nodes: what control costs by role, and how it grows';
+    'measure the cost of the control plane by role and its growth, with synthetic edges and runners and real control nodes';
   static override flags = {
     series: Flags.string({
       default: 'nodes',
       options: Object.keys(SERIES),
-      description: 'what grows from point to point',
+      description: 'size that grows from point to point',
     }),
     nodes: Flags.integer({
-      default: BASE.nodes,
-      description: 'nodes, where the series says nothing of them',
+      default: BASE_SHAPE.nodes,
+      description: 'number of nodes, unless the series sets it',
     }),
     runners: Flags.integer({
-      default: BASE.runners,
-      description: 'runners, where the series says nothing of them',
+      default: BASE_SHAPE.runners,
+      description: 'number of runners, unless the series sets it',
     }),
     models: Flags.integer({
-      default: BASE.models,
-      description: 'models, where the series says nothing of them',
+      default: BASE_SHAPE.models,
+      description: 'number of models, unless the series sets it',
     }),
     processes: Flags.integer({
       default: 3,
-      description: 'over how many processes the synthetic edges are spread',
+      description: 'number of processes of the synthetic edges',
+    }),
+    seconds: Flags.integer({
+      default: 8,
+      description: 'duration of each phase without changes in seconds',
     }),
-    seconds: Flags.integer({ default: 8, description: 'how long each phase without changes is' }),
     changes: Flags.integer({
       default: 5,
-      description: 'changes of configuration, and of the fleet, at each point',
+      description: 'number of configuration changes, and of fleet changes, at each point',
     }),
     units: Flags.integer({
       default: 40,
-      description: 'models that each proxy tells demand of, a second, in the phase with demand',
+      description:
+        'number of models that each proxy reports demand for every second in the phase with demand',
     }),
-    loads: Flags.integer({ default: 4, description: 'loads at each point' }),
+    loads: Flags.integer({ default: 4, description: 'number of loads at each point' }),
     out: Flags.string({
       default: '',
-      description: 'folder for the figures (JSON) and the plots (SVG)',
+      description: 'output folder for the figures (JSON) and the plots (SVG)',
+    }),
+    plot: Flags.boolean({
+      default: false,
+      description: 'only plot the figures in the output folder',
     }),
-    plot: Flags.boolean({ default: false, description: 'only draw what the folder holds' }),
     part: Flags.string({ hidden: true, options: [...PART_KINDS] }),
     parent: Flags.integer({ hidden: true, default: process.ppid }),
     settings: Flags.string({ hidden: true, default: '' }),
@@ -85,7 +94,7 @@
       const points: ScalePoint[] = [];
       for (const change of SERIES[flags.series] ?? []) {
         const shape = {
-          ...BASE,
+          ...BASE_SHAPE,
           nodes: flags.nodes,
           runners: flags.runners,
           models: flags.models,
@@ -108,7 +117,7 @@
       if (flags.out === '') this.log(JSON.stringify(points));
     }
     if (flags.out !== '') {
-      // The plotting library is loaded by whoever plots, and by no other command.
+      // Loaded here, so that no other command loads the plotting library.
       const { plotSeries } = await import('./scale-plot.js');
       for (const file of await plotSeries(flags.out)) this.log(file);
     }
