--- a/src/control/testing/fault-cluster.ts
+++ b/src/control/testing/fault-cluster.ts
@@ -6,7 +6,7 @@
 import type { Message } from '../../common/messages.js';
 import type { Fleet, FleetRunner, ListedRunner } from '../../placement/fleet.js';
 import type { ServiceDoc } from '../../placement/shapes.js';
-import { Seeded } from '../../rehearsal/seeded.js';
+import { SeededRandom } from '../../rehearsal/seeded-random.js';
 import { VOTE_DEFAULTS } from '../../election/vote-settings.js';
 import { ControlCore } from '../control-core.js';
 import { CONTROL_DEFAULTS, type ControlEffect } from '../control-effect.js';
@@ -138,7 +138,7 @@
   #now = 0;
   #commandId = 0;
   readonly nodes = new Map<string, Node>();
-  readonly #random: Seeded;
+  readonly #random: SeededRandom;
   readonly #options: Required<FaultClusterOptions>;
   readonly #defaultDelay: DelayRange;
   #events: ScheduledEvent[] = [];
@@ -167,7 +167,7 @@
     this.#options = { ...defaults, ...options };
     const { minDelayMs: minMs, maxDelayMs: maxMs } = this.#options;
     this.#defaultDelay = { minMs, maxMs };
-    this.#random = new Seeded(this.#options.seed, 1);
+    this.#random = new SeededRandom(this.#options.seed, 1);
   }
 
   /** The virtual time, in milliseconds. */
--- a/src/control/voter-faults.test.ts
+++ b/src/control/voter-faults.test.ts
@@ -1,7 +1,7 @@
 import { expect, test } from 'vitest';
 import { FaultCluster, formedFaultCluster } from './testing/fault-cluster.js';
 import { documentOf } from './testing/plain-dialect.js';
-import { Seeded } from '../rehearsal/seeded.js';
+import { SeededRandom } from '../rehearsal/seeded-random.js';
 
 /** A node counts as lost until this time after its return. */
 const CATCH_UP_MS = 4000;
@@ -41,7 +41,7 @@
 /** Random faults of voters from a seed, at most `maxFaults` at a time, while an operator edits the configuration. */
 class RandomFaults {
   readonly #cluster: FaultCluster;
-  readonly #random: Seeded;
+  readonly #random: SeededRandom;
   readonly #maxFaults: number;
   /** The machines of the deployment at present. */
   readonly #machines: string[];
@@ -58,7 +58,7 @@
 
   constructor(ids: readonly string[], maxFaults: number, seed: number) {
     this.#cluster = formedFaultCluster(ids, { seed, maxDelayMs: 30, maxDiskMs: 30 });
-    this.#random = new Seeded(seed * 7919, 1);
+    this.#random = new SeededRandom(seed * 7919, 1);
     this.#machines = [...ids];
     this.#maxFaults = maxFaults;
     this.#leaderSeenAt = this.#cluster.now;
--- a/src/placement/fleet.test.ts
+++ b/src/placement/fleet.test.ts
@@ -1,7 +1,7 @@
 import { expect, test } from 'vitest';
 import { parseAs } from '../common/json.js';
 import { Relay } from '../dissemination/relay.js';
-import { Seeded } from '../rehearsal/seeded.js';
+import { SeededRandom } from '../rehearsal/seeded-random.js';
 import {
   applyFleetDelta,
   FleetShape,
@@ -50,7 +50,7 @@
 });
 test('all relays end with the newest fleet, whichever deltas are lost on the way', () => {
   for (let seed = 1; seed <= 20; seed += 1) {
-    const numbers = new Seeded(seed);
+    const numbers = new SeededRandom(seed);
     const random = () => numbers.next();
     const [top, middle, low] = [new Relay(), new Relay(), new Relay()];
     let fleet: Fleet = { flows: 1, waits: [], runners: [] };
--- a/src/placement/placer.test.ts
+++ b/src/placement/placer.test.ts
@@ -1,7 +1,7 @@
 import { expect, test } from 'vitest';
 import { compile } from '../policy/language.js';
 import { moment } from '../common/ids.js';
-import { Seeded } from '../rehearsal/seeded.js';
+import { SeededRandom } from '../rehearsal/seeded-random.js';
 import { matchesIntent } from './intent-log.js';
 import { Placer } from './placer.js';
 import { PLACER_DEFAULTS, type PlanInput, type RunnerView } from './placer-types.js';
@@ -243,7 +243,7 @@
 });
 test('memory and fetch limits hold under random restarts, leaving runners and late orders', () => {
   for (let seed = 1; seed <= 40; seed += 1) {
-    const seeded = new Seeded(seed);
+    const seeded = new SeededRandom(seed);
     const fleet = new PlacerFleet(
       catalogOf('m-0', 'm-1', 'm-2', 'm-3', 'm-4', 'm-5', 'rare-0', 'rare-1'),
     );
--- a/src/policy/table-index.test.ts
+++ b/src/policy/table-index.test.ts
@@ -1,5 +1,5 @@
 import { expect, test } from 'vitest';
-import { Seeded } from '../rehearsal/seeded.js';
+import { SeededRandom } from '../rehearsal/seeded-random.js';
 import { type Mapping, type Row, type Table, matchesModel } from './table.js';
 import { tableIndexOf } from './table-index.js';
 
@@ -31,7 +31,7 @@
       maxWeight = Math.max(maxWeight, row.weight);
   return maxWeight;
 }
-function randomName(seeded: InstanceType<typeof Seeded>): string {
+function randomName(seeded: InstanceType<typeof SeededRandom>): string {
   let text = '';
   for (let length = 1 + seeded.below(3); length > 0; length -= 1)
     text += seeded.pick(['a', 'b']) ?? '';
@@ -39,7 +39,7 @@
 }
 test('the index finds the same as a scan of the table', () => {
   for (let seed = 1; seed <= 60; seed += 1) {
-    const seeded = new Seeded(seed);
+    const seeded = new SeededRandom(seed);
     const rows: Row[] = [];
     const mappings: Mapping[] = [];
     for (let index = 0; index < 12; index += 1) {
--- a/src/proxy/dispatcher.test.ts
+++ b/src/proxy/dispatcher.test.ts
@@ -1,7 +1,7 @@
 import { expect, test } from 'vitest';
 import { moment } from '../common/ids.js';
 import type { Fleet, FleetRunner } from '../placement/fleet.js';
-import { Seeded } from '../rehearsal/seeded.js';
+import { SeededRandom } from '../rehearsal/seeded-random.js';
 import type { Engine, Route, Routing } from '../route/routing.js';
 import { Dispatcher, type DispatchEffect, type RequestHead } from './dispatcher.js';
 
@@ -419,7 +419,7 @@
 });
 test('after random events nothing is in flight, and each request has ended once', () => {
   for (let seed = 1; seed <= 200; seed += 1) {
-    const numbers = new Seeded(seed);
+    const numbers = new SeededRandom(seed);
     const random = () => numbers.next();
     const bench = new Bench([
       runner('a', 'za', ['m']),
--- a/src/proxy/testing/proxy-fleet.ts
+++ b/src/proxy/testing/proxy-fleet.ts
@@ -3,7 +3,7 @@
 import { later, moment, type Moment } from '../../common/ids.js';
 import type { FleetRunner } from '../../placement/fleet.js';
 import { Scheduler } from '../../rehearsal/scheduler.js';
-import { Seeded } from '../../rehearsal/seeded.js';
+import { SeededRandom } from '../../rehearsal/seeded-random.js';
 import { Dispatcher, type DispatchEffect } from '../dispatcher.js';
 import { BatchRunner } from './batch-runner.js';
 import { headOf, ROUTING } from './dispatch-fixtures.js';
@@ -49,7 +49,7 @@
 /** A simulated fleet of proxies and runners. */
 export class ProxyFleet {
   readonly #options: ProxyFleetOptions;
-  readonly #random: Seeded;
+  readonly #random: SeededRandom;
   readonly #runners = new Map<string, BatchRunner>();
   readonly #fleetRunners: FleetRunner[] = [];
   readonly #proxies: Proxy[] = [];
@@ -59,7 +59,7 @@
 
   constructor(options: ProxyFleetOptions) {
     this.#options = options;
-    this.#random = new Seeded(options.seed);
+    this.#random = new SeededRandom(options.seed);
     for (let index = 0; index < options.runners; index += 1) this.#addRunner(index);
     for (let index = 0; index < options.proxies; index += 1) this.#addProxy(index);
   }
--- a/src/rehearsal/back-end-troubles.ts
+++ b/src/rehearsal/back-end-troubles.ts
@@ -1,6 +1,13 @@
 import type { EdgeTroubles } from './edge-troubles.js';
 import { MOODS, type Mood } from './sim-backend.js';
-import { idOf, PLAIN, RUNNERS, type Stage, type StageHands, type Strike } from './stage.js';
+import {
+  idOf,
+  PLAIN_BACK_ENDS,
+  RUNNERS,
+  type SimulatedFleet,
+  type FaultActions,
+  type FaultTargets,
+} from './simulated-fleet.js';
 
 /** Kinds of troubles of runners and plain back ends. */
 export const BACK_END_TROUBLES = [
@@ -29,17 +36,17 @@
 
 /** Troubles of runners and plain back ends. */
 export class BackEndTroubles {
-  readonly #stage: Stage;
-  readonly #hands: StageHands;
+  readonly #stage: SimulatedFleet;
+  readonly #hands: FaultActions;
   readonly #edge: EdgeTroubles;
 
-  constructor(stage: Stage, hands: StageHands, edge: EdgeTroubles) {
+  constructor(stage: SimulatedFleet, hands: FaultActions, edge: EdgeTroubles) {
     this.#stage = stage;
     this.#hands = hands;
     this.#edge = edge;
   }
 
-  bringAbout(kind: BackEndTroubleKind, strike: Strike): void {
+  bringAbout(kind: BackEndTroubleKind, strike: FaultTargets): void {
     const { runner, plain, backEnd, spanMs } = strike;
     const { scheduler, outside, seeded } = this.#stage;
     switch (kind) {
@@ -58,7 +65,7 @@
         this.#setMood(backEnd, seeded.pick(MOODS) ?? 'sound', spanMs);
         break;
       case 'breaking-plain':
-        for (const id of PLAIN) this.#setMood(id, 'breaks', spanMs);
+        for (const id of PLAIN_BACK_ENDS) this.#setMood(id, 'breaks', spanMs);
         break;
       case 'restart-back':
         this.#restartPlain(plain);
@@ -87,7 +94,7 @@
       outside.setDark(back.id, false);
       scheduler.after(START_MS, () => outside.up(back.id));
     }
-    for (const id of [...RUNNERS, ...PLAIN]) outside.platform.mark(id, false);
+    for (const id of [...RUNNERS, ...PLAIN_BACK_ENDS]) outside.platform.mark(id, false);
   }
 
   /** It takes as long as a process does to start; then everybody asks. */
--- a/src/rehearsal/caller-traffic.ts
+++ b/src/rehearsal/caller-traffic.ts
@@ -1,5 +1,5 @@
 import type { Scheduler } from './scheduler.js';
-import type { Seeded } from './seeded.js';
+import type { SeededRandom } from './seeded-random.js';
 import type { Traffic } from './sim-clients.js';
 
 const MODEL_COUNT = 8;
@@ -11,7 +11,7 @@
 const MAX_TOKENS = 12;
 
 /** Returns a request for a plain back end. */
-export function lookup(): Traffic {
+export function lookupTraffic(): Traffic {
   return {
     type: 'lookup',
     method: 'GET',
@@ -24,8 +24,8 @@
 }
 
 /** Draws a caller's next request; the popular models change with time, so that the placement has to follow. */
-export function drawTraffic(scheduler: Scheduler, seeded: Seeded): Traffic {
-  if (seeded.isLikely(LOOKUP_PROBABILITY)) return lookup();
+export function drawTraffic(scheduler: Scheduler, seeded: SeededRandom): Traffic {
+  if (seeded.isLikely(LOOKUP_PROBABILITY)) return lookupTraffic();
   const shift = Math.floor(scheduler.now / SHIFT_MS);
   const model = `m-${(shift + Math.floor(3 * seeded.next() ** 2)) % MODEL_COUNT}`;
   const adapter = model === 'm-0' && seeded.isLikely(ADAPTER_PROBABILITY) ? 'm-0-a' : '';
--- a/src/rehearsal/callers.ts
+++ b/src/rehearsal/callers.ts
@@ -5,14 +5,14 @@
 import type { TrafficKind } from './deployment.js';
 import { LineCheck } from './line-check.js';
 import type { CallerRecord } from './records.js';
-import { Seeded } from './seeded.js';
+import { SeededRandom } from './seeded-random.js';
 
 const OutcomeShape = type({ outcome: string() });
 
 /** Generates a deployment's mix of traffic, sends it to the proxies and records the responses. */
 export class Callers {
   readonly #proxies: readonly string[];
-  readonly #seeded: Seeded;
+  readonly #seeded: SeededRandom;
   readonly #agent = new Agent({ keepAlive: true, maxSockets: 2000 });
   readonly #records: CallerRecord[] = [];
   readonly #timers: NodeJS.Timeout[] = [];
@@ -22,7 +22,7 @@
 
   constructor(proxies: readonly string[], seed: number) {
     this.#proxies = proxies;
-    this.#seeded = new Seeded(seed);
+    this.#seeded = new SeededRandom(seed);
   }
 
   /** One record for each finished request, in the order in which they finished. */
@@ -31,7 +31,7 @@
   }
 
   /** Starts to send a kind of traffic at its rate times `factor`, with exponentially distributed gaps between requests. */
-  begin(kind: TrafficKind, factor = 1): void {
+  start(kind: TrafficKind, factor = 1): void {
     const self = {
       send: (kind: TrafficKind, model?: string, flow?: string) => this.send(kind, model, flow),
       seeded: this.#seeded,
@@ -50,7 +50,7 @@
   }
 
   /** Stops sending and waits until no request is in flight. */
-  async end(): Promise<void> {
+  async stop(): Promise<void> {
     for (const timer of this.#timers) clearTimeout(timer);
     if (this.#inFlightCount > 0) await new Promise<void>((done) => this.#setIdle(done));
     this.#agent.destroy();
@@ -196,7 +196,7 @@
 }
 
 /** Requests of one type, counted by outcome. */
-export interface Summary {
+export interface OutcomeSummary {
   readonly type: string;
   readonly sent: number;
   readonly done: number;
@@ -208,8 +208,8 @@
 }
 
 /** Counts the outcomes of requests by request type. */
-export function summarise(records: readonly CallerRecord[]): Summary[] {
-  const byType = new Map<string, Summary>();
+export function summarizeOutcomes(records: readonly CallerRecord[]): OutcomeSummary[] {
+  const byType = new Map<string, OutcomeSummary>();
   for (const record of records) {
     const summary = byType.get(record.type) ?? {
       type: record.type,
--- a/src/rehearsal/control-troubles.ts
+++ b/src/rehearsal/control-troubles.ts
@@ -1,6 +1,11 @@
 import { allPartitions, VOTE_RECORD } from '../state/partition-names.js';
 import type { SimControl } from './sim-control.js';
-import { idOf, type Stage, type StageHands, type Strike } from './stage.js';
+import {
+  idOf,
+  type SimulatedFleet,
+  type FaultActions,
+  type FaultTargets,
+} from './simulated-fleet.js';
 
 /** Kinds of troubles of control nodes. */
 export const CONTROL_TROUBLES = [
@@ -27,15 +32,15 @@
 
 /** Troubles of control nodes: deaths, freezes, disks and cuts. */
 export class ControlTroubles {
-  readonly #stage: Stage;
-  readonly #hands: StageHands;
+  readonly #stage: SimulatedFleet;
+  readonly #hands: FaultActions;
 
-  constructor(stage: Stage, hands: StageHands) {
+  constructor(stage: SimulatedFleet, hands: FaultActions) {
     this.#stage = stage;
     this.#hands = hands;
   }
 
-  bringAbout(kind: ControlTroubleKind, strike: Strike): void {
+  bringAbout(kind: ControlTroubleKind, strike: FaultTargets): void {
     const { controlNode, otherControlNode, spanMs } = strike;
     const { scheduler, agents, controlNodes } = this.#stage;
     switch (kind) {
--- a/src/rehearsal/deployment.test.ts
+++ b/src/rehearsal/deployment.test.ts
@@ -9,7 +9,7 @@
     dakar.runners.length,
     dakar.catalog.models.length,
     dakar.catalog.adapters.length,
-    dakar.plain.length,
+    dakar.plainBackEnds.length,
   ]).toEqual([9, 3, 8, 36, 40, 3]);
   expect([
     sofia.edges,
@@ -17,7 +17,7 @@
     sofia.runners.length,
     sofia.catalog.models.length,
     sofia.catalog.adapters.length,
-    sofia.plain.length,
+    sofia.plainBackEnds.length,
   ]).toEqual([8, 3, 13, 30, 55, 3]);
   for (const deployment of [dakar, sofia, HAMLET])
     expect(compile(deployment.table).faults).toEqual([]);
--- a/src/rehearsal/deployment.ts
+++ b/src/rehearsal/deployment.ts
@@ -27,7 +27,7 @@
   readonly slots: number;
 }
 /** A plain back end, which serves no models, of a deployment. */
-export interface PlainSpec {
+export interface PlainBackEndSpec {
   readonly id: string;
   readonly zone: string;
   readonly service: string;
@@ -42,7 +42,7 @@
   readonly edges: number;
   readonly controlNodes: number;
   readonly runners: readonly RunnerSpec[];
-  readonly plain: readonly PlainSpec[];
+  readonly plainBackEnds: readonly PlainBackEndSpec[];
   readonly catalog: Catalog;
   readonly table: string;
   readonly traffic: readonly TrafficKind[];
@@ -94,8 +94,8 @@
   return list;
 }
 
-function plainOf(service: string, zones: readonly string[], workMs: number): PlainSpec[] {
-  const list: PlainSpec[] = [];
+function plainOf(service: string, zones: readonly string[], workMs: number): PlainBackEndSpec[] {
+  const list: PlainBackEndSpec[] = [];
   for (let index = 0; index < 3; index += 1)
     list.push({
       id: `${service}-${index}`,
@@ -120,7 +120,7 @@
   edges: 9,
   controlNodes: 3,
   runners: runnersOf(8, ZONES, 80, 12),
-  plain: plainOf('kiosk', ZONES, 15),
+  plainBackEnds: plainOf('kiosk', ZONES, 15),
   catalog: catalogOf([RECEIPT, CUSTOMS, LEDGER, RARE], 3),
   table: [
     '# Dakar: tills, customs, ledgers, kiosks',
@@ -194,7 +194,7 @@
   edges: 8,
   controlNodes: 3,
   runners: runnersOf(13, ZONES, 60, 12),
-  plain: plainOf('ranking', ZONES, 12),
+  plainBackEnds: plainOf('ranking', ZONES, 12),
   catalog: catalogOf([LIVE, NOTE, SUMMARY, SELDOM], 4),
   table: [
     '# Sofia: moderators, their slower queue, run logs, the rankings site',
@@ -263,7 +263,7 @@
   edges: 2,
   controlNodes: 3,
   runners: runnersOf(3, ZONES, 40, 8),
-  plain: plainOf('kiosk', ZONES, 5),
+  plainBackEnds: plainOf('kiosk', ZONES, 5),
   catalog: catalogOf(
     [
       { name: 'receipt', count: 3, size: 12, adapters: 2 },
--- a/src/rehearsal/edge-troubles.ts
+++ b/src/rehearsal/edge-troubles.ts
@@ -1,8 +1,8 @@
-import { lookup } from './caller-traffic.js';
+import { lookupTraffic } from './caller-traffic.js';
 import type { Network } from './network.js';
 import type { SimAgent } from './sim-agent.js';
 import type { SimProxy } from './sim-proxy.js';
-import type { Stage, StageHands, Strike } from './stage.js';
+import type { SimulatedFleet, FaultActions, FaultTargets } from './simulated-fleet.js';
 
 /** Kinds of troubles of agents, proxies and the network as a whole. */
 export const EDGE_TROUBLES = [
@@ -30,15 +30,15 @@
 
 /** Troubles of agents, proxies and the network. */
 export class EdgeTroubles {
-  readonly #stage: Stage;
-  readonly #hands: StageHands;
+  readonly #stage: SimulatedFleet;
+  readonly #hands: FaultActions;
 
-  constructor(stage: Stage, hands: StageHands) {
+  constructor(stage: SimulatedFleet, hands: FaultActions) {
     this.#stage = stage;
     this.#hands = hands;
   }
 
-  bringAbout(kind: EdgeTroubleKind, strike: Strike): void {
+  bringAbout(kind: EdgeTroubleKind, strike: FaultTargets): void {
     const { agent, proxy, controlNode, otherControlNode, spanMs } = strike;
     const { scheduler, network, seeded } = this.#stage;
     switch (kind) {
@@ -83,7 +83,7 @@
   /** Everybody asks at once, so many at each proxy. */
   crowd(size: number): void {
     for (const proxy of this.#stage.proxies)
-      for (let index = 0; index < size; index += 1) proxy.send(lookup());
+      for (let index = 0; index < size; index += 1) proxy.send(lookupTraffic());
   }
 
   #isolate(agent: SimAgent, spanMs: number): void {
--- a/src/rehearsal/fleet-command.ts
+++ b/src/rehearsal/fleet-command.ts
@@ -3,9 +3,9 @@
 import { join } from 'node:path';
 import { Args, Command, Flags } from '@oclif/core';
 import { reasonOf } from '../common/errors.js';
-import { Callers, summarise } from './callers.js';
+import { Callers, summarizeOutcomes } from './callers.js';
 import { DEPLOYMENTS } from './deployment.js';
-import { Fleet, type ProgramOf } from './fleet.js';
+import { Fleet, type ProgramSelector } from './fleet.js';
 import { Rehearsal } from './rehearsal.js';
 
 /** Interval at which the current leader is polled, ms. */
@@ -70,7 +70,7 @@
         isFailing: flags.rehearse === 'all',
         only: flags.step,
       });
-      for (const row of summarise(callers.records)) this.log(JSON.stringify(row));
+      for (const row of summarizeOutcomes(callers.records)) this.log(JSON.stringify(row));
       writeFileSync(join(root, 'callers.json'), JSON.stringify(callers.records));
     } catch (thrown) {
       this.log(`rehearsal ended early: ${reasonOf(thrown)}`);
@@ -90,7 +90,7 @@
  * Lets every second control node, agent and proxy run the other build, if there is one. An agent and the proxy beside it
  * run different builds.
  */
-function mixedPrograms(otherBuild: string | undefined): ProgramOf {
+function mixedPrograms(otherBuild: string | undefined): ProgramSelector {
   return (name) => {
     const [, program = '', index = ''] = /^(mind|link|flow)-(\d+)$/.exec(name) ?? [];
     if (program === '') return undefined;
@@ -99,6 +99,6 @@
   };
 }
 
-function proxyAddressOf(edge: { readonly flow: string }): string {
-  return edge.flow;
+function proxyAddressOf(edge: { readonly proxy: string }): string {
+  return edge.proxy;
 }
--- a/src/rehearsal/fleet.test.ts
+++ b/src/rehearsal/fleet.test.ts
@@ -1,7 +1,7 @@
 import { expect, test } from 'vitest';
 import { Callers } from './callers.js';
 import { HAMLET } from './deployment.js';
-import { type EdgePlace, Fleet, type ControlPlace, PROGRAM } from './fleet.js';
+import { type EdgeSpec, Fleet, type ControlNodeSpec, PROGRAM } from './fleet.js';
 import { Rehearsal } from './rehearsal.js';
 import { spawn } from 'node:child_process';
 import { mkdtempSync, openSync, readFileSync, rmSync } from 'node:fs';
@@ -26,10 +26,10 @@
   });
   return { code, text: readFileSync(path, 'utf8') };
 }
-function proxyAddressOf(edge: EdgePlace): string {
-  return edge.flow;
+function proxyAddressOf(edge: EdgeSpec): string {
+  return edge.proxy;
 }
-function apiFlags(controlNode: ControlPlace): string[] {
+function apiFlags(controlNode: ControlNodeSpec): string[] {
   return ['--api', controlNode.api];
 }
 test('separate processes connect, apply a policy table and serve a stream, and an edited table cell changes the placement', async () => {
@@ -42,7 +42,7 @@
     const [check] = HAMLET.traffic;
     if (!check) throw new Error('no traffic');
     // A streamed request is served to its end; it is retried until the model is loaded, as a client with Retry-After does.
-    await fleet.until(
+    await fleet.waitUntil(
       'a streamed request served',
       30_000,
       async (): Promise<boolean> =>
@@ -60,13 +60,13 @@
       await runCommand(root, ['operator', 'set', 'check/receipt-*', 'weight', '0', ...api]),
     ).toMatchObject({ code: 1 });
     // One cell of the table selects which rare models are in use; the others are unloaded within seconds.
-    await fleet.until('rare models placed', 60_000, async (): Promise<boolean> =>
+    await fleet.waitUntil('rare models placed', 60_000, async (): Promise<boolean> =>
       / {2}rare-0[1-3] runner/.test((await runCommand(root, ['operator', 'status', ...api])).text),
     );
     expect(
       await runCommand(root, ['operator', 'set', 'check/rare-*', 'model', 'rare-00', ...api]),
     ).toMatchObject({ code: 0 });
-    await fleet.until(
+    await fleet.waitUntil(
       'the other rare models are unloaded',
       15_000,
       async (): Promise<boolean> =>
@@ -94,7 +94,7 @@
     ).toMatchObject({
       code: 2,
     });
-    await callers.end();
+    await callers.stop();
     expect(await rehearsal.violations(callers)).toEqual([]);
     expect(await fleet.signal('flow-0', 'SIGTERM')).toBe(0);
     expect(await fleet.signal('link-0', 'SIGTERM')).toBe(0);
--- a/src/rehearsal/fleet.ts
+++ b/src/rehearsal/fleet.ts
@@ -21,7 +21,7 @@
 }
 
 /** Addresses, data folder and zone of a control node. */
-export interface ControlPlace {
+export interface ControlNodeSpec {
   readonly name: string;
   /** Where it listens for nodes. */
   readonly listen: string;
@@ -32,23 +32,23 @@
   readonly zone: string;
 }
 /** Addresses and zone of an edge, which is an agent and the proxy beside it. */
-export interface EdgePlace {
+export interface EdgeSpec {
   readonly name: string;
   /** Where the agent listens for nodes. */
   readonly listen: string;
   /** Where the agent listens for its proxy. */
   readonly feed: string;
   /** Where the proxy listens for callers. */
-  readonly flow: string;
+  readonly proxy: string;
   /** Where the proxy serves its status and counters. */
-  readonly flowStatus: string;
+  readonly proxyStatus: string;
   /** Where the agent serves its status. */
-  readonly linkStatus: string;
+  readonly agentStatus: string;
   readonly zone: string;
 }
 
 /** Returns the path of the program that a process runs, or undefined for this build's program. */
-export type ProgramOf = (name: string) => string | undefined;
+export type ProgramSelector = (name: string) => string | undefined;
 
 /** Path of this build's program. */
 export const PROGRAM = fileURLToPath(new URL('../../bin/run.js', import.meta.url));
@@ -81,20 +81,20 @@
   readonly #deployment: Deployment;
   readonly #root: string;
   readonly #programs = new Map<string, Program>();
-  readonly #controlNodes: ControlPlace[] = [];
-  readonly #edges: EdgePlace[] = [];
+  readonly #controlNodes: ControlNodeSpec[] = [];
+  readonly #edges: EdgeSpec[] = [];
   readonly #cuts = new Cuts();
   readonly #backEnds = new Map<
     string,
     { address: string; zone: string; records: string; service: string }
   >();
-  readonly #programOf: ProgramOf;
+  readonly #programOf: ProgramSelector;
   #platform = '';
   #store = '';
   #platformRecords = '';
   #storeRecords = '';
 
-  constructor(deployment: Deployment, root: string, programOf: ProgramOf = () => undefined) {
+  constructor(deployment: Deployment, root: string, programOf: ProgramSelector = () => undefined) {
     this.#deployment = deployment;
     this.#root = root;
     this.#programOf = programOf;
@@ -109,11 +109,11 @@
     return this.#root;
   }
   /** All control nodes, including those added later. */
-  get controlNodes(): readonly ControlPlace[] {
+  get controlNodes(): readonly ControlNodeSpec[] {
     return this.#controlNodes;
   }
   /** All edges. */
-  get edges(): readonly EdgePlace[] {
+  get edges(): readonly EdgeSpec[] {
     return this.#edges;
   }
   /** Relays between the nodes, through which the network can be cut. */
@@ -125,12 +125,12 @@
     return this.#platform;
   }
   /** Names of all processes. */
-  get names(): readonly string[] {
+  get processNames(): readonly string[] {
     return [...this.#programs.keys()];
   }
 
   /** Returns the paths of the record files of all stubs. */
-  backRecords(): string[] {
+  recordPaths(): string[] {
     const paths = [this.#platformRecords, this.#storeRecords];
     for (const backEnd of this.#backEnds.values()) paths.push(backEnd.records);
     return paths;
@@ -152,7 +152,7 @@
         deployment.controlNodes * 2 +
         deployment.edges * 5 +
         deployment.runners.length +
-        deployment.plain.length,
+        deployment.plainBackEnds.length,
     );
     function nextAddress(): string {
       return addresses.pop() ?? '';
@@ -199,7 +199,7 @@
         }),
       ]);
     }
-    for (const { id, zone, service, workMs } of deployment.plain) {
+    for (const { id, zone, service, workMs } of deployment.plainBackEnds) {
       const address = nextAddress();
       const records = join(this.#root, `${id}.records`);
       this.#backEnds.set(id, { address, zone, records, service });
@@ -242,13 +242,13 @@
       );
     for (let index = 0; index < deployment.edges; index += 1) {
       const zone = deployment.zones[index % deployment.zones.length] ?? '';
-      const edge: EdgePlace = {
+      const edge: EdgeSpec = {
         name: `edge-${index}`,
         listen: nextAddress(),
         feed: nextAddress(),
-        flow: nextAddress(),
-        flowStatus: nextAddress(),
-        linkStatus: nextAddress(),
+        proxy: nextAddress(),
+        proxyStatus: nextAddress(),
+        agentStatus: nextAddress(),
         zone,
       };
       this.#edges.push(edge);
@@ -261,7 +261,7 @@
           feed: edge.feed,
           zone,
           seeds,
-          status: edge.linkStatus,
+          status: edge.agentStatus,
           reach,
         }),
       ]);
@@ -269,14 +269,14 @@
         'proxy',
         '--settings',
         this.#writeSettings(`flow-${index}`, {
-          listen: edge.flow,
+          listen: edge.proxy,
           link: edge.feed,
           zone,
-          status: edge.flowStatus,
+          status: edge.proxyStatus,
         }),
       ]);
     }
-    for (const name of this.#programs.keys()) this.run(name);
+    for (const name of this.#programs.keys()) this.startProcess(name);
   }
 
   /** Each node connects to the control nodes through relays of its own; agents connect to each other directly. */
@@ -287,7 +287,7 @@
   }
 
   #defineControl(
-    controlNode: ControlPlace,
+    controlNode: ControlNodeSpec,
     seeds: readonly string[],
     reach: Readonly<Record<string, string>> = {},
   ): void {
@@ -309,10 +309,10 @@
   }
 
   /** Starts a new control node without data, at new addresses. */
-  async addControlNode(zone: string): Promise<ControlPlace> {
+  async addControlNode(zone: string): Promise<ControlNodeSpec> {
     const [listen = '', api = ''] = await freeAddresses(2);
     const name = `mind-${this.#controlNodes.length}`;
-    const controlNode: ControlPlace = {
+    const controlNode: ControlNodeSpec = {
       name,
       listen,
       api,
@@ -321,7 +321,7 @@
     };
     this.#defineControl(controlNode, this.#controlNodes.slice(0, 3).map(listenOf));
     this.#controlNodes.push(controlNode);
-    this.run(name);
+    this.startProcess(name);
     return controlNode;
   }
 
@@ -337,7 +337,7 @@
   }
 
   /** Starts a process, unless it runs already. */
-  run(name: string): void {
+  startProcess(name: string): void {
     const program = this.#programs.get(name);
     if (!program || program.process) return;
     const log = openSync(join(this.#root, `${name}.log`), 'a');
@@ -372,7 +372,7 @@
   }
 
   /** Deletes the data of a control node. */
-  wipe(controlNode: ControlPlace): void {
+  deleteData(controlNode: ControlNodeSpec): void {
     rmSync(controlNode.data, { recursive: true, force: true });
   }
 
@@ -392,11 +392,11 @@
    * node may forward the call. With `only`, calls that node alone and returns its response, also a 503. Returns status 0
    * and the last error if there is no such response.
    */
-  async operate(
+  async callApi(
     method: string,
     path: string,
     body?: object,
-    only?: ControlPlace,
+    only?: ControlNodeSpec,
   ): Promise<{ readonly status: number; readonly value: Record<string, unknown> }> {
     let lastError: unknown = 'no control node';
     for (const controlNode of only ? [only] : this.#controlNodes) {
@@ -429,7 +429,7 @@
    * Retries a call until its status is neither 0, 503 nor 504, or until the time limit; returns the last response. Every
    * attempt carries the same edit id, so that the edit is applied once.
    */
-  async operateUntil(
+  async callApiWithRetry(
     method: string,
     path: string,
     body: object | undefined,
@@ -437,7 +437,7 @@
   ): Promise<{ readonly status: number; readonly value: Record<string, unknown> }> {
     const deadline = Date.now() + limitMs;
     for (;;) {
-      const reply = await this.operate(method, path, body);
+      const reply = await this.callApi(method, path, body);
       if (
         (reply.status !== 0 && reply.status !== 503 && reply.status !== 504) ||
         Date.now() > deadline
@@ -451,7 +451,7 @@
    * Polls a condition until it holds and returns the time that took, ms. A condition that throws counts as not met. Throws
    * an error that names the condition if it does not hold within the time limit.
    */
-  async until(
+  async waitUntil(
     description: string,
     limitMs: number,
     holds: () => Promise<boolean>,
@@ -471,11 +471,11 @@
   }
 
   /** Marks a machine in the platform's list as leaving, or removes the mark. */
-  async mark(id: string, leaving: boolean): Promise<void> {
+  async markLeaving(id: string, leaving: boolean): Promise<void> {
     await call('POST', this.#platform, '/mark', JSON.stringify({ id, leaving }), 2000);
   }
 }
 
-function listenOf(controlNode: ControlPlace): string {
+function listenOf(controlNode: ControlNodeSpec): string {
   return controlNode.listen;
 }
--- a/src/rehearsal/garbage.test.ts
+++ b/src/rehearsal/garbage.test.ts
@@ -5,7 +5,7 @@
 import { moment } from '../common/ids.js';
 import { AgentCore } from '../agent/agent-core.js';
 import { Garbage, WORDS } from './garbage.js';
-import { Seeded as SeededClass } from './seeded.js';
+import { SeededRandom as SeededClass } from './seeded-random.js';
 import { Simulation } from './simulation.js';
 
 const { table } = compile(
--- a/src/rehearsal/garbage.ts
+++ b/src/rehearsal/garbage.ts
@@ -1,5 +1,5 @@
 import { SHAPES, type Message } from '../common/messages.js';
-import type { Seeded } from './seeded.js';
+import type { SeededRandom } from './seeded-random.js';
 
 export const WORDS = [
   '',
@@ -25,11 +25,11 @@
 
 /** What a node of another build, or none of ours, might say: of the right kinds, and otherwise anything. */
 export class Garbage {
-  readonly #seeded: Seeded;
+  readonly #seeded: SeededRandom;
   /** Bodies as they really are, to be spoilt. */
   readonly #bodies: readonly string[];
 
-  constructor(seeded: Seeded, bodies: readonly string[]) {
+  constructor(seeded: SeededRandom, bodies: readonly string[]) {
     this.#seeded = seeded;
     this.#bodies = bodies;
   }
--- a/src/rehearsal/measure-command.ts
+++ b/src/rehearsal/measure-command.ts
@@ -1,7 +1,12 @@
 import { Args, Command, Flags } from '@oclif/core';
 import { measureLosses, measureTakeover } from './loss-measure.js';
 import { measureTable } from './table-measure.js';
-import { measureCrowd, measureDraw, measureNews, measureRelay } from './measures.js';
+import {
+  measureOverload,
+  measurePrefixAffinity,
+  measureDissemination,
+  measureProxyOverhead,
+} from './measures.js';
 
 /** The command `rehearsal measure`: runs one of the measurements and prints its results as JSON lines. */
 export class MeasureCommand extends Command {
@@ -26,12 +31,13 @@
   async run(): Promise<void> {
     const { args, flags } = await this.parse(MeasureCommand);
     if (args.topic === 'news')
-      for (const edges of [12, 50, 200]) this.log(JSON.stringify(measureNews(edges, flags.seed)));
+      for (const edges of [12, 50, 200])
+        this.log(JSON.stringify(measureDissemination(edges, flags.seed)));
     if (args.topic === 'draw')
-      for (const row of measureDraw(flags.seed)) this.log(JSON.stringify(row));
+      for (const row of measurePrefixAffinity(flags.seed)) this.log(JSON.stringify(row));
     if (args.topic === 'crowd')
-      for (const row of measureCrowd(flags.seed)) this.log(JSON.stringify(row));
-    if (args.topic === 'relay') this.log(JSON.stringify(await measureRelay(flags.rounds)));
+      for (const row of measureOverload(flags.seed)) this.log(JSON.stringify(row));
+    if (args.topic === 'relay') this.log(JSON.stringify(await measureProxyOverhead(flags.rounds)));
     if (args.topic === 'table')
       for (const rows of [10, 1000, 10_000]) this.log(JSON.stringify(measureTable(rows)));
     if (args.topic === 'loss')
--- a/src/rehearsal/measures.ts
+++ b/src/rehearsal/measures.ts
@@ -8,11 +8,11 @@
 import { moment, type Moment } from '../common/ids.js';
 import { bindServer, parseAddress } from '../common/listen.js';
 import { Scheduler } from './scheduler.js';
-import { Seeded } from './seeded.js';
+import { SeededRandom } from './seeded-random.js';
 import { Simulation } from './simulation.js';
 
 /** Time and messages that it takes to bring a change to all proxies. */
-export interface NewsMeasure {
+export interface DisseminationMeasure {
   readonly edges: number;
   readonly configMs: number;
   readonly markMs: number;
@@ -21,7 +21,7 @@
 }
 
 /** Measures, in virtual time, how long a configuration and a leaving mark take to reach the last proxy, and their messages. */
-export function measureNews(edges: number, seed: number): NewsMeasure {
+export function measureDissemination(edges: number, seed: number): DisseminationMeasure {
   const simulation = new Simulation({ seed, edges, stormMs: 0, troubles: [] });
   const { scheduler, network } = simulation;
   simulation.start();
@@ -58,7 +58,7 @@
 }
 
 /** Share of prompt parts that were cached on the chosen runner, for one way of choosing. */
-export interface DrawMeasure {
+export interface PrefixAffinityMeasure {
   readonly chosen: string;
   readonly requests: number;
   readonly keptShare: number;
@@ -108,10 +108,10 @@
  * Measures the share of prompt parts that the chosen runner still has cached, and compares it with a random choice among
  * the runners of the same pair that have a free slot.
  */
-export function measureDraw(seed: number): DrawMeasure[] {
-  const results: DrawMeasure[] = [];
+export function measurePrefixAffinity(seed: number): PrefixAffinityMeasure[] {
+  const results: PrefixAffinityMeasure[] = [];
   for (const chosen of ['ours', 'random']) {
-    const seeded = new Seeded(seed);
+    const seeded = new SeededRandom(seed);
     const scheduler = new Scheduler();
     const { router } = makeRouter(
       'map POST /c to check\nrow check m late 60s take 10000/s',
@@ -212,7 +212,7 @@
 }
 
 /** Requests served in time under overload, by weight, for one order of service. */
-export interface CrowdMeasure {
+export interface OverloadMeasure {
   readonly order: string;
   readonly heavyServed: number;
   readonly lightServed: number;
@@ -222,11 +222,11 @@
 }
 
 /** Measures which share of each weight is served in time at twice the capacity, and compares it with first come, first served. */
-export function measureCrowd(seed: number): CrowdMeasure[] {
-  const results: CrowdMeasure[] = [];
+export function measureOverload(seed: number): OverloadMeasure[] {
+  const results: OverloadMeasure[] = [];
   for (const order of ['by weight', 'first come']) {
     const weight = order === 'by weight' ? 100 : 10;
-    const seeded = new Seeded(seed);
+    const seeded = new SeededRandom(seed);
     const scheduler = new Scheduler();
     const { router } = makeRouter(
       `map POST /h to heavy\nmap POST /l to light\nrow heavy m weight ${weight} take 100000/s late 5s\nrow light m weight 10 take 100000/s late 5s`,
@@ -293,7 +293,7 @@
 }
 
 /** Mean time of a request through the proxy and through a bare HTTP relay. */
-export interface RelayMeasure {
+export interface ProxyOverheadMeasure {
   readonly rounds: number;
   readonly proxyMs: number;
   readonly relayMs: number;
@@ -301,7 +301,7 @@
 }
 
 /** Measures the time of a request through the proxy, and its ratio to a bare relay with Node's `http` in the same run. */
-export async function measureRelay(rounds: number): Promise<RelayMeasure> {
+export async function measureProxyOverhead(rounds: number): Promise<ProxyOverheadMeasure> {
   const backEndServer = createServer((asked: IncomingMessage, returned: ServerResponse) => {
     asked.resume();
     returned.end('{"ok":true}');
--- a/src/rehearsal/network.ts
+++ b/src/rehearsal/network.ts
@@ -1,14 +1,14 @@
 import { decodeMessage, encodeMessage, type Message } from '../common/messages.js';
 import { UNTRACED, type RunTrace } from './run-trace.js';
 import type { Scheduler } from './scheduler.js';
-import type { Seeded } from './seeded.js';
+import type { SeededRandom } from './seeded-random.js';
 
 export type Deliver = (to: string, from: string, message: Message) => void;
 
 /** The simulator's network: lines that keep their order, with delays, one-way cuts and losses. */
 export class Network {
   readonly #scheduler: Scheduler;
-  readonly #seeded: Seeded;
+  readonly #seeded: SeededRandom;
   readonly #deliver: Deliver;
   /** What the run shows to its outside; nodes add to it what does not go over the network. */
   readonly trace: RunTrace;
@@ -19,7 +19,12 @@
   #sent = 0;
   readonly #links = new Set<string>();
 
-  constructor(scheduler: Scheduler, seeded: Seeded, deliver: Deliver, trace: RunTrace = UNTRACED) {
+  constructor(
+    scheduler: Scheduler,
+    seeded: SeededRandom,
+    deliver: Deliver,
+    trace: RunTrace = UNTRACED,
+  ) {
     this.#scheduler = scheduler;
     this.#seeded = seeded;
     this.#deliver = deliver;
--- a/src/rehearsal/platform-troubles.ts
+++ b/src/rehearsal/platform-troubles.ts
@@ -1,5 +1,11 @@
 import type { SimOutside } from './sim-outside.js';
-import { LOADS_AT_ONCE, RUNNER_ROOM, RUNNERS, type Stage, type Strike } from './stage.js';
+import {
+  MAX_CONCURRENT_LOADS,
+  RUNNER_CAPACITY,
+  RUNNERS,
+  type SimulatedFleet,
+  type FaultTargets,
+} from './simulated-fleet.js';
 
 /** Kinds of troubles of the platform's list, of room at runners and of the weight store. */
 export const PLATFORM_TROUBLES = [
@@ -16,22 +22,24 @@
 
 /** Troubles of the platform's list, of room at runners and of the weight store. */
 export class PlatformTroubles {
-  readonly #stage: Stage;
+  readonly #stage: SimulatedFleet;
 
-  constructor(stage: Stage) {
+  constructor(stage: SimulatedFleet) {
     this.#stage = stage;
   }
 
-  bringAbout(kind: PlatformTroubleKind, { runner, spanMs }: Strike): void {
+  bringAbout(kind: PlatformTroubleKind, { runner, spanMs }: FaultTargets): void {
     const { scheduler, outside, seeded } = this.#stage;
     switch (kind) {
       case 'shrink-room':
         outside.setRoom(runner, SMALL_ROOM);
-        scheduler.after(spanMs, () => outside.setRoom(runner, RUNNER_ROOM));
+        scheduler.after(spanMs, () => outside.setRoom(runner, RUNNER_CAPACITY));
         break;
       case 'lower-limit':
         outside.orders.setLimit(1);
-        scheduler.after(spanMs + LIMIT_SLACK_MS, () => outside.orders.setLimit(LOADS_AT_ONCE));
+        scheduler.after(spanMs + LIMIT_SLACK_MS, () =>
+          outside.orders.setLimit(MAX_CONCURRENT_LOADS),
+        );
         break;
       case 'platform-down':
         outside.platform.isUp = false;
@@ -47,12 +55,12 @@
   /** Ends what troubles did to the list and the weight store. */
   heal(): void {
     listAgain(this.#stage.outside);
-    this.#stage.outside.orders.setLimit(LOADS_AT_ONCE);
+    this.#stage.outside.orders.setLimit(MAX_CONCURRENT_LOADS);
   }
 
   /** Gives runners their room back. */
   healRoom(): void {
-    for (const runner of RUNNERS) this.#stage.outside.setRoom(runner, RUNNER_ROOM);
+    for (const runner of RUNNERS) this.#stage.outside.setRoom(runner, RUNNER_CAPACITY);
   }
 }
 
--- a/src/rehearsal/proxy-connections.ts
+++ b/src/rehearsal/proxy-connections.ts
@@ -8,7 +8,7 @@
 export interface ConnectedProxy {
   readonly clients: SimClients;
   /** The mutation that this proxy runs with, or ''. */
-  readonly wrong: MutationKind | '';
+  readonly mutation: MutationKind | '';
   /** Undefined while the process is down. */
   inFlightRequests(): InFlightRequests | undefined;
   /** Current time by the proxy's clock. */
@@ -16,24 +16,24 @@
   /** Runs a callback now, or once the process is no longer frozen. */
   perform(run: () => void): void;
   /** Runs a callback after a delay, ms. */
-  later(delay: number, run: () => void): void;
+  schedule(delay: number, run: () => void): void;
   /** Carries out the steps that the request handling has queued. */
-  obey(): void;
+  applySteps(): void;
   /** Opens a connection to a back end. */
   open(backEnd: string, hear: Hear): SimConnection;
 }
 
 /** One attempt of a request, and its connection. */
 export interface Attempt {
-  readonly line: SimConnection;
+  readonly connection: SimConnection;
   readonly attempt: number;
   /** The connection was an idle one. */
   readonly isReused: boolean;
   /** The response headers have arrived. */
-  hasHead: boolean;
+  hasHeaders: boolean;
   readonly backEnd: string;
   /** The connection may be kept for reuse after a complete response. */
-  readonly isKept: boolean;
+  readonly isReusable: boolean;
 }
 
 type ConnectStep = Extract<ForwardStep, { do: 'connect' }>;
@@ -58,7 +58,7 @@
 
   /** Closes all connections after the process was killed. */
   closeAll(): void {
-    for (const attempt of this.#attempts.values()) attempt.line.close();
+    for (const attempt of this.#attempts.values()) attempt.connection.close();
     this.#attempts.clear();
     for (const lines of this.#idleConnections.values()) for (const line of lines) line.close();
     this.#idleConnections.clear();
@@ -73,14 +73,14 @@
     const line = idleConnection ?? this.#proxy.open(runner, hear);
     line.hear = hear;
     this.#attempts.set(id, {
-      line,
+      connection: line,
       attempt: step.attempt,
       isReused: idleConnection !== undefined,
-      hasHead: false,
+      hasHeaders: false,
       backEnd: runner,
-      isKept: row.repeatable,
+      isReusable: row.repeatable,
     });
-    if (idleConnection) this.#proxy.later(REUSE_DELAY_MS, hear.connected);
+    if (idleConnection) this.#proxy.schedule(REUSE_DELAY_MS, hear.connected);
   }
 
   /** Ends a request's attempt; after a complete response the connection may be kept for reuse. */
@@ -88,7 +88,7 @@
     const attempt = this.#attempts.get(id);
     if (!attempt) return;
     this.#attempts.delete(id);
-    const { line, backEnd, isKept } = attempt;
+    const { connection: line, backEnd, isReusable: isKept } = attempt;
     if (!isWhole || !isKept || line.isClosed) {
       line.close();
       return;
@@ -139,7 +139,7 @@
     const attempt = this.#attempts.get(id);
     if (attempt?.attempt !== attemptNumber || !requests) return;
     run(requests, attempt);
-    this.#proxy.obey();
+    this.#proxy.applySteps();
   }
 
   #connected(id: number, attempt: number): void {
@@ -152,10 +152,10 @@
   #head(id: number, attempt: number, isBegun: boolean, isBounded: boolean): void {
     const proxy = this.#proxy;
     this.#deferEvent(id, attempt, (requests: InFlightRequests, current: Attempt) => {
-      current.hasHead = isBegun;
+      current.hasHeaders = isBegun;
       requests.onHeaders(proxy.now(), id, attempt, {
         isStarted: isBegun,
-        hasSelfDefinedLength: isBounded || proxy.wrong === 'unbounded-as-whole',
+        hasSelfDefinedLength: isBounded || proxy.mutation === 'unbounded-as-whole',
       });
     });
   }
@@ -181,9 +181,9 @@
   #broke(id: number, attempt: number): void {
     const proxy = this.#proxy;
     this.#deferEvent(id, attempt, (requests: InFlightRequests, current: Attempt) => {
-      if (proxy.wrong === 'ends-made-up' && current.hasHead)
+      if (proxy.mutation === 'ends-made-up' && current.hasHeaders)
         requests.onComplete(proxy.now(), id, attempt);
-      else requests.onDisconnect(proxy.now(), id, attempt, current.isReused && !current.hasHead);
+      else requests.onDisconnect(proxy.now(), id, attempt, current.isReused && !current.hasHeaders);
     });
   }
 }
--- a/src/rehearsal/proxy-watch.ts
+++ b/src/rehearsal/proxy-watch.ts
@@ -28,7 +28,7 @@
   }
 
   /** Number of requests that proxies sent to runners. */
-  get runs(): number {
+  get runCount(): number {
     return this.#runCount;
   }
   /** Time at which a proxy last sent a request to a runner, ms. */
@@ -37,7 +37,7 @@
   }
 
   /** Checks the configuration, table and list of runners that one proxy uses at present. */
-  look(proxy: SimProxy, now: number): void {
+  check(proxy: SimProxy, now: number): void {
     const { decision } = proxy;
     if (!decision || !proxy.isUp) {
       this.#lastVersions.delete(proxy.id);
@@ -59,7 +59,7 @@
   }
 
   /** Checks that a proxy was allowed to send a runner the request it has just sent. */
-  ran(proxy: string, runner: string, now: number): void {
+  onRunStarted(proxy: string, runner: string, now: number): void {
     this.#runCount += 1;
     this.#lastRunAt = now;
     for (const machine of this.#outside.platform.list) {
--- a/src/rehearsal/rehearsal.test.ts
+++ b/src/rehearsal/rehearsal.test.ts
@@ -25,8 +25,8 @@
 function quiet(): void {
   /* the test says it all */
 }
-function flowOf(edge: { readonly flow: string }): string {
-  return edge.flow;
+function flowOf(edge: { readonly proxy: string }): string {
+  return edge.proxy;
 }
 test('separate processes killed, frozen, wiped and restarted under streams break no rule', async () => {
   const root = mkdtempSync(join(tmpdir(), 'hamlet-'));
@@ -35,31 +35,33 @@
     const rehearsal = new Rehearsal(fleet, quiet);
     await rehearsal.begin();
     const callers = new CallersClass(fleet.edges.map(flowOf), 3);
-    for (const kind of HAMLET.traffic) callers.begin(kind, 2);
+    for (const kind of HAMLET.traffic) callers.start(kind, 2);
     const seen = { done: 0 };
     async function hasServed(): Promise<boolean> {
       return callers.records.filter(isDone).length >= seen.done + 20;
     }
     async function served(what: string): Promise<void> {
       seen.done = callers.records.filter(isDone).length;
-      await fleet.until(`twenty calls served ${what}`, 60_000, hasServed);
+      await fleet.waitUntil(`twenty calls served ${what}`, 60_000, hasServed);
     }
     await served('at first');
     await fleet.signal('runner-01', 'SIGKILL');
     await served('with a runner killed');
-    fleet.run('runner-01');
+    fleet.startProcess('runner-01');
     const killed = await rehearsal.leaderName();
     await fleet.signal(killed, 'SIGKILL');
     await rehearsal.backInService(60_000);
-    fleet.run(killed);
-    await fleet.until('the killed leader counts again', 60_000, () => rehearsal.isSound(killed));
+    fleet.startProcess(killed);
+    await fleet.waitUntil('the killed leader counts again', 60_000, () =>
+      rehearsal.isSound(killed),
+    );
     // A table accepted while a proxy is frozen: the yes waits until that one is surely blind.
     const frozenAt = Date.now();
     await fleet.signal('flow-1', 'SIGSTOP');
     expect(await rehearsal.setCell('check/receipt-*', 'weight', 71)).toBe(200);
     await fleet.signal('flow-1', 'SIGCONT');
     rehearsal.note(
-      { what: 'frozen', node: fleet.edges[1]?.flow ?? '', number: Date.now() - frozenAt },
+      { what: 'frozen', node: fleet.edges[1]?.proxy ?? '', number: Date.now() - frozenAt },
       frozenAt,
     );
     await rehearsal.backInService(60_000);
@@ -68,29 +70,29 @@
     expect(await rehearsal.setCell('check/receipt-*', 'weight', 72)).toBe(200);
     await fleet.signal(lost, 'SIGKILL');
     const controlNode = fleet.controlNodes.find((controlNode) => isNamed(lost, controlNode));
-    if (controlNode) fleet.wipe(controlNode);
-    fleet.run(lost);
-    await fleet.until('the node that lost its disk counts again', 60_000, () =>
+    if (controlNode) fleet.deleteData(controlNode);
+    fleet.startProcess(lost);
+    await fleet.waitUntil('the node that lost its disk counts again', 60_000, () =>
       rehearsal.isSound(lost),
     );
     await rehearsal.backInService(60_000);
     await served('after all that');
     // Every program is stopped as planned and started anew, one by one, with streams open.
     for (const [index, edge] of fleet.edges.entries()) {
-      rehearsal.note({ what: 'planned-stop', node: edge.flow });
+      rehearsal.note({ what: 'planned-stop', node: edge.proxy });
       expect(await fleet.signal(`flow-${index}`, 'SIGTERM')).toBe(0);
-      fleet.run(`flow-${index}`);
+      fleet.startProcess(`flow-${index}`);
       expect(await fleet.signal(`link-${index}`, 'SIGTERM')).toBe(0);
-      fleet.run(`link-${index}`);
+      fleet.startProcess(`link-${index}`);
       await rehearsal.backInService(60_000);
     }
     for (const each of fleet.controlNodes.slice(0, 3)) {
       expect(await fleet.signal(each.name, 'SIGTERM')).toBe(0);
-      fleet.run(each.name);
+      fleet.startProcess(each.name);
       await rehearsal.backInService(60_000);
     }
     await served('after every program was restarted');
-    await callers.end();
+    await callers.stop();
     const violations = await rehearsal.violations(callers);
     expect(violations.filter(isTimeless)).toEqual([]);
     expect(rehearsal.table).toBe(3);
--- a/src/rehearsal/rehearsal.ts
+++ b/src/rehearsal/rehearsal.ts
@@ -51,28 +51,30 @@
     const fleet = this.#fleet;
     const start = Date.now();
     await fleet.start();
-    await fleet.until('a leader that serves', 60_000, () => this.#isServing());
+    await fleet.waitUntil('a leader that serves', 60_000, () => this.#isServing());
     this.#say(`leader after ${Date.now() - start} ms`);
     await this.putTable(fleet.deployment.table);
     this.#say(`table ${this.#table} accepted after ${Date.now() - start} ms`);
-    await fleet.until('every proxy fresh and on the table', 30_000, () => this.#areProxiesFresh());
-    await fleet.until('the models placed', 60_000, () => this.#arePlaced());
+    await fleet.waitUntil('every proxy fresh and on the table', 30_000, () =>
+      this.#areProxiesFresh(),
+    );
+    await fleet.waitUntil('the models placed', 60_000, () => this.#arePlaced());
     this.#say(`placed after ${Date.now() - start} ms`);
   }
 
   async #isServing(): Promise<boolean> {
-    const { value } = await this.#fleet.operate('GET', '/status');
+    const { value } = await this.#fleet.callApi('GET', '/status');
     return (
       value['leader'] !== '' &&
       value['leader'] !== undefined &&
-      (await this.#fleet.operate('GET', '/table')).status === 200
+      (await this.#fleet.callApi('GET', '/table')).status === 200
     );
   }
 
   async #areProxiesFresh(): Promise<boolean> {
     for (const edge of this.#fleet.edges) {
       const counters: unknown = JSON.parse(
-        (await call('GET', edge.flowStatus, '/counters', undefined, 2000)).body,
+        (await call('GET', edge.proxyStatus, '/counters', undefined, 2000)).body,
       );
       if (
         typeof counters !== 'object' ||
@@ -87,7 +89,7 @@
 
   /** Every kind of traffic is served by somebody. */
   async #arePlaced(): Promise<boolean> {
-    const { value } = await this.#fleet.operate('GET', '/status');
+    const { value } = await this.#fleet.callApi('GET', '/status');
     const places = value['places'];
     if (
       typeof places !== 'object' ||
@@ -114,9 +116,14 @@
   async putTable(text: string): Promise<void> {
     const id = randomUUID();
     const base = Number(
-      (await this.#fleet.operateUntil('GET', '/table', undefined, 20_000)).value['number'],
+      (await this.#fleet.callApiWithRetry('GET', '/table', undefined, 20_000)).value['number'],
+    );
+    const returned = await this.#fleet.callApiWithRetry(
+      'PUT',
+      '/table',
+      { id, base, text },
+      20_000,
     );
-    const returned = await this.#fleet.operateUntil('PUT', '/table', { id, base, text }, 20_000);
     if (returned.status !== 200)
       throw new Error(`the table was not accepted: ${JSON.stringify(returned)}`);
     this.#table = Number(returned.value['number']);
@@ -124,7 +131,7 @@
   }
 
   async setCell(row: string, column: string, value: string | number | boolean): Promise<number> {
-    const returned = await this.#fleet.operateUntil(
+    const returned = await this.#fleet.callApiWithRetry(
       'PATCH',
       '/table/cell',
       { id: randomUUID(), base: this.#table, row, column, value },
@@ -139,7 +146,7 @@
 
   async emptyZone(zone: string, isEmpty: boolean): Promise<void> {
     if (!isEmpty) this.note({ what: 'zone-filling', zone });
-    const returned = await this.#fleet.operateUntil(
+    const returned = await this.#fleet.callApiWithRetry(
       isEmpty ? 'PUT' : 'DELETE',
       `/zones/${zone}/empty`,
       { id: randomUUID() },
@@ -151,7 +158,7 @@
 
   /** Sends the traffic, and judges everything that was recorded. Says whether no rule was broken. */
   async run(callers: Callers, plan: RehearsalPlan): Promise<boolean> {
-    for (const kind of this.#fleet.deployment.traffic) callers.begin(kind, plan.factor);
+    for (const kind of this.#fleet.deployment.traffic) callers.start(kind, plan.factor);
     await pause(plan.seconds * 500);
     const half = await this.#flowCounters();
     await pause(plan.seconds * 500);
@@ -160,7 +167,7 @@
       `proxies at half time and at the end: memory ${half.memory} and ${full.memory} MB at most, runs ${half.runs} and ${full.runs}, repeats ${full.repeats}`,
     );
     const hasReturned = plan.isFailing ? await this.#troubles(callers, plan.only) : true;
-    await callers.end();
+    await callers.stop();
     return (await this.judge(callers)) && hasReturned;
   }
 
@@ -174,7 +181,7 @@
     for (const edge of this.#fleet.edges) {
       const counters = parseAs(
         CountersShape,
-        (await call('GET', edge.flowStatus, '/counters', undefined, 2000)).body,
+        (await call('GET', edge.proxyStatus, '/counters', undefined, 2000)).body,
       );
       memory = Math.max(memory, Math.round((counters?.memory ?? 0) / 1e6));
       runs += counters?.runs ?? 0;
@@ -184,7 +191,7 @@
   }
 
   async leaderName(): Promise<string> {
-    const { value } = await this.#fleet.operate('GET', '/status');
+    const { value } = await this.#fleet.callApi('GET', '/status');
     for (const controlNode of this.#fleet.controlNodes)
       if (controlNode.listen === value['leader']) return controlNode.name;
     return this.#fleet.controlNodes[0]?.name ?? '';
@@ -197,7 +204,7 @@
     } catch (thrown) {
       for (const controlNode of this.#fleet.controlNodes) {
         const { me, role, epoch, leader, standing, voters, scores, config } = (
-          await this.#fleet.operate('GET', '/status', undefined, controlNode)
+          await this.#fleet.callApi('GET', '/status', undefined, controlNode)
         ).value;
         this.#say(JSON.stringify({ me, role, epoch, leader, standing, voters, scores, config }));
       }
@@ -207,7 +214,7 @@
   }
 
   async backInService(limitMs: number): Promise<void> {
-    await this.#fleet.until('a leader that serves, and every proxy fresh', limitMs, () =>
+    await this.#fleet.waitUntil('a leader that serves, and every proxy fresh', limitMs, () =>
       this.#isBack(),
     );
   }
@@ -247,7 +254,7 @@
       const name = await self.leader();
       await fleet.signal(name, 'SIGKILL');
       await pause(1500);
-      fleet.run(name);
+      fleet.startProcess(name);
       await self.back(30_000);
     }
     async function freezeLeader(): Promise<void> {
@@ -263,19 +270,19 @@
       if (!old) return;
       await fleet.signal(old.name, 'SIGKILL');
       const fresh = await fleet.addControlNode(old.zone);
-      await fleet.until(
+      await fleet.waitUntil(
         'the new control node holds everything',
         20_000,
         self.isSound.bind(undefined, fresh.name),
       );
-      const returned = await fleet.operateUntil(
+      const returned = await fleet.callApiWithRetry(
         'POST',
         '/voters/swap',
         { id: randomUUID(), old: old.listen, new: fresh.listen },
         20_000,
       );
       if (returned.status !== 200) throw new Error(`swap: ${JSON.stringify(returned)}`);
-      await fleet.until(
+      await fleet.waitUntil(
         'three voters, the new one among them',
         20_000,
         self.isVoter.bind(undefined, fresh.listen, old.listen),
@@ -288,23 +295,23 @@
       await self.setCell(row, 'weight', 92);
       await fleet.signal(name, 'SIGKILL');
       const controlNode = fleet.controlNodes.find((controlNode) => isNamed(name, controlNode));
-      if (controlNode) fleet.wipe(controlNode);
-      fleet.run(name);
+      if (controlNode) fleet.deleteData(controlNode);
+      fleet.startProcess(name);
       await self.back(30_000);
       // One disk at a time: with the next fault before this node counts again, nobody could be asked for what it lost.
-      await fleet.until(
+      await fleet.waitUntil(
         'the node that lost its disk counts again',
         30_000,
         self.isSound.bind(undefined, name),
       );
-      const read = await fleet.operateUntil('GET', '/table', undefined, 20_000);
+      const read = await fleet.callApiWithRetry('GET', '/table', undefined, 20_000);
       self.note({ what: 'table-read', number: Number(read.value['number']) });
     }
     async function leave(): Promise<void> {
       if (!runner) return;
-      await fleet.mark(runner.id, true);
+      await fleet.markLeaving(runner.id, true);
       await pause(7000);
-      await fleet.mark(runner.id, false);
+      await fleet.markLeaving(runner.id, false);
     }
     async function empty(): Promise<void> {
       await self.emptyZone(zone, true);
@@ -325,7 +332,7 @@
       say(
         `calls in the 3 s after, for models whose primary it was: ${JSON.stringify(Object.fromEntries(counts))}`,
       );
-      fleet.run(otherRunner.id);
+      fleet.startProcess(otherRunner.id);
       await pause(3000);
     }
     async function darkRunner(): Promise<void> {
@@ -342,36 +349,36 @@
       await self.setCell(row, 'weight', 93);
       await pause(1000);
       await fleet.signal('flow-0', 'SIGCONT');
-      self.note({ what: 'frozen', node: edge?.flow ?? '', number: Date.now() - start }, start);
+      self.note({ what: 'frozen', node: edge?.proxy ?? '', number: Date.now() - start }, start);
       await pause(1500);
     }
     async function restartProxies(): Promise<void> {
       for (const [index, place] of fleet.edges.entries()) {
-        self.note({ what: 'planned-stop', node: place.flow });
+        self.note({ what: 'planned-stop', node: place.proxy });
         const code = await fleet.signal(`flow-${index}`, 'SIGTERM');
         if (code !== 0) throw new Error(`flow-${index} ended with ${code}`);
-        fleet.run(`flow-${index}`);
+        fleet.startProcess(`flow-${index}`);
       }
       await self.back(30_000);
     }
     async function restartControl(): Promise<void> {
       for (const index of fleet.edges.keys()) {
         await fleet.signal(`link-${index}`, 'SIGTERM');
-        fleet.run(`link-${index}`);
+        fleet.startProcess(`link-${index}`);
         await pause(300);
       }
       for (const controlNode of fleet.controlNodes) {
         await fleet.signal(controlNode.name, 'SIGTERM');
-        fleet.run(controlNode.name);
+        fleet.startProcess(controlNode.name);
         await self.back(30_000);
       }
     }
     async function lastFault(): Promise<void> {
       await fleet.signal('link-0', 'SIGKILL');
       await fleet.signal(await self.leader(), 'SIGKILL');
-      fleet.run('link-0');
+      fleet.startProcess('link-0');
       await self.back(30_000);
-      for (const controlNode of fleet.controlNodes) fleet.run(controlNode.name);
+      for (const controlNode of fleet.controlNodes) fleet.startProcess(controlNode.name);
       await self.back(30_000);
       await pause(3000);
     }
@@ -394,7 +401,7 @@
       fleet.cuts.set(true, new Set([controlNode.listen]), rest);
       await pause(6000);
       // While it is cut off, the others go on; its operators are told nothing it cannot keep.
-      const held = await fleet.operate(
+      const held = await fleet.callApi(
         'PATCH',
         '/table/cell',
         { id: randomUUID(), base: self.table(), row, column: 'weight', value: 77 },
@@ -457,13 +464,13 @@
     const controlNode = this.#fleet.controlNodes.find((controlNode) => isNamed(name, controlNode));
     return (
       controlNode !== undefined &&
-      (await this.#fleet.operate('GET', '/status', undefined, controlNode)).value['standing'] ===
+      (await this.#fleet.callApi('GET', '/status', undefined, controlNode)).value['standing'] ===
         'sound'
     );
   }
 
   async #isVoter(fresh: string, old: string): Promise<boolean> {
-    const { voters }: Record<string, unknown> = (await this.#fleet.operate('GET', '/status')).value;
+    const { voters }: Record<string, unknown> = (await this.#fleet.callApi('GET', '/status')).value;
     return (
       Array.isArray(voters) &&
       voters.length === 3 &&
@@ -474,7 +481,7 @@
 
   /** The models whose primary a runner is. */
   async #primariesAt(runner: string): Promise<ReadonlySet<string>> {
-    const status = (await this.#fleet.operate('GET', '/status')).value;
+    const status = (await this.#fleet.callApi('GET', '/status')).value;
     const models = new Set<string>();
     const places: unknown = status['places'];
     if (PlacesShape.is(places))
@@ -493,7 +500,7 @@
     const edits = [];
     for (const [index, controlNode] of this.#fleet.controlNodes.slice(0, 2).entries()) {
       edits.push(
-        this.#fleet.operate(
+        this.#fleet.callApi(
           'PATCH',
           '/table/cell',
           { id: randomUUID(), base, row, column: 'weight', value: 50 + index },
@@ -513,9 +520,9 @@
 
   /** Reads the table back, joins all records, and returns the rules that were broken. */
   async violations(callers: Callers): Promise<readonly Violation[]> {
-    const read = await this.#fleet.operateUntil('GET', '/table', undefined, 20_000);
+    const read = await this.#fleet.callApiWithRetry('GET', '/table', undefined, 20_000);
     this.note({ what: 'table-read', number: Number(read.value['number']) });
-    const backs = readBackRecords(this.#fleet.backRecords());
+    const backs = readBackRecords(this.#fleet.recordPaths());
     const lateness = new Map<string, number>();
     for (const row of compile(this.#fleet.deployment.table).table.rows)
       lateness.set(row.type, Math.max(row.lateMs, lateness.get(row.type) ?? 0));
--- a/src/rehearsal/scale-agent.ts
+++ b/src/rehearsal/scale-agent.ts
@@ -5,7 +5,7 @@
 import { AgentCore } from '../agent/agent-core.js';
 import { AgentRuntime, type AgentPorts } from '../agent/agent-runtime.js';
 import { Exchange, type Incoming } from '../dissemination/exchange.js';
-import type { EdgePlace } from './scale-shape.js';
+import type { ScaleEdge } from './scale-shape.js';
 import { CountedExchange, frameBytes, type Count, Tally } from './tally.js';
 
 /** Interval of the agent's ticks, ms. */
@@ -14,7 +14,7 @@
 const FRESHNESS_BOUND_MS = 2500;
 
 /** The most recent bodies of updates, shared by the agents of one process so that each holds no copy of its own. */
-export class Bodies {
+export class SharedBodies {
   readonly #bodiesByVersion = new Map<string, string>();
 
   /** Returns the message with the shared copy of its body; the first message with a body provides that copy. */
@@ -34,8 +34,8 @@
 /** An agent assembled as in a deployment, whose messages are counted; many of them can run in one process. */
 export class ScaleAgent implements AgentPorts {
   readonly tickMs = TICK_MS;
-  readonly #place: EdgePlace;
-  readonly #bodies: Bodies;
+  readonly #place: ScaleEdge;
+  readonly #bodies: SharedBodies;
   readonly #nodes: CountedExchange;
   readonly #feed: CountedExchange;
   readonly #core: AgentCore;
@@ -47,7 +47,7 @@
   /** Updates received although the agent already had that version or a newer one. */
   readonly repeats: Count = { messages: 0, bytes: 0 };
 
-  constructor(place: EdgePlace, seeds: readonly string[], bodies: Bodies) {
+  constructor(place: ScaleEdge, seeds: readonly string[], bodies: SharedBodies) {
     this.#place = place;
     this.#bodies = bodies;
     const { link: me, feed, zone } = place;
@@ -96,8 +96,8 @@
   /** Counts a received message and returns it with a shared body. */
   inspect(incoming: Incoming): Message {
     const message = this.#bodies.share(incoming.message);
-    if (incoming.role === 'flow') this.#feed.took(message);
-    else this.#nodes.took(message);
+    if (incoming.role === 'flow') this.#feed.countReceived(message);
+    else this.#nodes.countReceived(message);
     if (
       (message.kind === 'update' || message.kind === 'delta') &&
       compareVersions(message, this.#core.relay.version(message.topic)) <= 0
--- a/src/rehearsal/scale-command.ts
+++ b/src/rehearsal/scale-command.ts
@@ -109,7 +109,7 @@
           changes: flags.changes,
           units: flags.units,
           loads: flags.loads,
-          say: this.log.bind(this),
+          log: this.log.bind(this),
         });
         points.push(await run.run());
         this.#write(flags.out, flags.series, points);
--- a/src/rehearsal/scale-control.ts
+++ b/src/rehearsal/scale-control.ts
@@ -23,7 +23,7 @@
 import { Planner } from '../placement/planner.js';
 import { VOTE_DEFAULTS } from '../election/vote-settings.js';
 import { PlainRouting } from './scale-dialect.js';
-import { ownCost, type ScalePart } from './scale-part.js';
+import { processCost, type ScalePart } from './scale-part.js';
 import { CountedExchange, Tally } from './tally.js';
 
 /** Schema of the settings of `ScaleControl`. */
@@ -138,7 +138,7 @@
   }
 
   /** Handles the verbs `figures` and `bodies` (sizes of the current updates, in bytes); any other runs an operator's command. */
-  async ask(verb: string, body: string): Promise<string> {
+  async request(verb: string, body: string): Promise<string> {
     if (verb === 'figures') return JSON.stringify(this.#figures());
     // Assembled on request only: updates that are sent as deltas are not held whole.
     const relay = this.#runtime.core?.relay;
@@ -156,7 +156,7 @@
     const config = core?.relay.version('config');
     const fleet = core?.relay.version('fleet');
     return {
-      ...ownCost(),
+      ...processCost(),
       countingMs: this.#tally.countingMs,
       tally: this.#tally.figures(),
       isLeading: core?.isServing ?? false,
@@ -179,7 +179,7 @@
 
   /** Counts a received message and returns the command that delivers it. */
   onMessage(incoming: Incoming): CoreCommand {
-    this.#exchange.took(incoming.message);
+    this.#exchange.countReceived(incoming.message);
     return (core) => deliverWithZone(incoming, core);
   }
 
--- a/src/rehearsal/scale-dialect.ts
+++ b/src/rehearsal/scale-dialect.ts
@@ -55,9 +55,9 @@
 });
 
 /** A configuration document of the scale run; its field names count towards the measured sizes. */
-export type RoutingText = Infer<typeof RoutingShape>;
+export type RoutingDocument = Infer<typeof RoutingShape>;
 /** One route of a configuration document. */
-export type RouteText = Infer<typeof RouteShape>;
+export type RouteDocument = Infer<typeof RouteShape>;
 
 /** A plain configuration format, so that the measurements do not include the cost of any deployment's own format. */
 export class PlainRouting implements ConfigDialect {
@@ -81,7 +81,7 @@
   }
 }
 
-function routingOf({ version, routes, services, limits }: RoutingText): Routing {
+function routingOf({ version, routes, services, limits }: RoutingDocument): Routing {
   return {
     version,
     routes: routes.map(routeOf),
@@ -93,7 +93,7 @@
   };
 }
 
-function routeOf({ targetMs, tries, ...rest }: RouteText): Route {
+function routeOf({ targetMs, tries, ...rest }: RouteDocument): Route {
   return { ...rest, latencyTargetMs: targetMs, maxAttempts: tries };
 }
 
@@ -102,7 +102,7 @@
 }
 
 /** A request dialect without content: the proxies of a scale run receive no requests. */
-export class NoRequests implements RequestDialect {
+export class NullRequestDialect implements RequestDialect {
   /** Returns empty annotations. */
   readRequest(_headers: IncomingHttpHeaders): RequestAnnotations {
     return {
--- a/src/rehearsal/scale-part.ts
+++ b/src/rehearsal/scale-part.ts
@@ -5,7 +5,7 @@
 /** One part of a scale run, in this process or in one of its own. */
 export interface ScalePart {
   /** Handles a request, which has a verb and a JSON body; resolves with the JSON reply, or ''. Rejects if it fails. */
-  ask(verb: string, body: string): Promise<string>;
+  request(verb: string, body: string): Promise<string>;
   /** Stops the part. */
   stop(): Promise<void>;
 }
@@ -49,7 +49,7 @@
   }
 
   /** Sends a request to the child; rejects if the part fails or the child exits. */
-  ask(verb: string, body: string): Promise<string> {
+  request(verb: string, body: string): Promise<string> {
     this.#lastId += 1;
     const id = this.#lastId;
     const pending = this.#pending;
@@ -94,7 +94,7 @@
     if (!AskShape.is(message)) return;
     let reply = { id: message.id, body: '', fault: '' };
     try {
-      reply = { ...reply, body: await part.ask(message.verb, message.body) };
+      reply = { ...reply, body: await part.request(message.verb, message.body) };
     } catch (thrown) {
       reply = { ...reply, fault: reasonOf(thrown) || 'failed' };
     }
@@ -112,12 +112,12 @@
 }
 
 /** Returns the processor time of this process so far, ms, and its memory, MB. */
-export function ownCost(): { cpuMs: number; rssMb: number } {
+export function processCost(): { cpuMs: number; rssMb: number } {
   const { user, system } = process.cpuUsage();
   return { cpuMs: (user + system) / 1000, rssMb: process.memoryUsage.rss() / 1e6 };
 }
 
 /** Returns the time by a monotonic clock that all processes of one machine share, ms. */
-export function sharedNow(): number {
+export function machineNow(): number {
   return Number(process.hrtime.bigint() / 1000n) / 1000;
 }
--- a/src/rehearsal/scale-plot.ts
+++ b/src/rehearsal/scale-plot.ts
@@ -31,7 +31,7 @@
 type Phase = Infer<typeof PhaseShape>;
 
 /** Series that can be plotted; each is named after the size that grows. */
-export const GROWING = ['nodes', 'runners', 'models', 'routes'] as const;
+export const PLOTTED_SERIES = ['nodes', 'runners', 'models', 'routes'] as const;
 
 /** One point of a plot. */
 interface Row {
@@ -163,7 +163,7 @@
 export async function plotSeries(folder: string): Promise<string[]> {
   const files: string[] = [];
   const allFits: NamedFit[] = [];
-  for (const series of GROWING) {
+  for (const series of PLOTTED_SERIES) {
     const path = join(folder, `${series}.json`);
     if (!existsSync(path)) continue;
     const { points } = mustParseAs(SeriesShape, readFileSync(path, 'utf8'), path);
--- a/src/rehearsal/scale-proxy.ts
+++ b/src/rehearsal/scale-proxy.ts
@@ -1,8 +1,8 @@
 import { pino } from 'pino';
 import { string, type, type Infer } from 'superstruct';
 import { ProxyProcess } from '../proxy/proxy-process.js';
-import { NoRequests, PlainRouting } from './scale-dialect.js';
-import { ownCost, type ScalePart } from './scale-part.js';
+import { NullRequestDialect, PlainRouting } from './scale-dialect.js';
+import { processCost, type ScalePart } from './scale-part.js';
 
 /** Schema of the settings of `ScaleProxy`. */
 export const ScaleProxyShape = type({
@@ -31,7 +31,7 @@
         lameDuckMs: 100,
       },
       new PlainRouting(),
-      new NoRequests(),
+      new NullRequestDialect(),
       pino({ level: 'warn' }),
     );
   }
@@ -47,7 +47,7 @@
   }
 
   /** Returns the cost of this process and the proxy's counters, whatever the verb. */
-  async ask(): Promise<string> {
-    return JSON.stringify({ ...ownCost(), countingMs: 0, ...this.#proxy.counters() });
+  async request(): Promise<string> {
+    return JSON.stringify({ ...processCost(), countingMs: 0, ...this.#proxy.counters() });
   }
 }
--- a/src/rehearsal/scale-run.test.ts
+++ b/src/rehearsal/scale-run.test.ts
@@ -23,7 +23,7 @@
     changes: 2,
     units: 0,
     loads: 0,
-    say: ignore,
+    log: ignore,
   }).run();
 }
 function runSizes(): Promise<ScalePoint[]> {
--- a/src/rehearsal/scale-run.ts
+++ b/src/rehearsal/scale-run.ts
@@ -16,16 +16,16 @@
   type PhaseFigures,
   type Snapshot,
 } from './scale-figures.js';
-import { ForkedPart, sharedNow, type ScalePart } from './scale-part.js';
+import { ForkedPart, machineNow, type ScalePart } from './scale-part.js';
 import { startPart } from './scale-parts.js';
 import {
-  heldModels,
+  initialModelCount,
   modelName,
   routingText,
   serviceCount,
   serviceName,
   zoneName,
-  type EdgePlace,
+  type ScaleEdge,
   type ScaleShape,
 } from './scale-shape.js';
 
@@ -53,7 +53,7 @@
   /** Number of models that are loaded; 0 skips the phase. */
   readonly loads: number;
   /** Receives lines on the progress. */
-  readonly say: (text: string) => void;
+  readonly log: (text: string) => void;
 }
 
 /** The results of a run. */
@@ -104,9 +104,9 @@
    * Starts the fleet, runs all phases and stops the fleet. Throws if a wait takes too long or a process exits.
    */
   async run(): Promise<ScalePoint> {
-    const { shape, isForked, processes, say } = this.#options;
+    const { shape, isForked, processes, log: say } = this.#options;
     try {
-      const start = sharedNow();
+      const start = machineNow();
       await this.#startAll();
       await this.#configure();
       const leader = await this.#leader();
@@ -119,10 +119,10 @@
         epoch: settled.fleetEpoch,
         count: settled.fleetCount,
       });
-      const toldMs = sharedNow() - start;
+      const toldMs = machineNow() - start;
       const bodies = mustParseAs(
         BodiesShape,
-        (await this.#controlNodes[0]?.ask('bodies', '')) ?? '',
+        (await this.#controlNodes[0]?.request('bodies', '')) ?? '',
         'the bodies',
       );
       say(
@@ -188,7 +188,7 @@
         }),
       );
     }
-    const groups: EdgePlace[][] = [];
+    const groups: ScaleEdge[][] = [];
     for (let index = 0; index < shape.nodes; index += 1) {
       const host = `127.${this.#subnet}.${Math.floor(index / 250)}.${(index % 250) + 1}`;
       // In a forked run, one edge has its agent and a real proxy in processes of their own.
@@ -258,7 +258,7 @@
   async #configChanges(): Promise<number[]> {
     const times: number[] = [];
     for (let index = 0; index < this.#options.changes; index += 1) {
-      const start = sharedNow();
+      const start = machineNow();
       await this.#configure();
       const leader = await this.#leader();
       const lastAt = await this.#waitUntilReached('config', {
@@ -276,8 +276,11 @@
     const times: number[] = [];
     for (let index = 0; index < this.#options.changes; index += 1) {
       const before = await this.#leader();
-      const start = sharedNow();
-      await this.#runners?.ask('leave', JSON.stringify({ index: 1, isLeaving: index % 2 === 0 }));
+      const start = machineNow();
+      await this.#runners?.request(
+        'leave',
+        JSON.stringify({ index: 1, isLeaving: index % 2 === 0 }),
+      );
       const leader = await this.#waitUntil(
         () => this.#leader(),
         hasNewerFleet.bind(undefined, before.fleetCount),
@@ -297,9 +300,9 @@
   async #requestLoads(): Promise<number[]> {
     const { shape, loads } = this.#options;
     for (let index = 0; index < loads; index += 1) {
-      const model = heldModels(shape) + index;
+      const model = initialModelCount(shape) + index;
       if (model >= shape.models) break;
-      await this.#edges[0]?.ask(
+      await this.#edges[0]?.request(
         'want',
         JSON.stringify({
           service: serviceName(model % serviceCount(shape)),
@@ -316,9 +319,9 @@
   async #setDemand(units: number): Promise<void> {
     const { shape } = this.#options;
     for (const part of this.#edges)
-      await part.ask(
+      await part.request(
         'demand',
-        JSON.stringify({ units, models: heldModels(shape), services: serviceCount(shape) }),
+        JSON.stringify({ units, models: initialModelCount(shape), services: serviceCount(shape) }),
       );
   }
 
@@ -340,7 +343,7 @@
   }
 
   async #command(body: string): Promise<number> {
-    const reply = await this.#controlNodes[0]?.ask('command', body);
+    const reply = await this.#controlNodes[0]?.request('command', body);
     return mustParseAs(ReplyShape, reply ?? '', 'the reply').status;
   }
 
@@ -349,11 +352,11 @@
     isMet: (value: T) => boolean,
     description: string,
   ): Promise<T> {
-    const deadline = sharedNow() + WAIT_TIMEOUT_MS;
+    const deadline = machineNow() + WAIT_TIMEOUT_MS;
     for (;;) {
       const value = await poll();
       if (isMet(value)) return value;
-      if (sharedNow() > deadline) throw new Error(`waited too long for ${description}`);
+      if (machineNow() > deadline) throw new Error(`waited too long for ${description}`);
       await pause(25);
     }
   }
@@ -374,7 +377,11 @@
     let reached = 0;
     let lastAt = 0;
     for (const part of this.#edges) {
-      const partial = mustParseAs(ReachedShape, await part.ask('reached', request), 'the reply');
+      const partial = mustParseAs(
+        ReachedShape,
+        await part.request('reached', request),
+        'the reply',
+      );
       reached += partial.reached;
       lastAt = Math.max(lastAt, partial.lastAt);
     }
@@ -383,34 +390,34 @@
 
   /** Waits until the leader has published no update of the fleet for a while, and returns its figures. */
   async #waitUntilSettled(): Promise<ControlFigures> {
-    const deadline = sharedNow() + WAIT_TIMEOUT_MS;
+    const deadline = machineNow() + WAIT_TIMEOUT_MS;
     let lastCount = -1;
-    let unchangedSince = sharedNow();
+    let unchangedSince = machineNow();
     for (;;) {
       const leader = await this.#leader();
       if (leader.fleetCount !== lastCount || leader.fleetCount === 0) {
         lastCount = leader.fleetCount;
-        unchangedSince = sharedNow();
+        unchangedSince = machineNow();
       }
       // A fleet that never settles is measured too, after a fifth of the time limit.
       if (
-        sharedNow() - unchangedSince > SETTLED_MS ||
-        (sharedNow() > deadline - WAIT_TIMEOUT_MS * 0.8 && leader.fleetCount > 0)
+        machineNow() - unchangedSince > SETTLED_MS ||
+        (machineNow() > deadline - WAIT_TIMEOUT_MS * 0.8 && leader.fleetCount > 0)
       )
         return leader;
-      if (sharedNow() > deadline) throw new Error('waited too long for a fleet');
+      if (machineNow() > deadline) throw new Error('waited too long for a fleet');
       await pause(100);
     }
   }
 
   async #leader(): Promise<ControlFigures> {
-    const deadline = sharedNow() + WAIT_TIMEOUT_MS;
+    const deadline = machineNow() + WAIT_TIMEOUT_MS;
     for (;;) {
       for (const part of this.#controlNodes) {
         const figures = await readControl(part);
         if (figures.isLeading) return figures;
       }
-      if (sharedNow() > deadline) throw new Error('waited too long for a leader');
+      if (machineNow() > deadline) throw new Error('waited too long for a leader');
       await pause(50);
     }
   }
@@ -423,7 +430,7 @@
       Promise.all(this.#watchedProxy ? [readCost(this.#watchedProxy)] : []),
     ]);
     return {
-      at: sharedNow(),
+      at: machineNow(),
       controlNodes,
       edges,
       watchedAgent: watchedAgents[0],
@@ -433,13 +440,13 @@
 }
 
 async function readControl(part: ScalePart): Promise<ControlFigures> {
-  return mustParseAs(ControlFiguresShape, await part.ask('figures', ''), 'the figures');
+  return mustParseAs(ControlFiguresShape, await part.request('figures', ''), 'the figures');
 }
 async function readEdges(part: ScalePart): Promise<EdgesFigures> {
-  return mustParseAs(EdgesFiguresShape, await part.ask('figures', ''), 'the figures');
+  return mustParseAs(EdgesFiguresShape, await part.request('figures', ''), 'the figures');
 }
 async function readCost(part: ScalePart): Promise<Cost> {
-  return mustParseAs(CostShape, await part.ask('figures', ''), 'the figures');
+  return mustParseAs(CostShape, await part.request('figures', ''), 'the figures');
 }
 function hasNewerFleet(count: number, leader: ControlFigures): boolean {
   return leader.fleetCount > count;
--- a/src/rehearsal/scale-shape.ts
+++ b/src/rehearsal/scale-shape.ts
@@ -1,7 +1,7 @@
 import { boolean, number, string, type, type Infer } from 'superstruct';
 import type { ListedRunner } from '../placement/fleet.js';
 import type { EngineModel } from '../route/routing.js';
-import type { RouteText, RoutingText } from './scale-dialect.js';
+import type { RouteDocument, RoutingDocument } from './scale-dialect.js';
 
 /** Schema of `ScaleShape`. */
 export const ScaleShapeShape = type({
@@ -17,7 +17,7 @@
 export type ScaleShape = Infer<typeof ScaleShapeShape>;
 
 /** Schema of `ScaleEdge`. */
-export const EdgePlaceShape = type({
+export const ScaleEdgeShape = type({
   link: string(),
   feed: string(),
   zone: string(),
@@ -27,7 +27,7 @@
  * Addresses and zone of an edge: its agent listens at `link` for nodes and at `feed` for its proxy. A watched edge has a
  * real proxy, and its agent and proxy have processes of their own.
  */
-export type EdgePlace = Infer<typeof EdgePlaceShape>;
+export type ScaleEdge = Infer<typeof ScaleEdgeShape>;
 
 /** Runners per service; a larger fleet has more services, not larger ones. */
 const RUNNERS_PER_SERVICE = 1000;
@@ -57,7 +57,7 @@
  * Returns the number of models that runners hold at the start. No runner holds the last tenth, so that there are models to
  * load.
  */
-export function heldModels(shape: ScaleShape): number {
+export function initialModelCount(shape: ScaleShape): number {
   return Math.ceil(shape.models * 0.9);
 }
 
@@ -82,7 +82,7 @@
   };
 }
 
-function makeRoute(shape: ScaleShape, index: number, timeoutMs: number): RouteText {
+function makeRoute(shape: ScaleShape, index: number, timeoutMs: number): RouteDocument {
   return {
     name: `r-${String(index).padStart(5, '0')}`,
     host: `host-${index % 100}.example`,
@@ -101,7 +101,7 @@
 
 /** Returns a whole configuration document; each version changes the timeout of one route. */
 export function routingText(shape: ScaleShape, version: number): string {
-  const services: RoutingText['services'] = [];
+  const services: RoutingDocument['services'] = [];
   for (let index = 0; index < serviceCount(shape); index += 1) {
     const models: EngineModel[] = [];
     for (const model of modelsOf(shape, index)) models.push(makeModel(shape, model));
@@ -121,10 +121,10 @@
       },
     });
   }
-  const routes: RouteText[] = [];
+  const routes: RouteDocument[] = [];
   for (let index = 0; index < shape.routes; index += 1)
     routes.push(makeRoute(shape, index, index === 0 ? 5000 + version : 5000));
-  const routing: RoutingText = {
+  const routing: RoutingDocument = {
     version,
     routes,
     services,
@@ -138,7 +138,7 @@
   const services = serviceCount(shape);
   const models: number[][] = [];
   for (let index = 0; index < services; index += 1)
-    models.push(modelsOf(shape, index, heldModels(shape)));
+    models.push(modelsOf(shape, index, initialModelCount(shape)));
   const runners: ListedRunner[] = [];
   for (let index = 0; index < shape.runners; index += 1) {
     const serviceModels = models[index % services] ?? [];
--- a/src/rehearsal/seeded.ts
+++ b/src/rehearsal/seeded-random.ts
@@ -2,7 +2,7 @@
 const SEED_MULTIPLIER = 2654435761;
 
 /** A seeded pseudorandom number generator: the same seed gives the same sequence. */
-export class Seeded {
+export class SeededRandom {
   #state: number;
 
   /** A multiplier of 1 starts at the seed itself; runs whose seeds were recorded that way need it. */
--- a/src/rehearsal/sim-agent.ts
+++ b/src/rehearsal/sim-agent.ts
@@ -3,7 +3,7 @@
 import type { Scheduler } from './scheduler.js';
 import type { Network } from './network.js';
 import { NodeTrace } from './node-trace.js';
-import type { Seeded } from './seeded.js';
+import type { SeededRandom } from './seeded-random.js';
 import { SimNode } from './sim-node.js';
 
 /** How long a proxy may take new work after its configuration was last confirmed, ms. */
@@ -27,7 +27,7 @@
   constructor(
     id: string,
     scheduler: Scheduler,
-    seeded: Seeded,
+    seeded: SeededRandom,
     network: Network,
     seeds: readonly string[],
   ) {
--- a/src/rehearsal/sim-backend.ts
+++ b/src/rehearsal/sim-backend.ts
@@ -1,6 +1,6 @@
 import type { Scheduler } from './scheduler.js';
 import type { BackRecord } from './records.js';
-import type { Seeded } from './seeded.js';
+import type { SeededRandom } from './seeded-random.js';
 import type { SimConnection, SimRequest } from './sim-connection.js';
 
 /** How a back end misbehaves for a while. */
@@ -34,7 +34,7 @@
   readonly id: string;
   readonly #settings: SimBackSettings;
   readonly #scheduler: Scheduler;
-  readonly #seeded: Seeded;
+  readonly #seeded: SeededRandom;
   readonly #holder: Holder;
   readonly #records: BackRecord[];
   readonly lines = new Set<SimConnection>();
@@ -52,7 +52,7 @@
   constructor(
     settings: SimBackSettings,
     scheduler: Scheduler,
-    seeded: Seeded,
+    seeded: SeededRandom,
     holder: Holder,
     records: BackRecord[],
   ) {
--- a/src/rehearsal/sim-control.ts
+++ b/src/rehearsal/sim-control.ts
@@ -11,7 +11,7 @@
 import type { Network } from './network.js';
 import { NodeTrace } from './node-trace.js';
 import type { MutationKind } from './mutation.js';
-import type { Seeded } from './seeded.js';
+import type { SeededRandom } from './seeded-random.js';
 
 export type Returned = (status: number, body: string) => void;
 
@@ -20,7 +20,7 @@
   readonly #network: Network;
   readonly #trace: NodeTrace;
   readonly #outside: SimOutside;
-  readonly #seeded: Seeded;
+  readonly #seeded: SeededRandom;
   readonly #seeds: readonly string[];
   readonly #vote: VoteSettings;
   readonly #wrong: MutationKind | '';
@@ -36,7 +36,7 @@
   constructor(
     id: string,
     scheduler: Scheduler,
-    seeded: Seeded,
+    seeded: SeededRandom,
     network: Network,
     outside: SimOutside,
     seeds: readonly string[],
--- a/src/rehearsal/sim-operators.ts
+++ b/src/rehearsal/sim-operators.ts
@@ -5,10 +5,10 @@
 import { compile } from '../policy/language.js';
 import type { RunFindings } from './run-findings.js';
 import type { Scheduler } from './scheduler.js';
-import type { Seeded } from './seeded.js';
+import type { SeededRandom } from './seeded-random.js';
 import type { SimControl } from './sim-control.js';
 import { LATE_MS } from './sim-proxy.js';
-import { ZONES } from './stage.js';
+import { ZONES } from './simulated-fleet.js';
 
 /** What one operator was told of one edit. */
 export interface EditOutcome {
@@ -23,7 +23,7 @@
 /** The simulated fleet, as operators meet it. */
 export interface OperatedFleet {
   readonly scheduler: Scheduler;
-  readonly seeded: Seeded;
+  readonly seeded: SeededRandom;
   readonly controlNodes: readonly SimControl[];
   readonly findings: RunFindings;
   /** A mutation of the operators: they take an unclear outcome for a refusal. */
--- a/src/rehearsal/sim-outside.ts
+++ b/src/rehearsal/sim-outside.ts
@@ -1,7 +1,7 @@
 import type { Catalog, Hold, RunnerReport } from '../placement/shapes.js';
 import type { BackRecord } from './records.js';
 import type { Scheduler } from './scheduler.js';
-import type { Seeded } from './seeded.js';
+import type { SeededRandom } from './seeded-random.js';
 import { SimBackend, type Holder } from './sim-backend.js';
 import { SimConnection, type Hear, type SimRequest } from './sim-connection.js';
 import { SimOrders } from './sim-orders.js';
@@ -31,7 +31,7 @@
   readonly platform: SimPlatform;
   readonly orders: SimOrders;
   readonly #scheduler: Scheduler;
-  readonly #seeded: Seeded;
+  readonly #seeded: SeededRandom;
   readonly #runners = new Map<string, SimRunner>();
   readonly #plain = new Map<string, SimBackend>();
   readonly #running = new Map<string, number>();
@@ -39,7 +39,7 @@
 
   constructor(
     scheduler: Scheduler,
-    seeded: Seeded,
+    seeded: SeededRandom,
     catalog: Catalog,
     runners: readonly RunnerPlace[],
     plain: readonly PlainPlace[],
--- a/src/rehearsal/sim-proxy.ts
+++ b/src/rehearsal/sim-proxy.ts
@@ -12,7 +12,7 @@
 import { NodeTrace } from './node-trace.js';
 import { probeValues, stepValues } from './proxy-trace.js';
 import type { CallerRecord } from './records.js';
-import type { Seeded } from './seeded.js';
+import type { SeededRandom } from './seeded-random.js';
 import { SimClients, type SimClient, type Traffic } from './sim-clients.js';
 import { BLIND_MS, type SimAgent } from './sim-agent.js';
 import type { Hear, SimConnection } from './sim-connection.js';
@@ -28,7 +28,7 @@
 /** A simulated proxy: the real decision and passages; connections, back ends and callers are simulated around them. */
 export class SimProxy extends SimNode {
   readonly #agent: SimAgent;
-  readonly #seeded: Seeded;
+  readonly #seeded: SeededRandom;
   readonly #network: Network;
   readonly #trace: NodeTrace;
   readonly #outside: SimOutside;
@@ -48,7 +48,7 @@
   constructor(
     id: string,
     scheduler: Scheduler,
-    seeded: Seeded,
+    seeded: SeededRandom,
     network: Network,
     outside: SimOutside,
     agent: SimAgent,
@@ -67,12 +67,12 @@
     this.#clients = new SimClients(id, scheduler, records, this.#trace);
     this.#connections = new ProxyConnections({
       clients: this.#clients,
-      wrong,
+      mutation: wrong,
       inFlightRequests: () => this.#currentRequests(),
       now: () => this.now(),
       perform: (run) => this.perform(run),
-      later: (millis, run) => this.later(millis, run),
-      obey: () => this.#obey(),
+      schedule: (millis, run) => this.later(millis, run),
+      applySteps: () => this.#obey(),
       open: (back, hear) => this.#open(back, hear),
     });
     agent.proxies.set(id, this);
@@ -304,7 +304,7 @@
     const { model, adapter, tokens } = client.traffic;
     this.#onWrite(attempt.backEnd);
     const at = this.scheduler.now;
-    attempt.line.write({ id: client.requestId, model, adapter, tokens, at });
+    attempt.connection.write({ id: client.requestId, model, adapter, tokens, at });
   }
 
   #say(client: SimClient, step: Extract<ForwardStep, { do: 'respondError' }>): void {
--- a/src/rehearsal/sim-troubles.ts
+++ b/src/rehearsal/sim-troubles.ts
@@ -4,7 +4,14 @@
 import { PLATFORM_TROUBLES, PlatformTroubles } from './platform-troubles.js';
 import type { SimAgent } from './sim-agent.js';
 import type { SimControl } from './sim-control.js';
-import { PLAIN, RUNNERS, StageHands, ZONES, type Stage, type Strike } from './stage.js';
+import {
+  PLAIN_BACK_ENDS,
+  RUNNERS,
+  FaultActions,
+  ZONES,
+  type SimulatedFleet,
+  type FaultTargets,
+} from './simulated-fleet.js';
 import { CONDITIONS, type TroubleKind } from './trouble-kinds.js';
 
 const LEAST_SPAN_MS = 300;
@@ -14,8 +21,8 @@
 
 /** Brings troubles about on a simulated fleet, and counts what each of them met. */
 export class SimTroubles {
-  readonly #stage: Stage;
-  readonly #hands: StageHands;
+  readonly #stage: SimulatedFleet;
+  readonly #hands: FaultActions;
   readonly #control: ControlTroubles;
   readonly #edge: EdgeTroubles;
   readonly #backEnds: BackEndTroubles;
@@ -23,9 +30,9 @@
   /** How often a trouble came while something was going on. */
   readonly met = new Map<string, number>();
 
-  constructor(stage: Stage) {
+  constructor(stage: SimulatedFleet) {
     this.#stage = stage;
-    this.#hands = new StageHands(stage);
+    this.#hands = new FaultActions(stage);
     this.#control = new ControlTroubles(stage, this.#hands);
     this.#edge = new EdgeTroubles(stage, this.#hands);
     this.#backEnds = new BackEndTroubles(stage, this.#hands, this.#edge);
@@ -62,7 +69,7 @@
   }
 
   /** Everything is drawn whatever the kind strikes, so that a seed's later draws do not depend on the kind. */
-  #drawStrike(kind: TroubleKind): Strike | undefined {
+  #drawStrike(kind: TroubleKind): FaultTargets | undefined {
     const { seeded, controlNodes, agents, proxies, findings } = this.#stage;
     const spanMs = seeded.between(LEAST_SPAN_MS, MOST_SPAN_MS);
     const controlNode = seeded.pick(controlNodes);
@@ -70,7 +77,7 @@
     const agent = seeded.pick(agents);
     const proxy = seeded.pick(proxies);
     const runner = seeded.pick(RUNNERS) ?? 'r0';
-    const plain = seeded.pick(PLAIN) ?? 'k0';
+    const plain = seeded.pick(PLAIN_BACK_ENDS) ?? 'k0';
     const backEnd = seeded.isLikely(RUNNER_CHANCE) ? runner : plain;
     findings.say(
       `trouble ${kind} ${controlNode?.id} ${otherControlNode?.id} ${agent?.id} ${proxy?.id} ${runner} ${plain} for ${Math.round(spanMs)}`,
--- a/src/rehearsal/stage.ts
+++ b/src/rehearsal/simulated-fleet.ts
@@ -1,7 +1,7 @@
 import type { Network } from './network.js';
 import type { RunFindings } from './run-findings.js';
 import type { Scheduler } from './scheduler.js';
-import type { Seeded } from './seeded.js';
+import type { SeededRandom } from './seeded-random.js';
 import type { SimAgent } from './sim-agent.js';
 import type { SimControl } from './sim-control.js';
 import type { SimNode } from './sim-node.js';
@@ -12,18 +12,18 @@
 /** Ids of the runners, which serve models, of every simulated fleet. */
 export const RUNNERS = ['r0', 'r1', 'r2', 'r3'] as const;
 /** Ids of the plain back ends, which serve no models. */
-export const PLAIN = ['k0', 'k1', 'k2'] as const;
+export const PLAIN_BACK_ENDS = ['k0', 'k1', 'k2'] as const;
 /** Zones of every simulated fleet. */
 export const ZONES = ['a', 'b', 'c'] as const;
 /** Capacity of a runner, in the unit of model sizes, unless a fault changes it. */
-export const RUNNER_ROOM = 35;
+export const RUNNER_CAPACITY = 35;
 /** Concurrent loads that the weight store allows, unless a fault changes the number. */
-export const LOADS_AT_ONCE = 2;
+export const MAX_CONCURRENT_LOADS = 2;
 
 /** The view of a simulated fleet that fault injection works on. */
-export interface Stage {
+export interface SimulatedFleet {
   readonly scheduler: Scheduler;
-  readonly seeded: Seeded;
+  readonly seeded: SeededRandom;
   readonly network: Network;
   readonly outside: SimOutside;
   readonly nodes: ReadonlyMap<string, SimNode>;
@@ -36,7 +36,7 @@
 }
 
 /** The randomly chosen targets of one fault and its duration; each fault uses those that apply to it. */
-export interface Strike {
+export interface FaultTargets {
   readonly spanMs: number;
   readonly controlNode: SimControl;
   readonly otherControlNode: SimControl;
@@ -49,10 +49,10 @@
 }
 
 /** Kills, restarts and network cuts that all families of faults share. */
-export class StageHands {
-  readonly #fleet: Stage;
+export class FaultActions {
+  readonly #fleet: SimulatedFleet;
 
-  constructor(fleet: Stage) {
+  constructor(fleet: SimulatedFleet) {
     this.#fleet = fleet;
   }
 
@@ -79,7 +79,7 @@
   /** Returns the ids of all nodes and back ends except one. */
   allBut(id: string): string[] {
     const ids: string[] = [];
-    for (const otherId of [...this.#fleet.nodes.keys(), ...RUNNERS, ...PLAIN])
+    for (const otherId of [...this.#fleet.nodes.keys(), ...RUNNERS, ...PLAIN_BACK_ENDS])
       if (otherId !== id) ids.push(otherId);
     return ids;
   }
--- a/src/rehearsal/simulation.ts
+++ b/src/rehearsal/simulation.ts
@@ -9,7 +9,7 @@
 import type { CallerRecord } from './records.js';
 import { RunFindings } from './run-findings.js';
 import { Scheduler } from './scheduler.js';
-import { Seeded } from './seeded.js';
+import { SeededRandom } from './seeded-random.js';
 import { SimAgent } from './sim-agent.js';
 import { SimControl } from './sim-control.js';
 import type { SimNode } from './sim-node.js';
@@ -17,7 +17,13 @@
 import { SimOutside } from './sim-outside.js';
 import { LATE_MS, SimProxy } from './sim-proxy.js';
 import { SimTroubles } from './sim-troubles.js';
-import { LOADS_AT_ONCE, PLAIN, RUNNER_ROOM, RUNNERS, ZONES } from './stage.js';
+import {
+  MAX_CONCURRENT_LOADS,
+  PLAIN_BACK_ENDS,
+  RUNNER_CAPACITY,
+  RUNNERS,
+  ZONES,
+} from './simulated-fleet.js';
 import type { SimulationResult, SimulationSettings } from './simulation-types.js';
 import type { Condition } from './trouble-kinds.js';
 
@@ -37,7 +43,7 @@
 export class Simulation {
   readonly #settings: SimulationSettings;
   readonly #scheduler = new Scheduler();
-  readonly #seeded: Seeded;
+  readonly #seeded: SeededRandom;
   readonly #network: Network;
   readonly #outside: SimOutside;
   readonly #nodes = new Map<string, SimNode>();
@@ -56,7 +62,7 @@
   constructor(settings: SimulationSettings, trace?: (line: string) => void) {
     this.#settings = settings;
     this.#findings = new RunFindings(this.#scheduler, trace);
-    this.#seeded = new Seeded(settings.seed);
+    this.#seeded = new SeededRandom(settings.seed);
     this.#network = new Network(
       this.#scheduler,
       this.#seeded,
@@ -95,14 +101,15 @@
       models.push({ name: `m-${index}`, size: MODEL_SIZE });
     const runners = [];
     for (const [index, id] of RUNNERS.entries())
-      runners.push({ id, zone: ZONES[index % 3] ?? 'a', room: RUNNER_ROOM });
+      runners.push({ id, zone: ZONES[index % 3] ?? 'a', room: RUNNER_CAPACITY });
     const plain = [];
-    for (const [index, id] of PLAIN.entries()) plain.push({ id, zone: ZONES[index % 3] ?? 'a' });
+    for (const [index, id] of PLAIN_BACK_ENDS.entries())
+      plain.push({ id, zone: ZONES[index % 3] ?? 'a' });
     const adapters = [{ name: 'm-0-a', model: 'm-0', size: 1 }];
     return new SimOutside(
       this.#scheduler,
       this.#seeded,
-      { limit: LOADS_AT_ONCE, models, adapters },
+      { limit: MAX_CONCURRENT_LOADS, models, adapters },
       runners,
       plain,
     );
@@ -305,7 +312,7 @@
       serveMs,
       edits: { accepted, refused, unsure },
       orders: this.#outside.orders.seen.length,
-      runs: this.#watch.runs,
+      runs: this.#watch.runCount,
       messages: this.#network.sent,
       calls,
       met: this.#troubles.met,
@@ -343,7 +350,7 @@
   /** Looks at what must hold at every moment. */
   #look(): void {
     const now = this.#scheduler.now;
-    for (const proxy of this.#proxies) this.#watch.look(proxy, now);
+    for (const proxy of this.#proxies) this.#watch.check(proxy, now);
     const isLed = this.#servingNow() !== undefined;
     if (!isLed && this.#leaderlessSince === undefined) this.#leaderlessSince = now;
     if (isLed && this.#leaderlessSince !== undefined) {
@@ -354,7 +361,7 @@
   }
 
   #ran(proxy: string, runner: string): void {
-    this.#watch.ran(proxy, runner, this.#scheduler.now);
+    this.#watch.onRunStarted(proxy, runner, this.#scheduler.now);
   }
 
   #fail(): void {
--- a/src/rehearsal/stub-runner.ts
+++ b/src/rehearsal/stub-runner.ts
@@ -121,7 +121,7 @@
       return;
     }
     const maxDelayMs = Number(request.headers['x-take-within-ms'] ?? Infinity);
-    if (this.#server.sinceContinue(request) > maxDelayMs) {
+    if (this.#server.msSinceContinue(request) > maxDelayMs) {
       this.#server.record({
         what: 'late-order',
         runner: this.#settings.id,
--- a/src/rehearsal/stub-server.ts
+++ b/src/rehearsal/stub-server.ts
@@ -4,7 +4,7 @@
 import { bindServer } from '../common/listen.js';
 
 /** Handles one request of a stub. */
-export type Serve = (
+export type StubHandler = (
   method: string,
   path: string,
   body: string,
@@ -34,7 +34,7 @@
   readonly #records: string;
   readonly #continuedAt = new WeakMap<IncomingMessage, number>();
 
-  constructor(handler: Serve, records: string) {
+  constructor(handler: StubHandler, records: string) {
     this.#records = records;
     async function handle(request: IncomingMessage, response: ServerResponse): Promise<void> {
       try {
@@ -60,7 +60,7 @@
   }
 
   /** Returns the time since `100 Continue` was sent for a request, by the monotonic clock, ms; 0 if it was not sent. */
-  sinceContinue(request: IncomingMessage): number {
+  msSinceContinue(request: IncomingMessage): number {
     return performance.now() - (this.#continuedAt.get(request) ?? performance.now());
   }
 
--- a/src/rehearsal/synthetic-edges.ts
+++ b/src/rehearsal/synthetic-edges.ts
@@ -1,13 +1,13 @@
 import { array, number, string, type, type Infer } from 'superstruct';
 import { mustParseAs } from '../common/json.js';
 import { SyntheticProxy } from './synthetic-proxy.js';
-import { ownCost, type ScalePart } from './scale-part.js';
-import { Bodies, ScaleAgent } from './scale-agent.js';
-import { EdgePlaceShape, modelName } from './scale-shape.js';
+import { processCost, type ScalePart } from './scale-part.js';
+import { SharedBodies, ScaleAgent } from './scale-agent.js';
+import { ScaleEdgeShape, modelName } from './scale-shape.js';
 import { total } from './tally.js';
 
 /** Schema of the settings of `SyntheticEdges`. */
-export const SyntheticEdgesShape = type({ edges: array(EdgePlaceShape), seeds: array(string()) });
+export const SyntheticEdgesShape = type({ edges: array(ScaleEdgeShape), seeds: array(string()) });
 const ReachedShape = type({ topic: string(), epoch: number(), count: number() });
 const DemandAskShape = type({ units: number(), models: number(), services: number() });
 const WantShape = type({ service: string(), model: string(), waiting: number() });
@@ -18,7 +18,7 @@
   readonly #proxies: SyntheticProxy[] = [];
 
   constructor(settings: Infer<typeof SyntheticEdgesShape>) {
-    const bodies = new Bodies();
+    const bodies = new SharedBodies();
     for (const place of settings.edges) {
       this.#agents.push(new ScaleAgent(place, settings.seeds, bodies));
       // A watched edge has a real proxy, in a process of its own.
@@ -41,7 +41,7 @@
   }
 
   /** Handles the verbs `figures`, `reached`, `demand` (of all proxies from now on) and `want` (demand of one proxy, once). */
-  async ask(verb: string, body: string): Promise<string> {
+  async request(verb: string, body: string): Promise<string> {
     if (verb === 'figures') return JSON.stringify(this.#figures());
     if (verb === 'reached')
       return JSON.stringify(this.#reached(mustParseAs(ReachedShape, body, 'the ask')));
@@ -50,7 +50,7 @@
       return '';
     }
     const want = mustParseAs(WantShape, body, 'the ask');
-    this.#proxies[0]?.tell([
+    this.#proxies[0]?.sendDemand([
       {
         service: want.service,
         model: want.model,
@@ -114,7 +114,7 @@
       repeats.messages += agent.repeats.messages;
       repeats.bytes += agent.repeats.bytes;
     }
-    return { ...ownCost(), countingMs, tally: { sent, received }, links, repeats };
+    return { ...processCost(), countingMs, tally: { sent, received }, links, repeats };
   }
 }
 
--- a/src/rehearsal/synthetic-proxy.ts
+++ b/src/rehearsal/synthetic-proxy.ts
@@ -2,8 +2,8 @@
 import type { FleetDemand } from '../placement/fleet.js';
 import { compareVersions, NO_VERSION, type Version } from '../common/version.js';
 import { newIncarnation } from '../common/incarnation.js';
-import type { EdgePlace } from './scale-shape.js';
-import { sharedNow } from './scale-part.js';
+import type { ScaleEdge } from './scale-shape.js';
+import { machineNow } from './scale-part.js';
 
 /** Interval of freshness requests and demand reports, ms. */
 const REPORT_INTERVAL_MS = 1000;
@@ -22,7 +22,7 @@
  * of updates.
  */
 export class SyntheticProxy {
-  readonly #place: EdgePlace;
+  readonly #place: ScaleEdge;
   readonly #exchange: Exchange;
   readonly #arrivals = new Map<string, Arrival[]>();
   #nonce = newIncarnation();
@@ -30,7 +30,7 @@
   /** Demand that it reports once a second. */
   demand: FleetDemand['units'] = [];
 
-  constructor(place: EdgePlace) {
+  constructor(place: ScaleEdge) {
     this.#place = place;
     this.#exchange = new Exchange(
       { id: `flow@${place.link}`, role: 'flow', zone: place.zone, listen: '', reach: {} },
@@ -51,7 +51,7 @@
   }
 
   /** Sends a demand report to the agent. */
-  tell(units: FleetDemand['units']): void {
+  sendDemand(units: FleetDemand['units']): void {
     this.#exchange.send(this.#place.feed, {
       kind: 'demand',
       body: JSON.stringify({ flow: `flow@${this.#place.link}`, units }),
@@ -72,7 +72,7 @@
   #tick(): void {
     this.#exchange.dial(this.#place.feed);
     this.#requestUpdates();
-    if (this.demand.length > 0) this.tell(this.demand);
+    if (this.demand.length > 0) this.sendDemand(this.demand);
     this.#timer = setTimeout(
       () => this.#tick(),
       this.#arrivals.has('config') && this.#arrivals.has('fleet')
@@ -109,7 +109,7 @@
     }
     this.#arrivals.set(message.topic, [
       ...(this.#arrivals.get(message.topic) ?? []).slice(1 - MAX_ARRIVALS_PER_TOPIC),
-      { version, at: sharedNow() },
+      { version, at: machineNow() },
     ]);
     if (message.topic === 'config') this.#exchange.send(incoming.from, { kind: 'ack', ...version });
   }
--- a/src/rehearsal/synthetic-runners.ts
+++ b/src/rehearsal/synthetic-runners.ts
@@ -2,7 +2,7 @@
 import { boolean, number, optional, string, type, type Infer } from 'superstruct';
 import { mustParseAs } from '../common/json.js';
 import type { ListedRunner } from '../placement/fleet.js';
-import { ownCost, type ScalePart } from './scale-part.js';
+import { processCost, type ScalePart } from './scale-part.js';
 import { ADAPTER_MS, listedRunners, LOAD_MS, ScaleShapeShape } from './scale-shape.js';
 import { replyJson, StubServer } from './stub-server.js';
 
@@ -63,14 +63,14 @@
   }
 
   /** Returns the cost of this process, the number of calls and the bytes of the lists; the verb `leave` first changes a mark. */
-  async ask(verb: string, body: string): Promise<string> {
+  async request(verb: string, body: string): Promise<string> {
     if (verb === 'leave') {
       const { index, isLeaving } = mustParseAs(LeaveShape, body, 'the ask');
       const runner = this.#runners[index];
       if (runner) runner.isLeaving = isLeaving;
     }
     return JSON.stringify({
-      ...ownCost(),
+      ...processCost(),
       countingMs: 0,
       calls: this.#callCount,
       listedBytes: this.#listedBytes,
--- a/src/rehearsal/tally.ts
+++ b/src/rehearsal/tally.ts
@@ -90,7 +90,7 @@
   }
 
   /** Counts a received message; the subscriber of `incoming$` calls it once for each message. */
-  took(message: Message): void {
+  countReceived(message: Message): void {
     this.#tally.received(message);
   }
 
--- a/src/simulation/agent-node.ts
+++ b/src/simulation/agent-node.ts
@@ -1,7 +1,7 @@
 import type { Message } from '../common/messages.js';
 import type { AgentCore } from '../agent/agent-core.js';
 import type { Scheduler } from '../rehearsal/scheduler.js';
-import type { Seeded } from '../rehearsal/seeded.js';
+import type { SeededRandom } from '../rehearsal/seeded-random.js';
 import { AGENT_FRESHNESS_BOUND_MS, AGENT_TICK_MS } from '../agent/agent-process.js';
 import type { CoreFactory } from './core-factory.js';
 import type { Endpoint } from './endpoint.js';
@@ -14,7 +14,7 @@
   /** The run's virtual time. */
   readonly scheduler: Scheduler;
   /** The node's own stream of random numbers. */
-  readonly random: Seeded;
+  readonly random: SeededRandom;
   /** The network that the node is attached to. */
   readonly network: SimNetwork;
   /** Maximum deviation of its clock rate from 1, as a fraction. */
--- a/src/simulation/control-node.ts
+++ b/src/simulation/control-node.ts
@@ -8,7 +8,7 @@
 } from '../control/control-effect.js';
 import { NodeTrace } from '../rehearsal/node-trace.js';
 import type { Scheduler } from '../rehearsal/scheduler.js';
-import type { Seeded } from '../rehearsal/seeded.js';
+import type { SeededRandom } from '../rehearsal/seeded-random.js';
 import type { ListedRunner } from '../placement/fleet.js';
 import { VOTE_DEFAULTS } from '../election/vote-settings.js';
 import {
@@ -48,7 +48,7 @@
   /** The run's virtual time. */
   readonly scheduler: Scheduler;
   /** The node's own stream of random numbers. */
-  readonly random: Seeded;
+  readonly random: SeededRandom;
   /** The network that the node is attached to. */
   readonly network: SimNetwork;
   /** Receives what the node does. */
--- a/src/simulation/mutants/mutant-runs.ts
+++ b/src/simulation/mutants/mutant-runs.ts
@@ -1,4 +1,4 @@
-import { Seeded } from '../../rehearsal/seeded.js';
+import { SeededRandom } from '../../rehearsal/seeded-random.js';
 import { simulate, type Outcome } from '../control-simulation.js';
 import type { Fault, FaultKind } from '../faults.js';
 import { OPTION_DEFAULTS, type SimulationOptions } from '../options.js';
@@ -45,7 +45,7 @@
 
 /** Returns the mutant's own fault schedule, or a drawn one with only its kinds of faults. */
 export function mutantSchedule(options: SimulationOptions, faults: Mutant['faults']): Fault[] {
-  if (typeof faults === 'function') return faults(new Seeded(options.seed));
+  if (typeof faults === 'function') return faults(new SeededRandom(options.seed));
   return drawnSchedule(options, faults);
 }
 
--- a/src/simulation/mutants/mutants.ts
+++ b/src/simulation/mutants/mutants.ts
@@ -1,7 +1,7 @@
 import type { AgentSettings } from '../../agent/agent-core.js';
 import type { Moment } from '../../common/ids.js';
 import type { ControlCore } from '../../control/control-core.js';
-import type { Seeded } from '../../rehearsal/seeded.js';
+import type { SeededRandom } from '../../rehearsal/seeded-random.js';
 import type { Fault, FaultKind } from '../faults.js';
 import type { HistoryRule } from '../history/violation.js';
 import type { StateRule } from '../violation.js';
@@ -82,7 +82,7 @@
 }
 
 /** Draws a fault schedule that exposes one fault. */
-export type TargetedSchedule = (random: Seeded) => Fault[];
+export type TargetedSchedule = (random: SeededRandom) => Fault[];
 
 type ControlClass = new (inputs: ControlInputs) => ControlCore;
 
--- a/src/simulation/mutants/targeted-schedules.ts
+++ b/src/simulation/mutants/targeted-schedules.ts
@@ -1,4 +1,4 @@
-import type { Seeded } from '../../rehearsal/seeded.js';
+import type { SeededRandom } from '../../rehearsal/seeded-random.js';
 import type { Fault, Target, When } from '../faults.js';
 
 /**
@@ -34,7 +34,10 @@
   return { kind: 'cut', target, when: at(from), forMs, ...shape };
 }
 
-function rounds(random: Seeded, round: (random: Seeded, from: number) => Fault[]): Fault[] {
+function rounds(
+  random: SeededRandom,
+  round: (random: SeededRandom, from: number) => Fault[],
+): Fault[] {
   const faults: Fault[] = [];
   for (let count = 0; count < ROUNDS; count += 1) {
     faults.push(...round(random, FIRST_ROUND_MS + count * ROUND_MS + random.between(0, 500)));
@@ -42,25 +45,25 @@
   return faults;
 }
 
-function frozenLeaderRound(random: Seeded, from: number): Fault[] {
+function frozenLeaderRound(random: SeededRandom, from: number): Fault[] {
   return [freeze(LEADER, from, random.between(5000, 6500))];
 }
 
 /** A leader is frozen for so long that another one takes orders; then it processes the messages that waited for it. */
-export function frozenLeaders(random: Seeded): Fault[] {
+export function frozenLeaders(random: SeededRandom): Fault[] {
   return rounds(random, frozenLeaderRound);
 }
 
-function cutLeaderRound(random: Seeded, from: number): Fault[] {
+function cutLeaderRound(random: SeededRandom, from: number): Fault[] {
   return [cut(LEADER, from, random.between(5000, 6500))];
 }
 
 /** A leader is partitioned from the other control nodes, but not from runners and operators. */
-export function cutLeaders(random: Seeded): Fault[] {
+export function cutLeaders(random: SeededRandom): Fault[] {
   return rounds(random, cutLeaderRound);
 }
 
-function slowLeaderRound(random: Seeded, from: number): Fault[] {
+function slowLeaderRound(random: SeededRandom, from: number): Fault[] {
   const delayMs = Math.round(random.between(1800, 2800));
   const slow = { kind: 'slowLinks', target: LEADER, when: at(from), forMs: 5000, delayMs } as const;
   // Another leader serves after 1.5 s; writes that the first one sent until then arrive up to two seconds later.
@@ -71,11 +74,11 @@
  * Messages of a leader take so long that another one serves when they arrive; that leader is killed before it writes
  * again.
  */
-export function slowLeaders(random: Seeded): Fault[] {
+export function slowLeaders(random: SeededRandom): Fault[] {
   return rounds(random, slowLeaderRound);
 }
 
-function stalledVotesRound(random: Seeded, from: number): Fault[] {
+function stalledVotesRound(random: SeededRandom, from: number): Fault[] {
   const faults: Fault[] = [];
   for (let node = 0; node < 3; node += 1) {
     faults.push({
@@ -95,11 +98,11 @@
 /**
  * All disks stall, a leader is elected meanwhile if votes are sent before they are synced, and all nodes lose power.
  */
-export function stalledVotes(random: Seeded): Fault[] {
+export function stalledVotes(random: SeededRandom): Fault[] {
   return rounds(random, stalledVotesRound);
 }
 
-function repairWithLaggingVoterRound(random: Seeded, from: number): Fault[] {
+function repairWithLaggingVoterRound(random: SeededRandom, from: number): Fault[] {
   const lossAt = from + random.between(1500, 2500);
   const wipe = {
     kind: 'wipe',
@@ -112,14 +115,14 @@
 }
 
 /** One voter lags; of the two that took orders meanwhile, one is frozen and the other loses its disk. */
-export function repairWithLaggingVoter(random: Seeded): Fault[] {
+export function repairWithLaggingVoter(random: SeededRandom): Fault[] {
   return rounds(random, repairWithLaggingVoterRound);
 }
 
 /**
  * A voter is silent and a spare node is available; the other follower is partitioned while the spare becomes a voter.
  */
-export function voterReplacementDuringCut(random: Seeded): Fault[] {
+export function voterReplacementDuringCut(random: SeededRandom): Fault[] {
   const from = FIRST_ROUND_MS + random.between(0, 500);
   const spare = {
     kind: 'replace',
@@ -136,7 +139,7 @@
   ];
 }
 
-function repairThenLossRound(random: Seeded, from: number): Fault[] {
+function repairThenLossRound(random: SeededRandom, from: number): Fault[] {
   const lossAt = from + random.between(1000, 1400);
   const after: When = {
     kind: 'after',
@@ -155,11 +158,11 @@
  * One voter lags, all lose power and another voter loses its disk; once that one is repaired, the only voter with all
  * writes is killed.
  */
-export function repairThenLoss(random: Seeded): Fault[] {
+export function repairThenLoss(random: SeededRandom): Fault[] {
   return rounds(random, repairThenLossRound);
 }
 
-function restartedVotersRound(random: Seeded, from: number): Fault[] {
+function restartedVotersRound(random: SeededRandom, from: number): Fault[] {
   const faults = [cut(LEADER, from, 6500)];
   for (let node = 0; node < 3; node += 1) {
     faults.push(kill(nodeAt(node), from + random.between(0, 100), 50));
@@ -168,11 +171,11 @@
 }
 
 /** A leader is partitioned, and all voters restart at once. */
-export function restartedVoters(random: Seeded): Fault[] {
+export function restartedVoters(random: SeededRandom): Fault[] {
   return rounds(random, restartedVotersRound);
 }
 
-function laggingVoterRound(random: Seeded, from: number): Fault[] {
+function laggingVoterRound(random: SeededRandom, from: number): Fault[] {
   const lossAt = from + random.between(2000, 3500);
   return [
     cut(nodeAt(0), from, lossAt - from),
@@ -182,11 +185,11 @@
 }
 
 /** A lagging voter is the first to be elected: the leader is down, and all others restart. */
-export function laggingVoterElected(random: Seeded): Fault[] {
+export function laggingVoterElected(random: SeededRandom): Fault[] {
   return rounds(random, laggingVoterRound);
 }
 
-function delayedElectionRound(random: Seeded, from: number): Fault[] {
+function delayedElectionRound(random: SeededRandom, from: number): Fault[] {
   const faults: Fault[] = [{ kind: 'killAll', when: at(from), forMs: 100 }];
   for (let node = 0; node < 3; node += 1) {
     const target = nodeAt(node);
@@ -203,7 +206,7 @@
 }
 
 /** All nodes restart at once, and their messages to each other are delayed. */
-export function delayedElections(random: Seeded): Fault[] {
+export function delayedElections(random: SeededRandom): Fault[] {
   return rounds(random, delayedElectionRound);
 }
 
@@ -211,8 +214,8 @@
 const SHORT_ROUNDS = 4;
 
 function shortRounds(
-  random: Seeded,
-  round: (random: Seeded, from: number, node: Target) => Fault[],
+  random: SeededRandom,
+  round: (random: SeededRandom, from: number, node: Target) => Fault[],
 ): Fault[] {
   const faults: Fault[] = [];
   for (let count = 0; count < SHORT_ROUNDS; count += 1) {
@@ -223,7 +226,7 @@
   return faults;
 }
 
-function delayedCallsRound(random: Seeded, from: number, target: Target): Fault[] {
+function delayedCallsRound(random: SeededRandom, from: number, target: Target): Fault[] {
   const cutAt = from + random.between(850, 950);
   const callers = {
     kind: 'operatorCut',
@@ -235,6 +238,6 @@
 }
 
 /** A node is frozen with calls in its buffers, and their callers' closes don't reach it. */
-export function delayedCalls(random: Seeded): Fault[] {
+export function delayedCalls(random: SeededRandom): Fault[] {
   return shortRounds(random, delayedCallsRound);
 }
--- a/src/simulation/operator-client.ts
+++ b/src/simulation/operator-client.ts
@@ -1,5 +1,5 @@
 import type { Scheduler } from '../rehearsal/scheduler.js';
-import type { Seeded } from '../rehearsal/seeded.js';
+import type { SeededRandom } from '../rehearsal/seeded-random.js';
 import { CallAttempt } from './call-attempt.js';
 import { ACK_BOUND_MS } from './contract-bounds.js';
 import type { AttemptOutcome, Order } from './history/history.js';
@@ -13,7 +13,7 @@
   /** The run's virtual time. */
   readonly scheduler: Scheduler;
   /** The operator's own stream of random numbers. */
-  readonly random: Seeded;
+  readonly random: SeededRandom;
   /** The network that calls are sent over. */
   readonly network: SimNetwork;
   /** Records orders and reads. */
--- a/src/simulation/operator-plan.ts
+++ b/src/simulation/operator-plan.ts
@@ -1,5 +1,5 @@
 import type { Scheduler } from '../rehearsal/scheduler.js';
-import type { Seeded } from '../rehearsal/seeded.js';
+import type { SeededRandom } from '../rehearsal/seeded-random.js';
 import type { Order } from './history/history.js';
 import type { OpenOrder } from './history-recorder.js';
 import type { OperatorClient, OrderOutcome } from './operator-client.js';
@@ -34,7 +34,7 @@
   /** The run's virtual time. */
   readonly scheduler: Scheduler;
   /** The operator's own stream of random numbers. */
-  readonly random: Seeded;
+  readonly random: SeededRandom;
   /** Sends the orders and reads. */
   readonly client: OperatorClient;
   /** The zones that only this operator evacuates and restores. */
--- a/src/simulation/operator-port.ts
+++ b/src/simulation/operator-port.ts
@@ -1,5 +1,5 @@
 import type { Moment } from '../common/ids.js';
-import type { Seeded } from '../rehearsal/seeded.js';
+import type { SeededRandom } from '../rehearsal/seeded-random.js';
 import { textOf, type Endpoint, type Payload } from './endpoint.js';
 import {
   answerOf,
@@ -14,7 +14,7 @@
 /** What an operator port is created with. */
 export interface OperatorPortSettings {
   /** Draws the ids of zone edits. */
-  readonly random: Seeded;
+  readonly random: SeededRandom;
   /** The monotonic clock of the process. */
   readonly now: () => Moment;
   /** Calls a function once the event loop has read the input that follows the current one. */
--- a/src/simulation/random-streams.ts
+++ b/src/simulation/random-streams.ts
@@ -1,4 +1,4 @@
-import { Seeded } from '../rehearsal/seeded.js';
+import { SeededRandom } from '../rehearsal/seeded-random.js';
 
 const FNV_OFFSET = 2166136261;
 const FNV_PRIME = 16777619;
@@ -18,17 +18,17 @@
  */
 export class RandomStreams {
   readonly #seed: number;
-  readonly #streams = new Map<string, Seeded>();
+  readonly #streams = new Map<string, SeededRandom>();
 
   constructor(seed: number) {
     this.#seed = seed;
   }
 
   /** The stream of a name; the same object on each call. */
-  of(name: string): Seeded {
+  of(name: string): SeededRandom {
     const known = this.#streams.get(name);
     if (known) return known;
-    const stream = new Seeded(hashText(`${this.#seed} ${name}`));
+    const stream = new SeededRandom(hashText(`${this.#seed} ${name}`));
     this.#streams.set(name, stream);
     return stream;
   }
--- a/src/simulation/same-runs/dispatcher-run.ts
+++ b/src/simulation/same-runs/dispatcher-run.ts
@@ -1,6 +1,6 @@
 import { moment, type Moment } from '../../common/ids.js';
 import { Dispatcher, type DispatchEffect, type RequestHead } from '../../proxy/dispatcher.js';
-import { Seeded } from '../../rehearsal/seeded.js';
+import { SeededRandom } from '../../rehearsal/seeded-random.js';
 import type { Routing } from '../../route/routing.js';
 import { DrawnAttempts } from './drawn-attempts.js';
 import { DrawnFleet } from './drawn-fleet.js';
@@ -34,7 +34,7 @@
 
 /** A dispatcher alone with random requests, runner responses, faults and fleet updates. */
 class DispatcherRun {
-  readonly #random: Seeded;
+  readonly #random: SeededRandom;
   readonly #digest: TraceDigest;
   readonly #dispatcher: Dispatcher;
   readonly #attempts: DrawnAttempts;
@@ -50,8 +50,8 @@
   #requestCount = 0;
 
   constructor(seed: number, digest: TraceDigest) {
-    const random = new Seeded(seed);
-    const dispatcherRandom = new Seeded(seed + DISPATCHER_SEED_OFFSET);
+    const random = new SeededRandom(seed);
+    const dispatcherRandom = new SeededRandom(seed + DISPATCHER_SEED_OFFSET);
     this.#random = random;
     this.#digest = digest;
     this.#modelCount = 2 + random.below(6);
--- a/src/simulation/same-runs/drawn-attempts.ts
+++ b/src/simulation/same-runs/drawn-attempts.ts
@@ -1,6 +1,6 @@
 import type { Moment } from '../../common/ids.js';
 import type { ResponseHead, Dispatcher } from '../../proxy/dispatcher.js';
-import type { Seeded } from '../../rehearsal/seeded.js';
+import type { SeededRandom } from '../../rehearsal/seeded-random.js';
 import type { TraceDigest } from './trace-digest.js';
 
 type Stage = 'chosen' | 'written' | 'answering';
@@ -30,12 +30,12 @@
 
 /** Draws the outcomes of a dispatcher's attempts in progress. */
 export class DrawnAttempts {
-  readonly #random: Seeded;
+  readonly #random: SeededRandom;
   readonly #dispatcher: Dispatcher;
   readonly #digest: TraceDigest;
   readonly #byId = new Map<number, DrawnAttempt>();
 
-  constructor(random: Seeded, dispatcher: Dispatcher, digest: TraceDigest) {
+  constructor(random: SeededRandom, dispatcher: Dispatcher, digest: TraceDigest) {
     this.#random = random;
     this.#dispatcher = dispatcher;
     this.#digest = digest;
--- a/src/simulation/same-runs/drawn-demand.ts
+++ b/src/simulation/same-runs/drawn-demand.ts
@@ -1,5 +1,5 @@
 import type { FleetDemand } from '../../placement/fleet.js';
-import type { Seeded } from '../../rehearsal/seeded.js';
+import type { SeededRandom } from '../../rehearsal/seeded-random.js';
 import { ADAPTERS, adapterName, ENGINE_SERVICE, modelName } from './drawn-routing.js';
 import type { DrawnRunner } from './drawn-runner.js';
 
@@ -12,12 +12,12 @@
  * Draws the demand reported by proxies: high for few models and low for the others; the hot models change now and then.
  */
 export class DrawnDemand {
-  readonly #random: Seeded;
+  readonly #random: SeededRandom;
   readonly #modelCount: number;
   /** The index of the model with the highest demand; the following models have less and less. */
   #hottestModel = 0;
 
-  constructor(random: Seeded, models: number) {
+  constructor(random: SeededRandom, models: number) {
     this.#random = random;
     this.#modelCount = models;
   }
--- a/src/simulation/same-runs/drawn-fleet.ts
+++ b/src/simulation/same-runs/drawn-fleet.ts
@@ -1,5 +1,5 @@
 import type { Fleet, FleetRunner, FleetWait } from '../../placement/fleet.js';
-import type { Seeded } from '../../rehearsal/seeded.js';
+import type { SeededRandom } from '../../rehearsal/seeded-random.js';
 import {
   ADAPTERS,
   adapterName,
@@ -15,13 +15,13 @@
 
 /** Draws the fleet that a proxy receives, which changes slightly with each update. */
 export class DrawnFleet {
-  readonly #random: Seeded;
+  readonly #random: SeededRandom;
   readonly #modelCount: number;
   #runners: FleetRunner[] = [];
   #proxyCount = 1;
   #createdRunners = 0;
 
-  constructor(random: Seeded, models: number) {
+  constructor(random: SeededRandom, models: number) {
     this.#random = random;
     this.#modelCount = models;
     const runners = 4 + random.below(5);
--- a/src/simulation/same-runs/drawn-request.ts
+++ b/src/simulation/same-runs/drawn-request.ts
@@ -1,5 +1,5 @@
 import type { PrefixBlock, RequestHead } from '../../proxy/dispatcher.js';
-import type { Seeded } from '../../rehearsal/seeded.js';
+import type { SeededRandom } from '../../rehearsal/seeded-random.js';
 import { ADAPTERS, adapterName, HOST, modelName, PATHS } from './drawn-routing.js';
 
 /** The number of texts from which shared parts of prompts are drawn. */
@@ -10,7 +10,7 @@
  * Draws a request for one of `models` models, most often for the first ones. Now and then it names a model that no
  * runner has.
  */
-export function drawHead(random: Seeded, id: number, models: number): RequestHead {
+export function drawHead(random: SeededRandom, id: number, models: number): RequestHead {
   const index = Math.floor((models + 1) * random.next() ** 2);
   const adapter = index === 0 && random.isLikely(0.5) ? adapterName(random.below(ADAPTERS)) : '';
   return {
@@ -25,7 +25,7 @@
   };
 }
 
-function drawPrefix(random: Seeded, id: number): readonly PrefixBlock[] {
+function drawPrefix(random: SeededRandom, id: number): readonly PrefixBlock[] {
   if (random.isLikely(0.4)) return [];
   const prefix: PrefixBlock[] = [];
   const partCount = random.below(3);
--- a/src/simulation/same-runs/drawn-routing.ts
+++ b/src/simulation/same-runs/drawn-routing.ts
@@ -1,4 +1,4 @@
-import type { Seeded } from '../../rehearsal/seeded.js';
+import type { SeededRandom } from '../../rehearsal/seeded-random.js';
 import type { Engine, EngineModel, Route, Routing, Service } from '../../route/routing.js';
 
 /** The service whose engine serves many models. */
@@ -92,7 +92,7 @@
   return { name: modelName(index), sizeMb, loadMs: 600, adapters, adapterSizeMb: 66 };
 }
 
-function engineOf(random: Seeded, models: number): Engine {
+function engineOf(random: SeededRandom, models: number): Engine {
   const engineModels: EngineModel[] = [];
   for (let index = 0; index < models; index += 1) engineModels.push(engineModel(index));
   return {
@@ -106,7 +106,7 @@
 }
 
 /** Draws a configuration with this version and `models` models. */
-export function drawRouting(random: Seeded, version: number, models: number): Routing {
+export function drawRouting(random: SeededRandom, version: number, models: number): Routing {
   const service: Service = {
     name: ENGINE_SERVICE,
     healthPath: '/health',
--- a/src/simulation/same-runs/orders-run.ts
+++ b/src/simulation/same-runs/orders-run.ts
@@ -1,4 +1,4 @@
-import { Seeded } from '../../rehearsal/seeded.js';
+import { SeededRandom } from '../../rehearsal/seeded-random.js';
 import type { SimControl } from '../../rehearsal/sim-control.js';
 import { Simulation } from '../../rehearsal/simulation.js';
 import { TraceDigest, type TraceLog } from './trace-digest.js';
@@ -35,7 +35,7 @@
  * then replaces a voter, or wipes two or all disks and forces a new cluster.
  */
 class OrdersRun {
-  readonly #random: Seeded;
+  readonly #random: SeededRandom;
   readonly #simulation: Simulation;
   /** How many disks are lost at once: none in every second run, otherwise too many for an automatic repair. */
   readonly #lostDisks: number;
@@ -44,7 +44,7 @@
   #orderCount = 0;
 
   constructor(seed: number, runTrace: TraceDigest) {
-    this.#random = new Seeded(seed);
+    this.#random = new SeededRandom(seed);
     this.#lostDisks = seed % 2 === 1 ? 0 : 2 + ((seed / 2) % 2);
     this.#simulation = new Simulation({ seed, edges: PROXIES, stormMs: 0, troubles: [], runTrace });
   }
--- a/src/simulation/same-runs/planner-run.ts
+++ b/src/simulation/same-runs/planner-run.ts
@@ -2,7 +2,7 @@
 import type { ListedRunner, RunnerStatus } from '../../placement/fleet.js';
 import { Planner, type OrderOutcome } from '../../placement/planner.js';
 import type { Intent, ServiceDoc } from '../../placement/shapes.js';
-import { Seeded } from '../../rehearsal/seeded.js';
+import { SeededRandom } from '../../rehearsal/seeded-random.js';
 import type { Routing } from '../../route/routing.js';
 import { DrawnDemand } from './drawn-demand.js';
 import { drawRouting, modelName, ZONES } from './drawn-routing.js';
@@ -42,7 +42,7 @@
 
 /** A planner alone with random demand, runners, lost orders, configuration changes and leader changes. */
 class PlannerRun {
-  readonly #random: Seeded;
+  readonly #random: SeededRandom;
   readonly #digest: TraceDigest;
   readonly #modelCount: number;
   readonly #demand: DrawnDemand;
@@ -66,7 +66,7 @@
   #fleetText = '';
 
   constructor(seed: number, digest: TraceDigest) {
-    const random = new Seeded(seed);
+    const random = new SeededRandom(seed);
     this.#random = random;
     this.#digest = digest;
     this.#modelCount = 3 + random.below(MAX_MODELS - 2);
--- a/src/simulation/same-runs/relay-run.ts
+++ b/src/simulation/same-runs/relay-run.ts
@@ -8,7 +8,7 @@
   FleetWait,
   ListedRunner,
 } from '../../placement/fleet.js';
-import { Seeded } from '../../rehearsal/seeded.js';
+import { SeededRandom } from '../../rehearsal/seeded-random.js';
 import { simulate, TROUBLE_FROM_MS } from '../control-simulation.js';
 import { UNMODIFIED_CORES, type ControlInputs, type CoreFactory } from '../core-factory.js';
 import type { Fault } from '../faults.js';
@@ -188,7 +188,7 @@
   agent: (settings, now) => new ProxiedAgent(settings, now),
 };
 
-function drawAgentFaults(random: Seeded): Fault[] {
+function drawAgentFaults(random: SeededRandom): Fault[] {
   const faults: Fault[] = [];
   for (let count = 0; count < AGENT_FAULTS; count += 1) {
     const kind = random.pick(['agentKill', 'agentFreeze', 'agentCut'] as const) ?? 'agentKill';
@@ -209,7 +209,7 @@
   const fixed = { agents: AGENTS, troubleMs: FAULT_PERIOD_MS, paceMs: OPERATOR_INTERVAL_MS };
   const options: SimulationOptions = { ...OPTION_DEFAULTS, seed, nodes, ...fixed };
   const digest = new TraceDigest(log);
-  const schedule = [...drawSchedule(options), ...drawAgentFaults(new Seeded(seed))];
+  const schedule = [...drawSchedule(options), ...drawAgentFaults(new SeededRandom(seed))];
   simulate(options, schedule, undefined, BUILD, digest);
   return digest.finish();
 }
--- a/src/simulation/schedule-draw.ts
+++ b/src/simulation/schedule-draw.ts
@@ -1,4 +1,4 @@
-import type { Seeded } from '../rehearsal/seeded.js';
+import type { SeededRandom } from '../rehearsal/seeded-random.js';
 import { TROUBLE_FROM_MS } from './control-simulation.js';
 import {
   TRIGGER_EVENTS,
@@ -99,7 +99,7 @@
 
 /** Draws one schedule of faults from a seed. */
 class ScheduleDraw {
-  readonly #random: Seeded;
+  readonly #random: SeededRandom;
   readonly #options: SimulationOptions;
 
   constructor(options: SimulationOptions) {
@@ -252,7 +252,7 @@
   }
 }
 
-function pick<T>(random: Seeded, items: readonly T[]): T {
+function pick<T>(random: SeededRandom, items: readonly T[]): T {
   const item = random.pick(items);
   if (item === undefined) throw new RangeError('no items to draw from');
   return item;
--- a/src/simulation/sim-disk.test.ts
+++ b/src/simulation/sim-disk.test.ts
@@ -1,12 +1,12 @@
 import { expect, test } from 'vitest';
 import { CONFIG_PARTITION } from '../state/partition-names.js';
 import { Scheduler } from '../rehearsal/scheduler.js';
-import { Seeded } from '../rehearsal/seeded.js';
+import { SeededRandom } from '../rehearsal/seeded-random.js';
 import { SimDisk } from './sim-disk.js';
 
 class DiskUser {
   readonly scheduler = new Scheduler();
-  readonly disk = new SimDisk(this.scheduler, new Seeded(5));
+  readonly disk = new SimDisk(this.scheduler, new SeededRandom(5));
   readonly outcomes: string[] = [];
 
   write(count: number): void {
--- a/src/simulation/sim-disk.ts
+++ b/src/simulation/sim-disk.ts
@@ -2,7 +2,7 @@
 import type { PartitionName } from '../common/ids.js';
 import type { StoredPartition } from '../state/store.js';
 import type { Scheduler } from '../rehearsal/scheduler.js';
-import type { Seeded } from '../rehearsal/seeded.js';
+import type { SeededRandom } from '../rehearsal/seeded-random.js';
 
 /** A fault of a disk: slow writes, no answers until it ends, or refused writes. */
 export type DiskTrouble = 'none' | 'slow' | 'stalled' | 'full';
@@ -39,7 +39,7 @@
  */
 export class SimDisk {
   readonly #scheduler: Scheduler;
-  readonly #random: Seeded;
+  readonly #random: SeededRandom;
   readonly #partitions = new Map<PartitionName, StoredPartition>();
   /** Recent writes, so that an old state can be restored; of older writes only the newest of each partition. */
   #log: LoggedWrite[] = [];
@@ -50,7 +50,7 @@
   #trouble: DiskTrouble = 'none';
   #writes = 0;
 
-  constructor(scheduler: Scheduler, random: Seeded) {
+  constructor(scheduler: Scheduler, random: SeededRandom) {
     this.#scheduler = scheduler;
     this.#random = random;
   }
--- a/src/simulation/sim-network.test.ts
+++ b/src/simulation/sim-network.test.ts
@@ -1,6 +1,6 @@
 import { expect, test } from 'vitest';
 import { Scheduler } from '../rehearsal/scheduler.js';
-import { Seeded } from '../rehearsal/seeded.js';
+import { SeededRandom } from '../rehearsal/seeded-random.js';
 import type { Endpoint } from './endpoint.js';
 import { RandomStreams } from './random-streams.js';
 import { SimNetwork, type Host } from './sim-network.js';
@@ -17,7 +17,7 @@
 
   constructor(id: string, scheduler: Scheduler) {
     this.id = id;
-    this.process = new SimProcess(scheduler, new Seeded(3), 0);
+    this.process = new SimProcess(scheduler, new SeededRandom(3), 0);
     this.process.begin();
   }
 
--- a/src/simulation/sim-process.test.ts
+++ b/src/simulation/sim-process.test.ts
@@ -1,6 +1,6 @@
 import { expect, test } from 'vitest';
 import { Scheduler } from '../rehearsal/scheduler.js';
-import { Seeded } from '../rehearsal/seeded.js';
+import { SeededRandom } from '../rehearsal/seeded-random.js';
 import { SimProcess } from './sim-process.js';
 
 interface LoopFixture {
@@ -12,7 +12,7 @@
 
 function loopOf(seed: number): LoopFixture {
   const scheduler = new Scheduler();
-  const process = new SimProcess(scheduler, new Seeded(seed), 0.01);
+  const process = new SimProcess(scheduler, new SeededRandom(seed), 0.01);
   const seen: string[] = [];
   function note(text: string): () => void {
     return seen.push.bind(seen, text);
--- a/src/simulation/sim-process.ts
+++ b/src/simulation/sim-process.ts
@@ -1,6 +1,6 @@
 import { moment, type Moment } from '../common/ids.js';
 import type { Scheduler } from '../rehearsal/scheduler.js';
-import type { Seeded } from '../rehearsal/seeded.js';
+import type { SeededRandom } from '../rehearsal/seeded-random.js';
 
 type ProcessState = 'down' | 'running' | 'frozen';
 
@@ -24,7 +24,7 @@
  */
 export class SimProcess {
   readonly #scheduler: Scheduler;
-  readonly #random: Seeded;
+  readonly #random: SeededRandom;
   #rate: number;
   #offset: number;
   #state: ProcessState = 'down';
@@ -32,7 +32,7 @@
   #held: HeldInput[] = [];
   #thawedAt = -Infinity;
 
-  constructor(scheduler: Scheduler, random: Seeded, maxDrift: number) {
+  constructor(scheduler: Scheduler, random: SeededRandom, maxDrift: number) {
     this.#scheduler = scheduler;
     this.#random = random;
     this.#rate = 1 + random.between(-maxDrift, maxDrift);
