--- a/src/rehearsal/mutation.ts
+++ b/src/rehearsal/mutation.ts
@@ -3,14 +3,14 @@
 
 type Rule = (typeof RULES)[number] | 'slip' | 'turned-away-in-force' | 'lost-edit';
 
-interface MutationRow {
-  /** The rule that this fault must be seen to break. */
+interface Mutation {
+  /** The rule of which a run must report a violation. */
   readonly rule: Rule;
-  /** Under which troubles; none for a fault that shows by itself. */
+  /** The kinds of faults to inject; empty if the defect shows without any. */
   readonly troubles: readonly TroubleKind[];
 }
 
-/** Builds with one thing wrong each: if no seed of the simulator sees it, a green run proves nothing. */
+/** Builds with one defect each. If the simulator detects a defect on no seed, its passing runs prove nothing. */
 export const WRONGS = {
   'no-gap-between-holders': {
     rule: 'two-holders',
@@ -38,6 +38,7 @@
   'no-ramp': { rule: 'cold-flooded', troubles: ['restart-back'] },
   'drain-cuts': { rule: 'cut-by-plan', troubles: ['restart-flow'] },
   'no-kept-back': { rule: 'held-back', troubles: ['mark-runner'] },
-} as const satisfies Record<string, MutationRow>;
+} as const satisfies Record<string, Mutation>;
 
+/** The name of a mutation. */
 export type MutationKind = keyof typeof WRONGS;
--- a/src/rehearsal/simulation-types.ts
+++ b/src/rehearsal/simulation-types.ts
@@ -2,27 +2,30 @@
 import type { RunTrace } from './run-trace.js';
 import type { TroubleKind } from './trouble-kinds.js';
 
-/** What one run of the simulation is told. */
+/** Settings of one simulation run. */
 export interface SimulationSettings {
   readonly seed: number;
+  /** Number of edge machines, each with one agent and one proxy. */
   readonly edges: number;
-  /** How long troubles go on, after a quiet beginning; then everything is healed. */
+  /** How long faults are injected after a fault-free start; then all faults are healed. */
   readonly stormMs: number;
-  /** Which troubles are brought about. */
+  /** The kinds of faults to draw from. */
   readonly troubles: readonly TroubleKind[];
-  /** One thing wrong with the build, to show that the checks bite. */
+  /** A defect to put into the build, to show that the checks detect it. */
   readonly wrong?: MutationKind;
-  /** Takes down what the run shows to its outside. */
+  /** Records the externally visible behavior of the run. */
   readonly runTrace?: RunTrace;
 }
 
-/** What one run of the simulation found and counted. */
+/** Violations and counters of one simulation run. */
 export interface SimulationResult {
   readonly seed: number;
   readonly violations: readonly string[];
-  /** Virtual milliseconds without any control node that may order, in the storm. */
+  /** Each period without a control node that may issue orders, while faults are injected; virtual milliseconds. */
   readonly leaderlessMs: readonly number[];
+  /** Virtual time at the end of the fault-free start if a leader serves then, else -1. */
   readonly serveMs: number;
+  /** Operators' edits by outcome; `unsure` counts those whose outcome the operator could not learn. */
   readonly edits: {
     readonly accepted: number;
     readonly refused: number;
@@ -31,7 +34,8 @@
   readonly orders: number;
   readonly runs: number;
   readonly messages: number;
+  /** Callers' requests by outcome. */
   readonly calls: Readonly<Record<string, number>>;
-  /** How often each trouble met what was going on. */
+  /** How often each kind of fault was injected, and under which conditions. */
   readonly met: ReadonlyMap<string, number>;
 }
--- a/src/rehearsal/storm-command.ts
+++ b/src/rehearsal/storm-command.ts
@@ -2,45 +2,52 @@
 import { Simulation } from './simulation.js';
 import { CONDITIONS, TROUBLES, type TroubleKind } from './trouble-kinds.js';
 
-function isTrouble(text: string): text is TroubleKind {
+function isFaultKind(text: string): text is TroubleKind {
   return TROUBLES.some((kind) => text === kind);
 }
 
 function pairText(pair: readonly [string, number]): string {
   return `${pair[0]} ${pair[1]}`;
 }
-function dashes(): string {
+function separatorCell(): string {
   return '---';
 }
-function byValue(a: number, b: number): number {
+function byNumber(a: number, b: number): number {
   return a - b;
 }
 
+/** Runs the simulator over a range of seeds and prints violations and counters; exits 1 if any seed had a violation. */
 export class StormCommand extends Command {
   static override aliases = ['myth:storm'];
   static override deprecateAliases = true;
   static override description =
     'run the simulator over many seeds; a failing seed is printed and replays exactly';
   static override flags = {
-    seeds: Flags.integer({ default: 100, description: 'how many seeds' }),
-    from: Flags.integer({ default: 1, description: 'the first seed' }),
-    edges: Flags.integer({ default: 4, description: 'edge machines' }),
-    seconds: Flags.integer({ default: 40, description: 'virtual seconds of troubles' }),
+    seeds: Flags.integer({ default: 100, description: 'number of seeds' }),
+    from: Flags.integer({ default: 1, description: 'first seed' }),
+    edges: Flags.integer({ default: 4, description: 'number of edge machines' }),
+    seconds: Flags.integer({
+      default: 40,
+      description: 'virtual seconds during which faults are injected',
+    }),
     trouble: Flags.string({
       multiple: true,
-      description: 'only these troubles',
+      description: 'inject only faults of these kinds',
       options: [...TROUBLES],
     }),
     met: Flags.boolean({
       default: false,
-      description: 'print how often each trouble came, and what it met each time',
+      description: 'print how often each kind of fault was injected, and under which conditions',
+    }),
+    trace: Flags.boolean({
+      default: false,
+      description: 'print the events of the run; use with one seed',
     }),
-    trace: Flags.boolean({ default: false, description: 'print what happens, for one seed' }),
   };
 
-  #print(met: ReadonlyMap<string, number>): void {
-    this.log(`| trouble | times | ${CONDITIONS.join(' | ')} |`);
-    this.log(`| --- | --- | ${CONDITIONS.map(dashes).join(' | ')} |`);
+  #printConditionTable(met: ReadonlyMap<string, number>): void {
+    this.log(`| fault | count | ${CONDITIONS.join(' | ')} |`);
+    this.log(`| --- | --- | ${CONDITIONS.map(separatorCell).join(' | ')} |`);
     for (const kind of TROUBLES) {
       const cells = [kind, String(met.get(`${kind}|times`) ?? 0)];
       for (const condition of CONDITIONS) cells.push(String(met.get(`${kind}|${condition}`) ?? 0));
@@ -50,8 +57,8 @@
 
   async run(): Promise<void> {
     const { flags } = await this.parse(StormCommand);
-    const troubles = (flags.trouble ?? [...TROUBLES]).filter(isTrouble);
-    const gaps: number[] = [];
+    const troubles = (flags.trouble ?? [...TROUBLES]).filter(isFaultKind);
+    const leaderlessMs: number[] = [];
     let failed = 0;
     const met = new Map<string, number>();
     const calls = new Map<string, number>();
@@ -62,7 +69,7 @@
         { seed, edges: flags.edges, stormMs: flags.seconds * 1000, troubles },
         trace,
       ).run();
-      gaps.push(...result.leaderlessMs);
+      leaderlessMs.push(...result.leaderlessMs);
       accepted += result.edits.accepted;
       refused += result.edits.refused;
       unsure += result.edits.unsure;
@@ -74,21 +81,24 @@
         calls.set(key, (calls.get(key) ?? 0) + count);
       if (result.violations.length === 0) continue;
       failed += 1;
-      this.log(`seed ${seed}: ${result.violations.length} broken`);
+      this.log(`seed ${seed}: ${result.violations.length} violations`);
       for (const violation of result.violations.slice(0, 6)) this.log(`  ${violation}`);
     }
-    gaps.sort(byValue);
+    leaderlessMs.sort(byNumber);
     function quantile(share: number): number {
-      return Math.round(gaps[Math.min(gaps.length - 1, Math.floor(gaps.length * share))] ?? 0);
+      return Math.round(
+        leaderlessMs[Math.min(leaderlessMs.length - 1, Math.floor(leaderlessMs.length * share))] ??
+          0,
+      );
     }
     this.log(
       `${flags.seeds} seeds, ${failed} failed; edits accepted ${accepted}, refused ${refused}, unsure ${unsure}; orders ${orders}; runs ${runs}; messages ${messages}`,
     );
     this.log(
-      `time without a holder, ms: ${gaps.length} times, median ${quantile(0.5)}, 90% ${quantile(0.9)}, 99% ${quantile(0.99)}, most ${quantile(1)}`,
+      `time without a leader, ms: ${leaderlessMs.length} periods, median ${quantile(0.5)}, 90% ${quantile(0.9)}, 99% ${quantile(0.99)}, max ${quantile(1)}`,
     );
     this.log(`calls: ${[...calls].map(pairText).join(', ')}`);
-    if (flags.met) this.#print(met);
+    if (flags.met) this.#printConditionTable(met);
     this.exit(failed === 0 ? 0 : 1);
   }
 }
--- a/src/rehearsal/storms.ts
+++ b/src/rehearsal/storms.ts
@@ -1,57 +1,64 @@
-/** Batches of seeded runs, for tests: a sound build under troubles, and builds with one thing wrong. */
+/** Batches of seeded runs for tests: the correct build under faults, and builds with one defect each. */
 import { setImmediate } from 'node:timers/promises';
 import { WRONGS, type MutationKind } from './mutation.js';
 import { Simulation } from './simulation.js';
 import type { TroubleKind } from './trouble-kinds.js';
 
-/** Virtual time of troubles for a sound build and for a mutated one, ms. */
-const STORM_MS = 25_000;
-const MUTATION_STORM_MS = 15_000;
+/** Virtual time during which faults are injected, for the correct build and for a mutated one, ms. */
+const FAULT_PERIOD_MS = 25_000;
+const MUTATION_FAULT_PERIOD_MS = 15_000;
 const PROXIES = 3;
-/** The rarest of the mutants is caught on about one seed of five: by chance alone 32 of them miss it once in a thousand times. */
-const MOST_SEEDS = 32;
+/** The rarest mutant is detected on about one seed in five, so 32 seeds miss it by chance about once in a thousand runs. */
+const MAX_SEEDS = 32;
 
-/** Runs seeds one after the other and names each that broke something. */
+/** Runs `count` seeds in sequence, starting with `from`, and returns every violation with its seed. */
 export async function storm(
   from: number,
   count: number,
   troubles: readonly TroubleKind[],
 ): Promise<string[]> {
-  const broken: string[] = [];
+  const violations: string[] = [];
   for (let seed = from; seed < from + count; seed += 1) {
-    const result = new Simulation({ seed, edges: PROXIES, stormMs: STORM_MS, troubles }).run();
-    for (const violation of result.violations) broken.push(`seed ${seed}: ${violation}`);
-    // A seed takes a second of real work: the test runner must be heard in between.
+    const result = new Simulation({
+      seed,
+      edges: PROXIES,
+      stormMs: FAULT_PERIOD_MS,
+      troubles,
+    }).run();
+    for (const violation of result.violations) violations.push(`seed ${seed}: ${violation}`);
+    // A seed takes a second of CPU time: yield to the event loop so that the test runner stays responsive.
     await setImmediate();
   }
-  return broken;
+  return violations;
 }
 
 /**
- * Runs a build with one thing wrong until its rule is seen to break, and the sound build on the same seeds.
- * Names what did not come out so: a fault that no seed shows, or a sound build that breaks something.
+ * Runs a mutated build on successive seeds until a violation of the expected rule is found, and the correct build on the
+ * same seeds. Returns an empty list if both behave as expected; otherwise the violation of the correct build, or the
+ * mutation that no seed detected.
  */
-export async function bite(wrong: MutationKind, most = MOST_SEEDS): Promise<string[]> {
+export async function bite(wrong: MutationKind, maxSeeds = MAX_SEEDS): Promise<string[]> {
   const { rule, troubles } = WRONGS[wrong];
-  for (let seed = 1; seed <= most; seed += 1) {
-    const sound = new Simulation({
+  for (let seed = 1; seed <= maxSeeds; seed += 1) {
+    const correct = new Simulation({
       seed,
       edges: PROXIES,
-      stormMs: MUTATION_STORM_MS,
+      stormMs: MUTATION_FAULT_PERIOD_MS,
       troubles,
     }).run();
-    // Before each word of what came out, too: checks that follow one another at once would else hold the loop for minutes.
+    // Yield before each return as well: consecutive checks would otherwise block the event loop for minutes.
     await setImmediate();
-    if (sound.violations.length > 0) return [`sound at seed ${seed}: ${sound.violations[0]}`];
+    if (correct.violations.length > 0)
+      return [`correct build, seed ${seed}: ${correct.violations[0]}`];
     const { violations } = new Simulation({
       seed,
       edges: PROXIES,
-      stormMs: MUTATION_STORM_MS,
+      stormMs: MUTATION_FAULT_PERIOD_MS,
       troubles,
       wrong,
     }).run();
     await setImmediate();
     if (violations.some((violation) => violation.startsWith(`${rule}:`))) return [];
   }
-  return [`${wrong}: no ${rule} in ${most} seeds`];
+  return [`${wrong}: no ${rule} violation in ${maxSeeds} seeds`];
 }
--- a/src/rehearsal/trouble-kinds.ts
+++ b/src/rehearsal/trouble-kinds.ts
@@ -1,4 +1,8 @@
-/** Every kind of trouble that the simulator can bring about; seeds draw by position, so new ones go last. */
+/**
+ * Every kind of fault that the simulator can inject. Seeds draw by position, so append new kinds at the end.
+ *
+ * In these names `mind` is a control node, `link` an agent, `flow` a proxy, `back` a back end, and `dark` means frozen.
+ */
 export const TROUBLES = [
   'kill-mind',
   'kill-core',
@@ -40,10 +44,10 @@
   'crowd',
   'zone-lost',
 ] as const;
-/** A kind of trouble. */
+/** The name of a kind of fault. */
 export type TroubleKind = (typeof TROUBLES)[number];
 
-/** What was going on when a trouble came: only then has it tried the rules on that. */
+/** Conditions counted when a fault is injected: a fault tests the rules under a condition only if it coincides with it. */
 export const CONDITIONS = [
   'requests open',
   'runs under way',
@@ -56,5 +60,5 @@
   'no holder',
   'link blind',
 ] as const;
-/** Something that may be going on when a trouble comes. */
+/** A condition that may hold when a fault is injected. */
 export type Condition = (typeof CONDITIONS)[number];
