--- a/src/rehearsal/network.ts
+++ b/src/rehearsal/network.ts
@@ -3,21 +3,24 @@
 import type { Scheduler } from './scheduler.js';
 import type { Seeded } from './seeded.js';
 
+/** Hands a message to its recipient. */
 export type Deliver = (to: string, from: string, message: Message) => void;
 
-/** The simulator's network: lines that keep their order, with delays, one-way cuts and losses. */
+/** The simulated network: ordered delivery per pair of nodes, with delays, one-way partitions and message loss. */
 export class Network {
   readonly #scheduler: Scheduler;
   readonly #seeded: Seeded;
   readonly #deliver: Deliver;
-  /** What the run shows to its outside; nodes add to it what does not go over the network. */
+  /** The trace of the run; nodes add what does not pass through the network. */
   readonly trace: RunTrace;
   readonly #cuts = new Set<string>();
-  readonly #last = new Map<string, number>();
+  readonly #lastDeliveryAt = new Map<string, number>();
+  /** Probability that a message is lost. */
   loss = 0;
+  /** Upper bound of the random delay of a message, ms. */
   mostDelay = 5;
   #sent = 0;
-  readonly #links = new Set<string>();
+  readonly #agentIds = new Set<string>();
 
   constructor(scheduler: Scheduler, seeded: Seeded, deliver: Deliver, trace: RunTrace = UNTRACED) {
     this.#scheduler = scheduler;
@@ -26,47 +29,53 @@
     this.trace = trace;
   }
 
+  /** Number of messages sent, including lost ones. */
   get sent(): number {
     return this.#sent;
   }
 
-  /** Every link that ever sent anything. */
+  /** The ids of all agents that have sent a message. */
   get linkIds(): ReadonlySet<string> {
-    return this.#links;
+    return this.#agentIds;
   }
 
-  /** Cuts one way; what is on its way is lost too. */
+  /** Blocks messages in one direction; messages in flight are lost too. */
   cut(from: string, to: string): void {
     this.#cuts.add(`${from}\n${to}`);
   }
 
+  /** Removes the cut in one direction. */
   heal(from: string, to: string): void {
     this.#cuts.delete(`${from}\n${to}`);
   }
 
+  /** Removes all cuts, and resets loss and delay. */
   healAll(): void {
     this.#cuts.clear();
     this.loss = 0;
     this.mostDelay = 5;
   }
 
+  /** Whether messages in this direction are blocked. */
   isCut(from: string, to: string): boolean {
     return this.#cuts.has(`${from}\n${to}`);
   }
 
+  /** Draws a delay for one message, ms. */
   delay(): number {
     return this.#seeded.between(0.2, this.mostDelay);
   }
 
+  /** Sends a message; it is lost if the direction is cut now or on arrival, or by the loss rate. */
   send(from: string, to: string, message: Message): void {
     this.#sent += 1;
     this.trace.message(this.#scheduler.now, from, to, message);
-    if (from.startsWith('link-')) this.#links.add(from);
+    if (from.startsWith('link-')) this.#agentIds.add(from);
     if (this.isCut(from, to) || this.#seeded.isLikely(this.loss)) return;
     const key = `${from}\n${to}`;
-    const at = Math.max(this.#scheduler.now + this.delay(), this.#last.get(key) ?? 0);
-    this.#last.set(key, at);
-    // Through the wire form and back, so that nothing is shared between nodes and every message is encodable.
+    const at = Math.max(this.#scheduler.now + this.delay(), this.#lastDeliveryAt.get(key) ?? 0);
+    this.#lastDeliveryAt.set(key, at);
+    // Encoding and decoding keeps nodes from sharing objects and shows that every message can be encoded.
     const bytes = encodeMessage(message);
     const network = {
       isCut: (from: string, to: string) => this.isCut(from, to),
--- a/src/rehearsal/records.ts
+++ b/src/rehearsal/records.ts
@@ -2,7 +2,7 @@
 import { boolean, number, optional, string, type, type Infer } from 'superstruct';
 import { parseAs } from '../common/json.js';
 
-/** What a caller saw of one request. */
+/** The result of one request, as its caller saw it. */
 export const CallerShape = type({
   what: string(),
   id: string(),
@@ -20,6 +20,7 @@
   retryAfter: number(),
   table: number(),
 });
+/** A record that a caller writes at the end of each request. */
 export type CallerRecord = Infer<typeof CallerShape>;
 
 const BackShape = type({
@@ -48,9 +49,10 @@
   revision: optional(number()),
   boot: optional(string()),
 });
+/** A record of a runner, a plain back end, the weight store or the platform. Optional fields depend on `what`. */
 export type BackRecord = Infer<typeof BackShape>;
 
-/** What the rehearsal itself did or was told. */
+/** An action of the rehearsal itself, or a result that it received. */
 export const EventShape = type({
   at: number(),
   what: string(),
@@ -61,17 +63,19 @@
   id: optional(string()),
   status: optional(number()),
 });
+/** An event of the rehearsal. Optional fields depend on `what`. */
 export type EventRecord = Infer<typeof EventShape>;
 
-function lines(path: string): string[] {
+function readLines(path: string): string[] {
   return existsSync(path) ? readFileSync(path, 'utf8').split('\n') : [];
 }
 
+/** Reads the records of all files that exist, sorted by time. */
 export function readBackRecords(paths: readonly string[]): BackRecord[] {
   const list: BackRecord[] = [];
   for (const path of paths) {
-    for (const line of lines(path)) {
-      // A line cut off by a kill is no record.
+    for (const line of readLines(path)) {
+      // Skips a line that is truncated because its writer was killed.
       const record = line === '' ? undefined : parseAs(BackShape, line);
       if (record) list.push(record);
     }
--- a/src/rehearsal/run-findings.ts
+++ b/src/rehearsal/run-findings.ts
@@ -1,7 +1,7 @@
 import type { EventRecord } from './records.js';
 import type { Scheduler } from './scheduler.js';
 
-/** What a simulated run found broken, and what it noted on its way for the judge. */
+/** The violations found in a simulated run, and its events, which the `Judge` evaluates. */
 export class RunFindings {
   readonly #scheduler: Scheduler;
   readonly #trace: ((line: string) => void) | undefined;
@@ -13,27 +13,28 @@
     this.#trace = trace;
   }
 
-  /** Each violation once, in the order in which they were found. */
+  /** Distinct violations, in the order in which they were found. */
   get violations(): ReadonlySet<string> {
     return this.#violations;
   }
 
+  /** The events of the run, in order of time. */
   get events(): readonly EventRecord[] {
     return this.#events;
   }
 
-  /** Notes a violation; its text begins with the name of the rule and a colon. */
+  /** Records a violation. A text that begins with a rule's name and a colon counts for that rule. */
   find(text: string): void {
     this.#violations.add(text);
     this.say(`VIOLATION ${text}`);
   }
 
-  /** Notes an event of the run, now, for the judge. */
+  /** Records an event with the current virtual time. */
   note(event: Omit<EventRecord, 'at'>): void {
     this.#events.push({ at: this.#scheduler.now, ...event });
   }
 
-  /** Writes a line to the trace, if there is one. */
+  /** Writes a line with the current virtual time to the trace, if there is one. */
   say(text: string): void {
     this.#trace?.(`${Math.round(this.#scheduler.now)} ${text}`);
   }
--- a/src/rehearsal/scheduler.ts
+++ b/src/rehearsal/scheduler.ts
@@ -1,13 +1,18 @@
-/** What is to happen on virtual time, in order; of two things at one moment, the one put in first. */
+/**
+ * An event queue on virtual time, in milliseconds; a binary heap. Events due at the same time run in the order in which
+ * they were added.
+ */
 export class Scheduler {
   readonly #heap: { readonly at: number; readonly order: number; readonly run: () => void }[] = [];
   #order = 0;
   #now = 0;
 
+  /** The current virtual time, ms. */
   get now(): number {
     return this.#now;
   }
 
+  /** Schedules `run` at a virtual time; a time in the past counts as now. */
   at(moment: number, run: () => void): void {
     this.#order += 1;
     const heap = this.#heap;
@@ -16,16 +21,17 @@
     while (index > 0) {
       const parent = (index - 1) >> 1;
       if (!this.#isBefore(index, parent)) break;
-      this.#exchange(index, parent);
+      this.#swap(index, parent);
       index = parent;
     }
   }
 
+  /** Schedules `run` after a delay in milliseconds. */
   after(millis: number, run: () => void): void {
     this.at(this.#now + millis, run);
   }
 
-  /** Runs all that is due until that moment. */
+  /** Runs all events due up to and including `end`, then sets the time to `end`. */
   runUntil(end: number): void {
     for (let first = this.#heap[0]; first && first.at <= end; first = this.#heap[0]) {
       this.#pop();
@@ -41,7 +47,7 @@
     return first.at < second.at || (first.at === second.at && first.order < second.order);
   }
 
-  #exchange(a: number, b: number): void {
+  #swap(a: number, b: number): void {
     const [first, second] = [this.#heap[a], this.#heap[b]];
     if (!first || !second) return;
     this.#heap[a] = second;
@@ -54,12 +60,12 @@
     this.#heap[0] = last;
     for (let index = 0; ;) {
       const [left, right] = [index * 2 + 1, index * 2 + 2];
-      let least = index;
-      if (left < this.#heap.length && this.#isBefore(left, least)) least = left;
-      if (right < this.#heap.length && this.#isBefore(right, least)) least = right;
-      if (least === index) return;
-      this.#exchange(index, least);
-      index = least;
+      let smallest = index;
+      if (left < this.#heap.length && this.#isBefore(left, smallest)) smallest = left;
+      if (right < this.#heap.length && this.#isBefore(right, smallest)) smallest = right;
+      if (smallest === index) return;
+      this.#swap(index, smallest);
+      index = smallest;
     }
   }
 }
