--- a/src/rehearsal/sim-agent.test.ts
+++ b/src/rehearsal/sim-agent.test.ts
@@ -1,6 +1,6 @@
 import { expect, test } from 'vitest';
 import { storm } from './storms.js';
-test('no rule breaks when edge machines die, freeze or are cut off', async () => {
+test('no rule is broken when agents and proxies die, freeze or are cut off', async () => {
   expect(
     await storm(3000, 30, [
       'kill-link',
--- a/src/rehearsal/sim-agent.ts
+++ b/src/rehearsal/sim-agent.ts
@@ -6,22 +6,22 @@
 import type { Seeded } from './seeded.js';
 import { SimNode } from './sim-node.js';
 
-/** How long a proxy may take new work after its configuration was last confirmed, ms. */
+/** How long a proxy may accept requests after its configuration was last confirmed, ms. */
 export const BLIND_MS = 2500;
 
-/** A proxy that an agent feeds, as far as the agent sees it. */
+/** The part of a proxy that its agent uses to send it updates. */
 export interface FedProxy {
   perform(run: () => void): void;
   receive(from: string, message: Message): void;
 }
 
-/** A simulated edge machine's link: the real core. */
+/** A simulated agent of an edge machine, which runs the production `AgentCore`. */
 export class SimAgent extends SimNode {
   readonly #network: Network;
   readonly #trace: NodeTrace;
   readonly #seeds: readonly string[];
   #core: AgentCore | undefined;
-  /** The proxies beside it, by id: fed over loopback, which is never cut. */
+  /** The proxies on the same machine, by id. They are connected by loopback, which is never cut. */
   readonly proxies = new Map<string, FedProxy>();
 
   constructor(
@@ -37,6 +37,7 @@
     this.#seeds = seeds;
   }
 
+  /** The agent's core; undefined while the process is down. */
   get core(): AgentCore | undefined {
     return this.#core;
   }
@@ -60,26 +61,28 @@
 
   protected tick(): void {
     this.#core?.tick(this.now());
-    this.#obey();
+    this.#drainEffects();
   }
 
   receive(from: string, message: Message): void {
     this.#core?.onMessage(this.now(), from, from.startsWith('flow@') ? 'flow' : 'node', message);
-    this.#obey();
+    this.#drainEffects();
   }
 
   gone(from: string): void {
     this.#core?.onDisconnect(this.now(), from);
-    this.#obey();
+    this.#drainEffects();
   }
 
-  #obey(): void {
+  #drainEffects(): void {
     for (const effect of this.#core?.drain() ?? []) {
       if (effect.do !== 'send') continue;
-      const flow = this.proxies.get(effect.to);
-      if (flow) {
+      const proxy = this.proxies.get(effect.to);
+      if (proxy) {
         this.#trace.message(effect.to, effect.message);
-        this.scheduler.after(0.1, () => flow.perform(() => flow.receive(this.id, effect.message)));
+        this.scheduler.after(0.1, () =>
+          proxy.perform(() => proxy.receive(this.id, effect.message)),
+        );
       } else this.#network.send(this.id, effect.to, effect.message);
     }
   }
--- a/src/rehearsal/sim-control.test.ts
+++ b/src/rehearsal/sim-control.test.ts
@@ -5,7 +5,7 @@
 function mayOrder(controlNode: SimControl): boolean {
   return controlNode.core?.mayOrder(controlNode.now()) === true;
 }
-test('with clocks one in a hundred apart, holders are still three seconds apart', async () => {
+test('with clock rates off by one in a hundred, the terms of two leaders are still three seconds apart', async () => {
   const gaps: number[] = [];
   for (let seed = 1; seed <= 6; seed += 1) {
     await new Promise(setImmediate);
@@ -15,7 +15,7 @@
     scheduler.runUntil(12_000);
     const leader = simulation.leader();
     if (!leader) throw new Error('no leader');
-    // The worst that the bound allows: the holder's clock is slow, so that its lease lasts, and all others' are fast.
+    // The worst case within the bound: the leader's clock is slow, which extends its lease, and all others are fast.
     for (const controlNode of simulation.controlNodes)
       controlNode.setRate(controlNode === leader ? 0.99 : 1.01);
     scheduler.runUntil(scheduler.now + 3000 + seed * 111);
@@ -24,15 +24,15 @@
         network.cut(leader.id, controlNode.id);
         network.cut(controlNode.id, leader.id);
       }
-    let lastOld = scheduler.now;
+    let oldLeaderUntil = scheduler.now;
     for (let step = 0; step < 4000; step += 1) {
       scheduler.runUntil(scheduler.now + 3);
-      if (mayOrder(leader)) lastOld = scheduler.now;
+      if (mayOrder(leader)) oldLeaderUntil = scheduler.now;
       const next = simulation.controlNodes.find(
         (controlNode) => controlNode !== leader && mayOrder(controlNode),
       );
       if (next) {
-        gaps.push(scheduler.now - lastOld);
+        gaps.push(scheduler.now - oldLeaderUntil);
         break;
       }
     }
@@ -41,8 +41,8 @@
   expect(Math.min(...gaps)).toBeGreaterThanOrEqual(3000);
   expect(Math.max(...gaps)).toBeLessThan(4000);
 }, 600_000);
-test('a planned stop hands over in the span in which nobody orders, and no sooner', () => {
-  // The leader is stopped as planned: the next one may order as soon as the span in which nobody does is over.
+test('after a planned stop the next leader orders right after the handover gap, and no sooner', () => {
+  // The next leader may issue orders as soon as the gap between two leaders is over.
   const simulation = new Simulation({ seed: 3, edges: 1, stormMs: 0, troubles: [] });
   const { scheduler } = simulation;
   simulation.start();
@@ -58,12 +58,12 @@
   expect(simulation.leader()?.id).not.toBe(leader?.id);
   expect(simulation.leader()).toBeDefined();
 }, 600_000);
-test('no rule breaks when leaders are stopped as planned among troubles', async () => {
+test('no rule is broken when leaders are stopped as planned under faults', async () => {
   expect(
     await storm(5000, 20, ['retire-mind', 'freeze-mind', 'cut-one-way', 'dark-runner']),
   ).toEqual([]);
 }, 600_000);
-test('no rule breaks when control nodes die, freeze, lose their disk or wait for it', async () => {
+test('no rule is broken when control nodes die, freeze, lose their disk or wait for it', async () => {
   expect(
     await storm(1000, 30, [
       'kill-mind',
--- a/src/rehearsal/sim-control.ts
+++ b/src/rehearsal/sim-control.ts
@@ -13,9 +13,10 @@
 import type { MutationKind } from './mutation.js';
 import type { Seeded } from './seeded.js';
 
+/** Receives the response to an operator's command; status 0 if the node died first. */
 export type Returned = (status: number, body: string) => void;
 
-/** A simulated core machine: the real core, on a simulated disk, network and outside. */
+/** A simulated control node: the production `ControlCore` on a simulated disk, network and environment. */
 export class SimControl extends SimNode {
   readonly #network: Network;
   readonly #trace: NodeTrace;
@@ -28,10 +29,11 @@
   readonly #replies = new Map<number, Returned>();
   #core: ControlCore | undefined;
   #commandId = 0;
-  /** While set, nothing reaches this disk. */
+  /** While set, writes to the disk do not complete. */
   isDiskStalled = false;
+  /** Upper bound of the random duration of a write, ms. */
   diskMs = 3;
-  #stalled: (() => void)[] = [];
+  #stalledWrites: (() => void)[] = [];
 
   constructor(
     id: string,
@@ -53,6 +55,7 @@
     this.#seeds = seeds;
   }
 
+  /** The node's core; undefined while the process is down. */
   get core(): ControlCore | undefined {
     return this.#core;
   }
@@ -76,38 +79,41 @@
   protected died(): void {
     this.#core = undefined;
     this.freezeAtOrderMs = 0;
-    this.#stalled = [];
-    // Whoever asked here hears nothing any more: for them the outcome is unsure.
+    this.#stalledWrites = [];
+    // Pending commands get no response: their outcome is unknown to the operator.
     for (const returned of this.#replies.values()) returned(0, '');
     this.#replies.clear();
   }
 
+  /** Erases the disk. */
   wipe(): void {
     this.#store.erase();
   }
 
-  /** A planned stop: says whether it handed over. */
+  /** Begins a planned stop, in which a leader hands over its leadership. */
   retire(): void {
     const now = () => this.now();
     function retire(core: ControlCore): void {
       core.retire(now());
     }
-    this.perform(() => this.#do(retire));
+    this.perform(() => this.#handle(retire));
   }
 
+  /** Corrupts a partition's file on the disk. */
   rot(partition: PartitionName): void {
     this.#store.corrupt(partition);
   }
 
+  /** Ends a stall of the disk: the writes held back begin now. */
   unstall(): void {
     this.isDiskStalled = false;
-    const stalled = this.#stalled;
-    this.#stalled = [];
-    for (const run of stalled) run();
+    const writes = this.#stalledWrites;
+    this.#stalledWrites = [];
+    for (const run of writes) run();
   }
 
   protected tick(): void {
-    this.#do((core) => this.#tickCore(core));
+    this.#handle((core) => this.#tickCore(core));
   }
 
   #tickCore(core: ControlCore): void {
@@ -122,29 +128,29 @@
 
   receive(from: string, message: Message): void {
     const now = () => this.now();
-    this.#do((core: ControlCore) => {
+    this.#handle((core: ControlCore) => {
       core.onMessage(now(), from, message);
     });
   }
 
   gone(from: string): void {
     const now = () => this.now();
-    this.#do((core: ControlCore) => {
+    this.#handle((core: ControlCore) => {
       core.onDisconnect(now(), from);
     });
   }
 
-  /** While set, it freezes for so long right after the next check of its lease before an order. */
+  /** If not 0, the process freezes for this long, in ms, after the next check of its lease before an order. */
   freezeAtOrderMs = 0;
 
-  #freezeAtOrder(): void {
+  #freezeBeforeOrder(): void {
     if (this.freezeAtOrderMs === 0 || this.isFrozen) return;
     this.freeze();
     this.scheduler.after(this.freezeAtOrderMs, () => this.wake());
     this.freezeAtOrderMs = 0;
   }
 
-  /** An operator's command at this node's API. */
+  /** Submits an operator's command to this node's API. */
   command(verb: string, body: string, returned: Returned): void {
     if (!this.isUp) {
       returned(0, '');
@@ -157,29 +163,29 @@
     function command(core: ControlCore): void {
       core.onCommand(now(), id, verb, body);
     }
-    this.perform(() => this.#do(command));
+    this.perform(() => this.#handle(command));
   }
 
-  #atWake(input: (core: ControlCore) => void): void {
-    this.perform(() => this.#do(input));
+  #handleWhenRunning(input: (core: ControlCore) => void): void {
+    this.perform(() => this.#handle(input));
   }
 
-  #do(input: (core: ControlCore) => void): void {
+  #handle(input: (core: ControlCore) => void): void {
     const core = this.#core;
     if (!core) return;
     input(core);
-    for (const effect of core.drain()) this.#carryOut(core, effect);
+    for (const effect of core.drain()) this.#executeEffect(core, effect);
   }
 
-  #carryOut(core: ControlCore, effect: ControlEffect): void {
+  #executeEffect(core: ControlCore, effect: ControlEffect): void {
     const now = () => this.now();
-    const perform = (input: (core: ControlCore) => void) => this.#do(input);
+    const perform = (input: (core: ControlCore) => void) => this.#handle(input);
     switch (effect.do) {
       case 'send':
         this.#network.send(this.id, effect.to, effect.message);
         break;
       case 'store':
-        this.#keep(effect);
+        this.#persist(effect);
         break;
       case 'reply': {
         const returned = this.#replies.get(effect.id);
@@ -200,11 +206,11 @@
       case 'askCatalog': {
         this.#trace.record('catalog', []);
         const outside = this.#outside;
-        const more = this.#wrong === 'slots-forgotten' ? 3 : 0;
+        const extra = this.#wrong === 'slots-forgotten' ? 3 : 0;
         function take(inner: ControlCore): void {
           inner.onCatalog(now(), {
             ...outside.orders.catalog,
-            limit: outside.orders.catalog.limit + more,
+            limit: outside.orders.catalog.limit + extra,
           });
         }
         this.later(this.#network.delay(), () => perform(take));
@@ -226,15 +232,15 @@
     const askedAt = this.now();
     const outside = this.#outside;
     const now = () => this.now();
-    const perform = (input: (core: ControlCore) => void) => this.#do(input);
+    const perform = (input: (core: ControlCore) => void) => this.#handle(input);
     const delay = this.#network.delay();
     const later = (millis: number, run: () => void) => this.later(millis, run);
     const isCut = () => this.#network.isCut(this.id, runner);
-    const more = this.#wrong === 'room-forgotten' ? 30 : 0;
-    // The runner writes its report when the ask arrives; it then travels back.
+    const extra = this.#wrong === 'room-forgotten' ? 30 : 0;
+    // The runner takes its report when the request arrives; the report then travels back.
     this.scheduler.after(delay, () => {
-      const told = isCut() ? undefined : outside.report(runner);
-      const report = told && more > 0 ? { ...told, room: told.room + more } : told;
+      const actual = isCut() ? undefined : outside.report(runner);
+      const report = actual && extra > 0 ? { ...actual, room: actual.room + extra } : actual;
       function take(core: ControlCore): void {
         core.onRunnerReport(now(), runner, askedAt, report);
       }
@@ -242,9 +248,9 @@
     });
   }
 
-  /** The head of an order goes out, the runner says to go on, the lease is checked, and the order is written. */
+  /** Sends the header of an order, awaits the runner's `100 Continue`, checks the lease, and sends the order. */
   #order(core: ControlCore, effect: Extract<ControlEffect, { do: 'order' }>): void {
-    const perform = (input: (core: ControlCore) => void) => this.#atWake(input);
+    const perform = (input: (core: ControlCore) => void) => this.#handleWhenRunning(input);
     const now = () => this.now();
     const network = this.#network;
     const outside = this.#outside;
@@ -253,37 +259,45 @@
     const later = (millis: number, run: () => void) => this.later(millis, run);
     const { intent } = effect;
     this.#trace.order(intent);
-    function told(outcome: 'taken' | 'turnedAway' | 'unsure' | 'unsent', inner: ControlCore): void {
+    function reportOutcome(
+      outcome: 'taken' | 'turnedAway' | 'unsure' | 'unsent',
+      inner: ControlCore,
+    ): void {
       inner.onOrderOutcome(now(), intent.id, outcome);
     }
     const epoch = core.elector.epoch;
     const wrong = this.#wrong;
     let continuedAt = 0;
-    const freezeHere = () => this.#freezeAtOrder();
+    const freezeBeforeWrite = () => this.#freezeBeforeOrder();
     function write(inner: ControlCore): void {
       if (!inner.mayOrder(now()) || inner.leaseEnd() - now() <= 350) {
-        told('unsent', inner);
+        reportOutcome('unsent', inner);
         return;
       }
-      // Between the check and the write the process may stand still for as long as it likes.
-      freezeHere();
+      // The process may freeze for any length of time between the check and the write.
+      freezeBeforeWrite();
       perform(put);
     }
     function put(): void {
-      // From here on it is in the socket: a freeze or a lost lease no longer holds it back.
+      // The order is in the socket from now on: a freeze or a lost lease no longer stops it.
       if (network.isCut(me, intent.runner)) {
-        later(1000, () => perform((inner: ControlCore) => told('unsure', inner)));
+        later(1000, () => perform((inner: ControlCore) => reportOutcome('unsure', inner)));
         return;
       }
       scheduler.after(network.delay(), arrive);
     }
     function arrive(): void {
-      const goneOnAt = wrong === 'orders-untimed' ? scheduler.now : continuedAt;
-      const outcome = outside.orders.order({ holder: me, epoch, intent, continuedAt: goneOnAt });
-      later(network.delay(), () => perform((inner: ControlCore) => told(outcome, inner)));
+      const acceptedFrom = wrong === 'orders-untimed' ? scheduler.now : continuedAt;
+      const outcome = outside.orders.order({
+        holder: me,
+        epoch,
+        intent,
+        continuedAt: acceptedFrom,
+      });
+      later(network.delay(), () => perform((inner: ControlCore) => reportOutcome(outcome, inner)));
     }
     if (network.isCut(me, intent.runner) || !outside.isAnswering(intent.runner))
-      later(1000, () => perform((inner: ControlCore) => told('unsent', inner)));
+      later(1000, () => perform((inner: ControlCore) => reportOutcome('unsent', inner)));
     else
       scheduler.after(network.delay(), () => {
         continuedAt = scheduler.now;
@@ -291,26 +305,26 @@
       });
   }
 
-  #keep(effect: Extract<ControlEffect, { do: 'store' }>): void {
+  #persist(effect: Extract<ControlEffect, { do: 'store' }>): void {
     const { partition, version, body } = effect;
     const store = this.#store;
     const now = () => this.now();
     function stored(core: ControlCore): void {
       core.onPersisted(now(), partition, version);
     }
-    const perform = () => this.perform(() => this.#do(stored));
-    const late =
+    const perform = () => this.perform(() => this.#handle(stored));
+    const delayWrite =
       this.#wrong === 'yes-unsynced' ? (run: () => void) => this.later(3000, run) : undefined;
     this.#trace.write(partition, version, body);
-    function keep(): void {
+    function persist(): void {
       store.persist(partition, version, body);
     }
     const write = this.later.bind(this, this.#seeded.between(0.5, this.diskMs), () => {
-      if (late) late(keep);
-      else keep();
+      if (delayWrite) delayWrite(persist);
+      else persist();
       perform();
     });
-    if (this.isDiskStalled) this.#stalled.push(write);
+    if (this.isDiskStalled) this.#stalledWrites.push(write);
     else write();
   }
 }
--- a/src/rehearsal/sim-node.ts
+++ b/src/rehearsal/sim-node.ts
@@ -2,7 +2,7 @@
 import { moment, type Moment } from '../common/ids.js';
 import type { Scheduler } from './scheduler.js';
 
-/** One simulated process: can be killed, frozen and woken; has a clock of its own that shares nothing with others'. */
+/** One simulated process: it can be killed, frozen and resumed, and has a clock that is independent of other processes'. */
 export abstract class SimNode {
   readonly id: string;
   readonly scheduler: Scheduler;
@@ -12,21 +12,22 @@
   #incarnation = 0;
   #isUp = false;
   #isFrozen = false;
-  #held: (() => void)[] = [];
+  #pending: (() => void)[] = [];
 
   constructor(id: string, scheduler: Scheduler, clockOffset: number, tickMs: number) {
     this.id = id;
     this.scheduler = scheduler;
     this.#clockOffset = clockOffset;
-    // Quartz differs by some dozen parts in a million; this is one in a hundred, either way.
+    // Quartz clocks drift by a few dozen parts per million; this draws up to one in a hundred in either direction.
     this.#clockRate = 1 + ((clockOffset % 1000) - 500) * 2e-5;
     this.#tickMs = tickMs;
   }
 
-  /** Far apart from those of its other lives. */
+  /** Differs by at least a million between restarts of the process. */
   get incarnation(): number {
     return this.#incarnation * 1e6;
   }
+  /** Whether the process runs; a frozen one does. */
   get isUp(): boolean {
     return this.#isUp;
   }
@@ -34,18 +35,19 @@
     return this.#isFrozen;
   }
 
-  /** Its own monotonic clock, which goes on while it is frozen. */
+  /** The process's own monotonic clock, which continues while it is frozen. */
   now(): Moment {
     return moment(this.scheduler.now * this.#clockRate + this.#clockOffset);
   }
 
-  /** From here on its clock goes faster or slower; it never jumps. */
+  /** Changes the rate of the clock from now on, without a jump. */
   setRate(rate: number): void {
     const now = this.now();
     this.#clockRate = rate;
     this.#clockOffset = now - this.scheduler.now * rate;
   }
 
+  /** Starts the process; no effect if it is up. */
   start(): void {
     if (this.#isUp) return;
     this.#isUp = true;
@@ -55,73 +57,80 @@
     this.#scheduleTick();
   }
 
+  /** Ends the process at once; everything in memory and pending inputs are lost. */
   kill(): void {
     this.#isUp = false;
     this.#isFrozen = false;
     this.#incarnation += 1;
-    this.#held = [];
+    this.#pending = [];
     this.died();
   }
 
+  /** Stops execution, as SIGSTOP does; inputs are queued. */
   freeze(): void {
     this.#isFrozen = true;
   }
 
-  /** What came in meanwhile lay in its sockets, and is taken now, in order. */
+  /** Resumes execution and handles the inputs queued in its sockets, in order. */
   wake(): void {
     if (!this.#isFrozen) return;
     this.#isFrozen = false;
-    const held = this.#held;
-    this.#held = [];
-    for (const run of held) run();
+    const pending = this.#pending;
+    this.#pending = [];
+    for (const run of pending) run();
   }
 
-  /** Runs now, or once it is awake again; never in another life. */
+  /** Runs now, or once the process is resumed; never after it was killed. */
   perform(run: () => void): void {
     if (!this.#isUp) return;
-    if (this.#isFrozen) this.#held.push(run);
+    if (this.#isFrozen) this.#pending.push(run);
     else run();
   }
 
-  /** Runs in this life alone, after so long. */
+  /** Runs after a delay in milliseconds of virtual time, unless the process was killed in the meantime. */
   later(millis: number, run: () => void): void {
     const incarnation = this.#incarnation;
     const node = {
-      isSame: () => this.#isLife(incarnation),
+      isCurrent: () => this.#isIncarnation(incarnation),
       perform: (run: () => void) => this.perform(run),
     };
     this.scheduler.after(millis, () => {
-      if (node.isSame()) node.perform(run);
+      if (node.isCurrent()) node.perform(run);
     });
   }
 
-  #isLife(incarnation: number): boolean {
+  #isIncarnation(incarnation: number): boolean {
     return this.#incarnation === incarnation;
   }
 
   #scheduleTick(): void {
     const incarnation = this.#incarnation;
     const node = {
-      isSame: () => this.#isLife(incarnation),
+      isCurrent: () => this.#isIncarnation(incarnation),
       tick: () => this.#tick(),
       scheduler: this.scheduler,
       tickMs: this.#tickMs,
     };
-    function due(): void {
-      if (!node.isSame()) return;
+    function tickOnce(): void {
+      if (!node.isCurrent()) return;
       node.tick();
-      node.scheduler.after(node.tickMs, due);
+      node.scheduler.after(node.tickMs, tickOnce);
     }
-    this.scheduler.after(this.#tickMs, due);
+    this.scheduler.after(this.#tickMs, tickOnce);
   }
 
   #tick(): void {
     if (!this.#isFrozen) this.tick();
   }
 
+  /** Creates the state of a new process. */
   protected abstract boot(): void;
+  /** Discards the state of the killed process. */
   protected abstract died(): void;
+  /** Called periodically while the process runs. */
   protected abstract tick(): void;
+  /** Handles a message from another node. */
   abstract receive(from: string, message: Message): void;
+  /** The connection to another node was closed. */
   abstract gone(from: string): void;
 }
--- a/src/rehearsal/simulation.test.ts
+++ b/src/rehearsal/simulation.test.ts
@@ -5,9 +5,9 @@
 import { Simulation } from './simulation.js';
 import type { SimulationResult } from './simulation-types.js';
 import { storm } from './storms.js';
-const BREAKS = [
-  'kill newcomer',
-  'cut newcomer',
+const INTERRUPTIONS = [
+  'kill new node',
+  'cut new node',
   'kill leader',
   'freeze leader',
   'cut leader',
@@ -22,12 +22,12 @@
 ): boolean {
   return controlNode.isUp && !others.includes(controlNode);
 }
-/** One step of a swap is interrupted, at a moment that differs with the seed; it then ends as if it had not been. */
+/** Guards against a voter swap that never ends after an interruption; the moment and its kind depend on the seed. */
 test('a swap interrupted at any step by a kill, a freeze or a cut still ends with three sound voters', async () => {
-  const wrong: string[] = [];
+  const failures: string[] = [];
   for (let seed = 1; seed <= 24; seed += 1) {
     await new Promise(setImmediate);
-    const kind = BREAKS[seed % BREAKS.length] ?? 'kill leader';
+    const kind = INTERRUPTIONS[seed % INTERRUPTIONS.length] ?? 'kill leader';
     const simulation = new Simulation({ seed, edges: 2, stormMs: 0, troubles: [] });
     const { scheduler, network } = simulation;
     simulation.start();
@@ -37,20 +37,20 @@
     simulation.kill(old);
     const fresh = simulation.addControlNode('core-9:1', ['mind-0:1', 'mind-1:1', 'mind-2:1']);
     const isEarly = seed % 2 === 0;
-    // Either while the newcomer reads what the others hold, or while its voting is being decided.
+    // Interrupt either while the new node reads the others' state, or while the change of voters is decided.
     scheduler.runUntil(scheduler.now + (isEarly ? 200 + seed * 40 : 12_000));
     const body = JSON.stringify({ id: 's', old: old.id, new: fresh.id });
     const replies: number[] = [];
-    function returned(status: number): void {
+    function onReply(status: number): void {
       replies.push(status);
     }
-    function ask(): void {
-      (simulation.leader() ?? simulation.controlNodes.find(isUp))?.command('swap', body, returned);
+    function sendSwap(): void {
+      (simulation.leader() ?? simulation.controlNodes.find(isUp))?.command('swap', body, onReply);
     }
-    if (!isEarly) ask();
+    if (!isEarly) sendSwap();
     scheduler.runUntil(scheduler.now + ((seed * 7) % 120));
     const leader = simulation.leader();
-    const victim = kind.endsWith('newcomer')
+    const victim = kind.endsWith('new node')
       ? fresh
       : kind === 'kill other'
         ? simulation.controlNodes.find((controlNode) =>
@@ -72,10 +72,10 @@
         }
       scheduler.after(3000, () => network.healAll());
     }
-    // The operator asks again under the same id until somebody says yes.
+    // The operator repeats the command with the same id until it is acknowledged.
     for (let tries = 0; tries < 12 && replies[replies.length - 1] !== 200; tries += 1) {
       scheduler.runUntil(scheduler.now + 4000);
-      ask();
+      sendSwap();
       scheduler.runUntil(scheduler.now + 3500);
     }
     scheduler.runUntil(scheduler.now + 20_000);
@@ -88,39 +88,39 @@
       fresh.core?.replicaStatus.name === 'sound' &&
       simulation.areProxiesFresh();
     if (!isDone || replies[replies.length - 1] !== 200)
-      wrong.push(
+      failures.push(
         `seed ${seed}, ${kind}: ${replies.join(' ')}; ${voters}; ${fresh.core?.replicaStatus.name}`,
       );
   }
-  expect(wrong).toEqual([]);
+  expect(failures).toEqual([]);
 }, 600_000);
-test('an edit accepted so long ago that it is forgotten is never told as turned away', async () => {
+test('an edit that has been dropped from the record of edits is never reported as rejected', async () => {
   const simulation = new Simulation({ seed: 4, edges: 1, stormMs: 0, troubles: [] });
   const { scheduler } = simulation;
   simulation.start();
   scheduler.runUntil(14_000);
   const bodies: string[] = [];
-  function told(_status: number, body: string): void {
+  function onReply(_status: number, body: string): void {
     bodies.push(body);
   }
   for (let number = 1; number <= 1030; number += 1) {
-    simulation.leader()?.command('table', makeTable(number), told);
+    simulation.leader()?.command('table', makeTable(number), onReply);
     scheduler.runUntil(scheduler.now + 20);
     if (number % 10 === 0) await new Promise(setImmediate);
   }
   scheduler.runUntil(scheduler.now + 3000);
   expect(bodies).toHaveLength(1030);
   expect(bodies[0]).toContain('"accepted"');
-  // The first was accepted, in force, and so long ago that nobody remembers it: it must not be told as turned away.
-  simulation.leader()?.command('edit', JSON.stringify({ id: 't1' }), told);
-  simulation.leader()?.command('table', makeTable(1), told);
+  // The first edit took effect but its outcome is no longer stored: it must not be reported as rejected.
+  simulation.leader()?.command('edit', JSON.stringify({ id: 't1' }), onReply);
+  simulation.leader()?.command('table', makeTable(1), onReply);
   scheduler.runUntil(scheduler.now + 3000);
   expect(bodies.slice(1030).join()).not.toContain('"outcome":"turned-away"');
-  // What is remembered is still told as it is, and what never came is closed.
-  simulation.leader()?.command('edit', JSON.stringify({ id: 't1029' }), told);
+  // A stored outcome is still reported, and an edit that never arrived is closed as rejected.
+  simulation.leader()?.command('edit', JSON.stringify({ id: 't1029' }), onReply);
   scheduler.runUntil(scheduler.now + 3000);
   expect(bodies[bodies.length - 1]).toContain('"accepted"');
-  simulation.leader()?.command('edit', JSON.stringify({ id: 'never-came', base: 1029 }), told);
+  simulation.leader()?.command('edit', JSON.stringify({ id: 'never-came', base: 1029 }), onReply);
   scheduler.runUntil(scheduler.now + 3000);
   expect(bodies[bodies.length - 1]).toContain('"turned-away"');
 }, 600_000);
@@ -130,7 +130,7 @@
   );
   return JSON.stringify({ id: `t${number}`, base: number - 1, table });
 }
-test("two or three disks lost at once: nothing is founded by itself, and force-new-cluster recovers the members' table", async () => {
+test("after the loss of two or three disks no cluster forms by itself, and force-new-cluster recovers the members' table", async () => {
   for (const lost of [3, 2]) {
     await new Promise(setImmediate);
     const simulation = new Simulation({ seed: lost, edges: 3, stormMs: 0, troubles: [] });
@@ -139,15 +139,15 @@
     scheduler.runUntil(15_000);
     const replies: number[] = [];
     const bodies: string[] = [];
-    function returned(status: number, body: string): void {
+    function onReply(status: number, body: string): void {
       replies.push(status);
       bodies.push(body);
     }
     for (let number = 1; number <= 3; number += 1) {
-      simulation.leader()?.command('table', makeTable(number), returned);
+      simulation.leader()?.command('table', makeTable(number), onReply);
       scheduler.runUntil(scheduler.now + 2000);
     }
-    // More disks are lost at once than the rest can make good, while the members still hold the newest table.
+    // More disks are lost at once than the remaining nodes can restore, while the members still hold the newest table.
     const victims = simulation.controlNodes.slice(0, lost);
     for (const controlNode of victims) {
       simulation.kill(controlNode);
@@ -159,28 +159,28 @@
     expect(simulation.leader()).toBeUndefined();
     for (const controlNode of victims) {
       expect(controlNode.core?.replicaStatus.name).toBe('blank');
-      controlNode.command('found', '{}', returned);
+      controlNode.command('found', '{}', onReply);
     }
     scheduler.runUntil(scheduler.now + 15_000);
-    simulation.leader()?.command('read', '{}', returned);
+    simulation.leader()?.command('read', '{}', onReply);
     scheduler.runUntil(scheduler.now + 3000);
     expect(replies.slice(-1)).toEqual([200]);
     expect(bodies.slice(-1)[0]).toContain('"number":3');
     expect(simulation.areProxiesFresh()).toBe(true);
-    simulation.leader()?.command('table', makeTable(4), returned);
+    simulation.leader()?.command('table', makeTable(4), onReply);
     scheduler.runUntil(scheduler.now + 5000);
     expect(replies.slice(-1)).toEqual([200]);
     expect(simulation.tableNumbers()).toEqual([4, 4, 4]);
   }
 }, 600_000);
-function nameOf(prefix: string, index: number): string {
+function nodeIdOf(prefix: string, index: number): string {
   return `${prefix}${index + 3}:1`;
 }
 function ignore(): void {
-  /* its return is no matter here */
+  /* the response does not matter here */
 }
-test('a swap costs an election or two, not hundreds', async () => {
-  // The newcomer's address comes first and decides ties, and it is not yet a voter in its own view.
+test('a swap takes a few elections, not hundreds', async () => {
+  // The new node's address sorts first and so wins ties, while the node is not yet a voter in its own state.
   const epochs: number[] = [];
   for (let seed = 1; seed <= 10; seed += 1) {
     await new Promise(setImmediate);
@@ -201,50 +201,50 @@
   }
   expect(Math.max(...epochs)).toBeLessThanOrEqual(8);
 }, 600_000);
-test('all seed machines swapped one by one for empty ones end with full strength', async () => {
+test('swapping all seed nodes one by one for empty ones ends with three sound voters', async () => {
   for (let seed = 1; seed <= 6; seed += 1) {
-    // A seed takes seconds of real work: the test runner must be heard in between.
+    // A seed takes seconds of CPU time: yield to the event loop so that the test runner stays responsive.
     await new Promise(setImmediate);
     const simulation = new Simulation({ seed, edges: 3, stormMs: 0, troubles: [] });
     const { scheduler } = simulation;
     simulation.start();
     scheduler.runUntil(15_000);
     const replies: number[] = [];
-    function returned(status: number): void {
+    function onReply(status: number): void {
       replies.push(status);
     }
-    // The newcomer's address may come before or after the others', which decides ties.
-    const names = [0, 1, 2].map(nameOf.bind(undefined, seed % 2 === 0 ? 'mind-' : 'core-'));
-    const now = ['mind-0:1', 'mind-1:1', 'mind-2:1'];
-    // Each seed machine in turn is gone for good, the leader among them, and another takes its place, empty.
+    // The new node's address may sort before or after the others', which decides ties.
+    const newIds = [0, 1, 2].map(nodeIdOf.bind(undefined, seed % 2 === 0 ? 'mind-' : 'core-'));
+    const seedIds = ['mind-0:1', 'mind-1:1', 'mind-2:1'];
+    // Each seed node in turn, the leader among them, is lost permanently and replaced by one with an empty disk.
     for (let index = 0; index < 3; index += 1) {
       const old = simulation.controlNodes[index];
       if (old) simulation.kill(old);
-      const fresh = names[index] ?? '';
-      simulation.addControlNode(fresh, now);
+      const fresh = newIds[index] ?? '';
+      simulation.addControlNode(fresh, seedIds);
       scheduler.runUntil(scheduler.now + 12_000);
       const body = JSON.stringify({ id: `s${index}`, old: `mind-${index}:1`, new: fresh });
-      simulation.leader()?.command('swap', body, returned);
+      simulation.leader()?.command('swap', body, onReply);
       scheduler.runUntil(scheduler.now + 20_000);
-      // The newcomer's joining may cost the leader its epoch: unsure, it is asked for again under its id.
+      // The new node may force a new election: after an unknown outcome the command is repeated with the same id.
       if (replies[index] === 504) {
         replies.pop();
-        simulation.leader()?.command('swap', body, returned);
+        simulation.leader()?.command('swap', body, onReply);
         scheduler.runUntil(scheduler.now + 10_000);
       }
-      now[index] = fresh;
+      seedIds[index] = fresh;
     }
     expect(replies).toEqual([200, 200, 200]);
-    expect(simulation.leader()?.core?.voters).toEqual(names);
+    expect(simulation.leader()?.core?.voters).toEqual(newIds);
     for (const controlNode of simulation.controlNodes.slice(3))
       expect(controlNode.core?.replicaStatus.name).toBe('sound');
     expect(simulation.areProxiesFresh()).toBe(true);
   }
 }, 600_000);
-test('no rule breaks under all troubles at once', async () => {
+test('no rule is broken under faults of all kinds', async () => {
   expect(await storm(1, 40, TROUBLES)).toEqual([]);
 }, 600_000);
-test('a seed replays exactly', () => {
+test('two runs of a seed are identical', () => {
   function run(): SimulationResult {
     return new Simulation({ seed: 5, edges: 2, stormMs: 8000, troubles: TROUBLES }).run();
   }
--- a/src/rehearsal/simulation.ts
+++ b/src/rehearsal/simulation.ts
@@ -21,19 +21,19 @@
 import type { SimulationResult, SimulationSettings } from './simulation-types.js';
 import type { Condition } from './trouble-kinds.js';
 
-/** How long a run is left alone before troubles begin, and after they were healed, ms. */
-const QUIET_MS = 14_000;
+/** How long a run continues without faults: before the first one, and after all were healed; ms. */
+const FAULT_FREE_MS = 14_000;
 const HEAL_MS = 25_000;
 const RESTORE_AFTER_MS = 10_000;
-/** How often all proxies are looked at, ms. */
-const WATCH_MS = 50;
-const FIRST_WATCH_MS = 500;
-/** A back end that started so lately counts as cold, ms. */
+/** The interval at which all proxies are checked, and the time of the first check; ms. */
+const CHECK_INTERVAL_MS = 50;
+const FIRST_CHECK_MS = 500;
+/** A back end counts as cold for this long after its start, ms. */
 const COLD_MS = 10_000;
 const MODELS = 8;
 const MODEL_SIZE = 10;
 
-/** One seeded run of a whole fleet on virtual time: the same cores as the processes run, under seeded troubles. */
+/** One seeded run of a whole fleet on virtual time: the production cores, under faults drawn from the seed. */
 export class Simulation {
   readonly #settings: SimulationSettings;
   readonly #scheduler = new Scheduler();
@@ -49,9 +49,9 @@
   readonly #operators: SimOperators;
   readonly #watch: ProxyWatch;
   readonly #troubles: SimTroubles;
-  #isStorm = false;
+  #isInjectingFaults = false;
   #leaderlessSince: number | undefined;
-  readonly #leaderless: number[] = [];
+  readonly #leaderlessMs: number[] = [];
 
   constructor(settings: SimulationSettings, trace?: (line: string) => void) {
     this.#settings = settings;
@@ -125,7 +125,7 @@
       this.#outside,
       agent,
       this.#calls,
-      (runner) => this.#ran(id, runner),
+      (runner) => this.#onRequestSent(id, runner),
       this.#settings.wrong ?? '',
     );
     this.#agents.push(agent);
@@ -137,9 +137,9 @@
     const now = this.#scheduler.now;
     switch (condition) {
       case 'requests open':
-        return this.#proxies.some(isOpen);
+        return this.#proxies.some(hasOpenRequests);
       case 'runs under way':
-        return this.#outside.backs().some(isRunning);
+        return this.#outside.backs().some(hasRuns);
       case 'edit in flight':
         return this.#operators.openEdits > 0;
       case 'fetch under way':
@@ -149,7 +149,7 @@
       case 'zone emptied':
         return this.#operators.evacuated.size > 0;
       case 'back end cold':
-        return this.#outside.records.some((record) => isBootAfter(now - COLD_MS, record));
+        return this.#outside.records.some((record) => isBootSince(now - COLD_MS, record));
       case 'proxy draining':
         return this.#proxies.some(isDraining);
       case 'no holder':
@@ -169,7 +169,7 @@
     return this.#network;
   }
 
-  /** A core machine that is new and empty, and was told the seeds of the day. */
+  /** Adds and starts a control node with an empty disk; `seeds` are the current seed addresses. */
   addControlNode(id: string, seeds: readonly string[]): SimControl {
     const controlNode = this.#addControlNode(id, seeds);
     controlNode.start();
@@ -180,41 +180,46 @@
     this.#troubles.kill(controlNode);
   }
 
+  /** Starts all nodes now, for tests that drive the scheduler themselves instead of calling `run`. */
   start(): void {
     for (const node of [...this.#controlNodes, ...this.#agents, ...this.#proxies]) node.start();
   }
 
+  /** The control node that may issue orders now, if any. */
   leader(): SimControl | undefined {
-    return this.#servingNow();
+    return this.#findLeader();
   }
 
+  /** Marks a runner as leaving in the platform's list, or removes the mark. */
   mark(runner: string, isLeaving: boolean): void {
     this.#outside.platform.mark(runner, isLeaving);
   }
 
-  /** Whether every proxy has the platform's newest list. */
+  /** Whether every proxy has the latest revision of the platform's list. */
   haveAllMarks(): boolean {
     for (const proxy of this.#proxies)
       if ((proxy.decision?.runnerListRevision ?? 0) < this.#outside.platform.revision) return false;
     return true;
   }
 
+  /** The number of the table that each proxy uses; -1 if it is down. */
   tableNumbers(): number[] {
     const numbers: number[] = [];
     for (const proxy of this.#proxies) numbers.push(proxy.decision?.tableNumber ?? -1);
     return numbers;
   }
 
+  /** The requests that have ended, as their callers saw them. */
   get calls(): readonly CallerRecord[] {
     return this.#calls;
   }
 
-  /** A machine is taken away without a word. */
+  /** Removes a machine without notice: its connections are not closed. */
   vanish(runner: string): void {
     this.#outside.down(runner, true);
   }
 
-  /** The models whose primary a runner is. */
+  /** The models of which a runner is the primary. */
   modelsAt(runner: string): ReadonlySet<string> {
     const models = new Set<string>();
     const places = parseAs(PlacesShape, this.leader()?.core?.relay.latest('places')?.body ?? '');
@@ -224,6 +229,7 @@
     return models;
   }
 
+  /** Whether every proxy's configuration is confirmed recently enough to accept requests. */
   areProxiesFresh(): boolean {
     return this.#proxies.every(isFresh);
   }
@@ -249,36 +255,37 @@
   #deliver(to: string, from: string, message: Message): void {
     const node = this.#nodes.get(to);
     const sender = this.#nodes.get(from);
-    // A dead process's lines are reset; nothing arrives at it.
+    // The connections of a dead process are reset; nothing arrives at it.
     if (node && sender) node.perform(() => node.receive(from, message));
   }
 
+  /** Plays the whole run: a fault-free start, faults, healing and the final checks. */
   run(): SimulationResult {
     for (const node of [...this.#controlNodes, ...this.#agents, ...this.#proxies])
       this.#scheduler.at(this.#seeded.between(0, 500), () => node.start());
-    this.#scheduler.at(FIRST_WATCH_MS, () => this.#look());
-    this.#scheduler.runUntil(QUIET_MS);
-    const serveMs = this.#servingNow() ? this.#scheduler.now : -1;
+    this.#scheduler.at(FIRST_CHECK_MS, () => this.#checkPeriodically());
+    this.#scheduler.runUntil(FAULT_FREE_MS);
+    const serveMs = this.#findLeader() ? this.#scheduler.now : -1;
     if (serveMs < 0) this.#findings.find('no leader serves after a quiet start');
     this.found();
-    this.#isStorm = true;
+    this.#isInjectingFaults = true;
     this.#operators.begin();
     this.#scheduler.after(100, () => this.#operators.operate());
-    this.#scheduler.after(1000, () => this.#fail());
-    this.#scheduler.runUntil(QUIET_MS + this.#settings.stormMs);
-    this.#isStorm = false;
+    this.#scheduler.after(1000, () => this.#injectFaults());
+    this.#scheduler.runUntil(FAULT_FREE_MS + this.#settings.stormMs);
+    this.#isInjectingFaults = false;
     this.#operators.end();
     this.#troubles.healAll();
     this.#scheduler.after(RESTORE_AFTER_MS, () => this.#restoreZones());
-    this.#scheduler.runUntil(QUIET_MS + this.#settings.stormMs + HEAL_MS);
-    this.#checkEnd();
+    this.#scheduler.runUntil(FAULT_FREE_MS + this.#settings.stormMs + HEAL_MS);
+    this.#checkAfterHealing();
     return this.#result(serveMs);
   }
 
-  #checkEnd(): void {
+  #checkAfterHealing(): void {
     checkHealed({
       now: this.#scheduler.now,
-      leader: this.#servingNow(),
+      leader: this.#findLeader(),
       controlNodes: this.#controlNodes,
       proxies: this.#proxies,
       operators: this.#operators,
@@ -301,7 +308,7 @@
     return {
       seed: this.#settings.seed,
       violations: [...this.#findings.violations, ...this.#outside.orders.violations],
-      leaderlessMs: this.#leaderless,
+      leaderlessMs: this.#leaderlessMs,
       serveMs,
       edits: { accepted, refused, unsure },
       orders: this.#outside.orders.seen.length,
@@ -324,7 +331,7 @@
     };
   }
 
-  #servingNow(): SimControl | undefined {
+  #findLeader(): SimControl | undefined {
     for (const controlNode of this.#controlNodes)
       if (
         controlNode.isUp &&
@@ -335,37 +342,36 @@
     return undefined;
   }
 
-  /** Puts the first table in force. */
+  /** Submits the first table to the leader. */
   found(): void {
-    this.#operators.putFirstTable(this.#servingNow());
+    this.#operators.putFirstTable(this.#findLeader());
   }
 
-  /** Looks at what must hold at every moment. */
-  #look(): void {
+  #checkPeriodically(): void {
     const now = this.#scheduler.now;
     for (const proxy of this.#proxies) this.#watch.look(proxy, now);
-    const isLed = this.#servingNow() !== undefined;
-    if (!isLed && this.#leaderlessSince === undefined) this.#leaderlessSince = now;
-    if (isLed && this.#leaderlessSince !== undefined) {
-      if (this.#isStorm) this.#leaderless.push(now - this.#leaderlessSince);
+    const hasLeader = this.#findLeader() !== undefined;
+    if (!hasLeader && this.#leaderlessSince === undefined) this.#leaderlessSince = now;
+    if (hasLeader && this.#leaderlessSince !== undefined) {
+      if (this.#isInjectingFaults) this.#leaderlessMs.push(now - this.#leaderlessSince);
       this.#leaderlessSince = undefined;
     }
-    this.#scheduler.after(WATCH_MS, () => this.#look());
+    this.#scheduler.after(CHECK_INTERVAL_MS, () => this.#checkPeriodically());
   }
 
-  #ran(proxy: string, runner: string): void {
+  #onRequestSent(proxy: string, runner: string): void {
     this.#watch.ran(proxy, runner, this.#scheduler.now);
   }
 
-  #fail(): void {
-    if (!this.#isStorm) return;
+  #injectFaults(): void {
+    if (!this.#isInjectingFaults) return;
     const kind = this.#seeded.pick(this.#settings.troubles);
     if (kind) this.#troubles.bringAbout(kind);
-    this.#scheduler.after(this.#seeded.between(300, 5000), () => this.#fail());
+    this.#scheduler.after(this.#seeded.between(300, 5000), () => this.#injectFaults());
   }
 
   #restoreZones(): void {
-    const leader = this.#servingNow();
+    const leader = this.#findLeader();
     if (leader) this.#operators.restoreAll(leader);
     else this.#findings.find('no leader within 10 s of healing');
   }
@@ -374,7 +380,7 @@
 function isFresh(proxy: SimProxy): boolean {
   return proxy.decision?.isFresh(proxy.now()) === true;
 }
-function isOpen(proxy: SimProxy): boolean {
+function hasOpenRequests(proxy: SimProxy): boolean {
   return proxy.open > 0;
 }
 function isDraining(proxy: SimProxy): boolean {
@@ -383,12 +389,12 @@
 function isBlind(proxy: SimProxy): boolean {
   return proxy.isUp && !isFresh(proxy);
 }
-function isRunning(back: { readonly running: number }): boolean {
+function hasRuns(back: { readonly running: number }): boolean {
   return back.running > 0;
 }
 function isMarked(machine: { readonly leaving: boolean }): boolean {
   return machine.leaving;
 }
-function isBootAfter(at: number, record: { readonly at: number; readonly what: string }): boolean {
+function isBootSince(at: number, record: { readonly at: number; readonly what: string }): boolean {
   return record.what === 'boot' && record.at > at;
 }
