--- a/src/rehearsal/sim-clients.test.ts
+++ b/src/rehearsal/sim-clients.test.ts
@@ -1,9 +1,9 @@
 import { expect, test } from 'vitest';
 import { bite } from './storms.js';
 test.each(['streams-resumed', 'no-budget', 'no-ramp', 'drain-cuts', 'no-kept-back'] as const)(
-  'a build with %s is caught',
-  async (wrong: Parameters<typeof bite>[0]) => {
-    expect(await bite(wrong)).toEqual([]);
+  'the simulator detects the mutation %s',
+  async (mutation: Parameters<typeof bite>[0]) => {
+    expect(await bite(mutation)).toEqual([]);
   },
   600_000,
 );
--- a/src/rehearsal/sim-clients.ts
+++ b/src/rehearsal/sim-clients.ts
@@ -5,51 +5,58 @@
 import type { NodeTrace } from './node-trace.js';
 import type { CallerRecord } from './records.js';
 
+/** A request as a caller sends it. */
 export interface Traffic {
   readonly type: string;
   readonly method: string;
   readonly path: string;
   readonly model: string;
   readonly adapter: string;
+  /** Whether it must not run more than once. */
   readonly once: boolean;
+  /** Number of lines of the response's body before its last one. */
   readonly tokens: number;
 }
 
-/** One caller with its request at a proxy: notes what it sees, as a caller outside would. */
+/** One caller with its open request at a proxy. */
 export interface SimClient {
   readonly id: number;
   readonly requestId: string;
   readonly traffic: Traffic;
   readonly sentAt: number;
+  /** Checks the lines of the response. */
   readonly check: LineCheck;
+  /** The table's number by the response; -1 before any. */
   table: number;
-  /** It reads on; else nothing moves at its end of the line. */
+  /** Whether it reads its response; if not, the connection's buffers fill up. */
   isReading: boolean;
 }
 
-/** The callers of one proxy. What they saw goes to the judge. */
+/** The callers of one proxy; records the results that they see. */
 export class SimClients {
-  readonly #flow: string;
+  readonly #proxyId: string;
   readonly #scheduler: Scheduler;
   readonly #records: CallerRecord[];
   readonly #trace: NodeTrace;
   readonly #open = new Map<number, SimClient>();
   #count = 0;
 
-  constructor(flow: string, scheduler: Scheduler, records: CallerRecord[], trace: NodeTrace) {
-    this.#flow = flow;
+  constructor(proxyId: string, scheduler: Scheduler, records: CallerRecord[], trace: NodeTrace) {
+    this.#proxyId = proxyId;
     this.#scheduler = scheduler;
     this.#records = records;
     this.#trace = trace;
   }
 
+  /** Number of open requests. */
   get size(): number {
     return this.#open.size;
   }
 
+  /** Opens a request. */
   begin(traffic: Traffic): SimClient {
     this.#count += 1;
-    const requestId = `${this.#flow}/${this.#count}`;
+    const requestId = `${this.#proxyId}/${this.#count}`;
     const client: SimClient = {
       id: this.#count,
       requestId,
@@ -63,7 +70,7 @@
     return client;
   }
 
-  /** The same caller under another number, as a wrong proxy would run it anew. */
+  /** Gives the caller's request a new id, for a mutated proxy that runs it again. */
   alias(client: SimClient): SimClient {
     this.#count += 1;
     this.#open.delete(client.id);
@@ -72,11 +79,12 @@
     return next;
   }
 
+  /** The caller of an open request. */
   get(id: number): SimClient | undefined {
     return this.#open.get(id);
   }
 
-  /** The longest that anybody is waiting by now. */
+  /** The age of the oldest open request, ms. */
   longestMs(): number {
     let longest = 0;
     for (const client of this.#open.values())
@@ -84,6 +92,7 @@
     return longest;
   }
 
+  /** The response was complete. */
   finished(client: SimClient): void {
     client.check.end();
     this.#end(client, {
@@ -95,8 +104,9 @@
     });
   }
 
+  /** The proxy closed the connection before the response was complete. */
   broken(client: SimClient): void {
-    // Who reads no further is broken off for that.
+    // A caller that stopped reading is disconnected for that reason.
     if (!client.isReading) {
       this.#end(client, { status: 0, outcome: 'stalled' });
       return;
@@ -108,27 +118,29 @@
     });
   }
 
+  /** The caller disconnected. */
   left(client: SimClient): void {
     this.#end(client, { status: 0, outcome: 'left' });
   }
 
+  /** The proxy sent an error response. */
   told(client: SimClient, kind: ErrorCode, retryMs: number, table: number): void {
-    const row = ERROR_RESPONSES[kind];
+    const response = ERROR_RESPONSES[kind];
     client.table = kind === 'blind' ? -1 : table;
     this.#end(client, {
-      status: row.status,
-      outcome: row.isOutcomeUnknown ? 'unsure' : 'turned-away',
+      status: response.status,
+      outcome: response.isOutcomeUnknown ? 'unsure' : 'turned-away',
       retryAfter: retryAfterSeconds(kind, retryMs),
     });
   }
 
   #end(
     client: SimClient,
-    part: Partial<CallerRecord> & { readonly status: number; readonly outcome: string },
+    result: Partial<CallerRecord> & { readonly status: number; readonly outcome: string },
   ): void {
     if (!this.#open.delete(client.id)) return;
     const { type, model, once } = client.traffic;
-    const { status, run, isWhole, retryAfter } = part;
+    const { status, run, isWhole, retryAfter } = result;
     const values = [client.requestId, client.table, status, run, isWhole, retryAfter];
     this.#trace.record('call', values);
     this.#records.push({
@@ -137,7 +149,7 @@
       type,
       model: model === '' ? type : model,
       once,
-      flow: this.#flow,
+      flow: this.#proxyId,
       sentAt: client.sentAt,
       endedAt: this.#scheduler.now,
       run: '',
@@ -145,11 +157,11 @@
       fault: '',
       retryAfter: 0,
       table: client.table,
-      ...part,
+      ...result,
     });
   }
 
-  /** The proxy's process ended: all its connections close. */
+  /** The proxy's process ended: all connections close. */
   lost(): void {
     for (const client of [...this.#open.values()]) this.broken(client);
   }
--- a/src/rehearsal/sim-connection.ts
+++ b/src/rehearsal/sim-connection.ts
@@ -1,49 +1,59 @@
 import type { Scheduler } from './scheduler.js';
 
-/** What a proxy hears on one of its connections to a back end. */
+/** The proxy's callbacks for one of its connections to a back end. */
 export interface Hear {
+  /** The connection is open. */
   connected(): void;
+  /** The response's headers: whether a run began, and whether the body has a length or chunks that show its end. */
   head(isBegun: boolean, isBounded: boolean): void;
+  /** A piece of the response's body. */
   text(text: string): void;
+  /** The response ended. */
   ended(): void;
+  /** The connection was reset or refused. */
   broke(): void;
 }
 
-/** What is written to a back end. */
+/** A request as written to a back end. */
 export interface SimRequest {
   readonly id: string;
   readonly model: string;
   readonly adapter: string;
+  /** Number of lines of the response's body before its last one. */
   readonly tokens: number;
+  /** When the proxy wrote it, virtual ms. */
   readonly at: number;
 }
 
-/** The machine that a connection leads to, as far as the connection sees it. */
+/** The part of a back end that its connections use. */
 export interface ConnectionTarget {
-  /** Counts its processes: a connection ends with the one it was made to. */
+  /** Counts starts of the process: a connection ends with the process that it was opened to. */
   readonly boot: number;
   readonly isUp: boolean;
-  /** The machine is taken away: nothing comes back from it. */
+  /** Whether the machine was removed: nothing comes back from it, not even a reset. */
   readonly isGone: boolean;
-  /** The connections that stand. */
+  /** Open connections. */
   readonly lines: Set<SimConnection>;
+  /** A request arrived. */
   take(line: SimConnection, request: SimRequest): void;
+  /** The proxy closed the connection. */
   left(line: SimConnection): void;
 }
 
-/** A cut is looked at again after so long: what was sent meanwhile is sent anew by the machines' TCP. */
-const AGAIN_MS = 50;
+/** The interval at which a cut connection is tried again, as TCP retransmits what was sent during a cut; ms. */
+const CUT_RETRY_MS = 50;
 
-/** One simulated connection of a proxy to a back end: keeps its order, and holds back what is sent while cut. */
+/** One simulated connection of a proxy to a back end: delivers in order, and holds data back while cut. */
 export class SimConnection {
   readonly #scheduler: Scheduler;
   readonly #back: ConnectionTarget;
   readonly #isCut: () => boolean;
   readonly #delay: () => number;
-  /** The life of the back end that it leads to. */
+  /** The `boot` of the back end's process that it was opened to. */
   readonly boot: number;
+  /** The current callbacks; replaced when the connection is reused. */
   hear: Hear;
-  #out: (() => void)[] = [];
+  #outbox: (() => void)[] = [];
   #isClosed = false;
 
   constructor(
@@ -62,7 +72,7 @@
     this.#scheduler.after(delay(), () => this.#connect());
   }
 
-  /** Closed at the proxy's side: it hears nothing more here. */
+  /** Whether the proxy closed it; there are no more callbacks then. */
   get isClosed(): boolean {
     return this.#isClosed;
   }
@@ -70,7 +80,7 @@
   #connect(): void {
     if (this.#isClosed) return;
     if (this.#isCut() || this.#back.isGone) {
-      this.#scheduler.after(AGAIN_MS, () => this.#connect());
+      this.#scheduler.after(CUT_RETRY_MS, () => this.#connect());
       return;
     }
     if (!this.#back.isUp || this.#back.boot !== this.boot) {
@@ -78,20 +88,20 @@
       return;
     }
     this.#back.lines.add(this);
-    // The machine's kernel takes it, even where the process stands still.
+    // The machine's kernel accepts the connection, even while the process is frozen.
     this.tell('connected');
   }
 
-  /** Once written it is on its way, whatever becomes of the proxy. */
+  /** Sends a request; it arrives even if the proxy dies afterwards. */
   write(request: SimRequest): void {
     this.#scheduler.after(this.#delay(), () => this.#arrive(request));
   }
 
   #arrive(request: SimRequest): void {
-    // A connection that is reset drops what has not arrived.
+    // A reset connection drops data that has not arrived.
     if (this.#back.isGone || (this.#isCut() && this.#isClosed)) return;
     if (this.#isCut()) {
-      this.#scheduler.after(AGAIN_MS, () => this.#arrive(request));
+      this.#scheduler.after(CUT_RETRY_MS, () => this.#arrive(request));
       return;
     }
     if (!this.#back.isUp || this.#back.boot !== this.boot) {
@@ -101,55 +111,58 @@
     this.#back.take(this, request);
   }
 
-  /** Closes at the proxy's side; the back end notices once it hears of it. */
+  /** Closes the connection at the proxy; the back end learns of it after a delay. */
   close(): void {
     if (this.#isClosed) return;
     this.#isClosed = true;
-    this.#out = [];
+    this.#outbox = [];
     this.#back.lines.delete(this);
-    this.#scheduler.after(this.#delay(), () => this.#closed());
+    this.#scheduler.after(this.#delay(), () => this.#notifyClosed());
   }
 
-  #closed(): void {
-    if (this.#isCut()) this.#scheduler.after(AGAIN_MS, () => this.#closed());
+  #notifyClosed(): void {
+    if (this.#isCut()) this.#scheduler.after(CUT_RETRY_MS, () => this.#notifyClosed());
     else this.#back.left(this);
   }
 
-  // ---- towards the proxy
+  // ---- from the back end to the proxy
 
+  /** Reports an event without data to the proxy. */
   tell(what: 'connected' | 'ended' | 'broke'): void {
     function run(line: SimConnection): void {
       line.hear[what]();
     }
-    this.#say(() => run(this));
+    this.#enqueue(() => run(this));
   }
 
+  /** Sends the response's headers. */
   head(isBegun: boolean, isBounded: boolean): void {
     function run(line: SimConnection): void {
       line.hear.head(isBegun, isBounded);
     }
-    this.#say(() => run(this));
+    this.#enqueue(() => run(this));
   }
 
+  /** Sends a piece of the response's body. */
   text(text: string): void {
     function run(line: SimConnection): void {
       line.hear.text(text);
     }
-    this.#say(() => run(this));
+    this.#enqueue(() => run(this));
   }
 
-  #say(run: () => void): void {
+  #enqueue(run: () => void): void {
     if (this.#isClosed) return;
-    this.#out.push(run);
-    this.#scheduler.after(this.#delay(), () => this.#pump());
+    this.#outbox.push(run);
+    this.#scheduler.after(this.#delay(), () => this.#deliverNext());
   }
 
-  #pump(): void {
-    if (this.#isClosed || this.#out.length === 0) return;
+  #deliverNext(): void {
+    if (this.#isClosed || this.#outbox.length === 0) return;
     if (this.#isCut()) {
-      this.#scheduler.after(AGAIN_MS, () => this.#pump());
+      this.#scheduler.after(CUT_RETRY_MS, () => this.#deliverNext());
       return;
     }
-    this.#out.shift()?.();
+    this.#outbox.shift()?.();
   }
 }
--- a/src/rehearsal/sim-proxy.ts
+++ b/src/rehearsal/sim-proxy.ts
@@ -20,12 +20,14 @@
 import type { SimOutside } from './sim-outside.js';
 import type { MutationKind } from './mutation.js';
 
+/** The `late` limits of the first table's rows by type of request, ms. */
 export const LATE_MS = { check: 10_000, sum: 4000, lookup: 2000 } as const;
-const ASK_EVERY = 12;
-const SILENT_MS = 5000;
-const DRAIN_MS = 20_000;
+/** Ticks between two freshness requests. */
+const FRESHNESS_INTERVAL_TICKS = 12;
+const IDLE_TIMEOUT_MS = 5000;
+const DRAIN_TIMEOUT_MS = 20_000;
 
-/** A simulated proxy: the real decision and passages; connections, back ends and callers are simulated around them. */
+/** A simulated proxy: the production router and request state machines; connections, back ends and callers are simulated. */
 export class SimProxy extends SimNode {
   readonly #agent: SimAgent;
   readonly #seeded: Seeded;
@@ -39,11 +41,11 @@
   #decision: PolicyRouter | undefined;
   #inFlightRequests: InFlightRequests | undefined;
   #probes: ConnectionProbes | undefined;
-  readonly #watchLines = new Map<string, SimConnection>();
+  readonly #probeConnections = new Map<string, SimConnection>();
   #ticks = 0;
   #isDraining = false;
-  #isObeying = false;
-  #oldConfig: string | undefined;
+  #isDrainingSteps = false;
+  #firstConfig: string | undefined;
 
   constructor(
     id: string,
@@ -72,45 +74,49 @@
       now: () => this.now(),
       perform: (run) => this.perform(run),
       later: (millis, run) => this.later(millis, run),
-      obey: () => this.#obey(),
+      obey: () => this.#drainSteps(),
       open: (back, hear) => this.#open(back, hear),
     });
     agent.proxies.set(id, this);
-    scheduler.after(seeded.between(0, 200), () => this.#call());
+    scheduler.after(seeded.between(0, 200), () => this.#sendTraffic());
   }
 
   #currentRequests(): InFlightRequests | undefined {
     return this.#inFlightRequests;
   }
 
+  /** The proxy's router; undefined while the process is down. */
   get decision(): PolicyRouter | undefined {
     return this.#decision;
   }
+  /** Number of open requests. */
   get open(): number {
     return this.#clients.size;
   }
+  /** The age of the oldest open request, ms. */
   get longestMs(): number {
     return this.#clients.longestMs();
   }
+  /** Whether a planned stop is in progress. */
   get isDraining(): boolean {
     return this.#isDraining;
   }
 
   protected boot(): void {
-    const isNever = this.#wrong === 'never-blind';
+    const isNeverStale = this.#wrong === 'never-blind';
     const retries = this.#wrong === 'no-budget' ? { retryShare: 1, extraRetries: 1000 } : {};
     const slowStart = this.#wrong === 'no-ramp' ? { slowStartMs: 1 } : {};
     this.#decision = new PolicyRouter({
       ...POLICY_ROUTER_DEFAULTS,
       ...retries,
       ...slowStart,
-      freshnessBoundMs: isNever ? 1e9 : BLIND_MS,
+      freshnessBoundMs: isNeverStale ? 1e9 : BLIND_MS,
       proxyId: this.id,
       incarnation: this.incarnation,
     });
     this.#inFlightRequests = new InFlightRequests(
       this.#decision,
-      { connectTimeoutMs: 500, idleTimeoutMs: SILENT_MS },
+      { connectTimeoutMs: 500, idleTimeoutMs: IDLE_TIMEOUT_MS },
       new Counters(),
     );
     this.#probes = new ConnectionProbes(this.#decision);
@@ -121,25 +127,25 @@
     this.#decision = undefined;
     this.#inFlightRequests = undefined;
     this.#connections.closeAll();
-    for (const line of this.#watchLines.values()) line.close();
-    this.#watchLines.clear();
+    for (const connection of this.#probeConnections.values()) connection.close();
+    this.#probeConnections.clear();
     this.#clients.lost();
   }
 
-  /** A planned stop: what runs may end; says so once it has. */
+  /** Begins a planned stop; calls `done` once all requests have ended, or after the drain timeout. */
   retire(done: () => void): void {
     if (!this.isUp || this.#isDraining) return;
     this.#isDraining = true;
     const node = {
       inFlightRequests: this.#inFlightRequests,
-      obey: () => this.#obey(),
+      obey: () => this.#drainSteps(),
       now: () => this.now(),
     };
     this.perform(() => {
       node.inFlightRequests?.startDraining(node.now());
       node.obey();
     });
-    const end = this.scheduler.now + (this.#wrong === 'drain-cuts' ? 50 : DRAIN_MS);
+    const end = this.scheduler.now + (this.#wrong === 'drain-cuts' ? 50 : DRAIN_TIMEOUT_MS);
     this.#awaitIdle(end, done);
   }
 
@@ -156,8 +162,8 @@
     this.#inFlightRequests?.tick(this.now());
     this.#probes?.setBackends(this.now(), decision.probedBackends());
     this.#probes?.tick(this.now());
-    if (this.#ticks % ASK_EVERY === 0) {
-      this.#tell({
+    if (this.#ticks % FRESHNESS_INTERVAL_TICKS === 0) {
+      this.#sendToAgent({
         kind: 'freshnessRequest',
         nonce: decision.startFreshnessRequest(this.now()),
         have: [
@@ -169,32 +175,32 @@
       });
     }
     if (this.#ticks % 40 === 0)
-      this.#tell({
+      this.#sendToAgent({
         kind: 'demand',
         body: JSON.stringify({ flow: this.id, ...decision.takeDemand() }),
       });
-    this.#obey();
+    this.#drainSteps();
   }
 
-  // ---- callers
+  // ---- requests of callers
 
-  #call(): void {
-    this.scheduler.after(this.#seeded.between(50, 200), () => this.#call());
+  #sendTraffic(): void {
+    this.scheduler.after(this.#seeded.between(50, 200), () => this.#sendTraffic());
     this.send(drawTraffic(this.scheduler, this.#seeded));
   }
 
-  /** A caller's request reaches the machine; the process takes it once it is awake. */
+  /** A caller's request arrives at the machine; the process handles it once it is not frozen. */
   send(traffic: Traffic): void {
     if (!this.isUp || this.#isDraining) return;
     const client = this.#clients.begin(traffic);
-    this.perform(() => this.#take(client));
-    // Some leave, and some read no further.
+    this.perform(() => this.#startRequest(client));
+    // Some callers disconnect, and some stop reading.
     if (this.#seeded.isLikely(0.04))
-      this.later(this.#seeded.between(0, 1500), () => this.#leave(client));
+      this.later(this.#seeded.between(0, 1500), () => this.#disconnect(client));
     if (this.#seeded.isLikely(0.01)) client.isReading = false;
   }
 
-  #take(client: SimClient): void {
+  #startRequest(client: SimClient): void {
     const { method, path, model, adapter } = client.traffic;
     this.#inFlightRequests?.onRequest(this.now(), {
       id: client.id,
@@ -204,21 +210,21 @@
       adapter,
       prefixBlocks: [],
     });
-    this.#obey();
+    this.#drainSteps();
   }
 
-  #leave(client: SimClient): void {
+  #disconnect(client: SimClient): void {
     if (!this.#clients.get(client.id)) return;
     this.#clients.left(client);
     this.#inFlightRequests?.onClientDisconnect(this.now(), client.id);
-    this.#obey();
+    this.#drainSteps();
   }
 
   // ---- steps
 
-  #obey(): void {
-    if (this.#isObeying) return;
-    this.#isObeying = true;
+  #drainSteps(): void {
+    if (this.#isDrainingSteps) return;
+    this.#isDrainingSteps = true;
     for (
       let steps = this.#inFlightRequests?.drainSteps() ?? [];
       steps.length > 0;
@@ -226,24 +232,24 @@
     ) {
       for (const step of steps) {
         this.#trace.record('step', stepValues(step));
-        this.#carryOut(step);
+        this.#executeStep(step);
       }
     }
-    for (const step of this.#probes?.drainSteps() ?? []) this.#watch(step);
-    this.#isObeying = false;
+    for (const step of this.#probes?.drainSteps() ?? []) this.#executeProbeStep(step);
+    this.#isDrainingSteps = false;
   }
 
-  #watch(step: ConnectionProbeStep): void {
+  #executeProbeStep(step: ConnectionProbeStep): void {
     this.#trace.record('probe', probeValues(step));
-    this.#watchLines.get(step.id)?.close();
-    this.#watchLines.delete(step.id);
+    this.#probeConnections.get(step.id)?.close();
+    this.#probeConnections.delete(step.id);
     if (step.do === 'close') return;
     const { id, generation: count } = step;
     const proxy = {
       probes: this.#probes,
       inFlightRequests: this.#inFlightRequests,
       now: () => this.now(),
-      obey: () => this.#obey(),
+      obey: () => this.#drainSteps(),
       perform: (run: () => void) => this.perform(run),
     };
     const connected = proxy.perform.bind(undefined, () => {
@@ -255,7 +261,7 @@
       proxy.probes?.onClose(proxy.now(), id, count);
       proxy.obey();
     });
-    this.#watchLines.set(
+    this.#probeConnections.set(
       id,
       this.#open(id, { connected, head: ignore, text: ignore, ended: broke, broke }),
     );
@@ -266,7 +272,7 @@
     return this.#outside.open(back, isCut, () => this.#network.delay(), hear);
   }
 
-  #carryOut(step: ForwardStep): void {
+  #executeStep(step: ForwardStep): void {
     const client = this.#clients.get(step.id);
     const attempt = this.#connections.get(step.id);
     switch (step.do) {
@@ -284,14 +290,14 @@
         this.#connections.release(step.id, true);
         break;
       case 'abort':
-        if (client) this.#break(client);
+        if (client) this.#abort(client);
         this.#connections.release(step.id, false);
         break;
       case 'cancel':
         if (attempt?.attempt === step.attempt) this.#connections.release(step.id, false);
         break;
       case 'respondError':
-        if (client) this.#say(client, step);
+        if (client) this.#respondError(client, step);
         this.#connections.release(step.id, false);
         break;
     }
@@ -307,33 +313,33 @@
     attempt.line.write({ id: client.requestId, model, adapter, tokens, at });
   }
 
-  #say(client: SimClient, step: Extract<ForwardStep, { do: 'respondError' }>): void {
+  #respondError(client: SimClient, step: Extract<ForwardStep, { do: 'respondError' }>): void {
     const table = this.#decision?.tableNumber ?? -1;
-    const isWrongNo = this.#wrong === 'unsure-run-as-no' && step.kind === 'unsure-run';
-    const tell = this.#clients.told.bind(
+    const isUnsureMutation = this.#wrong === 'unsure-run-as-no' && step.kind === 'unsure-run';
+    const respond = this.#clients.told.bind(
       this.#clients,
       client,
-      isWrongNo ? 'crowded' : step.kind,
+      isUnsureMutation ? 'crowded' : step.kind,
       step.retryMs,
       table,
     );
-    if (this.#wrong === 'no-kept-back') this.later(LATE_MS.check * 0.9, tell);
-    else tell();
+    if (this.#wrong === 'no-kept-back') this.later(LATE_MS.check * 0.9, respond);
+    else respond();
   }
 
-  #break(client: SimClient): void {
+  #abort(client: SimClient): void {
     if (this.#wrong !== 'streams-resumed') {
       this.#clients.broken(client);
       return;
     }
-    // As if another run could go on where the broken one ended.
+    // The mutated proxy continues a broken response with the response of another run.
     const next = this.#clients.alias(client);
-    this.later(1, () => this.#take(next));
+    this.later(1, () => this.#startRequest(next));
   }
 
-  // ---- news
+  // ---- updates from the agent
 
-  #tell(message: Message): void {
+  #sendToAgent(message: Message): void {
     const agent = this.#agent;
     this.#trace.message(agent.id, message);
     const receive = () => agent.receive(this.id, message);
@@ -344,13 +350,13 @@
     const decision = this.#decision;
     if (!decision) return;
     if (message.kind === 'update') {
-      this.#news(
+      this.#onTopicUpdate(
         decision,
         message.topic,
         { epoch: message.epoch, count: message.count },
         message.body,
       );
-      if (message.topic === 'config') this.#tell({ kind: 'ack', ...decision.configVersion });
+      if (message.topic === 'config') this.#sendToAgent({ kind: 'ack', ...decision.configVersion });
     } else if (message.kind === 'freshnessReply') {
       decision.onFreshnessConfirmed(
         message.nonce,
@@ -359,36 +365,36 @@
       );
     }
     this.#inFlightRequests?.applyVerdicts(this.now());
-    this.#obey();
+    this.#drainSteps();
   }
 
-  #news(decision: PolicyRouter, topic: string, version: Version, body: string): void {
+  #onTopicUpdate(decision: PolicyRouter, topic: string, version: Version, body: string): void {
     if (this.#wrong === 'marks-ignored' && topic === 'machines') return;
     if (topic !== 'config') {
       decision.onUpdate(this.now(), topic, version, body);
       return;
     }
     if (this.#wrong === 'versions-unchecked') {
-      // It takes whatever comes, and now and then something old comes.
-      this.#oldConfig ??= body;
+      // The mutated proxy accepts any version, and some updates are replaced by an old configuration.
+      this.#firstConfig ??= body;
       const isOld =
         compareVersions(decision.configVersion, NO_VERSION) > 0 && this.#seeded.isLikely(0.3);
-      decision.onUpdate(this.now(), topic, version, isOld ? this.#oldConfig : body);
+      decision.onUpdate(this.now(), topic, version, isOld ? this.#firstConfig : body);
       return;
     }
-    let wrong = body;
+    let mutatedBody = body;
     if (this.#wrong === 'emptied-ignored')
-      wrong = body.replace(/"emptied":\[[^\]]*\]/, '"emptied":[]');
+      mutatedBody = body.replace(/"emptied":\[[^\]]*\]/, '"emptied":[]');
     if (this.#wrong === 'once-repeated')
-      wrong = body.replaceAll('"repeatable":false', '"repeatable":true');
-    decision.onUpdate(this.now(), topic, version, wrong);
+      mutatedBody = body.replaceAll('"repeatable":false', '"repeatable":true');
+    decision.onUpdate(this.now(), topic, version, mutatedBody);
   }
 
   gone(): void {
-    /* its agent's line closing changes nothing here: it asks again */
+    /* a closed connection to its agent changes nothing: the proxy repeats its freshness request */
   }
 }
 
 function ignore(): void {
-  /* a probe asks nothing */
+  /* a probe sends no request, so it receives no response */
 }
