--- a/src/rehearsal/sim-backend.ts
+++ b/src/rehearsal/sim-backend.ts
@@ -3,13 +3,17 @@
 import type { Seeded } from './seeded.js';
 import type { SimConnection, SimRequest } from './sim-connection.js';
 
-/** How a back end misbehaves for a while. */
+/** The ways in which a back end can misbehave. */
 export const MOODS = ['breaks', 'silent', 'slow', 'unbounded', 'full', 'closes'] as const;
+/** How a back end behaves. */
 export type Mood = 'sound' | (typeof MOODS)[number];
 
+/** Settings of one back end. */
 export interface SimBackSettings {
   readonly id: string;
+  /** Whether it is a plain back end, which serves without models, and not a runner. */
   readonly isPlain: boolean;
+  /** Maximum number of concurrent requests. */
   readonly slots: number;
 }
 
@@ -22,31 +26,38 @@
   isUnboundedBegun: boolean;
 }
 
-/** What a back end must ask of its machine: whether it holds what is named, and whom to tell that a run began or ended there. */
+/** The machine of a back end, which holds its models and is notified of runs. */
 export interface Holder {
+  /** Whether the model and adapter of a request are ready at a back end. */
   holds(id: string, request: SimRequest): boolean;
+  /** A run began at a back end. */
   began(id: string, request: SimRequest): void;
+  /** A run ended at a back end. */
   ended(id: string, request: SimRequest): void;
 }
 
-/** The serving side of a simulated runner or plain back end: begins runs, breaks at any byte, stands still, dies. */
+/** The serving side of a simulated runner or plain back end: it runs requests, can break at any byte, freeze or die. */
 export class SimBackend {
   readonly id: string;
   readonly #settings: SimBackSettings;
   readonly #scheduler: Scheduler;
   readonly #seeded: Seeded;
-  readonly #holder: Holder;
+  readonly #host: Holder;
   readonly #records: BackRecord[];
+  /** Open connections. */
   readonly lines = new Set<SimConnection>();
   readonly #runs = new Set<SimRun>();
-  #held: (() => void)[] = [];
+  #pending: (() => void)[] = [];
   #runCount = 0;
+  /** Counts starts of the process. */
   boot = 1;
+  /** Whether the process runs; a frozen one does. */
   isUp = true;
-  /** Frozen: its kernel still takes connections and bytes. */
+  /** Whether the process is frozen; its kernel still accepts connections and data. */
   isDark = false;
-  /** The machine is taken away: nothing comes back from it, not even a word that it is closed. */
+  /** Whether the machine was removed: nothing comes back from it, not even a reset. */
   isGone = false;
+  /** The current behavior. */
   mood: Mood = 'sound';
 
   constructor(
@@ -60,32 +71,34 @@
     this.#settings = settings;
     this.#scheduler = scheduler;
     this.#seeded = seeded;
-    this.#holder = holder;
+    this.#host = holder;
     this.#records = records;
   }
 
+  /** Number of runs in progress. */
   get running(): number {
     return this.#runs.size;
   }
 
+  /** Freezes or resumes the process; on resuming, it handles its queued inputs in order. */
   setDark(isDark: boolean): void {
     this.isDark = isDark;
     if (isDark) return;
-    const held = this.#held;
-    this.#held = [];
-    for (const run of held) run();
+    const pending = this.#pending;
+    this.#pending = [];
+    for (const run of pending) run();
   }
 
-  /** The process ends: its machine closes its connections, unless it is gone as well. */
+  /** Ends the process: its machine closes the connections, unless the machine is removed as well. */
   die(isMachineGone: boolean): void {
     this.boot += 1;
     this.isGone = isMachineGone;
     this.isDark = false;
-    this.#held = [];
+    this.#pending = [];
     for (const run of this.#runs) {
       run.isOver = true;
-      this.#fault(run);
-      // Without length or chunks, what the machine's close says is the same for a crash and for an end.
+      this.#recordFault(run);
+      // Without a length or chunks, the machine's close looks the same for a crash as for an end.
       if (!isMachineGone && run.isUnboundedBegun) {
         run.line.tell('ended');
         this.lines.delete(run.line);
@@ -96,18 +109,19 @@
     this.lines.clear();
   }
 
+  /** Starts a new process. */
   rise(): void {
     this.isUp = true;
     this.isGone = false;
     this.#records.push({ at: this.#scheduler.now, what: 'boot', runner: this.id });
   }
 
-  /** Bytes of a request reached the machine. */
+  /** A request arrived at the machine. */
   take(line: SimConnection, request: SimRequest): void {
     this.#perform(() => this.#begin(line, request));
   }
 
-  /** The proxy closed: whatever ran for it is cancelled, once the process notices. */
+  /** The proxy closed a connection: its runs are canceled once the process notices. */
   left(line: SimConnection): void {
     function cancel(back: SimBackend): void {
       for (const run of back.#runs) if (run.line === line) back.#end(run);
@@ -117,15 +131,15 @@
 
   #perform(run: () => void): void {
     const { boot } = this;
-    const back = { isSame: () => this.#isBoot(boot) };
+    const back = { isCurrent: () => this.#isCurrentBoot(boot) };
     function due(): void {
-      if (back.isSame()) run();
+      if (back.isCurrent()) run();
     }
-    if (this.isDark) this.#held.push(due);
+    if (this.isDark) this.#pending.push(due);
     else due();
   }
 
-  #isBoot(boot: number): boolean {
+  #isCurrentBoot(boot: number): boolean {
     return this.boot === boot && this.isUp;
   }
 
@@ -135,14 +149,14 @@
 
   #begin(line: SimConnection, request: SimRequest): void {
     const mood = this.mood;
-    // It closes its connection just as it is written to, and has run nothing.
+    // It closes the connection as the request arrives, without running it.
     if (mood === 'closes' && this.#seeded.isLikely(0.7)) {
       line.tell('broke');
       return;
     }
     const isFull =
       this.#runs.size >= this.#settings.slots || (mood === 'full' && this.#seeded.isLikely(0.7));
-    if (isFull || !this.#holder.holds(this.id, request)) {
+    if (isFull || !this.#host.holds(this.id, request)) {
       this.#records.push({
         at: this.#scheduler.now,
         what: 'none',
@@ -162,8 +176,8 @@
       isUnboundedBegun: false,
     };
     this.#runs.add(run);
-    this.#holder.began(this.id, request);
-    // It was given at the moment of its writing, however long it lay in a socket.
+    this.#host.began(this.id, request);
+    // The run counts from the moment when the proxy wrote the request, however long that was queued in a socket.
     this.#records.push({
       at: request.at,
       what: 'run',
@@ -174,44 +188,44 @@
     const promptMs =
       this.#seeded.between(5, this.#settings.isPlain ? 30 : 150) * (mood === 'slow' ? 40 : 1);
     if (run.mood === 'breaks' && this.#seeded.isLikely(this.#settings.isPlain ? 0.9 : 0.3))
-      this.#later(promptMs, () => this.#break(run));
-    // Before its head or after some of its lines, a run may stand still for good.
-    else if (run.mood === 'silent' && this.#seeded.isLikely(0.3)) this.#fault(run);
-    else this.#later(promptMs, () => this.#head(run));
+      this.#later(promptMs, () => this.#breakRun(run));
+    // A run may stall permanently, before its headers or after some of its lines.
+    else if (run.mood === 'silent' && this.#seeded.isLikely(0.3)) this.#recordFault(run);
+    else this.#later(promptMs, () => this.#sendHeaders(run));
   }
 
-  #head(run: SimRun): void {
+  #sendHeaders(run: SimRun): void {
     if (run.isOver) return;
     run.isUnboundedBegun = run.mood === 'unbounded';
     run.line.head(true, run.mood !== 'unbounded');
-    if (this.#settings.isPlain) this.#last(run);
-    else this.#line(run, 0);
+    if (this.#settings.isPlain) this.#sendLastLine(run);
+    else this.#sendLine(run, 0);
   }
 
-  #line(run: SimRun, index: number): void {
+  #sendLine(run: SimRun, index: number): void {
     if (run.isOver) return;
     const { id, tokens } = run.request;
     if (index >= tokens) {
-      this.#last(run);
+      this.#sendLastLine(run);
       return;
     }
     const line = `${JSON.stringify({ id, run: run.run, index })}\n`;
     if ((run.mood === 'breaks' || run.mood === 'unbounded') && this.#seeded.isLikely(0.2)) {
       run.line.text(line.slice(0, this.#seeded.below(line.length)));
-      this.#break(run);
+      this.#breakRun(run);
       return;
     }
     run.line.text(line);
     if (run.mood === 'silent' && this.#seeded.isLikely(0.3)) {
-      this.#fault(run);
+      this.#recordFault(run);
       return;
     }
     this.#later(this.#seeded.between(10, 80) * (run.mood === 'slow' ? 10 : 1), () =>
-      this.#line(run, index + 1),
+      this.#sendLine(run, index + 1),
     );
   }
 
-  #last(run: SimRun): void {
+  #sendLastLine(run: SimRun): void {
     const { id, tokens } = run.request;
     run.line.text(
       `${JSON.stringify({ id, run: run.run, end: this.#settings.isPlain ? 0 : tokens })}\n`,
@@ -220,8 +234,8 @@
     this.#end(run);
   }
 
-  /** Its own fault that this run does not come to its end. */
-  #fault(run: SimRun): void {
+  /** Records that the back end itself keeps this run from completing. */
+  #recordFault(run: SimRun): void {
     this.#records.push({
       at: this.#scheduler.now,
       what: 'fault',
@@ -231,9 +245,9 @@
     });
   }
 
-  #break(run: SimRun): void {
+  #breakRun(run: SimRun): void {
     if (run.isOver) return;
-    this.#fault(run);
+    this.#recordFault(run);
     run.line.tell(run.isUnboundedBegun ? 'ended' : 'broke');
     this.#end(run);
   }
@@ -242,6 +256,6 @@
     if (run.isOver) return;
     run.isOver = true;
     this.#runs.delete(run);
-    this.#holder.ended(this.id, run.request);
+    this.#host.ended(this.id, run.request);
   }
 }
--- a/src/rehearsal/sim-operators.ts
+++ b/src/rehearsal/sim-operators.ts
@@ -10,27 +10,27 @@
 import { LATE_MS } from './sim-proxy.js';
 import { ZONES } from './stage.js';
 
-/** What one operator was told of one edit. */
+/** The outcome of one edit, as its operator learned it. */
 export interface EditOutcome {
   readonly id: string;
   readonly at: number;
   readonly outcome: 'accepted' | 'refused' | 'unsure';
-  /** Number of the table after it; 0 unless it was accepted. */
+  /** The table's number after the edit; 0 unless it was accepted. */
   readonly number: number;
   readonly version: Version;
 }
 
-/** The simulated fleet, as operators meet it. */
+/** The parts of a simulated fleet that operators use. */
 export interface OperatedFleet {
   readonly scheduler: Scheduler;
   readonly seeded: Seeded;
   readonly controlNodes: readonly SimControl[];
   readonly findings: RunFindings;
-  /** A mutation of the operators: they take an unclear outcome for a refusal. */
+  /** A mutation: operators treat an unknown outcome as a rejection. */
   readonly takesUnsureForRefused: boolean;
 }
 
-type Heard = (status: number, body: string) => void;
+type ReplyHandler = (status: number, body: string) => void;
 
 const ReplyShape = type({
   outcome: optional(string()),
@@ -39,8 +39,8 @@
   version: optional(string()),
 });
 
-/** The outcome as the control nodes' API names it. */
-const REFUSED_ON_THE_WIRE = 'turned-away';
+/** The control nodes' API's name of a rejection. */
+const REJECTED_ON_THE_WIRE = 'turned-away';
 
 const TABLE = [
   'map POST /v1/checks to check',
@@ -51,14 +51,14 @@
   `row lookup @kiosk weight 5 take 200/s late ${LATE_MS.lookup}ms repeatable`,
 ].join('\n');
 
-/** Chances that two operators edit the same table at once, that an edit is of a zone, and that it evacuates it. */
-const RACE_CHANCE = 0.3;
-const ZONE_CHANCE = 0.15;
-const EVACUATE_CHANCE = 0.4;
-/** Chance that an operator asks what became of an edit whose outcome is unclear. */
-const QUESTION_CHANCE = 0.5;
+/** Probability that two operators edit the same table concurrently, that an edit is of a zone, and that it evacuates it. */
+const RACE_PROBABILITY = 0.3;
+const ZONE_PROBABILITY = 0.15;
+const EVACUATE_PROBABILITY = 0.4;
+/** Probability that an operator queries the state of an edit whose outcome is unknown. */
+const QUERY_PROBABILITY = 0.5;
 
-/** Operators who edit the table and evacuate zones at any control node, and what they were told. */
+/** Operators who edit the table and evacuate zones through any control node; records the outcomes that they learn. */
 export class SimOperators {
   readonly #fleet: OperatedFleet;
   readonly #outcomes: EditOutcome[] = [];
@@ -68,64 +68,69 @@
   #openEdits = 0;
   #restoreCount = 0;
   #isActive = false;
-  /** Evacuated zones, and when that was acknowledged. */
+  /** Evacuated zones with the time of the acknowledgment, virtual ms. */
   readonly #evacuated = new Map<string, number>();
-  /** Requests to restore a zone that may still take effect. */
+  /** By zone, the ids of requests to restore it that may still take effect. */
   readonly #restoring = new Map<string, Set<string>>();
 
   constructor(fleet: OperatedFleet) {
     this.#fleet = fleet;
   }
 
+  /** All outcomes, in order of time; an edit has several if its state was queried. */
   get outcomes(): readonly EditOutcome[] {
     return this.#outcomes;
   }
-  /** The newest version acknowledged. */
+  /** The newest acknowledged version. */
   get newest(): Version {
     return this.#newest;
   }
-  /** The highest number of a table acknowledged. */
+  /** The highest acknowledged table number. */
   get newestNumber(): number {
     return this.#newestNumber;
   }
+  /** Number of edits without a response. */
   get openEdits(): number {
     return this.#openEdits;
   }
+  /** Evacuated zones with the time of the acknowledgment, unless a request to restore one was sent since; virtual ms. */
   get evacuated(): ReadonlyMap<string, number> {
     return this.#evacuated;
   }
 
-  /** Puts the table in force, as the first thing operators do. */
+  /** Submits the first table. */
   putFirstTable(leader: SimControl | undefined): void {
     const { table } = compile(TABLE);
     leader?.command('table', JSON.stringify({ id: 'first', base: 0, table }), (status, body) =>
-      this.#heard('first', status, body),
+      this.#onOutcome('first', status, body),
     );
   }
 
+  /** Lets `operate` send edits. */
   begin(): void {
     this.#isActive = true;
   }
 
+  /** Stops `operate` at its next turn. */
   end(): void {
     this.#isActive = false;
   }
 
-  /** Reads the table somewhere, edits it, and goes on so until the end. */
+  /** Reads the table from a random control node and edits it, repeatedly until `end`. */
   operate(): void {
     if (!this.#isActive) return;
     const { seeded, scheduler, controlNodes } = this.#fleet;
     const controlNode = seeded.pick(controlNodes);
-    const editors = seeded.isLikely(RACE_CHANCE) ? 2 : 1;
+    const editors = seeded.isLikely(RACE_PROBABILITY) ? 2 : 1;
     controlNode?.command('read', '{}', (status, body) => this.#editAsRead(editors, status, body));
     scheduler.after(seeded.between(200, 1500), () => this.operate());
   }
 
-  /** Takes back every evacuation. */
+  /** Requests that every zone be restored. */
   restoreAll(leader: SimControl): void {
     for (const zone of ZONES) {
       const id = this.#nextId();
-      this.#editZone(leader, id, zone, false, (status, body) => this.#heard(id, status, body));
+      this.#editZone(leader, id, zone, false, (status, body) => this.#onOutcome(id, status, body));
     }
   }
 
@@ -135,11 +140,11 @@
   }
 
   #editAsRead(editors: number, status: number, body: string): void {
-    const news = status === 200 ? parseAs(ConfigUpdateShape, body) : undefined;
-    if (!news) return;
-    // Two operators who read the same table race each other, at different nodes.
+    const config = status === 200 ? parseAs(ConfigUpdateShape, body) : undefined;
+    if (!config) return;
+    // Two operators who read the same table race each other, each through a random node.
     for (let index = 0; index < editors; index += 1)
-      this.#edit(this.#fleet.seeded.pick(this.#fleet.controlNodes), news.number);
+      this.#edit(this.#fleet.seeded.pick(this.#fleet.controlNodes), config.number);
   }
 
   #edit(controlNode: SimControl | undefined, base: number): void {
@@ -147,19 +152,19 @@
     const value = 1 + (this.#editCount % 900);
     const { seeded } = this.#fleet;
     this.#openEdits += 1;
-    const heard = (status: number, body: string) => this.#answered(id, status, body);
-    if (seeded.isLikely(ZONE_CHANCE)) {
+    const onReply = (status: number, body: string) => this.#onEditReply(id, status, body);
+    if (seeded.isLikely(ZONE_PROBABILITY)) {
       const zone = seeded.pick(ZONES) ?? 'a';
-      this.#editZone(controlNode, id, zone, seeded.isLikely(EVACUATE_CHANCE), heard);
+      this.#editZone(controlNode, id, zone, seeded.isLikely(EVACUATE_PROBABILITY), onReply);
       return;
     }
     const edit = { id, base, row: 'check/m-*', column: 'weight', value };
-    controlNode?.command('cell', JSON.stringify(edit), heard);
+    controlNode?.command('cell', JSON.stringify(edit), onReply);
   }
 
-  #answered(id: string, status: number, body: string): void {
+  #onEditReply(id: string, status: number, body: string): void {
     this.#openEdits -= 1;
-    this.#heard(id, status, body);
+    this.#onOutcome(id, status, body);
   }
 
   #editZone(
@@ -167,9 +172,9 @@
     id: string,
     zone: string,
     isEvacuation: boolean,
-    heard: Heard,
+    onReply: ReplyHandler,
   ): void {
-    // From the moment somebody asks to restore it, work there proves nothing.
+    // Once a restore is requested, new work in the zone is no violation.
     const restoring = this.#restoring.get(zone) ?? new Set<string>();
     this.#restoring.set(zone, restoring);
     if (!isEvacuation) {
@@ -178,40 +183,41 @@
       restoring.add(id);
       this.#restoreCount += 1;
     }
-    const told = isEvacuation
-      ? this.#evacuationAnswered.bind(this, zone, restoring.size, this.#restoreCount, heard)
-      : (status: number, body: string) => this.#restoreAnswered(restoring, id, heard, status, body);
-    controlNode?.command('zone', JSON.stringify({ id, zone, empty: isEvacuation }), told);
+    const onZoneReply = isEvacuation
+      ? this.#onEvacuationReply.bind(this, zone, restoring.size, this.#restoreCount, onReply)
+      : (status: number, body: string) =>
+          this.#onRestoreReply(restoring, id, onReply, status, body);
+    controlNode?.command('zone', JSON.stringify({ id, zone, empty: isEvacuation }), onZoneReply);
   }
 
-  #restoreAnswered(
+  #onRestoreReply(
     restoring: Set<string>,
     id: string,
-    heard: Heard,
+    onReply: ReplyHandler,
     status: number,
     body: string,
   ): void {
-    // Whoever asked to restore it and has no word yet may still be served after the evacuation.
+    // Without a definite response, the restore may still take effect after the evacuation.
     if (status === 200 || status === 409 || status === 503) restoring.delete(id);
-    heard(status, body);
+    onReply(status, body);
   }
 
-  #evacuationAnswered(
+  #onEvacuationReply(
     zone: string,
-    restoringThen: number,
-    restoreCountThen: number,
-    heard: Heard,
+    restoringAtStart: number,
+    restoreCountAtStart: number,
+    onReply: ReplyHandler,
     status: number,
     body: string,
   ): void {
-    if (status === 200 && restoringThen === 0 && this.#restoreCount === restoreCountThen) {
+    if (status === 200 && restoringAtStart === 0 && this.#restoreCount === restoreCountAtStart) {
       this.#evacuated.set(zone, this.#fleet.scheduler.now);
       this.#fleet.findings.note({ what: 'zone-emptied', zone });
     }
-    heard(status, body);
+    onReply(status, body);
   }
 
-  #heard(id: string, status: number, body: string): void {
+  #onOutcome(id: string, status: number, body: string): void {
     const { scheduler, seeded, findings } = this.#fleet;
     const parsed = parseAs(ReplyShape, body);
     const outcome = this.#outcomeOf(status, parsed?.outcome);
@@ -219,16 +225,16 @@
     const version = parseVersion(parsed?.version);
     const count = isAccepted ? (parsed?.number ?? 0) : 0;
     this.#outcomes.push({ id, at: scheduler.now, outcome, number: count, version });
-    const told = isAccepted ? '' : body;
-    findings.say(`edit ${id}: ${outcome} ${status} ${count} ${versionText(version)} ${told}`);
+    const detail = isAccepted ? '' : body;
+    findings.say(`edit ${id}: ${outcome} ${status} ${count} ${versionText(version)} ${detail}`);
     if (isAccepted) this.#noteAccepted(version, count);
-    if (outcome === 'unsure' && seeded.isLikely(QUESTION_CHANCE))
-      scheduler.after(seeded.between(100, 4000), () => this.#askOutcome(id));
+    if (outcome === 'unsure' && seeded.isLikely(QUERY_PROBABILITY))
+      scheduler.after(seeded.between(100, 4000), () => this.#queryOutcome(id));
   }
 
   #outcomeOf(status: number, outcome: string | undefined): EditOutcome['outcome'] {
     if (status === 200 && outcome === 'accepted') return 'accepted';
-    if (outcome === REFUSED_ON_THE_WIRE || this.#fleet.takesUnsureForRefused) return 'refused';
+    if (outcome === REJECTED_ON_THE_WIRE || this.#fleet.takesUnsureForRefused) return 'refused';
     return 'unsure';
   }
 
@@ -238,15 +244,15 @@
     this.#fleet.findings.note({ what: 'table-accepted', number: count });
   }
 
-  #askOutcome(id: string): void {
+  #queryOutcome(id: string): void {
     const controlNode = this.#fleet.seeded.pick(this.#fleet.controlNodes);
     controlNode?.command('edit', JSON.stringify({ id }), (status, body) =>
-      this.#outcomeTold(id, status, body),
+      this.#onOutcomeReply(id, status, body),
     );
   }
 
-  #outcomeTold(id: string, status: number, body: string): void {
-    if (status === 200) this.#heard(id, status, body);
+  #onOutcomeReply(id: string, status: number, body: string): void {
+    if (status === 200) this.#onOutcome(id, status, body);
   }
 }
 
--- a/src/rehearsal/sim-orders.ts
+++ b/src/rehearsal/sim-orders.ts
@@ -4,7 +4,7 @@
 import type { Scheduler } from './scheduler.js';
 import { bootOf, unitKey, type SimRunner } from './sim-runner.js';
 
-/** An order as a runner saw it. */
+/** An order as it arrived at a runner. */
 export interface SeenOrder {
   readonly at: number;
   readonly holder: string;
@@ -13,35 +13,38 @@
   readonly intent: Intent;
 }
 
-/** An order that a holder writes to a runner. */
+/** An order that a leader sends to a runner; `holder` is that leader. */
 export interface SimOrder {
   readonly holder: string;
   readonly epoch: number;
   readonly intent: Intent;
-  /** When the runner gave its word to go on. */
+  /** When the runner sent its `100 Continue`, virtual ms. */
   readonly continuedAt: number;
 }
 
+/** The result of an order at a runner. */
 export type OrderOutcome = 'taken' | 'turnedAway' | 'unsure';
 
-/** Runners as orders find them. */
+/** The runners that orders are sent to. */
 export interface OrderedRunners {
+  /** The runner with this id, also if it is down. */
   find(id: string): SimRunner | undefined;
+  /** Whether the runner's process is up and not frozen, and its machine exists. */
   isAnswering(id: string): boolean;
-  /** How many requests run at a runner for a model or adapter. */
+  /** Number of requests that a runner is serving for a model or adapter. */
   running(id: string, key: string): number;
 }
 
-/** Two holders may not order within this, ms. */
-const HOLDERS_APART_MS = 3000;
-/** Room that shrank, and a limit that was lowered, are known to nobody before they were asked about, ms. */
-const ROOM_TOLD_MS = 2500;
-const LIMIT_TOLD_MS = 7000;
-/** How long a fetch takes, and how much longer for each unit of size, ms. */
+/** Minimum time between the orders of two successive leaders, ms. */
+const LEADER_GAP_MS = 3000;
+/** How long a leader may not yet know of a reduced capacity, or of a lowered limit, as it has to poll for them; ms. */
+const ROOM_PROPAGATION_MS = 2500;
+const LIMIT_PROPAGATION_MS = 7000;
+/** The base duration of a fetch, and its extra duration per unit of size; ms. */
 const FETCH_MS = 300;
-const FETCH_MS_PER_SIZE = 20;
+const FETCH_MS_PER_SIZE_UNIT = 20;
 
-/** Orders at simulated runners, carried out and watched: who orders when, room, and the weight store's limit. */
+/** Executes orders at simulated runners and checks them: leaders' order times, runners' capacity, the weight store's limit. */
 export class SimOrders {
   readonly #scheduler: Scheduler;
   readonly #records: BackRecord[];
@@ -50,7 +53,9 @@
   #limitBefore: number;
   #limitSince = -1e9;
   #fetching = 0;
+  /** All orders that arrived, in order of time. */
   readonly seen: SeenOrder[] = [];
+  /** Texts of violations, each after its rule's name and a colon. */
   readonly violations: string[] = [];
 
   constructor(
@@ -66,14 +71,16 @@
     this.#limitBefore = catalog.limit;
   }
 
+  /** The weight store's catalog, with its current limit of concurrent fetches. */
   get catalog(): Catalog {
     return this.#catalog;
   }
-  /** Fetches from the weight store under way. */
+  /** Number of fetches from the weight store in progress. */
   get fetching(): number {
     return this.#fetching;
   }
 
+  /** Changes the weight store's limit of concurrent fetches. */
   setLimit(limit: number): void {
     if (limit === this.#catalog.limit) return;
     this.#limitBefore = this.#catalog.limit;
@@ -81,18 +88,18 @@
     this.#catalog = { ...this.#catalog, limit };
   }
 
-  /** A runner ends: its fetches under way end with it. */
+  /** Ends the fetches in progress of a runner that goes down. */
   endFetches(runner: SimRunner): void {
     for (const hold of runner.holds.values()) if (hold.state === 'loading') this.#fetching -= 1;
   }
 
-  /** Taken only within so long of the runner's word to go on. */
+  /** Executes an order on its arrival; rejects it if the runner's `100 Continue` is older than `ACCEPT_WITHIN_MS`. */
   order(order: SimOrder): OrderOutcome {
     const { intent, continuedAt } = order;
     const runner = this.#runners.find(intent.runner);
     if (!runner || !this.#runners.isAnswering(intent.runner)) return 'unsure';
     if (this.#scheduler.now - continuedAt > ACCEPT_WITHIN_MS) return 'turnedAway';
-    this.#watchHolders(order);
+    this.#checkLeaders(order);
     const used = usedWith(runner, intent);
     this.#record(order, this.#isOverRoom(runner, intent, used));
     if (intent.boot !== bootOf(runner)) return 'turnedAway';
@@ -103,26 +110,26 @@
       : this.#load(runner, intent, used);
   }
 
-  #watchHolders({ holder, epoch, intent }: SimOrder): void {
+  #checkLeaders({ holder, epoch, intent }: SimOrder): void {
     const now = this.#scheduler.now;
     const last = this.seen[this.seen.length - 1];
-    if (last && last.holder !== holder && now - last.at < HOLDERS_APART_MS) {
-      const apart = Math.round(now - last.at);
+    if (last && last.holder !== holder && now - last.at < LEADER_GAP_MS) {
+      const gapMs = Math.round(now - last.at);
       this.violations.push(
-        `two-holders: ${last.holder} (${last.epoch}) and ${holder} (${epoch}) ordered ${apart} ms apart`,
+        `two-holders: ${last.holder} (${last.epoch}) and ${holder} (${epoch}) ordered ${gapMs} ms apart`,
       );
     }
     this.seen.push({ at: now, holder, epoch, runner: intent.runner, intent });
   }
 
-  /** Whether a load is ordered that no holder could have taken to fit. */
+  /** Whether the order is a load that exceeds the capacity by any report that its leader can have relied on. */
   #isOverRoom(runner: SimRunner, intent: Intent, used: number): boolean {
     const key = unitKey(intent.model, intent.adapter);
-    const isOld =
+    const isDuplicateOrStale =
       intent.boot !== bootOf(runner) || runner.taken.has(intent.id) || runner.holds.has(key);
-    const isFresh = this.#scheduler.now - runner.roomSince < ROOM_TOLD_MS;
-    const room = isFresh ? Math.max(runner.room, runner.roomBefore) : runner.room;
-    return intent.verb === 'load' && !isOld && used > room;
+    const isRecent = this.#scheduler.now - runner.roomSince < ROOM_PROPAGATION_MS;
+    const room = isRecent ? Math.max(runner.room, runner.roomBefore) : runner.room;
+    return intent.verb === 'load' && !isDuplicateOrStale && used > room;
   }
 
   #record({ holder, epoch, intent }: SimOrder, overRoom: boolean): void {
@@ -160,16 +167,16 @@
     const hold: Hold = { model, adapter, size, state: 'loading', running: 0 };
     runner.holds.set(key, hold);
     this.#scheduler.after(
-      FETCH_MS + size * FETCH_MS_PER_SIZE,
-      this.#fetched.bind(this, runner, runner.back.boot, key, hold),
+      FETCH_MS + size * FETCH_MS_PER_SIZE_UNIT,
+      this.#finishFetch.bind(this, runner, runner.back.boot, key, hold),
     );
     return 'taken';
   }
 
   #recordFetch({ runner, model, adapter }: Intent): void {
     const now = this.#scheduler.now;
-    const isFresh = now - this.#limitSince < LIMIT_TOLD_MS;
-    const limit = isFresh ? Math.max(this.#catalog.limit, this.#limitBefore) : this.#catalog.limit;
+    const isRecent = now - this.#limitSince < LIMIT_PROPAGATION_MS;
+    const limit = isRecent ? Math.max(this.#catalog.limit, this.#limitBefore) : this.#catalog.limit;
     this.#records.push({
       at: now,
       what: 'fetch',
@@ -181,14 +188,14 @@
     });
   }
 
-  #fetched(runner: SimRunner, boot: number, key: string, hold: Hold): void {
+  #finishFetch(runner: SimRunner, boot: number, key: string, hold: Hold): void {
     if (runner.back.boot !== boot) return;
     this.#fetching -= 1;
     runner.holds.set(key, { ...hold, state: 'ready' });
   }
 }
 
-/** Room that is used once the order is carried out. */
+/** Capacity in use once the order is executed. */
 function usedWith(runner: SimRunner, intent: Intent): number {
   let used = intent.size;
   for (const hold of runner.holds.values()) used += hold.size;
--- a/src/rehearsal/sim-outside.test.ts
+++ b/src/rehearsal/sim-outside.test.ts
@@ -1,6 +1,6 @@
 import { expect, test } from 'vitest';
 import { storm } from './storms.js';
-test('no rule breaks when runners restart, go dark, shrink or leave while the holder changes', async () => {
+test('no rule is broken when runners restart, freeze, lose capacity or leave while the leader changes', async () => {
   expect(
     await storm(4000, 30, [
       'restart-runner',
--- a/src/rehearsal/sim-outside.ts
+++ b/src/rehearsal/sim-outside.ts
@@ -8,14 +8,15 @@
 import { SimPlatform } from './sim-platform.js';
 import { bootOf, newRunner, unitKey, type SimRunner } from './sim-runner.js';
 
-/** A runner of the first list. */
+/** A runner of the platform's initial list. */
 export interface RunnerPlace {
   readonly id: string;
   readonly zone: string;
+  /** Capacity for models, in the unit of their sizes. */
   readonly room: number;
 }
 
-/** A plain back end of the first list. */
+/** A plain back end of the platform's initial list. */
 export interface PlainPlace {
   readonly id: string;
   readonly zone: string;
@@ -25,8 +26,9 @@
 const PLAIN_SLOTS = 64;
 const PLAIN_SERVICE = 'kiosk';
 
-/** The simulator's outside: the platform's list, the weight store, runners and plain back ends, which watch the rules about orders. */
+/** The environment of the simulated fleet: the platform's list, the weight store, runners and plain back ends. */
 export class SimOutside implements Holder {
+  /** Records of the whole environment, which the `Judge` evaluates. */
   readonly records: BackRecord[] = [];
   readonly platform: SimPlatform;
   readonly orders: SimOrders;
@@ -35,7 +37,7 @@
   readonly #runners = new Map<string, SimRunner>();
   readonly #plain = new Map<string, SimBackend>();
   readonly #running = new Map<string, number>();
-  #replaced = 0;
+  #replacementCount = 0;
 
   constructor(
     scheduler: Scheduler,
@@ -47,12 +49,12 @@
     this.#scheduler = scheduler;
     this.#seeded = seeded;
     this.platform = new SimPlatform(scheduler, this.records);
-    const found = {
+    const orderedRunners = {
       find: (id: string) => this.#runners.get(id),
       isAnswering: (id: string) => this.isAnswering(id),
-      running: (id: string, key: string) => this.#countAt(id, key),
+      running: (id: string, key: string) => this.#runCount(id, key),
     };
-    this.orders = new SimOrders(scheduler, this.records, found, catalog);
+    this.orders = new SimOrders(scheduler, this.records, orderedRunners, catalog);
     for (const { id, zone, room } of runners) {
       this.#runners.set(id, newRunner(this.#makeBackend(id, false), room, 0));
       this.platform.add({ id, address: id, zone, service: '', leaving: false });
@@ -65,49 +67,54 @@
 
   #makeBackend(id: string, isPlain: boolean): SimBackend {
     const slots = isPlain ? PLAIN_SLOTS : SLOTS;
-    const place = { id, isPlain, slots };
-    return new SimBackend(place, this.#scheduler, this.#seeded, this, this.records);
+    const settings = { id, isPlain, slots };
+    return new SimBackend(settings, this.#scheduler, this.#seeded, this, this.records);
   }
 
+  /** The serving side of a runner or plain back end. */
   back(id: string): SimBackend | undefined {
     return this.#runners.get(id)?.back ?? this.#plain.get(id);
   }
 
+  /** The serving sides of all plain back ends and runners. */
   backs(): SimBackend[] {
     const list = [...this.#plain.values()];
     for (const runner of this.#runners.values()) list.push(runner.back);
     return list;
   }
 
+  /** Opens a connection to a back end. Throws if there is no back end with this id. */
   open(id: string, isCut: () => boolean, delay: () => number, hear: Hear): SimConnection {
     const back = this.back(id);
     if (!back) throw new Error(`no back end ${id}`);
     return new SimConnection(this.#scheduler, back, isCut, delay, hear);
   }
 
-  /** Taken off the list and ended a little later; another machine, empty and with a name of its own, comes in its place. */
+  /** Replaces a runner on the list by an empty one with a new id, and removes the old machine after `span` ms. */
   replace(id: string, span: number): void {
     const runner = this.#runners.get(id);
     if (!runner || !this.platform.list.some((machine) => machine.id === id)) return;
-    this.#replaced += 1;
-    const fresh = `${id}-${this.#replaced}`;
+    this.#replacementCount += 1;
+    const fresh = `${id}-${this.#replacementCount}`;
     const back = this.#makeBackend(fresh, false);
     this.#runners.set(fresh, newRunner(back, runner.room, this.#scheduler.now));
     this.platform.replace(id, fresh);
     this.#scheduler.after(span, () => this.down(id, true));
   }
 
+  /** Whether a runner's process is up and not frozen, and its machine exists. */
   isAnswering(id: string): boolean {
     const back = this.#runners.get(id)?.back;
     return back !== undefined && back.isUp && !back.isDark && !back.isGone;
   }
 
+  /** A runner's report to the leader; undefined if it does not respond. */
   report(id: string): RunnerReport | undefined {
     const runner = this.#runners.get(id);
     if (!runner || !this.isAnswering(id)) return undefined;
     const holds: Hold[] = [];
     for (const [key, hold] of runner.holds)
-      holds.push({ ...hold, running: this.#countAt(id, key) });
+      holds.push({ ...hold, running: this.#runCount(id, key) });
     return {
       id,
       boot: bootOf(runner),
@@ -118,6 +125,7 @@
     };
   }
 
+  /** Whether the model and adapter of a request are ready at a back end; plain back ends hold everything. */
   holds(id: string, request: SimRequest): boolean {
     const runner = this.#runners.get(id);
     if (!runner) return true;
@@ -129,31 +137,33 @@
     );
   }
 
+  /** Counts the start of a run. */
   began(id: string, request: SimRequest): void {
-    this.#count(id, request, 1);
+    this.#changeRunCount(id, request, 1);
   }
 
+  /** Counts the end of a run, and completes unloads that waited for it. */
   ended(id: string, request: SimRequest): void {
-    this.#count(id, request, -1);
+    this.#changeRunCount(id, request, -1);
     const runner = this.#runners.get(id);
     for (const [key, hold] of runner?.holds ?? [])
-      if (hold.state === 'unloading' && this.#countAt(id, key) === 0) runner?.holds.delete(key);
+      if (hold.state === 'unloading' && this.#runCount(id, key) === 0) runner?.holds.delete(key);
   }
 
-  #count(id: string, request: SimRequest, change: number): void {
+  #changeRunCount(id: string, request: SimRequest, change: number): void {
     const keys =
       request.adapter === ''
         ? [unitKey(request.model, '')]
         : [unitKey(request.model, ''), unitKey(request.model, request.adapter)];
     for (const key of keys)
-      this.#running.set(`${id}\n${key}`, Math.max(0, this.#countAt(id, key) + change));
+      this.#running.set(`${id}\n${key}`, Math.max(0, this.#runCount(id, key) + change));
   }
 
-  #countAt(id: string, key: string): number {
+  #runCount(id: string, key: string): number {
     return this.#running.get(`${id}\n${key}`) ?? 0;
   }
 
-  /** Ends with all it holds; its fetches under way end with it. */
+  /** Ends a back end's process: its models are lost, and its fetches in progress end. */
   down(id: string, isMachineGone: boolean): void {
     const runner = this.#runners.get(id);
     if (runner) this.orders.endFetches(runner);
@@ -168,6 +178,7 @@
     runner.taken = new Set();
   }
 
+  /** Starts a back end, unless it is up. */
   up(id: string): void {
     const back = this.back(id);
     if (!back || (back.isUp && !back.isGone)) return;
@@ -176,18 +187,21 @@
     if (runner) runner.bornAt = this.#scheduler.now;
   }
 
+  /** Ends a back end's process and starts a new one at once. */
   restart(id: string): void {
     this.down(id, false);
     this.up(id);
   }
 
+  /** Freezes or resumes a back end. */
   setDark(id: string, isDark: boolean): void {
     this.back(id)?.setDark(isDark);
   }
 
+  /** Changes a runner's capacity. */
   setRoom(id: string, room: number): void {
     const runner = this.#runners.get(id);
-    // Shrunk again while it is, nothing new is to be heard.
+    // Setting the same capacity again must not restart the time in which leaders may not know of it.
     if (!runner || runner.room === room) return;
     runner.roomBefore = runner.room;
     runner.room = room;
--- a/src/rehearsal/sim-runner.ts
+++ b/src/rehearsal/sim-runner.ts
@@ -1,22 +1,25 @@
 import type { Hold } from '../placement/shapes.js';
 import type { SimBackend } from './sim-backend.js';
 
-/** A simulated runner: what it holds, and which orders it took in this life. */
+/** A simulated runner: the models that it holds, and the orders that it accepted since its last start. */
 export interface SimRunner {
   readonly back: SimBackend;
+  /** Capacity for models, in the unit of their sizes. */
   room: number;
-  /** The room of before, which may still be counted on by whoever has not heard. */
+  /** The previous capacity, on which a leader may still rely until it learns of the change. */
   roomBefore: number;
   roomSince: number;
   bornAt: number;
-  /** By model and adapter. */
+  /** Loaded models and adapters, by `unitKey`. */
   holds: Map<string, Hold>;
+  /** Ids of accepted orders. */
   taken: Set<string>;
 }
 
-/** Room has not changed for long. */
+/** Initial value of `roomSince`: the capacity has not changed recently. */
 const LONG_AGO = -1e9;
 
+/** Creates an empty runner. */
 export function newRunner(back: SimBackend, room: number, bornAt: number): SimRunner {
   return {
     back,
@@ -29,12 +32,12 @@
   };
 }
 
-/** The key of a model, or of an adapter of it where named. */
+/** The key of a model, or of one of its adapters unless `adapter` is empty. */
 export function unitKey(model: string, adapter: string): string {
   return `${model}\n${adapter}`;
 }
 
-/** The name of the life of a runner that its orders must name. */
+/** The boot id of a runner's current process, which orders to it must name. */
 export function bootOf(runner: SimRunner): string {
   return `b${runner.back.boot}`;
 }
