--- a/src/rehearsal/back-end-troubles.ts
+++ b/src/rehearsal/back-end-troubles.ts
@@ -2,7 +2,7 @@
 import { MOODS, type Mood } from './sim-backend.js';
 import { idOf, PLAIN, RUNNERS, type Stage, type StageHands, type Strike } from './stage.js';
 
-/** Kinds of troubles of runners and plain back ends. */
+/** The kinds of faults of runners and plain back ends. */
 export const BACK_END_TROUBLES = [
   'restart-runner',
   'vanish-runner',
@@ -18,27 +18,30 @@
 ] as const;
 type BackEndTroubleKind = (typeof BACK_END_TROUBLES)[number];
 
+/** How much longer than a cut its effects may last, ms. */
 const CUT_SLACK_MS = 100;
-const CROWD = 40;
-/** A runner that is marked while dark: how long it is dark, and when it is marked and freed again; ms. */
-const MARKED_DARK_MS = 5000;
+/** Requests that each proxy gets at once after a plain back end's restart. */
+const BURST_SIZE = 40;
+/** A runner marked as leaving while frozen: how long it is frozen, and when its mark is set and at the earliest removed; ms. */
+const MARKED_FROZEN_MS = 5000;
 const MARKED_AFTER_MS = 600;
-const FREED_AFTER_MS = 6000;
-/** No process is there again at the very moment at which it ended, ms. */
-const START_MS = 200;
+const UNMARKED_AFTER_MS = 6000;
+/** Minimum time that a process takes to start again after its end, ms. */
+const RESTART_DELAY_MS = 200;
 
-/** Troubles of runners and plain back ends. */
+/** Injects faults of runners and plain back ends. */
 export class BackEndTroubles {
   readonly #stage: Stage;
-  readonly #hands: StageHands;
+  readonly #actions: StageHands;
   readonly #edge: EdgeTroubles;
 
   constructor(stage: Stage, hands: StageHands, edge: EdgeTroubles) {
     this.#stage = stage;
-    this.#hands = hands;
+    this.#actions = hands;
     this.#edge = edge;
   }
 
+  /** Injects one fault of a kind. */
   bringAbout(kind: BackEndTroubleKind, strike: Strike): void {
     const { runner, plain, backEnd, spanMs } = strike;
     const { scheduler, outside, seeded } = this.#stage;
@@ -52,7 +55,7 @@
         break;
       case 'dark-runner':
       case 'dark-back':
-        this.#darken(kind === 'dark-runner' ? runner : plain, spanMs);
+        this.#freeze(kind === 'dark-runner' ? runner : plain, spanMs);
         break;
       case 'moody-back':
         this.#setMood(backEnd, seeded.pick(MOODS) ?? 'sound', spanMs);
@@ -71,7 +74,7 @@
         scheduler.after(spanMs, () => outside.platform.mark(backEnd, false));
         break;
       case 'mark-dark-runner':
-        this.#markDark(runner, spanMs);
+        this.#markWhileFrozen(runner, spanMs);
         break;
       case 'replace-runner':
         outside.replace(runner, spanMs);
@@ -79,33 +82,33 @@
     }
   }
 
-  /** Ends what troubles did to back ends. */
+  /** Ends all faults of back ends and removes all leaving marks. */
   healAll(): void {
     const { outside, scheduler } = this.#stage;
     for (const back of outside.backs()) {
       back.mood = 'sound';
       outside.setDark(back.id, false);
-      scheduler.after(START_MS, () => outside.up(back.id));
+      scheduler.after(RESTART_DELAY_MS, () => outside.up(back.id));
     }
     for (const id of [...RUNNERS, ...PLAIN]) outside.platform.mark(id, false);
   }
 
-  /** It takes as long as a process does to start; then everybody asks. */
+  /** Restarts a plain back end, with a realistic start time; a burst of requests to all proxies follows. */
   #restartPlain(plain: string): void {
     const { scheduler, outside, seeded } = this.#stage;
     const spanMs = seeded.between(100, 1500);
     outside.down(plain, false);
     scheduler.after(spanMs, () => outside.up(plain));
-    scheduler.after(spanMs + seeded.between(0, 600), () => this.#edge.crowd(CROWD));
+    scheduler.after(spanMs + seeded.between(0, 600), () => this.#edge.crowd(BURST_SIZE));
   }
 
   #cutOff(backEnd: string, spanMs: number): void {
     const { agents, seeded, findings } = this.#stage;
-    this.#hands.cut(agents.map(idOf), [backEnd], seeded.isLikely(0.5), spanMs);
+    this.#actions.cut(agents.map(idOf), [backEnd], seeded.isLikely(0.5), spanMs);
     findings.note({ what: 'cut', node: backEnd, number: spanMs + CUT_SLACK_MS });
   }
 
-  #darken(id: string, spanMs: number): void {
+  #freeze(id: string, spanMs: number): void {
     const { scheduler, outside, findings } = this.#stage;
     outside.setDark(id, true);
     findings.note({ what: 'frozen', node: id, number: spanMs });
@@ -121,11 +124,11 @@
     });
   }
 
-  /** It goes dark with orders on their way to it, is marked meanwhile, and comes back while still leaving. */
-  #markDark(runner: string, spanMs: number): void {
+  /** Freezes a runner with orders in flight to it, marks it meanwhile, and resumes it while it is still marked. */
+  #markWhileFrozen(runner: string, spanMs: number): void {
     const { scheduler, outside } = this.#stage;
-    this.#darken(runner, MARKED_DARK_MS);
+    this.#freeze(runner, MARKED_FROZEN_MS);
     scheduler.after(MARKED_AFTER_MS, () => outside.platform.mark(runner, true));
-    scheduler.after(FREED_AFTER_MS + spanMs, () => outside.platform.mark(runner, false));
+    scheduler.after(UNMARKED_AFTER_MS + spanMs, () => outside.platform.mark(runner, false));
   }
 }
--- a/src/rehearsal/control-troubles.ts
+++ b/src/rehearsal/control-troubles.ts
@@ -2,7 +2,7 @@
 import type { SimControl } from './sim-control.js';
 import { idOf, type Stage, type StageHands, type Strike } from './stage.js';
 
-/** Kinds of troubles of control nodes. */
+/** The kinds of faults of control nodes. */
 export const CONTROL_TROUBLES = [
   'kill-mind',
   'kill-core',
@@ -20,34 +20,36 @@
 ] as const;
 type ControlTroubleKind = (typeof CONTROL_TROUBLES)[number];
 
+/** Upper bounds of the random duration of a disk write, ms. */
 const SLOW_DISK_MS = 400;
-const USUAL_DISK_MS = 3;
-/** From a planned stop to its end, ms. */
+const NORMAL_DISK_MS = 3;
+/** From the start of a planned stop to the end of the process, ms. */
 const RETIRE_MS = 60;
 
-/** Troubles of control nodes: deaths, freezes, disks and cuts. */
+/** Injects faults of control nodes: crashes, freezes, disk faults and network partitions. */
 export class ControlTroubles {
   readonly #stage: Stage;
-  readonly #hands: StageHands;
+  readonly #actions: StageHands;
 
   constructor(stage: Stage, hands: StageHands) {
     this.#stage = stage;
-    this.#hands = hands;
+    this.#actions = hands;
   }
 
+  /** Injects one fault of a kind. */
   bringAbout(kind: ControlTroubleKind, strike: Strike): void {
     const { controlNode, otherControlNode, spanMs } = strike;
     const { scheduler, agents, controlNodes } = this.#stage;
     switch (kind) {
       case 'kill-mind':
-        this.#hands.restart(controlNode, spanMs);
+        this.#actions.restart(controlNode, spanMs);
         break;
       case 'kill-core':
         this.#killAll(spanMs);
         break;
       case 'retire-mind':
         controlNode.retire();
-        scheduler.after(RETIRE_MS, () => this.#hands.kill(controlNode));
+        scheduler.after(RETIRE_MS, () => this.#actions.kill(controlNode));
         scheduler.after(RETIRE_MS + spanMs, () => controlNode.start());
         break;
       case 'freeze-mind':
@@ -55,11 +57,11 @@
         scheduler.after(spanMs, () => controlNode.wake());
         break;
       case 'freeze-ordering':
-        this.#freezeOrdering();
+        this.#freezeAtNextOrder();
         break;
       case 'wipe-mind':
       case 'rot-file':
-        this.#spoilDisk(controlNode, kind, spanMs);
+        this.#damageDisk(controlNode, kind, spanMs);
         break;
       case 'stall-disk':
         controlNode.isDiskStalled = true;
@@ -67,59 +69,60 @@
         break;
       case 'slow-disk':
         controlNode.diskMs = SLOW_DISK_MS;
-        scheduler.after(spanMs, () => quicken(controlNode));
+        scheduler.after(spanMs, () => restoreDiskSpeed(controlNode));
         break;
       case 'cut-minds':
       case 'cut-one-way':
-        this.#hands.cut([controlNode.id], [otherControlNode.id], kind === 'cut-minds', spanMs);
+        this.#actions.cut([controlNode.id], [otherControlNode.id], kind === 'cut-minds', spanMs);
         break;
       case 'isolate-mind':
-        this.#hands.cut([controlNode.id], this.#hands.allBut(controlNode.id), true, spanMs);
+        this.#actions.cut([controlNode.id], this.#actions.allBut(controlNode.id), true, spanMs);
         break;
       case 'isolate-core':
-        this.#hands.cut(controlNodes.map(idOf), agents.map(idOf), true, spanMs);
+        this.#actions.cut(controlNodes.map(idOf), agents.map(idOf), true, spanMs);
         break;
     }
   }
 
+  /** Ends all freezes before orders, and disk stalls and delays. */
   healAll(): void {
     for (const controlNode of this.#stage.controlNodes) {
       controlNode.freezeAtOrderMs = 0;
       controlNode.unstall();
-      quicken(controlNode);
+      restoreDiskSpeed(controlNode);
     }
   }
 
   #killAll(spanMs: number): void {
     const { scheduler, seeded, controlNodes } = this.#stage;
     for (const each of controlNodes) {
-      this.#hands.kill(each);
+      this.#actions.kill(each);
       scheduler.after(spanMs * seeded.next(), () => each.start());
     }
   }
 
-  /** Long enough for a successor to order, and sometimes not. */
-  #freezeOrdering(): void {
+  /** Freezes each control node at its next order, in most cases long enough for a successor to issue orders. */
+  #freezeAtNextOrder(): void {
     for (const each of this.#stage.controlNodes)
       each.freezeAtOrderMs = this.#stage.seeded.between(300, 12_000);
   }
 
-  /** One disk is lost at a time: the next only once every node counts again. */
-  #spoilDisk(controlNode: SimControl, kind: 'wipe-mind' | 'rot-file', spanMs: number): void {
-    if (!this.#stage.controlNodes.every(isWhole)) return;
-    this.#hands.kill(controlNode);
+  /** Erases or corrupts a disk, but only while every replica is intact, so that one disk is lost at a time. */
+  #damageDisk(controlNode: SimControl, kind: 'wipe-mind' | 'rot-file', spanMs: number): void {
+    if (!this.#stage.controlNodes.every(isIntact)) return;
+    this.#actions.kill(controlNode);
     if (kind === 'wipe-mind') controlNode.wipe();
     else controlNode.rot(this.#stage.seeded.pick([VOTE_RECORD, ...allPartitions()]) ?? VOTE_RECORD);
     this.#stage.scheduler.after(spanMs, () => controlNode.start());
   }
 }
 
-function isWhole({ isUp, core }: SimControl): boolean {
+function isIntact({ isUp, core }: SimControl): boolean {
   return (
     isUp && core?.replicaStatus.name === 'sound' && core.state.corruptPartitions().length === 0
   );
 }
 
-function quicken(controlNode: SimControl): void {
-  controlNode.diskMs = USUAL_DISK_MS;
+function restoreDiskSpeed(controlNode: SimControl): void {
+  controlNode.diskMs = NORMAL_DISK_MS;
 }
--- a/src/rehearsal/edge-troubles.ts
+++ b/src/rehearsal/edge-troubles.ts
@@ -4,7 +4,7 @@
 import type { SimProxy } from './sim-proxy.js';
 import type { Stage, StageHands, Strike } from './stage.js';
 
-/** Kinds of troubles of agents, proxies and the network as a whole. */
+/** The kinds of faults of agents, proxies and the network as a whole. */
 export const EDGE_TROUBLES = [
   'isolate-link',
   'cut-link',
@@ -19,25 +19,29 @@
 ] as const;
 type EdgeTroubleKind = (typeof EDGE_TROUBLES)[number];
 
-/** How much longer than a cut its end may take to be felt, ms. */
+/** How much longer than a cut its effects may last, ms. */
 const CUT_SLACK_MS = 100;
-const LOSS = 0.2;
+/** Probability that a message is lost. */
+const LOSS_PROBABILITY = 0.2;
+/** Upper bounds of the random delay of a message, ms. */
 const LONG_DELAY_MS = 300;
-const USUAL_DELAY_MS = 5;
-/** From the end of a proxy's planned stop to its next start, ms. */
-const RESTART_MS = 200;
-const CROWD = 30;
+const NORMAL_DELAY_MS = 5;
+/** From the end of a proxy's planned stop until it is started again, ms. */
+const RESTART_DELAY_MS = 200;
+/** Requests that each proxy gets at once. */
+const BURST_SIZE = 30;
 
-/** Troubles of agents, proxies and the network. */
+/** Injects faults of agents, proxies and the network. */
 export class EdgeTroubles {
   readonly #stage: Stage;
-  readonly #hands: StageHands;
+  readonly #actions: StageHands;
 
   constructor(stage: Stage, hands: StageHands) {
     this.#stage = stage;
-    this.#hands = hands;
+    this.#actions = hands;
   }
 
+  /** Injects one fault of a kind. */
   bringAbout(kind: EdgeTroubleKind, strike: Strike): void {
     const { agent, proxy, controlNode, otherControlNode, spanMs } = strike;
     const { scheduler, network, seeded } = this.#stage;
@@ -47,18 +51,18 @@
         break;
       case 'cut-link': {
         const ends = [controlNode.id, otherControlNode.id];
-        this.#hands.cut([agent.id], ends, seeded.isLikely(0.5), spanMs);
+        this.#actions.cut([agent.id], ends, seeded.isLikely(0.5), spanMs);
         break;
       }
       case 'kill-link':
-        this.#hands.restart(agent, spanMs);
+        this.#actions.restart(agent, spanMs);
         break;
       case 'freeze-link':
         agent.freeze();
         scheduler.after(spanMs, () => agent.wake());
         break;
       case 'kill-flow':
-        this.#hands.restartProxy(proxy, spanMs);
+        this.#actions.restartProxy(proxy, spanMs);
         break;
       case 'freeze-flow':
         this.#freezeProxy(proxy, spanMs);
@@ -67,27 +71,27 @@
         this.#stopProxy(proxy);
         break;
       case 'loss':
-        network.loss = LOSS;
-        scheduler.after(spanMs, () => calm(network));
+        network.loss = LOSS_PROBABILITY;
+        scheduler.after(spanMs, () => resetNetwork(network));
         break;
       case 'delay':
         network.mostDelay = LONG_DELAY_MS;
-        scheduler.after(spanMs, () => calm(network));
+        scheduler.after(spanMs, () => resetNetwork(network));
         break;
       case 'crowd':
-        this.crowd(CROWD);
+        this.crowd(BURST_SIZE);
         break;
     }
   }
 
-  /** Everybody asks at once, so many at each proxy. */
+  /** Sends a burst of lookups: `size` at each proxy. */
   crowd(size: number): void {
     for (const proxy of this.#stage.proxies)
       for (let index = 0; index < size; index += 1) proxy.send(lookup());
   }
 
   #isolate(agent: SimAgent, spanMs: number): void {
-    this.#hands.cut([agent.id], this.#hands.allBut(agent.id), true, spanMs);
+    this.#actions.cut([agent.id], this.#actions.allBut(agent.id), true, spanMs);
     for (const id of agent.proxies.keys())
       this.#stage.findings.note({ what: 'cut', node: id, number: spanMs + CUT_SLACK_MS });
   }
@@ -99,15 +103,15 @@
     this.#stage.scheduler.after(spanMs, () => proxy.wake());
   }
 
-  /** A planned stop: what runs there may end first. */
+  /** Stops a proxy as planned, after its open requests have ended, and starts it again. */
   #stopProxy(proxy: SimProxy): void {
     if (!proxy.isUp || proxy.isDraining || proxy.isFrozen) return;
     this.#stage.findings.note({ what: 'planned-stop', node: proxy.id });
-    proxy.retire(() => this.#hands.restartProxy(proxy, RESTART_MS));
+    proxy.retire(() => this.#actions.restartProxy(proxy, RESTART_DELAY_MS));
   }
 }
 
-function calm(network: Network): void {
+function resetNetwork(network: Network): void {
   network.loss = 0;
-  network.mostDelay = USUAL_DELAY_MS;
+  network.mostDelay = NORMAL_DELAY_MS;
 }
--- a/src/rehearsal/final-checks.ts
+++ b/src/rehearsal/final-checks.ts
@@ -7,7 +7,7 @@
 import type { SimOperators } from './sim-operators.js';
 import type { SimProxy } from './sim-proxy.js';
 
-/** A simulated fleet at the end of its run, some time after all troubles were healed. */
+/** A simulated fleet at the end of its run, some time after all faults were healed. */
 export interface HealedFleet {
   readonly now: number;
   readonly leader: SimControl | undefined;
@@ -18,32 +18,32 @@
   readonly findings: RunFindings;
 }
 
-const LONGEST_WAIT_MS = 30_000;
-/** Busy models hold pairs, so that of eight not all need fit; what is asked for must be served. */
-const FEWEST_PRIMARIES = 5;
+const MAX_REQUEST_AGE_MS = 30_000;
+/** Busy models have two replicas, so the eight models need not all fit; models with requests must be served. */
+const MIN_PRIMARIES = 5;
 const SERVED_WITHIN_MS = 1000;
 
-/** Checks that service has returned, and that what operators were told holds. */
+/** Checks that service has recovered, and that the outcomes reported to operators are in effect. */
 export function checkHealed(fleet: HealedFleet): void {
   const { leader, findings } = fleet;
   if (!leader) {
-    findings.find('no leader serves after everything healed');
+    findings.find('no leader serves after all faults were healed');
     return;
   }
   checkControlNodes(fleet);
   for (const proxy of fleet.proxies)
     if (proxy.decision?.isFresh(proxy.now()) !== true)
-      findings.find(`${proxy.id} is still blind after everything healed`);
+      findings.find(`${proxy.id} still has no fresh configuration after all faults were healed`);
   const doc = decodeConfigDoc(leader.core?.state.replicaBody(CONFIG_PARTITION) ?? '');
   if (!doc) {
-    findings.find('the configuration is gone');
+    findings.find('the leader has no valid configuration');
     return;
   }
   checkEdits(fleet, doc);
   for (const proxy of fleet.proxies)
-    if (proxy.longestMs > LONGEST_WAIT_MS)
+    if (proxy.longestMs > MAX_REQUEST_AGE_MS)
       findings.find(
-        `stuck: somebody at ${proxy.id} has waited for ${Math.round(proxy.longestMs)} ms`,
+        `stuck: a request at ${proxy.id} has been open for ${Math.round(proxy.longestMs)} ms`,
       );
   findings.note({ what: 'table-read', number: doc.number });
   checkService(fleet, leader);
@@ -52,34 +52,36 @@
 function checkControlNodes({ controlNodes, findings }: HealedFleet): void {
   for (const controlNode of controlNodes) {
     if (controlNode.core?.replicaStatus.name !== 'sound')
-      findings.find(`${controlNode.id} does not count again`);
-    const unsound = controlNode.core?.state.corruptPartitions() ?? [];
-    if (unsound.length > 0)
-      findings.find(`${controlNode.id} still has unsound parts: ${unsound.join(' ')}`);
+      findings.find(`the replica at ${controlNode.id} is not sound after all faults were healed`);
+    const corrupt = controlNode.core?.state.corruptPartitions() ?? [];
+    if (corrupt.length > 0)
+      findings.find(`${controlNode.id} still has corrupt partitions: ${corrupt.join(' ')}`);
   }
 }
 
 function checkEdits({ operators, findings }: HealedFleet, doc: ConfigDoc): void {
   if (doc.number < operators.newestNumber)
-    findings.find(`lost-table: ${doc.number} stands after ${operators.newestNumber} was accepted`);
+    findings.find(
+      `lost-table: table ${doc.number} is in effect after ${operators.newestNumber} was accepted`,
+    );
   const outcomes = new Map<string, string>();
   for (const edit of doc.edits) outcomes.set(edit.id, edit.outcome);
-  for (const told of operators.outcomes) {
-    const held = outcomes.get(told.id);
-    if (told.outcome === 'accepted' && held !== 'accepted')
-      findings.find(`lost-edit: ${told.id} was accepted and is ${held ?? 'nowhere'}`);
-    if (told.outcome === 'refused' && held === 'accepted')
-      findings.find(`turned-away-in-force: ${told.id}`);
+  for (const edit of operators.outcomes) {
+    const stored = outcomes.get(edit.id);
+    if (edit.outcome === 'accepted' && stored !== 'accepted')
+      findings.find(`lost-edit: ${edit.id} was accepted and is ${stored ?? 'missing'}`);
+    if (edit.outcome === 'refused' && stored === 'accepted')
+      findings.find(`turned-away-in-force: ${edit.id}`);
   }
 }
 
 function checkService({ now, watch, findings }: HealedFleet, leader: SimControl): void {
   const places = leader.core?.relay.latest('places')?.body ?? '';
   const primaries = [...places.matchAll(/"primary":true/g)].length;
-  if (primaries < FEWEST_PRIMARIES)
-    findings.find(`only ${primaries} of 8 models have a primary after everything healed`);
+  if (primaries < MIN_PRIMARIES)
+    findings.find(`only ${primaries} of 8 models have a primary after all faults were healed`);
   if (watch.lastRunAt < now - SERVED_WITHIN_MS)
     findings.find(
-      `nothing has been served for ${Math.round(now - watch.lastRunAt)} ms after everything healed`,
+      `no request was served in the last ${Math.round(now - watch.lastRunAt)} ms, after all faults were healed`,
     );
 }
--- a/src/rehearsal/garbage.test.ts
+++ b/src/rehearsal/garbage.test.ts
@@ -11,7 +11,7 @@
 const { table } = compile(
   'map POST /c to check\nrow check m-* weight 9 take 5/s late 10s once stream',
 );
-const BODIES = [
+const VALID_BODIES = [
   JSON.stringify({ number: 1, table, emptied: ['a'], voters: [['mind-0:1']] }),
   JSON.stringify({ id: 'e', base: 0, table }),
   JSON.stringify({ id: 'e', base: 0, row: 'check/m-*', column: 'weight', value: 3 }),
@@ -28,17 +28,17 @@
   JSON.stringify({ id: 'e', zone: 'a', empty: true }),
   JSON.stringify({ id: 's', old: 'mind-0:1', new: 'x' }),
 ];
-test('proxies and links outlive anything they are told', async () => {
+test('a proxy router and an agent core survive invalid messages', async () => {
   for (let seed = 1; seed <= 100; seed += 1) {
     await new Promise(setImmediate);
     const seeded = new SeededClass(seed);
-    const garbage = new Garbage(seeded, BODIES);
-    const decision = new PolicyRouter({
+    const garbage = new Garbage(seeded, VALID_BODIES);
+    const router = new PolicyRouter({
       ...POLICY_ROUTER_DEFAULTS,
       freshnessBoundMs: 2500,
       proxyId: 'f',
     });
-    const link = new AgentCore(
+    const agent = new AgentCore(
       {
         me: 'link-0:1',
         zone: 'z',
@@ -50,13 +50,13 @@
     );
     for (let now = 0; now < 3000; now += 10) {
       const topic = seeded.pick(['config', 'places', 'machines']) ?? '';
-      decision.onUpdate(moment(now), topic, { epoch: 2, count: now }, garbage.text());
-      decision.onFreshnessConfirmed(
-        decision.startFreshnessRequest(moment(now)),
+      router.onUpdate(moment(now), topic, { epoch: 2, count: now }, garbage.text());
+      router.onFreshnessConfirmed(
+        router.startFreshnessRequest(moment(now)),
         { epoch: 0, count: 0 },
         0,
       );
-      decision.onRequest(moment(now), {
+      router.onRequest(moment(now), {
         id: now,
         method: 'POST',
         path: '/c',
@@ -64,24 +64,24 @@
         adapter: '',
         prefixBlocks: [],
       });
-      decision.tick(moment(now));
-      link.onMessage(
+      router.tick(moment(now));
+      agent.onMessage(
         moment(now),
         seeded.pick(['mind-0:1', 'flow@0', 'link-9:1']) ?? '',
         seeded.pick(['flow', 'mind', 'link']) ?? '',
         garbage.message(),
       );
-      link.tick(moment(now));
-      link.drain();
+      agent.tick(moment(now));
+      agent.drain();
     }
-    decision.drainVerdicts();
+    router.drainVerdicts();
   }
 }, 600_000);
-test('control nodes outlive any command, and go on serving', async () => {
+test('control nodes survive invalid commands and continue to serve', async () => {
   for (let seed = 1; seed <= 12; seed += 1) {
     await new Promise(setImmediate);
     const seeded = new SeededClass(seed);
-    const garbage = new Garbage(seeded, BODIES);
+    const garbage = new Garbage(seeded, VALID_BODIES);
     const simulation = new Simulation({ seed, edges: 1, stormMs: 0, troubles: [] });
     const { scheduler } = simulation;
     simulation.start();
@@ -101,7 +101,7 @@
           'live',
           'nonsense',
         ]) ?? '';
-      // A sound swap would be obeyed; everything else is turned away or done, and nobody falls over it.
+      // A valid swap would be carried out, so the swap names an unknown node; any other command is rejected or executed.
       leader?.command(
         verb,
         verb === 'swap' ? '{"id":"s","old":"nobody","new":"x"}' : garbage.text(),
--- a/src/rehearsal/garbage.ts
+++ b/src/rehearsal/garbage.ts
@@ -1,6 +1,7 @@
 import { SHAPES, type Message } from '../common/messages.js';
 import type { Seeded } from './seeded.js';
 
+/** Strings for fields other than bodies: names in use, unknown names and malformed bodies. */
 export const WORDS = [
   '',
   'config',
@@ -23,10 +24,10 @@
 ] as const;
 const NUMBERS = [0, -1, 1, 2, 3, 4, 7, 0.5, 1e6, 1e15, -1e15] as const;
 
-/** What a node of another build, or none of ours, might say: of the right kinds, and otherwise anything. */
+/** Draws invalid input, as another build or a foreign program might send: messages of valid shape with arbitrary values. */
 export class Garbage {
   readonly #seeded: Seeded;
-  /** Bodies as they really are, to be spoilt. */
+  /** Valid bodies, which `text` corrupts. */
   readonly #bodies: readonly string[];
 
   constructor(seeded: Seeded, bodies: readonly string[]) {
@@ -34,6 +35,7 @@
     this.#bodies = bodies;
   }
 
+  /** Draws a message of a random kind that matches the shape of its kind. */
   message(): Message {
     const kinds = Object.entries(SHAPES);
     for (;;) {
@@ -66,7 +68,7 @@
     return typeof inner === 'object' && inner !== null ? this.#fields(inner) : undefined;
   }
 
-  /** A real body with a piece cut out, changed or twice in it; or nothing of the kind. */
+  /** Draws a valid body with a piece removed, inserted or changed, or an unrelated string. */
   text(): string {
     const body = this.#seeded.pick(this.#bodies) ?? '';
     const from = this.#seeded.below(body.length + 1);
--- a/src/rehearsal/mutation.test.ts
+++ b/src/rehearsal/mutation.test.ts
@@ -7,9 +7,9 @@
   'acks-unasked',
   'marks-ignored',
 ] as const)(
-  'a build with %s is caught',
-  async (wrong: Parameters<typeof bite>[0]) => {
-    expect(await bite(wrong)).toEqual([]);
+  'the simulator detects the mutation %s',
+  async (mutation: Parameters<typeof bite>[0]) => {
+    expect(await bite(mutation)).toEqual([]);
   },
   600_000,
 );
--- a/src/rehearsal/platform-troubles.ts
+++ b/src/rehearsal/platform-troubles.ts
@@ -1,7 +1,7 @@
 import type { SimOutside } from './sim-outside.js';
 import { LOADS_AT_ONCE, RUNNER_ROOM, RUNNERS, type Stage, type Strike } from './stage.js';
 
-/** Kinds of troubles of the platform's list, of room at runners and of the weight store. */
+/** The kinds of faults of the platform's list, of runners' capacity and of the weight store. */
 export const PLATFORM_TROUBLES = [
   'shrink-room',
   'lower-limit',
@@ -10,11 +10,12 @@
 ] as const;
 type PlatformTroubleKind = (typeof PLATFORM_TROUBLES)[number];
 
+/** A runner's reduced capacity, in the unit of models' sizes. */
 const SMALL_ROOM = 15;
-/** A lowered limit lasts longer, so that loads meet it, ms. */
-const LIMIT_SLACK_MS = 7000;
+/** How much longer a lowered limit lasts, so that loads coincide with it, ms. */
+const EXTRA_LIMIT_MS = 7000;
 
-/** Troubles of the platform's list, of room at runners and of the weight store. */
+/** Injects faults of the platform's list, of runners' capacity and of the weight store. */
 export class PlatformTroubles {
   readonly #stage: Stage;
 
@@ -22,6 +23,7 @@
     this.#stage = stage;
   }
 
+  /** Injects one fault of a kind. */
   bringAbout(kind: PlatformTroubleKind, { runner, spanMs }: Strike): void {
     const { scheduler, outside, seeded } = this.#stage;
     switch (kind) {
@@ -31,32 +33,32 @@
         break;
       case 'lower-limit':
         outside.orders.setLimit(1);
-        scheduler.after(spanMs + LIMIT_SLACK_MS, () => outside.orders.setLimit(LOADS_AT_ONCE));
+        scheduler.after(spanMs + EXTRA_LIMIT_MS, () => outside.orders.setLimit(LOADS_AT_ONCE));
         break;
       case 'platform-down':
         outside.platform.isUp = false;
-        scheduler.after(spanMs, () => listAgain(outside));
+        scheduler.after(spanMs, () => restoreList(outside));
         break;
       case 'odd-list':
         outside.platform.oddList = seeded.isLikely(0.5) ? 'empty' : 'old';
-        scheduler.after(spanMs, () => listAgain(outside));
+        scheduler.after(spanMs, () => restoreList(outside));
         break;
     }
   }
 
-  /** Ends what troubles did to the list and the weight store. */
+  /** Ends all faults of the list and the weight store. */
   heal(): void {
-    listAgain(this.#stage.outside);
+    restoreList(this.#stage.outside);
     this.#stage.outside.orders.setLimit(LOADS_AT_ONCE);
   }
 
-  /** Gives runners their room back. */
+  /** Restores the capacity of all runners. */
   healRoom(): void {
     for (const runner of RUNNERS) this.#stage.outside.setRoom(runner, RUNNER_ROOM);
   }
 }
 
-function listAgain(outside: SimOutside): void {
+function restoreList(outside: SimOutside): void {
   outside.platform.isUp = true;
   outside.platform.oddList = 'none';
 }
--- a/src/rehearsal/sim-troubles.ts
+++ b/src/rehearsal/sim-troubles.ts
@@ -7,33 +7,35 @@
 import { PLAIN, RUNNERS, StageHands, ZONES, type Stage, type Strike } from './stage.js';
 import { CONDITIONS, type TroubleKind } from './trouble-kinds.js';
 
-const LEAST_SPAN_MS = 300;
-const MOST_SPAN_MS = 9000;
-/** Chance that a trouble of a back end strikes a runner, and not a plain one. */
-const RUNNER_CHANCE = 0.6;
+/** Range of the random duration of a fault, ms. */
+const MIN_DURATION_MS = 300;
+const MAX_DURATION_MS = 9000;
+/** Probability that a fault of a back end hits a runner and not a plain back end. */
+const RUNNER_PROBABILITY = 0.6;
 
-/** Brings troubles about on a simulated fleet, and counts what each of them met. */
+/** Injects faults into a simulated fleet, and counts the conditions under which it did so. */
 export class SimTroubles {
   readonly #stage: Stage;
-  readonly #hands: StageHands;
+  readonly #actions: StageHands;
   readonly #control: ControlTroubles;
   readonly #edge: EdgeTroubles;
   readonly #backEnds: BackEndTroubles;
   readonly #platform: PlatformTroubles;
-  /** How often a trouble came while something was going on. */
+  /** Counts by `kind|condition`; `kind|times` counts all faults of a kind. */
   readonly met = new Map<string, number>();
 
   constructor(stage: Stage) {
     this.#stage = stage;
-    this.#hands = new StageHands(stage);
-    this.#control = new ControlTroubles(stage, this.#hands);
-    this.#edge = new EdgeTroubles(stage, this.#hands);
-    this.#backEnds = new BackEndTroubles(stage, this.#hands, this.#edge);
+    this.#actions = new StageHands(stage);
+    this.#control = new ControlTroubles(stage, this.#actions);
+    this.#edge = new EdgeTroubles(stage, this.#actions);
+    this.#backEnds = new BackEndTroubles(stage, this.#actions, this.#edge);
     this.#platform = new PlatformTroubles(stage);
   }
 
+  /** Injects one fault of a kind, with targets and duration drawn from the seed. */
   bringAbout(kind: TroubleKind): void {
-    const strike = this.#drawStrike(kind);
+    const strike = this.#drawTargets(kind);
     if (!strike) return;
     this.#count(kind);
     if (isOneOf(CONTROL_TROUBLES, kind)) this.#control.bringAbout(kind, strike);
@@ -43,10 +45,12 @@
     else this.#loseZone(this.#stage.seeded.below(ZONES.length), strike.spanMs);
   }
 
+  /** Kills a node; its connections are reset where they are not cut. */
   kill(node: SimControl | SimAgent): void {
-    this.#hands.kill(node);
+    this.#actions.kill(node);
   }
 
+  /** Ends all faults: heals the network, and resumes and starts all nodes and back ends. */
   healAll(): void {
     const { network, proxies, nodes, findings } = this.#stage;
     findings.say('healing');
@@ -61,19 +65,19 @@
     this.#platform.healRoom();
   }
 
-  /** Everything is drawn whatever the kind strikes, so that a seed's later draws do not depend on the kind. */
-  #drawStrike(kind: TroubleKind): Strike | undefined {
+  /** Draws all targets, whichever of them the kind uses, so that a seed's later draws do not depend on the kind. */
+  #drawTargets(kind: TroubleKind): Strike | undefined {
     const { seeded, controlNodes, agents, proxies, findings } = this.#stage;
-    const spanMs = seeded.between(LEAST_SPAN_MS, MOST_SPAN_MS);
+    const spanMs = seeded.between(MIN_DURATION_MS, MAX_DURATION_MS);
     const controlNode = seeded.pick(controlNodes);
     const otherControlNode = seeded.pick(controlNodes);
     const agent = seeded.pick(agents);
     const proxy = seeded.pick(proxies);
     const runner = seeded.pick(RUNNERS) ?? 'r0';
     const plain = seeded.pick(PLAIN) ?? 'k0';
-    const backEnd = seeded.isLikely(RUNNER_CHANCE) ? runner : plain;
+    const backEnd = seeded.isLikely(RUNNER_PROBABILITY) ? runner : plain;
     findings.say(
-      `trouble ${kind} ${controlNode?.id} ${otherControlNode?.id} ${agent?.id} ${proxy?.id} ${runner} ${plain} for ${Math.round(spanMs)}`,
+      `fault ${kind} ${controlNode?.id} ${otherControlNode?.id} ${agent?.id} ${proxy?.id} ${runner} ${plain} for ${Math.round(spanMs)}`,
     );
     if (!controlNode || !otherControlNode || !agent || !proxy) return undefined;
     return { spanMs, controlNode, otherControlNode, agent, proxy, runner, plain, backEnd };
@@ -88,13 +92,13 @@
     this.met.set(`${kind}|times`, (this.met.get(`${kind}|times`) ?? 0) + 1);
   }
 
-  /** A zone lost whole: its core machine, an edge, and all back ends there; then back. */
+  /** Stops a whole zone for a time: its control node, agent and proxy, and all back ends in it. */
   #loseZone(index: number, spanMs: number): void {
     const { scheduler, outside, controlNodes, agents, proxies } = this.#stage;
     const [controlNode, agent, proxy] = [controlNodes[index], agents[index], proxies[index]];
-    if (controlNode) this.#hands.restart(controlNode, spanMs);
-    if (agent) this.#hands.restart(agent, spanMs);
-    if (proxy) this.#hands.restartProxy(proxy, spanMs);
+    if (controlNode) this.#actions.restart(controlNode, spanMs);
+    if (agent) this.#actions.restart(agent, spanMs);
+    if (proxy) this.#actions.restartProxy(proxy, spanMs);
     for (const machine of outside.platform.list) {
       if (machine.zone !== ZONES[index]) continue;
       outside.down(machine.id, true);
