--- a/src/rehearsal/judge.test.ts
+++ b/src/rehearsal/judge.test.ts
@@ -45,10 +45,10 @@
     rules.add(violation.rule);
   return [...rules];
 }
-function bothRuns(record: BackRecord): BackRecord[] {
+function withSecondRequest(record: BackRecord): BackRecord[] {
   return [record, { ...record, id: 'q2' }];
 }
-test('a clean record passes', () => {
+test('records without a violation pass', () => {
   expect(
     rulesOf(
       [caller],
@@ -57,7 +57,7 @@
     ),
   ).toEqual([]);
 });
-test('each rule bites on a record that breaks it', () => {
+test('each rule reports records that break it', () => {
   expect(rulesOf([caller], [run, { ...run, run: 'r2' }])).toEqual(['run-twice']);
   expect(
     rulesOf(
@@ -86,7 +86,7 @@
       [],
     ),
   ).toEqual(['held-back']);
-  expect(rulesOf([{ ...caller, fault: 'no end' }], [run])).toEqual(['not-whole']);
+  expect(rulesOf([{ ...caller, fault: 'no last line' }], [run])).toEqual(['not-whole']);
   expect(rulesOf([{ ...caller, fault: 'stitched of two runs' }], [run])).toEqual(['stitched']);
   expect(rulesOf([{ ...caller, run: 'other' }], [run])).toEqual(['not-whole']);
   expect(rulesOf([caller], [{ at: 6000, what: 'mark', id: 'a', leaving: true }, run])).toEqual([
@@ -129,25 +129,25 @@
   for (let index = 0; index < 40; index += 1) flood.push({ ...run, id: `x${index}`, at: 500 });
   expect(rulesOf([], flood)).toEqual(['cold-flooded']);
   const lookup: CallerRecord = { ...caller, once: false };
-  const many: BackRecord[] = [];
-  for (let index = 0; index < 40; index += 1) many.push(run);
-  expect(rulesOf([lookup], many)).toEqual(['too-many-repeats']);
-  // Two services are judged apart: a few of each are allowed.
+  const manyRuns: BackRecord[] = [];
+  for (let index = 0; index < 40; index += 1) manyRuns.push(run);
+  expect(rulesOf([lookup], manyRuns)).toEqual(['too-many-repeats']);
+  // The retry limits apply to each service separately.
   const other: CallerRecord = { ...lookup, id: 'q2', model: 'n' };
-  const few: BackRecord[] = [run, run, run, run, run].flatMap(bothRuns);
-  expect(rulesOf([lookup, other], few)).toEqual([]);
-  const twice: BackRecord[] = [
+  const fewRetries: BackRecord[] = [run, run, run, run, run].flatMap(withSecondRequest);
+  expect(rulesOf([lookup, other], fewRetries)).toEqual([]);
+  const markedTwice: BackRecord[] = [
     { at: 1000, what: 'mark', id: 'a', leaving: true },
     { at: 2000, what: 'mark', id: 'a', leaving: true },
     { at: 3000, what: 'mark', id: 'a', leaving: false },
   ];
-  expect(rulesOf([caller], [...twice, run])).toEqual([]);
-  const shown: BackRecord[] = [
+  expect(rulesOf([caller], [...markedTwice, run])).toEqual([]);
+  const markedThenShown: BackRecord[] = [
     { at: 6000, what: 'mark', id: 'a', leaving: true, revision: 7 },
     { at: 9000, what: 'shown', revision: 8 },
   ];
-  expect(rulesOf([caller], [...shown, run])).toEqual([]);
-  expect(rulesOf([], [...shown, { ...order, at: 12_100, verb: 'load' }])).toEqual([
+  expect(rulesOf([caller], [...markedThenShown, run])).toEqual([]);
+  expect(rulesOf([], [...markedThenShown, { ...order, at: 12_100, verb: 'load' }])).toEqual([
     'leaving-got-work',
   ]);
   expect(
--- a/src/rehearsal/judge.ts
+++ b/src/rehearsal/judge.ts
@@ -1,7 +1,10 @@
 import type { BackRecord, CallerRecord, EventRecord } from './records.js';
 
+/** A broken rule. */
 export interface Violation {
+  /** One of `RULES`. */
   readonly rule: string;
+  /** Which request, runner or order broke it, and how. */
   readonly text: string;
 }
 
@@ -11,16 +14,18 @@
   readonly text: string;
 }
 
+/** What the `Judge` evaluates; `at` of all records is on the same clock, ms. */
 export interface Evidence {
   readonly callers: readonly CallerRecord[];
   readonly backs: readonly BackRecord[];
   readonly events: readonly EventRecord[];
   /** The zone of each runner and back end. */
   readonly zones: ReadonlyMap<string, string>;
-  /** How late each type's returns may be, in milliseconds. */
+  /** The maximum latency of each type of request, ms. */
   readonly lateness: ReadonlyMap<string, number>;
 }
 
+/** The names of the rules that the `Judge` checks. */
 export const RULES = [
   'run-twice',
   'ran-though-turned-away',
@@ -39,26 +44,36 @@
   'held-back',
 ] as const;
 
+/** How long after its mark was learned a leaving runner may still get new work, ms. */
 const LEAVING_MS = 3000;
-/** The platform's list is asked for every half second: that long until we learn. */
+/** Maximum time until a mark is learned, as the platform's list is polled every half second; ms. */
 const LEARN_MS = 700;
-const EMPTY_MS = 5000;
+/** How long after the acknowledgment of its evacuation a zone may still get new work, ms. */
+const EVACUATED_MS = 5000;
+/** How long after the acknowledgment of a table a proxy may still use an older one, ms. */
 const TABLE_MS = 2000;
-const HAND_OVER_MS = 2900;
-/** A no may come after waiting, but not near the limit. */
-const HELD_SHARE = 0.5;
-/** Over the whole fleet, for one service. */
-const FEW_REPEATS = 6;
-const REPEATS_MS = 5000;
-/** Each proxy may have earned one that it has not spent yet. */
-const FEW_AT_ONCE = 12;
+/** Minimum time between the orders of two successive leaders, ms. */
+const LEADER_GAP_MS = 2900;
+/** A rejection may follow a wait in the queue, but only of this share of the latency limit. */
+const MAX_REJECTION_SHARE = 0.5;
+/** Retries allowed besides the retry budget, over the whole fleet for one service. */
+const EXTRA_RETRIES = 6;
+/** The window in which the budget must hold too, ms. */
+const RETRY_WINDOW_MS = 5000;
+/** Extra retries in one window: each proxy may have accrued one that it has not used. */
+const EXTRA_RETRIES_PER_WINDOW = 12;
+/** A back end that started at most this long ago is cold, ms. */
 const COLD_MS = 1000;
+/** Number of runs at a cold back end that breaks the rule. */
 const COLD_RUNS = 30;
 
-/** Knows nothing of the product but its promises: joins what callers, runners and the rehearsal recorded. */
+/**
+ * Checks the system's guarantees on the joined records of callers, back ends and the rehearsal, without knowledge of its
+ * implementation.
+ */
 export class Judge {
   readonly #evidence: Evidence;
-  readonly #found: Violation[] = [];
+  readonly #violations: Violation[] = [];
   readonly #runsById = new Map<string, BackRecord[]>();
 
   constructor(evidence: Evidence) {
@@ -69,126 +84,128 @@
     }
   }
 
+  /** Checks all rules and returns the violations. Call it once. */
   judge(): readonly Violation[] {
-    this.#callers();
-    this.#leaving();
-    this.#emptied();
-    this.#tables();
-    this.#orders();
-    this.#cold();
-    this.#planned();
-    return this.#found;
+    this.#checkCallers();
+    this.#checkLeavingRunners();
+    this.#checkEvacuatedZones();
+    this.#checkTables();
+    this.#checkOrders();
+    this.#checkColdBackends();
+    this.#checkPlannedStops();
+    return this.#violations;
   }
 
-  #find(rule: (typeof RULES)[number], text: string): void {
-    this.#found.push({ rule, text });
+  #addViolation(rule: (typeof RULES)[number], text: string): void {
+    this.#violations.push({ rule, text });
   }
 
-  #callers(): void {
-    const services = new Map<string, { repeats: number[]; sent: number[] }>();
+  #checkCallers(): void {
+    const services = new Map<string, { retries: number[]; sent: number[] }>();
     for (const caller of this.#evidence.callers) {
       const runs = this.#runsById.get(caller.id) ?? [];
       if (caller.once && runs.length > 1)
-        this.#find('run-twice', `${caller.id} (${caller.type}) ran ${runs.length} times`);
+        this.#addViolation('run-twice', `${caller.id} (${caller.type}) ran ${runs.length} times`);
       if (!caller.once) {
-        const service = services.get(caller.model) ?? { repeats: [], sent: [] };
+        const service = services.get(caller.model) ?? { retries: [], sent: [] };
         services.set(caller.model, service);
         service.sent.push(caller.sentAt);
-        for (const run of runs.slice(1)) service.repeats.push(run.at);
+        for (const run of runs.slice(1)) service.retries.push(run.at);
       }
       if (caller.outcome === 'turned-away' && runs.length > 0)
-        this.#find(
+        this.#addViolation(
           'ran-though-turned-away',
-          `${caller.id} was turned away with ${caller.status} and ran at ${runs[0]?.runner}`,
+          `${caller.id} was rejected with ${caller.status} and ran at ${runs[0]?.runner}`,
         );
       if (caller.isWhole && caller.fault !== '')
-        this.#find(
+        this.#addViolation(
           caller.fault.startsWith('stitched') ? 'stitched' : 'not-whole',
           `${caller.id}: ${caller.fault}`,
         );
       if (caller.isWhole && caller.status === 200 && !runs.some((back) => back.run === caller.run))
-        this.#find(
+        this.#addViolation(
           'not-whole',
-          `${caller.id}: its return is of run ${caller.run}, which is not its own`,
+          `${caller.id}: its response is of run ${caller.run}, which belongs to another request`,
         );
       if (caller.outcome === 'turned-away' && (caller.status === 503 || caller.status === 429)) {
         const late = this.#evidence.lateness.get(caller.type);
-        // A process that is frozen cannot say anything; it must once it is awake.
-        const isLate = late !== undefined && caller.endedAt - caller.sentAt > late * HELD_SHARE;
-        // The records are searched for the few that were late alone.
+        // A frozen process cannot respond; it must once it is resumed.
+        const isLate =
+          late !== undefined && caller.endedAt - caller.sentAt > late * MAX_REJECTION_SHARE;
+        // Searching the records is slow, so it is done only for late responses.
         if (
           isLate &&
-          !this.#wasFrozen(caller) &&
-          !this.#isNoneLate(caller) &&
-          !this.#wasHampered(caller)
+          !this.#wasProxyFrozen(caller) &&
+          !this.#wasRefusedLate(caller) &&
+          !this.#wasPathDisturbed(caller)
         )
-          this.#find(
+          this.#addViolation(
             'held-back',
-            `${caller.id} heard its no after ${caller.endedAt - caller.sentAt} of ${late} ms`,
+            `${caller.id} was rejected after ${caller.endedAt - caller.sentAt} of ${late} ms`,
           );
         if (caller.retryAfter <= 0)
-          this.#find(
-            'held-back',
-            `${caller.id} was turned away without a word on when to come back`,
-          );
+          this.#addViolation('held-back', `${caller.id} was rejected without a Retry-After header`);
       }
     }
-    for (const [service, { repeats, sent }] of services) {
-      if (repeats.length > sent.length / 5 + FEW_REPEATS)
-        this.#find('too-many-repeats', `${repeats.length} repeats of ${sent.length} at ${service}`);
-      // A quiet hour must not pay for a minute in which nothing but repeats arrives.
+    for (const [service, { retries, sent }] of services) {
+      if (retries.length > sent.length / 5 + EXTRA_RETRIES)
+        this.#addViolation(
+          'too-many-repeats',
+          `${retries.length} retries of ${sent.length} requests at ${service}`,
+        );
+      // Checked per window too: a long time with few retries must not make up for a burst of them.
       for (const at of sent) {
-        const [some, all] = [
-          countIn(repeats, at, at + REPEATS_MS),
-          countIn(sent, at, at + REPEATS_MS),
+        const [retryCount, sentCount] = [
+          countIn(retries, at, at + RETRY_WINDOW_MS),
+          countIn(sent, at, at + RETRY_WINDOW_MS),
         ];
-        if (some <= all / 5 + FEW_AT_ONCE) continue;
-        this.#find(
+        if (retryCount <= sentCount / 5 + EXTRA_RETRIES_PER_WINDOW) continue;
+        this.#addViolation(
           'too-many-repeats',
-          `${some} repeats of ${all} at ${service} within ${REPEATS_MS} ms`,
+          `${retryCount} retries of ${sentCount} requests at ${service} within ${RETRY_WINDOW_MS} ms`,
         );
         break;
       }
     }
   }
 
-  /** A runner may take its time to say that it has not begun; its word is passed on at once. */
-  #isNoneLate(caller: CallerRecord): boolean {
+  /** Whether a back end's response that it did not begin the run came less than a second before the rejection. */
+  #wasRefusedLate(caller: CallerRecord): boolean {
     for (const back of this.#evidence.backs)
       if (back.what === 'none' && back.id === caller.id && caller.endedAt - back.at < 1000)
         return true;
     return false;
   }
 
-  /** It was with a runner, and that runner stood still or was cut off meanwhile: what the proxy heard, it heard late. */
-  #wasHampered(caller: CallerRecord): boolean {
+  /** Whether the request's back end was frozen or cut off, or its proxy was, so that the proxy got the response late. */
+  #wasPathDisturbed(caller: CallerRecord): boolean {
     for (const back of this.#evidence.backs) {
       if ((back.what !== 'none' && back.what !== 'run') || back.id !== caller.id) continue;
       for (const event of this.#evidence.events) {
-        const isTheirs =
+        const isOnPath =
           (event.what === 'cut' && (event.node === back.runner || event.node === caller.flow)) ||
           (event.what === 'frozen' && event.node === back.runner);
-        if (isTheirs && event.at < caller.endedAt && event.at + (event.number ?? 0) > caller.sentAt)
+        if (isOnPath && event.at < caller.endedAt && event.at + (event.number ?? 0) > caller.sentAt)
           return true;
       }
     }
     return false;
   }
 
-  /** A proxy told to stop lets what it had begun end. */
-  #planned(): void {
+  /** Checks that requests in progress at a planned stop of their proxy were completed. */
+  #checkPlannedStops(): void {
     for (const event of this.#evidence.events) {
       if (event.what !== 'planned-stop') continue;
       for (const caller of this.#evidence.callers) {
-        const isBegun =
+        const wasInProgress =
           caller.flow === event.node && caller.sentAt < event.at - 100 && caller.endedAt > event.at;
         if (
-          isBegun &&
+          wasInProgress &&
           (caller.outcome === 'broken' || caller.outcome === 'unreached') &&
           !this.#evidence.backs.some((back) => back.what === 'fault' && back.id === caller.id) &&
-          !this.#wasHampered(caller)
+          !this.#wasPathDisturbed(caller)
         )
-          this.#find(
+          this.#addViolation(
             'cut-by-plan',
             `${caller.id} was ${caller.outcome} as ${caller.flow} was stopped`,
           );
@@ -196,7 +213,7 @@
     }
   }
 
-  #wasFrozen(caller: CallerRecord): boolean {
+  #wasProxyFrozen(caller: CallerRecord): boolean {
     for (const event of this.#evidence.events) {
       if (
         event.what === 'frozen' &&
@@ -209,7 +226,7 @@
     return false;
   }
 
-  /** Runs and fetches that a runner was given: all of it is new work. */
+  /** All new work that runners got: runs and orders to load. */
   #work(): readonly Work[] {
     const list: Work[] = [];
     for (const back of this.#evidence.backs) {
@@ -221,7 +238,7 @@
     return list;
   }
 
-  /** When the list that shows a mark was first read, by the platform's own record; else when it must have been. */
+  /** When a list with the mark was first read by the platform's record; without such records, the latest allowed time. */
   #learnedAt(mark: BackRecord): number | undefined {
     let isShownRecorded = false;
     for (const back of this.#evidence.backs) {
@@ -237,7 +254,7 @@
     return isShownRecorded ? undefined : mark.at + LEARN_MS;
   }
 
-  #leaving(): void {
+  #checkLeavingRunners(): void {
     const marks = new Map<string, { from: number; until: number }[]>();
     for (const back of this.#evidence.backs) {
       if (back.what !== 'mark' || back.id === undefined) continue;
@@ -245,15 +262,15 @@
       marks.set(back.id, list);
       const learned = back.leaving === true ? this.#learnedAt(back) : undefined;
       if (learned !== undefined) list.push({ from: learned + LEAVING_MS, until: Infinity });
-      // Marked twice, it is unmarked once.
+      // One removal ends all marks that were set before it.
       else if (back.leaving !== true)
         for (const span of list) span.until = Math.min(span.until, back.at);
     }
     for (const work of this.#work()) {
       for (const mark of marks.get(work.runner) ?? []) {
-        // What lay in a frozen runner's socket was given to it before.
-        if (work.at > mark.from && work.at < mark.until && !this.#wasAsleep(work))
-          this.#find(
+        // Requests queued in a frozen runner's socket were sent before they were recorded.
+        if (work.at > mark.from && work.at < mark.until && !this.#wasRunnerFrozen(work))
+          this.#addViolation(
             'leaving-got-work',
             `${work.runner} got ${work.text} ${Math.round(work.at - mark.from)} ms too late`,
           );
@@ -261,7 +278,7 @@
     }
   }
 
-  #wasAsleep(work: Work): boolean {
+  #wasRunnerFrozen(work: Work): boolean {
     for (const event of this.#evidence.events) {
       if (
         event.what === 'frozen' &&
@@ -274,11 +291,11 @@
     return false;
   }
 
-  #emptied(): void {
+  #checkEvacuatedZones(): void {
     const spans: { zone: string; from: number; until: number }[] = [];
     for (const event of this.#evidence.events) {
       if (event.what === 'zone-emptied')
-        spans.push({ zone: event.zone ?? '', from: event.at + EMPTY_MS, until: Infinity });
+        spans.push({ zone: event.zone ?? '', from: event.at + EVACUATED_MS, until: Infinity });
       if (event.what === 'zone-filling')
         for (const span of spans)
           if (span.zone === event.zone && span.until === Infinity) span.until = event.at;
@@ -290,20 +307,20 @@
           span.zone === zone &&
           work.at > span.from &&
           work.at < span.until &&
-          !this.#wasAsleep(work)
+          !this.#wasRunnerFrozen(work)
         )
-          this.#find('emptied-got-work', `${work.runner} in ${zone} got ${work.text}`);
+          this.#addViolation('emptied-got-work', `${work.runner} in ${zone} got ${work.text}`);
       }
     }
   }
 
-  #tables(): void {
+  #checkTables(): void {
     let newest = 0;
     for (const event of this.#evidence.events) {
       if (event.what === 'table-accepted') newest = Math.max(newest, event.number ?? 0);
-      // Newer than the newest accepted is an edit whose outcome nobody was told: it may stand.
+      // A newer table than the last accepted one is allowed: an edit with an unknown outcome may have taken effect.
       if (event.what === 'table-read' && (event.number ?? 0) < newest)
-        this.#find(
+        this.#addViolation(
           'lost-table',
           `table ${event.number} was read back after ${newest} was accepted`,
         );
@@ -316,28 +333,31 @@
           caller.sentAt > event.at + TABLE_MS &&
           caller.table < event.number
         ) {
-          this.#find(
+          this.#addViolation(
             'old-table',
-            `${caller.flow} gated ${caller.id} by table ${caller.table}, ${caller.sentAt - event.at} ms after ${event.number} was accepted`,
+            `${caller.flow} admitted ${caller.id} by table ${caller.table}, ${caller.sentAt - event.at} ms after ${event.number} was accepted`,
           );
         }
       }
     }
   }
 
-  #orders(): void {
+  #checkOrders(): void {
     let last: BackRecord | undefined;
     for (const back of this.#evidence.backs) {
       if (back.what === 'fetch' && back.over === true)
-        this.#find('over-store', `fetch of ${back.model} by ${back.runner} was one too many`);
+        this.#addViolation(
+          'over-store',
+          `fetch of ${back.model} by ${back.runner} exceeded the store's limit`,
+        );
       if (back.what !== 'order') continue;
       if (back.overRoom === true)
-        this.#find(
+        this.#addViolation(
           'over-room',
-          `${back.runner} was told to load ${back.model} ${back.adapter} by ${back.order}`,
+          `${back.runner} was ordered beyond its capacity to load ${back.model} ${back.adapter} by ${back.order}`,
         );
-      if (last && last.holder !== back.holder && back.at - last.at < HAND_OVER_MS) {
-        this.#find(
+      if (last && last.holder !== back.holder && back.at - last.at < LEADER_GAP_MS) {
+        this.#addViolation(
           'two-holders',
           `${last.holder} ordered ${last.runner} and ${back.holder} ordered ${back.runner} ${back.at - last.at} ms later`,
         );
@@ -346,21 +366,21 @@
     }
   }
 
-  #cold(): void {
+  #checkColdBackends(): void {
     const boots = new Map<string, number>();
-    const early = new Map<string, number>();
+    const earlyRuns = new Map<string, number>();
     for (const back of this.#evidence.backs) {
       const runner = back.runner ?? '';
       if (back.what === 'boot') {
         boots.set(runner, back.at);
-        early.set(runner, 0);
+        earlyRuns.set(runner, 0);
       }
       const boot = boots.get(runner);
       if (back.what !== 'run' || boot === undefined || back.at - boot > COLD_MS) continue;
-      const count = (early.get(runner) ?? 0) + 1;
-      early.set(runner, count);
+      const count = (earlyRuns.get(runner) ?? 0) + 1;
+      earlyRuns.set(runner, count);
       if (count === COLD_RUNS)
-        this.#find(
+        this.#addViolation(
           'cold-flooded',
           `${runner} got ${count} requests within ${back.at - boot} ms of its start`,
         );
