--- a/src/rehearsal/cuts.ts
+++ b/src/rehearsal/cuts.ts
@@ -1,34 +1,34 @@
 import { connect, createServer, type Server, type Socket } from 'node:net';
 import { bindServer, parseAddress } from '../common/listen.js';
 
-interface Pair {
+interface SocketPair {
   readonly near: Socket;
   readonly far: Socket;
 }
 
-interface Path {
+interface Relay {
   readonly from: string;
   readonly to: string;
   readonly server: Server;
   readonly address: string;
-  readonly pairs: Set<Pair>;
+  readonly pairs: Set<SocketPair>;
   isCut: boolean;
 }
 
 /**
- * Relays between nodes, one for each way that one dials another, so that links can be cut under real processes.
- * A cut link stays open and carries nothing, as a network does; healed, it brings what was held up.
+ * TCP relays between real processes, one for each direction in which one dials another, so that connections can be cut.
+ * As in a network partition, a cut connection stays open and carries no data; once healed, it delivers what was held back.
  */
 export class Cuts {
-  readonly #paths: Path[] = [];
+  readonly #relays: Relay[] = [];
 
-  /** Where `from` must dial to reach `to`. */
+  /** Starts a relay and returns the address that `from` must dial to reach `to`. */
   async path(from: string, to: string): Promise<string> {
-    const pairs = new Set<Pair>();
+    const pairs = new Set<SocketPair>();
     const server = createServer((near: Socket) => {
       const { host, port } = parseAddress(to);
       const far = connect({ host, port });
-      const pair: Pair = { near, far };
+      const pair: SocketPair = { near, far };
       pairs.add(pair);
       function end(): void {
         pairs.delete(pair);
@@ -46,26 +46,26 @@
       far.on('data', (chunk: Buffer) => {
         near.write(chunk);
       });
-      if (made.isCut) {
+      if (relay.isCut) {
         near.pause();
         far.pause();
       }
     });
     const address = `127.0.0.1:${await bindServer(server, '127.0.0.1:0')}`;
-    const made: Path = { from, to, server, address, pairs, isCut: false };
-    this.#paths.push(made);
+    const relay: Relay = { from, to, server, address, pairs, isCut: false };
+    this.#relays.push(relay);
     return address;
   }
 
-  /** Cuts or heals every path between the two groups, both ways. */
+  /** Cuts or heals every relay between the two groups, in both directions. */
   set(isCut: boolean, some: ReadonlySet<string>, others: ReadonlySet<string>): void {
-    for (const path of this.#paths) {
+    for (const relay of this.#relays) {
       const isBetween =
-        (some.has(path.from) && others.has(path.to)) ||
-        (others.has(path.from) && some.has(path.to));
+        (some.has(relay.from) && others.has(relay.to)) ||
+        (others.has(relay.from) && some.has(relay.to));
       if (!isBetween) continue;
-      path.isCut = isCut;
-      for (const { near, far } of path.pairs) {
+      relay.isCut = isCut;
+      for (const { near, far } of relay.pairs) {
         for (const socket of [near, far]) {
           if (isCut) socket.pause();
           else socket.resume();
@@ -74,13 +74,14 @@
     }
   }
 
+  /** Closes all relays and their connections. */
   close(): void {
-    for (const path of this.#paths) {
-      for (const { near, far } of path.pairs) {
+    for (const relay of this.#relays) {
+      for (const { near, far } of relay.pairs) {
         near.destroy();
         far.destroy();
       }
-      path.server.close();
+      relay.server.close();
     }
   }
 }
--- a/src/rehearsal/rehearsal.test.ts
+++ b/src/rehearsal/rehearsal.test.ts
@@ -8,8 +8,8 @@
 import { tmpdir } from 'node:os';
 import { join } from 'node:path';
 
-/** What no slow machine can upset; the rules with a span in them are judged on virtual time. */
-const TIMELESS = new Set<string>([
+/** Rules without a time limit, which a slow machine cannot break; those with one are checked on virtual time. */
+const RULES_WITHOUT_TIME = new Set<string>([
   'run-twice',
   'ran-though-turned-away',
   'not-whole',
@@ -19,41 +19,43 @@
   'lost-table',
   'cut-by-plan',
 ]);
-function isTimeless(violation: Violation): boolean {
-  return TIMELESS.has(violation.rule);
+function isWithoutTime(violation: Violation): boolean {
+  return RULES_WITHOUT_TIME.has(violation.rule);
 }
-function quiet(): void {
-  /* the test says it all */
+function discard(): void {
+  /* discards the progress lines */
 }
 function flowOf(edge: { readonly flow: string }): string {
   return edge.flow;
 }
-test('separate processes killed, frozen, wiped and restarted under streams break no rule', async () => {
+test('no rule is broken when real processes are killed, frozen, wiped and restarted under traffic', async () => {
   const root = mkdtempSync(join(tmpdir(), 'hamlet-'));
   const fleet = new FleetClass(HAMLET, root);
   try {
-    const rehearsal = new Rehearsal(fleet, quiet);
+    const rehearsal = new Rehearsal(fleet, discard);
     await rehearsal.begin();
     const callers = new CallersClass(fleet.edges.map(flowOf), 3);
     for (const kind of HAMLET.traffic) callers.begin(kind, 2);
-    const seen = { done: 0 };
+    const counts = { done: 0 };
     async function hasServed(): Promise<boolean> {
-      return callers.records.filter(isDone).length >= seen.done + 20;
+      return callers.records.filter(isDone).length >= counts.done + 20;
     }
-    async function served(what: string): Promise<void> {
-      seen.done = callers.records.filter(isDone).length;
+    async function awaitServed(what: string): Promise<void> {
+      counts.done = callers.records.filter(isDone).length;
       await fleet.until(`twenty calls served ${what}`, 60_000, hasServed);
     }
-    await served('at first');
+    await awaitServed('at first');
     await fleet.signal('runner-01', 'SIGKILL');
-    await served('with a runner killed');
+    await awaitServed('with a runner killed');
     fleet.run('runner-01');
     const killed = await rehearsal.leaderName();
     await fleet.signal(killed, 'SIGKILL');
     await rehearsal.backInService(60_000);
     fleet.run(killed);
-    await fleet.until('the killed leader counts again', 60_000, () => rehearsal.isSound(killed));
-    // A table accepted while a proxy is frozen: the yes waits until that one is surely blind.
+    await fleet.until('a sound replica at the killed leader', 60_000, () =>
+      rehearsal.isSound(killed),
+    );
+    // A table accepted while a proxy is frozen is acknowledged only once that proxy's freshness has expired.
     const frozenAt = Date.now();
     await fleet.signal('flow-1', 'SIGSTOP');
     expect(await rehearsal.setCell('check/receipt-*', 'weight', 71)).toBe(200);
@@ -63,19 +65,19 @@
       frozenAt,
     );
     await rehearsal.backInService(60_000);
-    // The disk of the node that gave a yes is lost right after it.
+    // The leader loses its disk right after it acknowledged an edit.
     const lost = await rehearsal.leaderName();
     expect(await rehearsal.setCell('check/receipt-*', 'weight', 72)).toBe(200);
     await fleet.signal(lost, 'SIGKILL');
     const controlNode = fleet.controlNodes.find((controlNode) => isNamed(lost, controlNode));
     if (controlNode) fleet.wipe(controlNode);
     fleet.run(lost);
-    await fleet.until('the node that lost its disk counts again', 60_000, () =>
+    await fleet.until('a sound replica at the node that lost its disk', 60_000, () =>
       rehearsal.isSound(lost),
     );
     await rehearsal.backInService(60_000);
-    await served('after all that');
-    // Every program is stopped as planned and started anew, one by one, with streams open.
+    await awaitServed('after these failures');
+    // Every process is restarted by a planned stop, one at a time, with open streams.
     for (const [index, edge] of fleet.edges.entries()) {
       rehearsal.note({ what: 'planned-stop', node: edge.flow });
       expect(await fleet.signal(`flow-${index}`, 'SIGTERM')).toBe(0);
@@ -89,10 +91,10 @@
       fleet.run(each.name);
       await rehearsal.backInService(60_000);
     }
-    await served('after every program was restarted');
+    await awaitServed('after every program was restarted');
     await callers.end();
     const violations = await rehearsal.violations(callers);
-    expect(violations.filter(isTimeless)).toEqual([]);
+    expect(violations.filter(isWithoutTime)).toEqual([]);
     expect(rehearsal.table).toBe(3);
   } finally {
     await fleet.stop();
--- a/src/rehearsal/rehearsal.ts
+++ b/src/rehearsal/rehearsal.ts
@@ -16,48 +16,56 @@
   repeats: optional(number()),
 });
 
+/** Options of one rehearsal. */
 export interface RehearsalPlan {
+  /** How long traffic is sent before the first failure, s. */
   readonly seconds: number;
+  /** Multiplies the traffic. */
   readonly factor: number;
+  /** Whether failures are caused. */
   readonly isFailing: boolean;
+  /** The name of the only step to run; empty for all steps. */
   readonly only: string;
 }
 
-/** One rehearsal of a fleet: founds it, gives it its table, sends traffic, and judges. */
+/** One rehearsal of a fleet of real processes: starts it, submits its table, sends traffic, and checks the rules. */
 export class Rehearsal {
   readonly #fleet: Fleet;
-  readonly #say: (line: string) => void;
+  readonly #log: (line: string) => void;
   readonly #events: EventRecord[] = [];
   #table = 0;
 
-  constructor(fleet: Fleet, say: (line: string) => void) {
+  constructor(fleet: Fleet, log: (line: string) => void) {
     this.#fleet = fleet;
-    this.#say = say;
+    this.#log = log;
   }
 
+  /** The recorded events, in the order in which they were noted. */
   get events(): readonly EventRecord[] {
     return this.#events;
   }
+  /** The number of the last accepted table. */
   get table(): number {
     return this.#table;
   }
 
+  /** Records an event. */
   note(event: Omit<EventRecord, 'at'>, at = Date.now()): void {
     this.#events.push({ at, ...event });
   }
 
-  /** From nothing to a fleet that serves its table. */
+  /** Starts the fleet and waits until it serves its table. Throws if a step takes too long. */
   async begin(): Promise<void> {
     const fleet = this.#fleet;
     const start = Date.now();
     await fleet.start();
-    await fleet.until('a leader that serves', 60_000, () => this.#isServing());
-    this.#say(`leader after ${Date.now() - start} ms`);
+    await fleet.until('a serving leader', 60_000, () => this.#isServing());
+    this.#log(`leader after ${Date.now() - start} ms`);
     await this.putTable(fleet.deployment.table);
-    this.#say(`table ${this.#table} accepted after ${Date.now() - start} ms`);
-    await fleet.until('every proxy fresh and on the table', 30_000, () => this.#areProxiesFresh());
+    this.#log(`table ${this.#table} accepted after ${Date.now() - start} ms`);
+    await fleet.until('every proxy fresh', 30_000, () => this.#areProxiesFresh());
     await fleet.until('the models placed', 60_000, () => this.#arePlaced());
-    this.#say(`placed after ${Date.now() - start} ms`);
+    this.#log(`placed after ${Date.now() - start} ms`);
   }
 
   async #isServing(): Promise<boolean> {
@@ -85,7 +93,7 @@
     return true;
   }
 
-  /** Every kind of traffic is served by somebody. */
+  /** Whether enough models have a replica: eight, or half of the catalog if that is fewer. */
   async #arePlaced(): Promise<boolean> {
     const { value } = await this.#fleet.operate('GET', '/status');
     const places = value['places'];
@@ -96,7 +104,7 @@
       !Array.isArray(places.places)
     )
       return false;
-    let seated = 0;
+    let placedCount = 0;
     for (const place of places.places) {
       const item: unknown = place;
       if (
@@ -106,11 +114,12 @@
         Array.isArray(item.seats) &&
         item.seats.length > 0
       )
-        seated += 1;
+        placedCount += 1;
     }
-    return seated >= Math.min(8, this.#fleet.deployment.catalog.models.length / 2);
+    return placedCount >= Math.min(8, this.#fleet.deployment.catalog.models.length / 2);
   }
 
+  /** Submits a table. Throws if it is not accepted. */
   async putTable(text: string): Promise<void> {
     const id = randomUUID();
     const base = Number(
@@ -123,6 +132,7 @@
     this.note({ what: 'table-accepted', number: this.#table });
   }
 
+  /** Sets one cell of the table and returns the HTTP status. */
   async setCell(row: string, column: string, value: string | number | boolean): Promise<number> {
     const returned = await this.#fleet.operateUntil(
       'PATCH',
@@ -137,6 +147,7 @@
     return returned.status;
   }
 
+  /** Evacuates a zone or restores it. Throws if that is rejected. */
   async emptyZone(zone: string, isEmpty: boolean): Promise<void> {
     if (!isEmpty) this.note({ what: 'zone-filling', zone });
     const returned = await this.#fleet.operateUntil(
@@ -149,23 +160,23 @@
     if (isEmpty) this.note({ what: 'zone-emptied', zone });
   }
 
-  /** Sends the traffic, and judges everything that was recorded. Says whether no rule was broken. */
+  /** Sends the traffic, causes failures if planned, and checks the rules. Returns whether all checks passed. */
   async run(callers: Callers, plan: RehearsalPlan): Promise<boolean> {
     for (const kind of this.#fleet.deployment.traffic) callers.begin(kind, plan.factor);
     await pause(plan.seconds * 500);
-    const half = await this.#flowCounters();
+    const halfway = await this.#proxyCounters();
     await pause(plan.seconds * 500);
-    const full = await this.#flowCounters();
-    this.#say(
-      `proxies at half time and at the end: memory ${half.memory} and ${full.memory} MB at most, runs ${half.runs} and ${full.runs}, repeats ${full.repeats}`,
+    const final = await this.#proxyCounters();
+    this.#log(
+      `proxies halfway and at the end: max memory ${halfway.memory} and ${final.memory} MB, runs ${halfway.runs} and ${final.runs}, retries ${final.repeats}`,
     );
-    const hasReturned = plan.isFailing ? await this.#troubles(callers, plan.only) : true;
+    const hasRecovered = plan.isFailing ? await this.#causeFailures(callers, plan.only) : true;
     await callers.end();
-    return (await this.judge(callers)) && hasReturned;
+    return (await this.judge(callers)) && hasRecovered;
   }
 
-  /** Sums over all proxies, and the most memory that one of them holds. */
-  async #flowCounters(): Promise<{
+  /** Sums of runs and retries over all proxies, and the maximum memory of one of them, MB. */
+  async #proxyCounters(): Promise<{
     readonly memory: number;
     readonly runs: number;
     readonly repeats: number;
@@ -183,6 +194,7 @@
     return { memory, runs, repeats };
   }
 
+  /** The name of the leader's process; of the first control node if the leader is unknown. */
   async leaderName(): Promise<string> {
     const { value } = await this.#fleet.operate('GET', '/status');
     for (const controlNode of this.#fleet.controlNodes)
@@ -190,7 +202,7 @@
     return this.#fleet.controlNodes[0]?.name ?? '';
   }
 
-  async #step(name: string, run: () => Promise<void>): Promise<void> {
+  async #runStep(name: string, run: () => Promise<void>): Promise<void> {
     const start = Date.now();
     try {
       await run();
@@ -199,72 +211,73 @@
         const { me, role, epoch, leader, standing, voters, scores, config } = (
           await this.#fleet.operate('GET', '/status', undefined, controlNode)
         ).value;
-        this.#say(JSON.stringify({ me, role, epoch, leader, standing, voters, scores, config }));
+        this.#log(JSON.stringify({ me, role, epoch, leader, standing, voters, scores, config }));
       }
       throw thrown;
     }
-    this.#say(`${name}: ${Date.now() - start} ms`);
+    this.#log(`${name}: ${Date.now() - start} ms`);
   }
 
+  /** Waits until a leader serves and every proxy is fresh. Throws after `limitMs`. */
   async backInService(limitMs: number): Promise<void> {
-    await this.#fleet.until('a leader that serves, and every proxy fresh', limitMs, () =>
-      this.#isBack(),
+    await this.#fleet.until('a serving leader and every proxy fresh', limitMs, () =>
+      this.#isServingAndFresh(),
     );
   }
 
-  async #isBack(): Promise<boolean> {
+  async #isServingAndFresh(): Promise<boolean> {
     return (await this.#isServing()) && (await this.#areProxiesFresh());
   }
 
-  /** The brief's failures on real processes, one after the other, and one more at the end; then service must return. */
-  async #troubles(callers: Callers, only: string): Promise<boolean> {
+  /** Runs the failure steps in sequence, with a further failure at the end. Returns whether service recovered. */
+  async #causeFailures(callers: Callers, only: string): Promise<boolean> {
     const fleet = this.#fleet;
     const [edge] = fleet.edges;
     const row = /^row (\S+) (\S+)/m.exec(fleet.deployment.table)?.slice(1).join('/') ?? '';
-    const say = this.#say;
+    const log = this.#log;
     const self = {
       setCell: (row: string, column: string, value: string | number | boolean) =>
         this.setCell(row, column, value),
-      back: (limitMs: number) => this.backInService(limitMs),
-      race: (row: string) => this.#race(row),
+      awaitService: (limitMs: number) => this.backInService(limitMs),
+      race: (row: string) => this.#raceEdits(row),
       leader: () => this.leaderName(),
       emptyZone: (zone: string, isEmpty: boolean) => this.emptyZone(zone, isEmpty),
       note: this.note.bind(this),
       table: () => this.#tableNumber(),
-      seatsOf: (runner: string) => this.#primariesAt(runner),
+      primariesAt: (runner: string) => this.#primariesAt(runner),
       isSound: (name: string) => this.isSound(name),
       isVoter: (fresh: string, old: string) => this.#isVoter(fresh, old),
     };
     const [runner, otherRunner] = fleet.deployment.runners;
     const zone = fleet.deployment.zones[0] ?? '';
-    async function cell(): Promise<void> {
+    async function setOneCell(): Promise<void> {
       await self.setCell(row, 'weight', 91);
     }
-    async function race(): Promise<void> {
-      say(`two operators racing: ${await self.race(row)}`);
+    async function raceOperators(): Promise<void> {
+      log(`statuses of two concurrent edits: ${await self.race(row)}`);
     }
     async function killLeader(): Promise<void> {
       const name = await self.leader();
       await fleet.signal(name, 'SIGKILL');
       await pause(1500);
       fleet.run(name);
-      await self.back(30_000);
+      await self.awaitService(30_000);
     }
     async function freezeLeader(): Promise<void> {
       const name = await self.leader();
       await fleet.signal(name, 'SIGSTOP');
       await pause(7000);
       await fleet.signal(name, 'SIGCONT');
-      await self.back(30_000);
+      await self.awaitService(30_000);
     }
     async function swapSeed(): Promise<void> {
-      // A machine of the core is gone for good; another comes, empty, at an address of its own.
+      // A control node is lost permanently and replaced by one with an empty disk and a new address.
       const old = fleet.controlNodes[2];
       if (!old) return;
       await fleet.signal(old.name, 'SIGKILL');
       const fresh = await fleet.addControlNode(old.zone);
       await fleet.until(
-        'the new control node holds everything',
+        'a sound replica at the new control node',
         20_000,
         self.isSound.bind(undefined, fresh.name),
       );
@@ -276,59 +289,59 @@
       );
       if (returned.status !== 200) throw new Error(`swap: ${JSON.stringify(returned)}`);
       await fleet.until(
-        'three voters, the new one among them',
+        'three voters including the new control node',
         20_000,
         self.isVoter.bind(undefined, fresh.listen, old.listen),
       );
-      await self.back(30_000);
+      await self.awaitService(30_000);
     }
     async function loseDisk(): Promise<void> {
-      // Right after a yes, the node that gave it loses its disk.
+      // The leader loses its disk right after it acknowledged an edit.
       const name = await self.leader();
       await self.setCell(row, 'weight', 92);
       await fleet.signal(name, 'SIGKILL');
       const controlNode = fleet.controlNodes.find((controlNode) => isNamed(name, controlNode));
       if (controlNode) fleet.wipe(controlNode);
       fleet.run(name);
-      await self.back(30_000);
-      // One disk at a time: with the next fault before this node counts again, nobody could be asked for what it lost.
+      await self.awaitService(30_000);
+      // One disk at a time: a further fault before this replica is sound could destroy the last copy of what it lost.
       await fleet.until(
-        'the node that lost its disk counts again',
+        'a sound replica at the node that lost its disk',
         30_000,
         self.isSound.bind(undefined, name),
       );
       const read = await fleet.operateUntil('GET', '/table', undefined, 20_000);
       self.note({ what: 'table-read', number: Number(read.value['number']) });
     }
-    async function leave(): Promise<void> {
+    async function markLeaving(): Promise<void> {
       if (!runner) return;
       await fleet.mark(runner.id, true);
       await pause(7000);
       await fleet.mark(runner.id, false);
     }
-    async function empty(): Promise<void> {
+    async function evacuateZone(): Promise<void> {
       await self.emptyZone(zone, true);
       await pause(8000);
       await self.emptyZone(zone, false);
     }
     async function killRunner(): Promise<void> {
       if (!otherRunner) return;
-      const seats = await self.seatsOf(otherRunner.id);
+      const models = await self.primariesAt(otherRunner.id);
       const start = Date.now();
       await fleet.signal(otherRunner.id, 'SIGKILL');
       await pause(3000);
       const counts = new Map<string, number>();
       for (const record of callers.records) {
-        if (record.sentAt < start || !seats.has(record.model)) continue;
+        if (record.sentAt < start || !models.has(record.model)) continue;
         counts.set(record.outcome, (counts.get(record.outcome) ?? 0) + 1);
       }
-      say(
-        `calls in the 3 s after, for models whose primary it was: ${JSON.stringify(Object.fromEntries(counts))}`,
+      log(
+        `requests in the 3 s after the kill, for models whose primary the runner was: ${JSON.stringify(Object.fromEntries(counts))}`,
       );
       fleet.run(otherRunner.id);
       await pause(3000);
     }
-    async function darkRunner(): Promise<void> {
+    async function freezeRunner(): Promise<void> {
       if (!runner) return;
       await fleet.signal(runner.id, 'SIGSTOP');
       await pause(4000);
@@ -338,7 +351,7 @@
     async function freezeProxy(): Promise<void> {
       const start = Date.now();
       await fleet.signal('flow-0', 'SIGSTOP');
-      // A table accepted while it sleeps must be in force there before it works again.
+      // A table accepted while the proxy is frozen must be in effect there before it serves again.
       await self.setCell(row, 'weight', 93);
       await pause(1000);
       await fleet.signal('flow-0', 'SIGCONT');
@@ -352,7 +365,7 @@
         if (code !== 0) throw new Error(`flow-${index} ended with ${code}`);
         fleet.run(`flow-${index}`);
       }
-      await self.back(30_000);
+      await self.awaitService(30_000);
     }
     async function restartControl(): Promise<void> {
       for (const index of fleet.edges.keys()) {
@@ -363,20 +376,20 @@
       for (const controlNode of fleet.controlNodes) {
         await fleet.signal(controlNode.name, 'SIGTERM');
         fleet.run(controlNode.name);
-        await self.back(30_000);
+        await self.awaitService(30_000);
       }
     }
-    async function lastFault(): Promise<void> {
+    async function failOnceMore(): Promise<void> {
       await fleet.signal('link-0', 'SIGKILL');
       await fleet.signal(await self.leader(), 'SIGKILL');
       fleet.run('link-0');
-      await self.back(30_000);
+      await self.awaitService(30_000);
       for (const controlNode of fleet.controlNodes) fleet.run(controlNode.name);
-      await self.back(30_000);
+      await self.awaitService(30_000);
       await pause(3000);
     }
-    async function crowd(): Promise<void> {
-      // Everybody at once, for models that are seldom asked for.
+    async function sendBurst(): Promise<void> {
+      // A burst of concurrent requests for models that rarely get requests.
       const kind = fleet.deployment.traffic[0];
       const rare = fleet.deployment.catalog.models.filter(isRare);
       if (!kind || !edge) return;
@@ -393,17 +406,17 @@
       rest.delete(controlNode.listen);
       fleet.cuts.set(true, new Set([controlNode.listen]), rest);
       await pause(6000);
-      // While it is cut off, the others go on; its operators are told nothing it cannot keep.
-      const held = await fleet.operate(
+      // The others continue without the leader that is cut off, which must not acknowledge an edit.
+      const reply = await fleet.operate(
         'PATCH',
         '/table/cell',
         { id: randomUUID(), base: self.table(), row, column: 'weight', value: 77 },
         controlNode,
       );
-      say(`an edit at the leader that is cut off: ${held.status}`);
+      log(`status of an edit at the leader that is cut off: ${reply.status}`);
       await self.setCell(row, 'weight', 94);
       fleet.cuts.set(false, new Set([controlNode.listen]), rest);
-      await self.back(30_000);
+      await self.awaitService(30_000);
     }
     async function cutEdge(): Promise<void> {
       if (!edge) return;
@@ -412,47 +425,49 @@
       await self.setCell(row, 'weight', 95);
       await pause(3000);
       fleet.cuts.set(false, new Set([edge.listen]), controlNodes);
-      await self.back(30_000);
+      await self.awaitService(30_000);
     }
     async function cutCore(): Promise<void> {
       const controlNodes = new Set(fleet.controlNodes.map(listenOf));
       const edges = new Set(fleet.edges.map(listenOf));
       fleet.cuts.set(true, edges, controlNodes);
-      // An edit cannot reach anybody; its yes waits until all are surely blind.
+      // The edit reaches no proxy; it is acknowledged once the freshness of all proxies has expired.
       await self.setCell(row, 'weight', 96);
       await pause(2000);
       fleet.cuts.set(false, edges, controlNodes);
-      await self.back(30_000);
+      await self.awaitService(30_000);
     }
     const steps: readonly (readonly [string, () => Promise<void>])[] = [
-      ['one cell', cell],
-      ['two operators', race],
+      ['one cell', setOneCell],
+      ['two operators', raceOperators],
       ['leader killed', killLeader],
       ['leader frozen and woken', freezeLeader],
       ['disk lost after a yes', loseDisk],
       ['leader cut off', cutLeader],
       ['edge cut off', cutEdge],
       ['whole core cut off', cutCore],
-      ['runner leaving', leave],
-      ['zone emptied', empty],
+      ['runner leaving', markLeaving],
+      ['zone emptied', evacuateZone],
       ['runner killed', killRunner],
-      ['runner dark', darkRunner],
+      ['runner dark', freezeRunner],
       ['proxy frozen and woken', freezeProxy],
-      ['crowd on rare models', crowd],
+      ['crowd on rare models', sendBurst],
       ['proxies restarted', restartProxies],
       ['links and control nodes restarted', restartControl],
       ['seed swapped', swapSeed],
-      ['one more fault', lastFault],
+      ['one more fault', failOnceMore],
     ];
-    for (const [name, run] of steps) if (only === '' || name === only) await this.#step(name, run);
+    for (const [name, run] of steps)
+      if (only === '' || name === only) await this.#runStep(name, run);
     const before = callers.records.length;
     await pause(5000);
-    const late = callers.records.slice(before);
-    const served = late.filter(isDone).length;
-    this.#say(`after the last fault: ${served} of ${late.length} calls served`);
-    return served >= late.length * 0.7;
+    const lateCalls = callers.records.slice(before);
+    const served = lateCalls.filter(isDone).length;
+    this.#log(`after the last failure: ${served} of ${lateCalls.length} requests served`);
+    return served >= lateCalls.length * 0.7;
   }
 
+  /** Whether a control node's replica is sound. */
   async isSound(name: string): Promise<boolean> {
     const controlNode = this.#fleet.controlNodes.find((controlNode) => isNamed(name, controlNode));
     return (
@@ -472,7 +487,7 @@
     );
   }
 
-  /** The models whose primary a runner is. */
+  /** The models of which a runner is the primary. */
   async #primariesAt(runner: string): Promise<ReadonlySet<string>> {
     const status = (await this.#fleet.operate('GET', '/status')).value;
     const models = new Set<string>();
@@ -487,8 +502,8 @@
     return this.#table;
   }
 
-  /** Two operators send a cell edit from the same base at the same moment; says how they fared. */
-  async #race(row: string): Promise<string> {
+  /** Sends two concurrent edits of a cell with the same base; returns their HTTP statuses. */
+  async #raceEdits(row: string): Promise<string> {
     const base = this.#table;
     const edits = [];
     for (const [index, controlNode] of this.#fleet.controlNodes.slice(0, 2).entries()) {
@@ -511,7 +526,7 @@
     return statuses.sort().join(' and ');
   }
 
-  /** Reads the table back, joins all records, and returns the rules that were broken. */
+  /** Reads the table back, evaluates all records, and returns the violations. */
   async violations(callers: Callers): Promise<readonly Violation[]> {
     const read = await this.#fleet.operateUntil('GET', '/table', undefined, 20_000);
     this.note({ what: 'table-read', number: Number(read.value['number']) });
@@ -519,7 +534,7 @@
     const lateness = new Map<string, number>();
     for (const row of compile(this.#fleet.deployment.table).table.rows)
       lateness.set(row.type, Math.max(row.lateMs, lateness.get(row.type) ?? 0));
-    this.#say(`judged ${callers.records.length} calls and ${backs.length} records`);
+    this.#log(`checked ${callers.records.length} requests and ${backs.length} back-end records`);
     return new Judge({
       callers: callers.records,
       backs,
@@ -529,31 +544,34 @@
     }).judge();
   }
 
+  /** Evaluates and prints the violations. Returns whether there are none and enough requests were served. */
   async judge(callers: Callers): Promise<boolean> {
     const violations = await this.violations(callers);
     const counts = new Map<string, number>();
     for (const rule of RULES) counts.set(rule, 0);
     for (const violation of violations)
       counts.set(violation.rule, (counts.get(violation.rule) ?? 0) + 1);
-    this.#say(`${violations.length} broken rules`);
-    for (const [rule, count] of counts) if (count > 0) this.#say(`  ${rule}: ${count}`);
+    this.#log(`${violations.length} violations`);
+    for (const [rule, count] of counts) if (count > 0) this.#log(`  ${rule}: ${count}`);
     for (const violation of violations.slice(0, 20))
-      this.#say(`  ${violation.rule}: ${violation.text}`);
+      this.#log(`  ${violation.rule}: ${violation.text}`);
     let done = 0;
     for (const record of callers.records) if (record.outcome === 'done') done += 1;
-    // A fleet that turns everything away breaks no rule, and is of no use.
+    // A fleet that rejects every request breaks no rule, so require that half of them were served.
     const isUseful = done >= callers.records.length * 0.5;
-    if (!isUseful) this.#say(`only ${done} of ${callers.records.length} calls were served`);
+    if (!isUseful) this.#log(`only ${done} of ${callers.records.length} requests were served`);
     return violations.length === 0 && isUseful;
   }
 }
 
+/** Whether a control node has this name. */
 export function isNamed(name: string, controlNode: { readonly name: string }): boolean {
   return controlNode.name === name;
 }
 function listenOf(place: { readonly listen: string }): string {
   return place.listen;
 }
+/** Whether a request was served completely. */
 export function isDone(record: { readonly outcome: string }): boolean {
   return record.outcome === 'done';
 }
