--- a/src/rehearsal/mutation.ts
+++ b/src/rehearsal/mutation.ts
@@ -7,37 +7,37 @@
   /** The rule of which a run must report a violation. */
   readonly rule: Rule;
   /** The kinds of faults to inject; empty if the defect shows without any. */
-  readonly troubles: readonly TroubleKind[];
+  readonly faultKinds: readonly TroubleKind[];
 }
 
 /** Builds with one defect each. If the simulator detects a defect on no seed, its passing runs prove nothing. */
 export const WRONGS = {
   'no-gap-between-holders': {
     rule: 'two-holders',
-    troubles: ['freeze-mind', 'isolate-mind', 'kill-mind'],
+    faultKinds: ['freeze-mind', 'isolate-mind', 'kill-mind'],
   },
-  'orders-untimed': { rule: 'two-holders', troubles: ['freeze-ordering', 'restart-runner'] },
-  'never-blind': { rule: 'old-table', troubles: ['isolate-link', 'freeze-flow', 'cut-link'] },
-  'acks-unasked': { rule: 'old-table', troubles: ['isolate-link', 'freeze-link', 'freeze-flow'] },
-  'marks-ignored': { rule: 'leaving-got-work', troubles: ['mark-runner'] },
-  'emptied-ignored': { rule: 'emptied-got-work', troubles: ['kill-link'] },
-  'versions-unchecked': { rule: 'slip', troubles: ['kill-link'] },
-  'yes-unsynced': { rule: 'lost-table', troubles: ['kill-mind', 'kill-core'] },
-  'unsure-as-no': { rule: 'turned-away-in-force', troubles: ['kill-mind', 'freeze-mind'] },
-  'room-forgotten': { rule: 'over-room', troubles: ['restart-runner'] },
-  'slots-forgotten': { rule: 'over-store', troubles: ['restart-runner'] },
-  'once-repeated': { rule: 'run-twice', troubles: ['moody-back', 'restart-runner'] },
+  'orders-untimed': { rule: 'two-holders', faultKinds: ['freeze-ordering', 'restart-runner'] },
+  'never-blind': { rule: 'old-table', faultKinds: ['isolate-link', 'freeze-flow', 'cut-link'] },
+  'acks-unasked': { rule: 'old-table', faultKinds: ['isolate-link', 'freeze-link', 'freeze-flow'] },
+  'marks-ignored': { rule: 'leaving-got-work', faultKinds: ['mark-runner'] },
+  'emptied-ignored': { rule: 'emptied-got-work', faultKinds: ['kill-link'] },
+  'versions-unchecked': { rule: 'slip', faultKinds: ['kill-link'] },
+  'yes-unsynced': { rule: 'lost-table', faultKinds: ['kill-mind', 'kill-core'] },
+  'unsure-as-no': { rule: 'turned-away-in-force', faultKinds: ['kill-mind', 'freeze-mind'] },
+  'room-forgotten': { rule: 'over-room', faultKinds: ['restart-runner'] },
+  'slots-forgotten': { rule: 'over-store', faultKinds: ['restart-runner'] },
+  'once-repeated': { rule: 'run-twice', faultKinds: ['moody-back', 'restart-runner'] },
   'unsure-run-as-no': {
     rule: 'ran-though-turned-away',
-    troubles: ['moody-back', 'restart-runner'],
+    faultKinds: ['moody-back', 'restart-runner'],
   },
-  'ends-made-up': { rule: 'not-whole', troubles: ['moody-back', 'restart-runner'] },
-  'unbounded-as-whole': { rule: 'not-whole', troubles: ['moody-back', 'restart-runner'] },
-  'streams-resumed': { rule: 'stitched', troubles: ['moody-back', 'restart-runner'] },
-  'no-budget': { rule: 'too-many-repeats', troubles: ['breaking-plain'] },
-  'no-ramp': { rule: 'cold-flooded', troubles: ['restart-back'] },
-  'drain-cuts': { rule: 'cut-by-plan', troubles: ['restart-flow'] },
-  'no-kept-back': { rule: 'held-back', troubles: ['mark-runner'] },
+  'ends-made-up': { rule: 'not-whole', faultKinds: ['moody-back', 'restart-runner'] },
+  'unbounded-as-whole': { rule: 'not-whole', faultKinds: ['moody-back', 'restart-runner'] },
+  'streams-resumed': { rule: 'stitched', faultKinds: ['moody-back', 'restart-runner'] },
+  'no-budget': { rule: 'too-many-repeats', faultKinds: ['breaking-plain'] },
+  'no-ramp': { rule: 'cold-flooded', faultKinds: ['restart-back'] },
+  'drain-cuts': { rule: 'cut-by-plan', faultKinds: ['restart-flow'] },
+  'no-kept-back': { rule: 'held-back', faultKinds: ['mark-runner'] },
 } as const satisfies Record<string, Mutation>;
 
 /** The name of a mutation. */
--- a/src/rehearsal/sim-control.ts
+++ b/src/rehearsal/sim-control.ts
@@ -24,7 +24,7 @@
   readonly #seeded: Seeded;
   readonly #seeds: readonly string[];
   readonly #vote: VoteSettings;
-  readonly #wrong: MutationKind | '';
+  readonly #mutation: MutationKind | '';
   readonly #store = new MemoryStore();
   readonly #replies = new Map<number, Returned>();
   #core: ControlCore | undefined;
@@ -43,11 +43,11 @@
     outside: SimOutside,
     seeds: readonly string[],
     vote: VoteSettings,
-    wrong: MutationKind | '',
+    mutation: MutationKind | '',
   ) {
     super(id, scheduler, seeded.between(0, 1e6), 25);
     this.#vote = vote;
-    this.#wrong = wrong;
+    this.#mutation = mutation;
     this.#seeded = seeded;
     this.#network = network;
     this.#trace = new NodeTrace(id, scheduler, network.trace);
@@ -117,7 +117,7 @@
   }
 
   #tickCore(core: ControlCore): void {
-    if (this.#wrong === 'acks-unasked') {
+    if (this.#mutation === 'acks-unasked') {
       const members = [];
       for (const id of this.#network.linkIds)
         members.push({ id, zone: '', address: id, epoch: 1e9, count: 0 });
@@ -206,7 +206,7 @@
       case 'askCatalog': {
         this.#trace.record('catalog', []);
         const outside = this.#outside;
-        const extra = this.#wrong === 'slots-forgotten' ? 3 : 0;
+        const extra = this.#mutation === 'slots-forgotten' ? 3 : 0;
         function take(inner: ControlCore): void {
           inner.onCatalog(now(), {
             ...outside.orders.catalog,
@@ -236,7 +236,7 @@
     const delay = this.#network.delay();
     const later = (millis: number, run: () => void) => this.later(millis, run);
     const isCut = () => this.#network.isCut(this.id, runner);
-    const extra = this.#wrong === 'room-forgotten' ? 30 : 0;
+    const extra = this.#mutation === 'room-forgotten' ? 30 : 0;
     // The runner takes its report when the request arrives; the report then travels back.
     this.scheduler.after(delay, () => {
       const actual = isCut() ? undefined : outside.report(runner);
@@ -266,7 +266,7 @@
       inner.onOrderOutcome(now(), intent.id, outcome);
     }
     const epoch = core.elector.epoch;
-    const wrong = this.#wrong;
+    const mutation = this.#mutation;
     let continuedAt = 0;
     const freezeBeforeWrite = () => this.#freezeBeforeOrder();
     function write(inner: ControlCore): void {
@@ -287,7 +287,7 @@
       scheduler.after(network.delay(), arrive);
     }
     function arrive(): void {
-      const acceptedFrom = wrong === 'orders-untimed' ? scheduler.now : continuedAt;
+      const acceptedFrom = mutation === 'orders-untimed' ? scheduler.now : continuedAt;
       const outcome = outside.orders.order({
         holder: me,
         epoch,
@@ -314,7 +314,7 @@
     }
     const perform = () => this.perform(() => this.#handle(stored));
     const delayWrite =
-      this.#wrong === 'yes-unsynced' ? (run: () => void) => this.later(3000, run) : undefined;
+      this.#mutation === 'yes-unsynced' ? (run: () => void) => this.later(3000, run) : undefined;
     this.#trace.write(partition, version, body);
     function persist(): void {
       store.persist(partition, version, body);
--- a/src/rehearsal/sim-proxy.ts
+++ b/src/rehearsal/sim-proxy.ts
@@ -36,7 +36,7 @@
   readonly #outside: SimOutside;
   readonly #onWrite: (runner: string) => void;
   readonly #clients: SimClients;
-  readonly #wrong: MutationKind | '';
+  readonly #mutation: MutationKind | '';
   readonly #connections: ProxyConnections;
   #decision: PolicyRouter | undefined;
   #inFlightRequests: InFlightRequests | undefined;
@@ -56,7 +56,7 @@
     agent: SimAgent,
     records: CallerRecord[],
     onWrite: (runner: string) => void,
-    wrong: MutationKind | '',
+    mutation: MutationKind | '',
   ) {
     super(id, scheduler, seeded.between(0, 1e6), 25);
     this.#seeded = seeded;
@@ -65,11 +65,11 @@
     this.#outside = outside;
     this.#onWrite = onWrite;
     this.#agent = agent;
-    this.#wrong = wrong;
+    this.#mutation = mutation;
     this.#clients = new SimClients(id, scheduler, records, this.#trace);
     this.#connections = new ProxyConnections({
       clients: this.#clients,
-      wrong,
+      wrong: mutation,
       inFlightRequests: () => this.#currentRequests(),
       now: () => this.now(),
       perform: (run) => this.perform(run),
@@ -103,9 +103,9 @@
   }
 
   protected boot(): void {
-    const isNeverStale = this.#wrong === 'never-blind';
-    const retries = this.#wrong === 'no-budget' ? { retryShare: 1, extraRetries: 1000 } : {};
-    const slowStart = this.#wrong === 'no-ramp' ? { slowStartMs: 1 } : {};
+    const isNeverStale = this.#mutation === 'never-blind';
+    const retries = this.#mutation === 'no-budget' ? { retryShare: 1, extraRetries: 1000 } : {};
+    const slowStart = this.#mutation === 'no-ramp' ? { slowStartMs: 1 } : {};
     this.#decision = new PolicyRouter({
       ...POLICY_ROUTER_DEFAULTS,
       ...retries,
@@ -145,7 +145,7 @@
       node.inFlightRequests?.startDraining(node.now());
       node.obey();
     });
-    const end = this.scheduler.now + (this.#wrong === 'drain-cuts' ? 50 : DRAIN_TIMEOUT_MS);
+    const end = this.scheduler.now + (this.#mutation === 'drain-cuts' ? 50 : DRAIN_TIMEOUT_MS);
     this.#awaitIdle(end, done);
   }
 
@@ -315,7 +315,7 @@
 
   #respondError(client: SimClient, step: Extract<ForwardStep, { do: 'respondError' }>): void {
     const table = this.#decision?.tableNumber ?? -1;
-    const isUnsureMutation = this.#wrong === 'unsure-run-as-no' && step.kind === 'unsure-run';
+    const isUnsureMutation = this.#mutation === 'unsure-run-as-no' && step.kind === 'unsure-run';
     const respond = this.#clients.told.bind(
       this.#clients,
       client,
@@ -323,12 +323,12 @@
       step.retryMs,
       table,
     );
-    if (this.#wrong === 'no-kept-back') this.later(LATE_MS.check * 0.9, respond);
+    if (this.#mutation === 'no-kept-back') this.later(LATE_MS.check * 0.9, respond);
     else respond();
   }
 
   #abort(client: SimClient): void {
-    if (this.#wrong !== 'streams-resumed') {
+    if (this.#mutation !== 'streams-resumed') {
       this.#clients.broken(client);
       return;
     }
@@ -361,7 +361,7 @@
       decision.onFreshnessConfirmed(
         message.nonce,
         message,
-        this.#wrong === 'marks-ignored' ? 0 : message.marks,
+        this.#mutation === 'marks-ignored' ? 0 : message.marks,
       );
     }
     this.#inFlightRequests?.applyVerdicts(this.now());
@@ -369,12 +369,12 @@
   }
 
   #onTopicUpdate(decision: PolicyRouter, topic: string, version: Version, body: string): void {
-    if (this.#wrong === 'marks-ignored' && topic === 'machines') return;
+    if (this.#mutation === 'marks-ignored' && topic === 'machines') return;
     if (topic !== 'config') {
       decision.onUpdate(this.now(), topic, version, body);
       return;
     }
-    if (this.#wrong === 'versions-unchecked') {
+    if (this.#mutation === 'versions-unchecked') {
       // The mutated proxy accepts any version, and some updates are replaced by an old configuration.
       this.#firstConfig ??= body;
       const isOld =
@@ -383,9 +383,9 @@
       return;
     }
     let mutatedBody = body;
-    if (this.#wrong === 'emptied-ignored')
+    if (this.#mutation === 'emptied-ignored')
       mutatedBody = body.replace(/"emptied":\[[^\]]*\]/, '"emptied":[]');
-    if (this.#wrong === 'once-repeated')
+    if (this.#mutation === 'once-repeated')
       mutatedBody = body.replaceAll('"repeatable":false', '"repeatable":true');
     decision.onUpdate(this.now(), topic, version, mutatedBody);
   }
--- a/src/rehearsal/storm-command.ts
+++ b/src/rehearsal/storm-command.ts
@@ -45,28 +45,29 @@
     }),
   };
 
-  #printConditionTable(met: ReadonlyMap<string, number>): void {
+  #printConditionTable(counts: ReadonlyMap<string, number>): void {
     this.log(`| fault | count | ${CONDITIONS.join(' | ')} |`);
     this.log(`| --- | --- | ${CONDITIONS.map(separatorCell).join(' | ')} |`);
     for (const kind of TROUBLES) {
-      const cells = [kind, String(met.get(`${kind}|times`) ?? 0)];
-      for (const condition of CONDITIONS) cells.push(String(met.get(`${kind}|${condition}`) ?? 0));
+      const cells = [kind, String(counts.get(`${kind}|times`) ?? 0)];
+      for (const condition of CONDITIONS)
+        cells.push(String(counts.get(`${kind}|${condition}`) ?? 0));
       this.log(`| ${cells.join(' | ')} |`);
     }
   }
 
   async run(): Promise<void> {
     const { flags } = await this.parse(StormCommand);
-    const troubles = (flags.trouble ?? [...TROUBLES]).filter(isFaultKind);
+    const kinds = (flags.trouble ?? [...TROUBLES]).filter(isFaultKind);
     const leaderlessMs: number[] = [];
     let failed = 0;
-    const met = new Map<string, number>();
+    const conditionCounts = new Map<string, number>();
     const calls = new Map<string, number>();
     let [accepted, refused, unsure, orders, messages, runs] = [0, 0, 0, 0, 0, 0];
     const trace = flags.trace ? this.log.bind(this) : undefined;
     for (let seed = flags.from; seed < flags.from + flags.seeds; seed += 1) {
       const result = new Simulation(
-        { seed, edges: flags.edges, stormMs: flags.seconds * 1000, troubles },
+        { seed, edges: flags.edges, stormMs: flags.seconds * 1000, troubles: kinds },
         trace,
       ).run();
       leaderlessMs.push(...result.leaderlessMs);
@@ -76,7 +77,8 @@
       orders += result.orders;
       messages += result.messages;
       runs += result.runs;
-      for (const [key, count] of result.met) met.set(key, (met.get(key) ?? 0) + count);
+      for (const [key, count] of result.met)
+        conditionCounts.set(key, (conditionCounts.get(key) ?? 0) + count);
       for (const [key, count] of Object.entries(result.calls))
         calls.set(key, (calls.get(key) ?? 0) + count);
       if (result.violations.length === 0) continue;
@@ -98,7 +100,7 @@
       `time without a leader, ms: ${leaderlessMs.length} periods, median ${quantile(0.5)}, 90% ${quantile(0.9)}, 99% ${quantile(0.99)}, max ${quantile(1)}`,
     );
     this.log(`calls: ${[...calls].map(pairText).join(', ')}`);
-    if (flags.met) this.#printConditionTable(met);
+    if (flags.met) this.#printConditionTable(conditionCounts);
     this.exit(failed === 0 ? 0 : 1);
   }
 }
--- a/src/rehearsal/storms.ts
+++ b/src/rehearsal/storms.ts
@@ -15,7 +15,7 @@
 export async function storm(
   from: number,
   count: number,
-  troubles: readonly TroubleKind[],
+  kinds: readonly TroubleKind[],
 ): Promise<string[]> {
   const violations: string[] = [];
   for (let seed = from; seed < from + count; seed += 1) {
@@ -23,7 +23,7 @@
       seed,
       edges: PROXIES,
       stormMs: FAULT_PERIOD_MS,
-      troubles,
+      troubles: kinds,
     }).run();
     for (const violation of result.violations) violations.push(`seed ${seed}: ${violation}`);
     // A seed takes a second of CPU time: yield to the event loop so that the test runner stays responsive.
@@ -37,14 +37,14 @@
  * same seeds. Returns an empty list if both behave as expected; otherwise the violation of the correct build, or the
  * mutation that no seed detected.
  */
-export async function bite(wrong: MutationKind, maxSeeds = MAX_SEEDS): Promise<string[]> {
-  const { rule, troubles } = WRONGS[wrong];
+export async function bite(mutationKind: MutationKind, maxSeeds = MAX_SEEDS): Promise<string[]> {
+  const { rule, faultKinds: kinds } = WRONGS[mutationKind];
   for (let seed = 1; seed <= maxSeeds; seed += 1) {
     const correct = new Simulation({
       seed,
       edges: PROXIES,
       stormMs: MUTATION_FAULT_PERIOD_MS,
-      troubles,
+      troubles: kinds,
     }).run();
     // Yield before each return as well: consecutive checks would otherwise block the event loop for minutes.
     await setImmediate();
@@ -54,11 +54,11 @@
       seed,
       edges: PROXIES,
       stormMs: MUTATION_FAULT_PERIOD_MS,
-      troubles,
-      wrong,
+      troubles: kinds,
+      wrong: mutationKind,
     }).run();
     await setImmediate();
     if (violations.some((violation) => violation.startsWith(`${rule}:`))) return [];
   }
-  return [`${wrong}: no ${rule} violation in ${maxSeeds} seeds`];
+  return [`${mutationKind}: no ${rule} violation in ${maxSeeds} seeds`];
 }
