--- a/src/rehearsal/simulation.ts
+++ b/src/rehearsal/simulation.ts
@@ -266,7 +266,7 @@
     this.#scheduler.at(FIRST_CHECK_MS, () => this.#checkPeriodically());
     this.#scheduler.runUntil(FAULT_FREE_MS);
     const serveMs = this.#findLeader() ? this.#scheduler.now : -1;
-    if (serveMs < 0) this.#findings.find('no leader serves after a quiet start');
+    if (serveMs < 0) this.#findings.find('no leader serves after the fault-free start');
     this.found();
     this.#isInjectingFaults = true;
     this.#operators.begin();
@@ -373,7 +373,7 @@
   #restoreZones(): void {
     const leader = this.#findLeader();
     if (leader) this.#operators.restoreAll(leader);
-    else this.#findings.find('no leader within 10 s of healing');
+    else this.#findings.find('no leader within 10 s after all faults were healed');
   }
 }
 
