--- a/src/rehearsal/back-end-troubles.ts
+++ b/src/rehearsal/back-end-faults.ts
@@ -1,5 +1,5 @@
-import type { EdgeTroubles } from './edge-troubles.js';
-import { MOODS, type Mood } from './sim-backend.js';
+import type { EdgeFaults } from './edge-faults.js';
+import { MISBEHAVIORS, type Behavior } from './sim-backend.js';
 import {
   idOf,
   PLAIN_BACK_ENDS,
@@ -10,7 +10,7 @@
 } from './simulated-fleet.js';
 
 /** The kinds of faults of runners and plain back ends. */
-export const BACK_END_TROUBLES = [
+export const BACK_END_FAULTS = [
   'restart-runner',
   'vanish-runner',
   'dark-runner',
@@ -23,7 +23,7 @@
   'mark-dark-runner',
   'replace-runner',
 ] as const;
-type BackEndTroubleKind = (typeof BACK_END_TROUBLES)[number];
+type BackEndFaultKind = (typeof BACK_END_FAULTS)[number];
 
 /** How much longer than a cut its effects may last, ms. */
 const CUT_SLACK_MS = 100;
@@ -37,19 +37,19 @@
 const RESTART_DELAY_MS = 200;
 
 /** Injects faults of runners and plain back ends. */
-export class BackEndTroubles {
+export class BackEndFaults {
   readonly #stage: SimulatedFleet;
   readonly #actions: FaultActions;
-  readonly #edge: EdgeTroubles;
+  readonly #edge: EdgeFaults;
 
-  constructor(stage: SimulatedFleet, hands: FaultActions, edge: EdgeTroubles) {
+  constructor(stage: SimulatedFleet, hands: FaultActions, edge: EdgeFaults) {
     this.#stage = stage;
     this.#actions = hands;
     this.#edge = edge;
   }
 
   /** Injects one fault of a kind. */
-  bringAbout(kind: BackEndTroubleKind, strike: FaultTargets): void {
+  inject(kind: BackEndFaultKind, strike: FaultTargets): void {
     const { runner, plain, backEnd, spanMs } = strike;
     const { scheduler, outside, seeded } = this.#stage;
     switch (kind) {
@@ -57,15 +57,15 @@
         outside.restart(runner);
         break;
       case 'vanish-runner':
-        outside.down(runner, true);
-        scheduler.after(spanMs, () => outside.up(runner));
+        outside.kill(runner, true);
+        scheduler.after(spanMs, () => outside.start(runner));
         break;
       case 'dark-runner':
       case 'dark-back':
         this.#freeze(kind === 'dark-runner' ? runner : plain, spanMs);
         break;
       case 'moody-back':
-        this.#setMood(backEnd, seeded.pick(MOODS) ?? 'sound', spanMs);
+        this.#setMood(backEnd, seeded.pick(MISBEHAVIORS) ?? 'sound', spanMs);
         break;
       case 'breaking-plain':
         for (const id of PLAIN_BACK_ENDS) this.#setMood(id, 'breaks', spanMs);
@@ -92,10 +92,10 @@
   /** Ends all faults of back ends and removes all leaving marks. */
   healAll(): void {
     const { outside, scheduler } = this.#stage;
-    for (const back of outside.backs()) {
-      back.mood = 'sound';
-      outside.setDark(back.id, false);
-      scheduler.after(RESTART_DELAY_MS, () => outside.up(back.id));
+    for (const back of outside.backends()) {
+      back.behavior = 'sound';
+      outside.setFrozen(back.id, false);
+      scheduler.after(RESTART_DELAY_MS, () => outside.start(back.id));
     }
     for (const id of [...RUNNERS, ...PLAIN_BACK_ENDS]) outside.platform.mark(id, false);
   }
@@ -104,30 +104,30 @@
   #restartPlain(plain: string): void {
     const { scheduler, outside, seeded } = this.#stage;
     const spanMs = seeded.between(100, 1500);
-    outside.down(plain, false);
-    scheduler.after(spanMs, () => outside.up(plain));
-    scheduler.after(spanMs + seeded.between(0, 600), () => this.#edge.crowd(BURST_SIZE));
+    outside.kill(plain, false);
+    scheduler.after(spanMs, () => outside.start(plain));
+    scheduler.after(spanMs + seeded.between(0, 600), () => this.#edge.sendBurst(BURST_SIZE));
   }
 
   #cutOff(backEnd: string, spanMs: number): void {
     const { agents, seeded, findings } = this.#stage;
     this.#actions.cut(agents.map(idOf), [backEnd], seeded.isLikely(0.5), spanMs);
-    findings.note({ what: 'cut', node: backEnd, number: spanMs + CUT_SLACK_MS });
+    findings.addEvent({ what: 'cut', node: backEnd, number: spanMs + CUT_SLACK_MS });
   }
 
   #freeze(id: string, spanMs: number): void {
     const { scheduler, outside, findings } = this.#stage;
-    outside.setDark(id, true);
-    findings.note({ what: 'frozen', node: id, number: spanMs });
-    scheduler.after(spanMs, () => outside.setDark(id, false));
+    outside.setFrozen(id, true);
+    findings.addEvent({ what: 'frozen', node: id, number: spanMs });
+    scheduler.after(spanMs, () => outside.setFrozen(id, false));
   }
 
-  #setMood(id: string, mood: Mood, spanMs: number): void {
-    const back = this.#stage.outside.back(id);
+  #setMood(id: string, mood: Behavior, spanMs: number): void {
+    const back = this.#stage.outside.backend(id);
     if (!back) return;
-    back.mood = mood;
+    back.behavior = mood;
     this.#stage.scheduler.after(spanMs, () => {
-      if (back) back.mood = 'sound';
+      if (back) back.behavior = 'sound';
     });
   }
 
--- a/src/rehearsal/caller-traffic.ts
+++ b/src/rehearsal/caller-traffic.ts
@@ -1,6 +1,6 @@
 import type { Scheduler } from './scheduler.js';
 import type { SeededRandom } from './seeded-random.js';
-import type { Traffic } from './sim-clients.js';
+import type { CallerRequest } from './sim-clients.js';
 
 const MODEL_COUNT = 8;
 /** Interval at which the busiest model changes, ms. */
@@ -11,7 +11,7 @@
 const MAX_TOKENS = 12;
 
 /** Returns a request for a plain back end. */
-export function lookupTraffic(): Traffic {
+export function lookupTraffic(): CallerRequest {
   return {
     type: 'lookup',
     method: 'GET',
@@ -24,7 +24,7 @@
 }
 
 /** Draws a caller's next request; the popular models change with time, so that the placement has to follow. */
-export function drawTraffic(scheduler: Scheduler, seeded: SeededRandom): Traffic {
+export function drawTraffic(scheduler: Scheduler, seeded: SeededRandom): CallerRequest {
   if (seeded.isLikely(LOOKUP_PROBABILITY)) return lookupTraffic();
   const shift = Math.floor(scheduler.now / SHIFT_MS);
   const model = `m-${(shift + Math.floor(3 * seeded.next() ** 2)) % MODEL_COUNT}`;
--- a/src/rehearsal/control-troubles.ts
+++ b/src/rehearsal/control-faults.ts
@@ -8,7 +8,7 @@
 } from './simulated-fleet.js';
 
 /** The kinds of faults of control nodes. */
-export const CONTROL_TROUBLES = [
+export const CONTROL_FAULTS = [
   'kill-mind',
   'kill-core',
   'retire-mind',
@@ -23,7 +23,7 @@
   'isolate-mind',
   'isolate-core',
 ] as const;
-type ControlTroubleKind = (typeof CONTROL_TROUBLES)[number];
+type ControlFaultKind = (typeof CONTROL_FAULTS)[number];
 
 /** Upper bounds of the random duration of a disk write, ms. */
 const SLOW_DISK_MS = 400;
@@ -32,7 +32,7 @@
 const RETIRE_MS = 60;
 
 /** Injects faults of control nodes: crashes, freezes, disk faults and network partitions. */
-export class ControlTroubles {
+export class ControlFaults {
   readonly #stage: SimulatedFleet;
   readonly #actions: FaultActions;
 
@@ -42,7 +42,7 @@
   }
 
   /** Injects one fault of a kind. */
-  bringAbout(kind: ControlTroubleKind, strike: FaultTargets): void {
+  inject(kind: ControlFaultKind, strike: FaultTargets): void {
     const { controlNode, otherControlNode, spanMs } = strike;
     const { scheduler, agents, controlNodes } = this.#stage;
     switch (kind) {
@@ -59,7 +59,7 @@
         break;
       case 'freeze-mind':
         controlNode.freeze();
-        scheduler.after(spanMs, () => controlNode.wake());
+        scheduler.after(spanMs, () => controlNode.resume());
         break;
       case 'freeze-ordering':
         this.#freezeAtNextOrder();
@@ -70,10 +70,10 @@
         break;
       case 'stall-disk':
         controlNode.isDiskStalled = true;
-        scheduler.after(spanMs, () => controlNode.unstall());
+        scheduler.after(spanMs, () => controlNode.resumeDisk());
         break;
       case 'slow-disk':
-        controlNode.diskMs = SLOW_DISK_MS;
+        controlNode.maxDiskDelayMs = SLOW_DISK_MS;
         scheduler.after(spanMs, () => restoreDiskSpeed(controlNode));
         break;
       case 'cut-minds':
@@ -93,7 +93,7 @@
   healAll(): void {
     for (const controlNode of this.#stage.controlNodes) {
       controlNode.freezeAtOrderMs = 0;
-      controlNode.unstall();
+      controlNode.resumeDisk();
       restoreDiskSpeed(controlNode);
     }
   }
@@ -116,8 +116,11 @@
   #damageDisk(controlNode: SimControl, kind: 'wipe-mind' | 'rot-file', spanMs: number): void {
     if (!this.#stage.controlNodes.every(isIntact)) return;
     this.#actions.kill(controlNode);
-    if (kind === 'wipe-mind') controlNode.wipe();
-    else controlNode.rot(this.#stage.seeded.pick([VOTE_RECORD, ...allPartitions()]) ?? VOTE_RECORD);
+    if (kind === 'wipe-mind') controlNode.eraseDisk();
+    else
+      controlNode.corruptDisk(
+        this.#stage.seeded.pick([VOTE_RECORD, ...allPartitions()]) ?? VOTE_RECORD,
+      );
     this.#stage.scheduler.after(spanMs, () => controlNode.start());
   }
 }
@@ -129,5 +132,5 @@
 }
 
 function restoreDiskSpeed(controlNode: SimControl): void {
-  controlNode.diskMs = NORMAL_DISK_MS;
+  controlNode.maxDiskDelayMs = NORMAL_DISK_MS;
 }
--- a/src/rehearsal/edge-troubles.ts
+++ b/src/rehearsal/edge-faults.ts
@@ -5,7 +5,7 @@
 import type { SimulatedFleet, FaultActions, FaultTargets } from './simulated-fleet.js';
 
 /** The kinds of faults of agents, proxies and the network as a whole. */
-export const EDGE_TROUBLES = [
+export const EDGE_FAULTS = [
   'isolate-link',
   'cut-link',
   'kill-link',
@@ -17,7 +17,7 @@
   'delay',
   'crowd',
 ] as const;
-type EdgeTroubleKind = (typeof EDGE_TROUBLES)[number];
+type EdgeFaultKind = (typeof EDGE_FAULTS)[number];
 
 /** How much longer than a cut its effects may last, ms. */
 const CUT_SLACK_MS = 100;
@@ -32,7 +32,7 @@
 const BURST_SIZE = 30;
 
 /** Injects faults of agents, proxies and the network. */
-export class EdgeTroubles {
+export class EdgeFaults {
   readonly #stage: SimulatedFleet;
   readonly #actions: FaultActions;
 
@@ -42,7 +42,7 @@
   }
 
   /** Injects one fault of a kind. */
-  bringAbout(kind: EdgeTroubleKind, strike: FaultTargets): void {
+  inject(kind: EdgeFaultKind, strike: FaultTargets): void {
     const { agent, proxy, controlNode, otherControlNode, spanMs } = strike;
     const { scheduler, network, seeded } = this.#stage;
     switch (kind) {
@@ -59,7 +59,7 @@
         break;
       case 'freeze-link':
         agent.freeze();
-        scheduler.after(spanMs, () => agent.wake());
+        scheduler.after(spanMs, () => agent.resume());
         break;
       case 'kill-flow':
         this.#actions.restartProxy(proxy, spanMs);
@@ -71,21 +71,21 @@
         this.#stopProxy(proxy);
         break;
       case 'loss':
-        network.loss = LOSS_PROBABILITY;
+        network.lossProbability = LOSS_PROBABILITY;
         scheduler.after(spanMs, () => resetNetwork(network));
         break;
       case 'delay':
-        network.mostDelay = LONG_DELAY_MS;
+        network.maxDelayMs = LONG_DELAY_MS;
         scheduler.after(spanMs, () => resetNetwork(network));
         break;
       case 'crowd':
-        this.crowd(BURST_SIZE);
+        this.sendBurst(BURST_SIZE);
         break;
     }
   }
 
   /** Sends a burst of lookups: `size` at each proxy. */
-  crowd(size: number): void {
+  sendBurst(size: number): void {
     for (const proxy of this.#stage.proxies)
       for (let index = 0; index < size; index += 1) proxy.send(lookupTraffic());
   }
@@ -93,25 +93,25 @@
   #isolate(agent: SimAgent, spanMs: number): void {
     this.#actions.cut([agent.id], this.#actions.allBut(agent.id), true, spanMs);
     for (const id of agent.proxies.keys())
-      this.#stage.findings.note({ what: 'cut', node: id, number: spanMs + CUT_SLACK_MS });
+      this.#stage.findings.addEvent({ what: 'cut', node: id, number: spanMs + CUT_SLACK_MS });
   }
 
   #freezeProxy(proxy: SimProxy, spanMs: number): void {
     if (!proxy.isUp || proxy.isFrozen) return;
     proxy.freeze();
-    this.#stage.findings.note({ what: 'frozen', node: proxy.id, number: spanMs });
-    this.#stage.scheduler.after(spanMs, () => proxy.wake());
+    this.#stage.findings.addEvent({ what: 'frozen', node: proxy.id, number: spanMs });
+    this.#stage.scheduler.after(spanMs, () => proxy.resume());
   }
 
   /** Stops a proxy as planned, after its open requests have ended, and starts it again. */
   #stopProxy(proxy: SimProxy): void {
     if (!proxy.isUp || proxy.isDraining || proxy.isFrozen) return;
-    this.#stage.findings.note({ what: 'planned-stop', node: proxy.id });
+    this.#stage.findings.addEvent({ what: 'planned-stop', node: proxy.id });
     proxy.retire(() => this.#actions.restartProxy(proxy, RESTART_DELAY_MS));
   }
 }
 
 function resetNetwork(network: Network): void {
-  network.loss = 0;
-  network.mostDelay = NORMAL_DELAY_MS;
+  network.lossProbability = 0;
+  network.maxDelayMs = NORMAL_DELAY_MS;
 }
--- a/src/rehearsal/sim-troubles.ts
+++ b/src/rehearsal/fault-injector.ts
@@ -1,7 +1,7 @@
-import { BACK_END_TROUBLES, BackEndTroubles } from './back-end-troubles.js';
-import { CONTROL_TROUBLES, ControlTroubles } from './control-troubles.js';
-import { EDGE_TROUBLES, EdgeTroubles } from './edge-troubles.js';
-import { PLATFORM_TROUBLES, PlatformTroubles } from './platform-troubles.js';
+import { BACK_END_FAULTS, BackEndFaults } from './back-end-faults.js';
+import { CONTROL_FAULTS, ControlFaults } from './control-faults.js';
+import { EDGE_FAULTS, EdgeFaults } from './edge-faults.js';
+import { PLATFORM_FAULTS, PlatformFaults } from './platform-faults.js';
 import type { SimAgent } from './sim-agent.js';
 import type { SimControl } from './sim-control.js';
 import {
@@ -12,7 +12,7 @@
   type SimulatedFleet,
   type FaultTargets,
 } from './simulated-fleet.js';
-import { CONDITIONS, type TroubleKind } from './trouble-kinds.js';
+import { CONDITIONS, type FaultKind } from './fault-kinds.js';
 
 /** Range of the random duration of a fault, ms. */
 const MIN_DURATION_MS = 300;
@@ -21,34 +21,34 @@
 const RUNNER_PROBABILITY = 0.6;
 
 /** Injects faults into a simulated fleet, and counts the conditions under which it did so. */
-export class SimTroubles {
+export class FaultInjector {
   readonly #stage: SimulatedFleet;
   readonly #actions: FaultActions;
-  readonly #control: ControlTroubles;
-  readonly #edge: EdgeTroubles;
-  readonly #backEnds: BackEndTroubles;
-  readonly #platform: PlatformTroubles;
+  readonly #control: ControlFaults;
+  readonly #edge: EdgeFaults;
+  readonly #backEnds: BackEndFaults;
+  readonly #platform: PlatformFaults;
   /** Counts by `kind|condition`; `kind|times` counts all faults of a kind. */
-  readonly met = new Map<string, number>();
+  readonly faultCounts = new Map<string, number>();
 
   constructor(stage: SimulatedFleet) {
     this.#stage = stage;
     this.#actions = new FaultActions(stage);
-    this.#control = new ControlTroubles(stage, this.#actions);
-    this.#edge = new EdgeTroubles(stage, this.#actions);
-    this.#backEnds = new BackEndTroubles(stage, this.#actions, this.#edge);
-    this.#platform = new PlatformTroubles(stage);
+    this.#control = new ControlFaults(stage, this.#actions);
+    this.#edge = new EdgeFaults(stage, this.#actions);
+    this.#backEnds = new BackEndFaults(stage, this.#actions, this.#edge);
+    this.#platform = new PlatformFaults(stage);
   }
 
   /** Injects one fault of a kind, with targets and duration drawn from the seed. */
-  bringAbout(kind: TroubleKind): void {
+  inject(kind: FaultKind): void {
     const strike = this.#drawTargets(kind);
     if (!strike) return;
     this.#count(kind);
-    if (isOneOf(CONTROL_TROUBLES, kind)) this.#control.bringAbout(kind, strike);
-    else if (isOneOf(EDGE_TROUBLES, kind)) this.#edge.bringAbout(kind, strike);
-    else if (isOneOf(BACK_END_TROUBLES, kind)) this.#backEnds.bringAbout(kind, strike);
-    else if (isOneOf(PLATFORM_TROUBLES, kind)) this.#platform.bringAbout(kind, strike);
+    if (isOneOf(CONTROL_FAULTS, kind)) this.#control.inject(kind, strike);
+    else if (isOneOf(EDGE_FAULTS, kind)) this.#edge.inject(kind, strike);
+    else if (isOneOf(BACK_END_FAULTS, kind)) this.#backEnds.inject(kind, strike);
+    else if (isOneOf(PLATFORM_FAULTS, kind)) this.#platform.inject(kind, strike);
     else this.#loseZone(this.#stage.seeded.below(ZONES.length), strike.spanMs);
   }
 
@@ -60,12 +60,12 @@
   /** Ends all faults: heals the network, and resumes and starts all nodes and back ends. */
   healAll(): void {
     const { network, proxies, nodes, findings } = this.#stage;
-    findings.say('healing');
+    findings.log('healing');
     network.healAll();
     this.#platform.heal();
     this.#control.healAll();
     for (const node of [...nodes.values(), ...proxies]) {
-      node.wake();
+      node.resume();
       node.start();
     }
     this.#backEnds.healAll();
@@ -73,7 +73,7 @@
   }
 
   /** Draws all targets, whichever of them the kind uses, so that a seed's later draws do not depend on the kind. */
-  #drawTargets(kind: TroubleKind): FaultTargets | undefined {
+  #drawTargets(kind: FaultKind): FaultTargets | undefined {
     const { seeded, controlNodes, agents, proxies, findings } = this.#stage;
     const spanMs = seeded.between(MIN_DURATION_MS, MAX_DURATION_MS);
     const controlNode = seeded.pick(controlNodes);
@@ -83,20 +83,20 @@
     const runner = seeded.pick(RUNNERS) ?? 'r0';
     const plain = seeded.pick(PLAIN_BACK_ENDS) ?? 'k0';
     const backEnd = seeded.isLikely(RUNNER_PROBABILITY) ? runner : plain;
-    findings.say(
+    findings.log(
       `fault ${kind} ${controlNode?.id} ${otherControlNode?.id} ${agent?.id} ${proxy?.id} ${runner} ${plain} for ${Math.round(spanMs)}`,
     );
     if (!controlNode || !otherControlNode || !agent || !proxy) return undefined;
     return { spanMs, controlNode, otherControlNode, agent, proxy, runner, plain, backEnd };
   }
 
-  #count(kind: TroubleKind): void {
+  #count(kind: FaultKind): void {
     for (const condition of CONDITIONS) {
       if (!this.#stage.holds(condition)) continue;
       const key = `${kind}|${condition}`;
-      this.met.set(key, (this.met.get(key) ?? 0) + 1);
+      this.faultCounts.set(key, (this.faultCounts.get(key) ?? 0) + 1);
     }
-    this.met.set(`${kind}|times`, (this.met.get(`${kind}|times`) ?? 0) + 1);
+    this.faultCounts.set(`${kind}|times`, (this.faultCounts.get(`${kind}|times`) ?? 0) + 1);
   }
 
   /** Stops a whole zone for a time: its control node, agent and proxy, and all back ends in it. */
@@ -108,8 +108,8 @@
     if (proxy) this.#actions.restartProxy(proxy, spanMs);
     for (const machine of outside.platform.list) {
       if (machine.zone !== ZONES[index]) continue;
-      outside.down(machine.id, true);
-      scheduler.after(spanMs, outside.up.bind(outside, machine.id));
+      outside.kill(machine.id, true);
+      scheduler.after(spanMs, outside.start.bind(outside, machine.id));
     }
   }
 }
--- a/src/rehearsal/trouble-kinds.ts
+++ b/src/rehearsal/fault-kinds.ts
@@ -3,7 +3,7 @@
  *
  * In these names `mind` is a control node, `link` an agent, `flow` a proxy, `back` a back end, and `dark` means frozen.
  */
-export const TROUBLES = [
+export const FAULT_KINDS = [
   'kill-mind',
   'kill-core',
   'retire-mind',
@@ -45,7 +45,7 @@
   'zone-lost',
 ] as const;
 /** The name of a kind of fault. */
-export type TroubleKind = (typeof TROUBLES)[number];
+export type FaultKind = (typeof FAULT_KINDS)[number];
 
 /** Conditions counted when a fault is injected: a fault tests the rules under a condition only if it coincides with it. */
 export const CONDITIONS = [
--- a/src/rehearsal/final-checks.ts
+++ b/src/rehearsal/final-checks.ts
@@ -24,44 +24,48 @@
 const SERVED_WITHIN_MS = 1000;
 
 /** Checks that service has recovered, and that the outcomes reported to operators are in effect. */
-export function checkHealed(fleet: HealedFleet): void {
+export function checkHealedFleet(fleet: HealedFleet): void {
   const { leader, findings } = fleet;
   if (!leader) {
-    findings.find('no leader serves after all faults were healed');
+    findings.addViolation('no leader serves after all faults were healed');
     return;
   }
   checkControlNodes(fleet);
   for (const proxy of fleet.proxies)
-    if (proxy.decision?.isFresh(proxy.now()) !== true)
-      findings.find(`${proxy.id} still has no fresh configuration after all faults were healed`);
+    if (proxy.router?.isFresh(proxy.now()) !== true)
+      findings.addViolation(
+        `${proxy.id} still has no fresh configuration after all faults were healed`,
+      );
   const doc = decodeConfigDoc(leader.core?.state.replicaBody(CONFIG_PARTITION) ?? '');
   if (!doc) {
-    findings.find('the leader has no valid configuration');
+    findings.addViolation('the leader has no valid configuration');
     return;
   }
   checkEdits(fleet, doc);
   for (const proxy of fleet.proxies)
-    if (proxy.longestMs > MAX_REQUEST_AGE_MS)
-      findings.find(
-        `stuck: a request at ${proxy.id} has been open for ${Math.round(proxy.longestMs)} ms`,
+    if (proxy.oldestRequestMs > MAX_REQUEST_AGE_MS)
+      findings.addViolation(
+        `stuck: a request at ${proxy.id} has been open for ${Math.round(proxy.oldestRequestMs)} ms`,
       );
-  findings.note({ what: 'table-read', number: doc.number });
+  findings.addEvent({ what: 'table-read', number: doc.number });
   checkService(fleet, leader);
 }
 
 function checkControlNodes({ controlNodes, findings }: HealedFleet): void {
   for (const controlNode of controlNodes) {
     if (controlNode.core?.replicaStatus.name !== 'sound')
-      findings.find(`the replica at ${controlNode.id} is not sound after all faults were healed`);
+      findings.addViolation(
+        `the replica at ${controlNode.id} is not sound after all faults were healed`,
+      );
     const corrupt = controlNode.core?.state.corruptPartitions() ?? [];
     if (corrupt.length > 0)
-      findings.find(`${controlNode.id} still has corrupt partitions: ${corrupt.join(' ')}`);
+      findings.addViolation(`${controlNode.id} still has corrupt partitions: ${corrupt.join(' ')}`);
   }
 }
 
 function checkEdits({ operators, findings }: HealedFleet, doc: ConfigDoc): void {
   if (doc.number < operators.newestNumber)
-    findings.find(
+    findings.addViolation(
       `lost-table: table ${doc.number} is in effect after ${operators.newestNumber} was accepted`,
     );
   const outcomes = new Map<string, string>();
@@ -69,9 +73,9 @@
   for (const edit of operators.outcomes) {
     const stored = outcomes.get(edit.id);
     if (edit.outcome === 'accepted' && stored !== 'accepted')
-      findings.find(`lost-edit: ${edit.id} was accepted and is ${stored ?? 'missing'}`);
+      findings.addViolation(`lost-edit: ${edit.id} was accepted and is ${stored ?? 'missing'}`);
     if (edit.outcome === 'refused' && stored === 'accepted')
-      findings.find(`turned-away-in-force: ${edit.id}`);
+      findings.addViolation(`turned-away-in-force: ${edit.id}`);
   }
 }
 
@@ -79,9 +83,11 @@
   const places = leader.core?.relay.latest('places')?.body ?? '';
   const primaries = [...places.matchAll(/"primary":true/g)].length;
   if (primaries < MIN_PRIMARIES)
-    findings.find(`only ${primaries} of 8 models have a primary after all faults were healed`);
+    findings.addViolation(
+      `only ${primaries} of 8 models have a primary after all faults were healed`,
+    );
   if (watch.lastRunAt < now - SERVED_WITHIN_MS)
-    findings.find(
+    findings.addViolation(
       `no request was served in the last ${Math.round(now - watch.lastRunAt)} ms, after all faults were healed`,
     );
 }
--- a/src/rehearsal/fleet-command.ts
+++ b/src/rehearsal/fleet-command.ts
@@ -59,7 +59,7 @@
     process.once('SIGINT', stopAll);
     try {
       const rehearsal = new Rehearsal(fleet, say);
-      await rehearsal.begin();
+      await rehearsal.startFleet();
       leaderPoll = setInterval(() => {
         void rehearsal.leaderName().then((name) => leaders.add(name));
       }, LEADER_POLL_MS);
--- a/src/rehearsal/fleet.test.ts
+++ b/src/rehearsal/fleet.test.ts
@@ -37,7 +37,7 @@
   const fleet = new Fleet(HAMLET, root);
   try {
     const rehearsal = new Rehearsal(fleet, ignore);
-    await rehearsal.begin();
+    await rehearsal.startFleet();
     const callers = new Callers(fleet.edges.map(proxyAddressOf), 1);
     const [check] = HAMLET.traffic;
     if (!check) throw new Error('no traffic');
--- a/src/rehearsal/garbage.test.ts
+++ b/src/rehearsal/garbage.test.ts
@@ -82,7 +82,7 @@
     await new Promise(setImmediate);
     const seeded = new SeededClass(seed);
     const garbage = new Garbage(seeded, VALID_BODIES);
-    const simulation = new Simulation({ seed, edges: 1, stormMs: 0, troubles: [] });
+    const simulation = new Simulation({ seed, edges: 1, faultPeriodMs: 0, faultKinds: [] });
     const { scheduler } = simulation;
     simulation.start();
     scheduler.runUntil(12_000);
--- a/src/rehearsal/loss-measure.ts
+++ b/src/rehearsal/loss-measure.ts
@@ -50,7 +50,7 @@
 }
 
 function gapAfter(loss: (typeof LOSSES)[number], seed: number): number {
-  const simulation = new Simulation({ seed, edges: 2, stormMs: 0, troubles: [] });
+  const simulation = new Simulation({ seed, edges: 2, faultPeriodMs: 0, faultKinds: [] });
   const { scheduler, network } = simulation;
   simulation.start();
   scheduler.runUntil(14_000 + ((seed * 97) % 1000));
@@ -94,11 +94,11 @@
   for (let seed = from; seed < from + seeds; seed += 1) {
     for (const isLost of [true, false]) {
       await new Promise(setImmediate);
-      const simulation = new Simulation({ seed, edges: 3, stormMs: 0, troubles: [] });
+      const simulation = new Simulation({ seed, edges: 3, faultPeriodMs: 0, faultKinds: [] });
       const { scheduler } = simulation;
       simulation.start();
       scheduler.runUntil(13_000);
-      simulation.found();
+      simulation.putFirstTable();
       scheduler.runUntil(30_000);
       const runner = `r${seed % 4}`;
       const models = simulation.modelsAt(runner);
--- a/src/rehearsal/measures.ts
+++ b/src/rehearsal/measures.ts
@@ -22,7 +22,7 @@
 
 /** Measures, in virtual time, how long a configuration and a leaving mark take to reach the last proxy, and their messages. */
 export function measureDissemination(edges: number, seed: number): DisseminationMeasure {
-  const simulation = new Simulation({ seed, edges, stormMs: 0, troubles: [] });
+  const simulation = new Simulation({ seed, edges, faultPeriodMs: 0, faultKinds: [] });
   const { scheduler, network } = simulation;
   simulation.start();
   scheduler.runUntil(15_000);
--- a/src/rehearsal/mutation.ts
+++ b/src/rehearsal/mutation.ts
@@ -1,5 +1,5 @@
 import type { RULES } from './judge.js';
-import type { TroubleKind } from './trouble-kinds.js';
+import type { FaultKind } from './fault-kinds.js';
 
 type Rule = (typeof RULES)[number] | 'slip' | 'turned-away-in-force' | 'lost-edit';
 
@@ -7,11 +7,11 @@
   /** The rule of which a run must report a violation. */
   readonly rule: Rule;
   /** The kinds of faults to inject; empty if the defect shows without any. */
-  readonly faultKinds: readonly TroubleKind[];
+  readonly faultKinds: readonly FaultKind[];
 }
 
 /** Builds with one defect each. If the simulator detects a defect on no seed, its passing runs prove nothing. */
-export const WRONGS = {
+export const MUTATIONS = {
   'no-gap-between-holders': {
     rule: 'two-holders',
     faultKinds: ['freeze-mind', 'isolate-mind', 'kill-mind'],
@@ -41,4 +41,4 @@
 } as const satisfies Record<string, Mutation>;
 
 /** The name of a mutation. */
-export type MutationKind = keyof typeof WRONGS;
+export type MutationKind = keyof typeof MUTATIONS;
--- a/src/rehearsal/network.test.ts
+++ b/src/rehearsal/network.test.ts
@@ -1,6 +1,6 @@
 import { expect, test } from 'vitest';
 import { Simulation } from './simulation.js';
-import { storm } from './storms.js';
+import { runSeeds } from './storms.js';
 const [a, b, c] = ['mind-0:1', 'mind-1:1', 'mind-2:1'];
 const DIRECTIONS: readonly (readonly [string, string])[] = [
   [a, b],
@@ -18,7 +18,7 @@
   for (let cut = 1; cut < 64; cut += 1) {
     // Two nodes connected in both directions are a majority, whatever else is cut permanently.
     if (![0, 2, 4].some(isConnected.bind(undefined, cut))) continue;
-    const simulation = new Simulation({ seed: cut, edges: 1, stormMs: 0, troubles: [] });
+    const simulation = new Simulation({ seed: cut, edges: 1, faultPeriodMs: 0, faultKinds: [] });
     const { scheduler } = simulation;
     simulation.start();
     scheduler.runUntil(12_000);
@@ -44,7 +44,7 @@
 }, 600_000);
 test('no rule is broken when control nodes are partitioned, in one or both directions, partly or fully', async () => {
   expect(
-    await storm(2000, 30, [
+    await runSeeds(2000, 30, [
       'cut-minds',
       'cut-one-way',
       'isolate-mind',
--- a/src/rehearsal/network.ts
+++ b/src/rehearsal/network.ts
@@ -4,28 +4,28 @@
 import type { SeededRandom } from './seeded-random.js';
 
 /** Hands a message to its recipient. */
-export type Deliver = (to: string, from: string, message: Message) => void;
+export type DeliverMessage = (to: string, from: string, message: Message) => void;
 
 /** The simulated network: ordered delivery per pair of nodes, with delays, one-way partitions and message loss. */
 export class Network {
   readonly #scheduler: Scheduler;
   readonly #seeded: SeededRandom;
-  readonly #deliver: Deliver;
+  readonly #deliver: DeliverMessage;
   /** The trace of the run; nodes add what does not pass through the network. */
   readonly trace: RunTrace;
   readonly #cuts = new Set<string>();
   readonly #lastDeliveryAt = new Map<string, number>();
   /** Probability that a message is lost. */
-  loss = 0;
+  lossProbability = 0;
   /** Upper bound of the random delay of a message, ms. */
-  mostDelay = 5;
+  maxDelayMs = 5;
   #sent = 0;
   readonly #agentIds = new Set<string>();
 
   constructor(
     scheduler: Scheduler,
     seeded: SeededRandom,
-    deliver: Deliver,
+    deliver: DeliverMessage,
     trace: RunTrace = UNTRACED,
   ) {
     this.#scheduler = scheduler;
@@ -40,7 +40,7 @@
   }
 
   /** The ids of all agents that have sent a message. */
-  get linkIds(): ReadonlySet<string> {
+  get agentIds(): ReadonlySet<string> {
     return this.#agentIds;
   }
 
@@ -57,8 +57,8 @@
   /** Removes all cuts, and resets loss and delay. */
   healAll(): void {
     this.#cuts.clear();
-    this.loss = 0;
-    this.mostDelay = 5;
+    this.lossProbability = 0;
+    this.maxDelayMs = 5;
   }
 
   /** Whether messages in this direction are blocked. */
@@ -68,7 +68,7 @@
 
   /** Draws a delay for one message, ms. */
   delay(): number {
-    return this.#seeded.between(0.2, this.mostDelay);
+    return this.#seeded.between(0.2, this.maxDelayMs);
   }
 
   /** Sends a message; it is lost if the direction is cut now or on arrival, or by the loss rate. */
@@ -76,7 +76,7 @@
     this.#sent += 1;
     this.trace.message(this.#scheduler.now, from, to, message);
     if (from.startsWith('link-')) this.#agentIds.add(from);
-    if (this.isCut(from, to) || this.#seeded.isLikely(this.loss)) return;
+    if (this.isCut(from, to) || this.#seeded.isLikely(this.lossProbability)) return;
     const key = `${from}\n${to}`;
     const at = Math.max(this.#scheduler.now + this.delay(), this.#lastDeliveryAt.get(key) ?? 0);
     this.#lastDeliveryAt.set(key, at);
--- a/src/rehearsal/platform-troubles.ts
+++ b/src/rehearsal/platform-faults.ts
@@ -1,4 +1,4 @@
-import type { SimOutside } from './sim-outside.js';
+import type { SimEnvironment } from './sim-environment.js';
 import {
   MAX_CONCURRENT_LOADS,
   RUNNER_CAPACITY,
@@ -8,13 +8,8 @@
 } from './simulated-fleet.js';
 
 /** The kinds of faults of the platform's list, of runners' capacity and of the weight store. */
-export const PLATFORM_TROUBLES = [
-  'shrink-room',
-  'lower-limit',
-  'platform-down',
-  'odd-list',
-] as const;
-type PlatformTroubleKind = (typeof PLATFORM_TROUBLES)[number];
+export const PLATFORM_FAULTS = ['shrink-room', 'lower-limit', 'platform-down', 'odd-list'] as const;
+type PlatformFaultKind = (typeof PLATFORM_FAULTS)[number];
 
 /** A runner's reduced capacity, in the unit of models' sizes. */
 const SMALL_ROOM = 15;
@@ -22,7 +17,7 @@
 const EXTRA_LIMIT_MS = 7000;
 
 /** Injects faults of the platform's list, of runners' capacity and of the weight store. */
-export class PlatformTroubles {
+export class PlatformFaults {
   readonly #stage: SimulatedFleet;
 
   constructor(stage: SimulatedFleet) {
@@ -30,7 +25,7 @@
   }
 
   /** Injects one fault of a kind. */
-  bringAbout(kind: PlatformTroubleKind, { runner, spanMs }: FaultTargets): void {
+  inject(kind: PlatformFaultKind, { runner, spanMs }: FaultTargets): void {
     const { scheduler, outside, seeded } = this.#stage;
     switch (kind) {
       case 'shrink-room':
@@ -66,7 +61,7 @@
   }
 }
 
-function restoreList(outside: SimOutside): void {
+function restoreList(outside: SimEnvironment): void {
   outside.platform.isUp = true;
   outside.platform.oddList = 'none';
 }
--- a/src/rehearsal/proxy-connections.ts
+++ b/src/rehearsal/proxy-connections.ts
@@ -2,7 +2,7 @@
 import type { Moment } from '../common/ids.js';
 import type { MutationKind } from './mutation.js';
 import type { SimClients } from './sim-clients.js';
-import type { Hear, SimConnection } from './sim-connection.js';
+import type { ConnectionHandler, SimConnection } from './sim-connection.js';
 
 /** What `ProxyConnections` needs of its simulated proxy. */
 export interface ConnectedProxy {
@@ -20,7 +20,7 @@
   /** Carries out the steps that the request handling has queued. */
   applySteps(): void;
   /** Opens a connection to a back end. */
-  open(backEnd: string, hear: Hear): SimConnection;
+  open(backEnd: string, hear: ConnectionHandler): SimConnection;
 }
 
 /** One attempt of a request, and its connection. */
@@ -71,7 +71,7 @@
     const idleConnection = row.repeatable ? this.#idleConnections.get(runner)?.pop() : undefined;
     const hear = this.#callbacks(id, step.attempt);
     const line = idleConnection ?? this.#proxy.open(runner, hear);
-    line.hear = hear;
+    line.handler = hear;
     this.#attempts.set(id, {
       connection: line,
       attempt: step.attempt,
@@ -98,7 +98,13 @@
     lines.push(line);
     // On an idle connection only its end matters: the back end has closed it.
     const onClosed = () => this.#drop(backEnd, line);
-    line.hear = { connected: ignore, head: ignore, text: ignore, ended: onClosed, broke: onClosed };
+    line.handler = {
+      connected: ignore,
+      head: ignore,
+      text: ignore,
+      ended: onClosed,
+      broke: onClosed,
+    };
   }
 
   #drop(backEnd: string, line: SimConnection): void {
@@ -111,7 +117,7 @@
   }
 
   /** Returns the callbacks of an attempt's connection; while the process is frozen, events wait as data in a socket does. */
-  #callbacks(id: number, attempt: number): Hear {
+  #callbacks(id: number, attempt: number): ConnectionHandler {
     return {
       connected: () => this.#connected(id, attempt),
       head: (isBegun, isBounded) => this.#head(id, attempt, isBegun, isBounded),
--- a/src/rehearsal/proxy-watch.ts
+++ b/src/rehearsal/proxy-watch.ts
@@ -1,7 +1,7 @@
 import { compareVersions, NO_VERSION, versionText, type Version } from '../common/version.js';
 import type { RunFindings } from './run-findings.js';
 import type { SimOperators } from './sim-operators.js';
-import type { SimOutside } from './sim-outside.js';
+import type { SimEnvironment } from './sim-environment.js';
 import type { SimProxy } from './sim-proxy.js';
 
 /** How long a proxy may count as fresh without a list of runners after control nodes learned the list, ms. */
@@ -13,7 +13,7 @@
 
 /** Checks the invariants of each proxy throughout a simulated run, and records violations as findings. */
 export class ProxyWatch {
-  readonly #outside: SimOutside;
+  readonly #outside: SimEnvironment;
   readonly #operators: SimOperators;
   readonly #findings: RunFindings;
   readonly #lastTableNumbers = new Map<string, number>();
@@ -21,7 +21,7 @@
   #runCount = 0;
   #lastRunAt = 0;
 
-  constructor(outside: SimOutside, operators: SimOperators, findings: RunFindings) {
+  constructor(outside: SimEnvironment, operators: SimOperators, findings: RunFindings) {
     this.#outside = outside;
     this.#operators = operators;
     this.#findings = findings;
@@ -38,7 +38,7 @@
 
   /** Checks the configuration, table and list of runners that one proxy uses at present. */
   check(proxy: SimProxy, now: number): void {
-    const { decision } = proxy;
+    const { router: decision } = proxy;
     if (!decision || !proxy.isUp) {
       this.#lastVersions.delete(proxy.id);
       this.#lastTableNumbers.delete(proxy.id);
@@ -52,7 +52,7 @@
     for (const [revision, shownAt] of this.#outside.platform.shown) {
       if (listRevision >= revision || now <= shownAt + FRESHNESS_SLACK_MS) continue;
       const ageMs = Math.round(now - shownAt);
-      this.#findings.find(
+      this.#findings.addViolation(
         `leaving: ${proxy.id} has not received revision ${revision} that control nodes learned ${ageMs} ms ago`,
       );
     }
@@ -66,12 +66,12 @@
       if (machine.id !== runner) continue;
       const learnedAt = this.#outside.platform.learned(runner);
       if (machine.leaving && learnedAt !== undefined && now > learnedAt + LEAVING_SLACK_MS)
-        this.#findings.find(
+        this.#findings.addViolation(
           `leaving-got-work: ${proxy} sent work to ${runner} ${Math.round(now - learnedAt)} ms after its leaving was learned`,
         );
       const evacuatedAt = this.#operators.evacuated.get(machine.zone);
       if (evacuatedAt !== undefined && now > evacuatedAt + EVACUATION_SLACK_MS)
-        this.#findings.find(
+        this.#findings.addViolation(
           `emptied-got-work: ${proxy} sent work to ${runner} in ${machine.zone} ${Math.round(now - evacuatedAt)} ms after the evacuation was acknowledged`,
         );
     }
@@ -80,23 +80,27 @@
   #checkMonotonic(proxy: string, version: Version, tableNumber: number): void {
     const seen = this.#lastVersions.get(proxy) ?? NO_VERSION;
     if (compareVersions(version, seen) < 0)
-      this.#findings.find(
+      this.#findings.addViolation(
         `slip: ${proxy} went from ${versionText(seen)} back to ${versionText(version)}`,
       );
     this.#lastVersions.set(proxy, version);
     const seenNumber = this.#lastTableNumbers.get(proxy) ?? -1;
     if (tableNumber < seenNumber)
-      this.#findings.find(`slip: ${proxy} went from table ${seenNumber} back to ${tableNumber}`);
+      this.#findings.addViolation(
+        `slip: ${proxy} went from table ${seenNumber} back to ${tableNumber}`,
+      );
     this.#lastTableNumbers.set(proxy, tableNumber);
   }
 
   #checkNewestTable(proxy: string, version: Version, tableNumber: number): void {
     const { newest, newestNumber } = this.#operators;
     if (compareVersions(version, newest) < 0)
-      this.#findings.find(
+      this.#findings.addViolation(
         `old-table: ${proxy} uses ${versionText(version)} after ${versionText(newest)} was reported as in force`,
       );
     if (tableNumber < newestNumber)
-      this.#findings.find(`old-table: ${proxy} uses table ${tableNumber} after ${newestNumber}`);
+      this.#findings.addViolation(
+        `old-table: ${proxy} uses table ${tableNumber} after ${newestNumber}`,
+      );
   }
 }
--- a/src/rehearsal/rehearsal.test.ts
+++ b/src/rehearsal/rehearsal.test.ts
@@ -33,7 +33,7 @@
   const fleet = new FleetClass(HAMLET, root);
   try {
     const rehearsal = new Rehearsal(fleet, discard);
-    await rehearsal.begin();
+    await rehearsal.startFleet();
     const callers = new CallersClass(fleet.edges.map(flowOf), 3);
     for (const kind of HAMLET.traffic) callers.start(kind, 2);
     const counts = { done: 0 };
@@ -50,7 +50,7 @@
     fleet.startProcess('runner-01');
     const killed = await rehearsal.leaderName();
     await fleet.signal(killed, 'SIGKILL');
-    await rehearsal.backInService(60_000);
+    await rehearsal.awaitRecovery(60_000);
     fleet.startProcess(killed);
     await fleet.waitUntil('a sound replica at the killed leader', 60_000, () =>
       rehearsal.isSound(killed),
@@ -60,11 +60,11 @@
     await fleet.signal('flow-1', 'SIGSTOP');
     expect(await rehearsal.setCell('check/receipt-*', 'weight', 71)).toBe(200);
     await fleet.signal('flow-1', 'SIGCONT');
-    rehearsal.note(
+    rehearsal.addEvent(
       { what: 'frozen', node: fleet.edges[1]?.proxy ?? '', number: Date.now() - frozenAt },
       frozenAt,
     );
-    await rehearsal.backInService(60_000);
+    await rehearsal.awaitRecovery(60_000);
     // The leader loses its disk right after it acknowledged an edit.
     const lost = await rehearsal.leaderName();
     expect(await rehearsal.setCell('check/receipt-*', 'weight', 72)).toBe(200);
@@ -75,21 +75,21 @@
     await fleet.waitUntil('a sound replica at the node that lost its disk', 60_000, () =>
       rehearsal.isSound(lost),
     );
-    await rehearsal.backInService(60_000);
+    await rehearsal.awaitRecovery(60_000);
     await awaitServed('after these failures');
     // Every process is restarted by a planned stop, one at a time, with open streams.
     for (const [index, edge] of fleet.edges.entries()) {
-      rehearsal.note({ what: 'planned-stop', node: edge.proxy });
+      rehearsal.addEvent({ what: 'planned-stop', node: edge.proxy });
       expect(await fleet.signal(`flow-${index}`, 'SIGTERM')).toBe(0);
       fleet.startProcess(`flow-${index}`);
       expect(await fleet.signal(`link-${index}`, 'SIGTERM')).toBe(0);
       fleet.startProcess(`link-${index}`);
-      await rehearsal.backInService(60_000);
+      await rehearsal.awaitRecovery(60_000);
     }
     for (const each of fleet.controlNodes.slice(0, 3)) {
       expect(await fleet.signal(each.name, 'SIGTERM')).toBe(0);
       fleet.startProcess(each.name);
-      await rehearsal.backInService(60_000);
+      await rehearsal.awaitRecovery(60_000);
     }
     await awaitServed('after every program was restarted');
     await callers.stop();
--- a/src/rehearsal/rehearsal.ts
+++ b/src/rehearsal/rehearsal.ts
@@ -50,12 +50,12 @@
   }
 
   /** Records an event. */
-  note(event: Omit<EventRecord, 'at'>, at = Date.now()): void {
+  addEvent(event: Omit<EventRecord, 'at'>, at = Date.now()): void {
     this.#events.push({ at, ...event });
   }
 
   /** Starts the fleet and waits until it serves its table. Throws if a step takes too long. */
-  async begin(): Promise<void> {
+  async startFleet(): Promise<void> {
     const fleet = this.#fleet;
     const start = Date.now();
     await fleet.start();
@@ -134,7 +134,7 @@
     if (returned.status !== 200)
       throw new Error(`the table was not accepted: ${JSON.stringify(returned)}`);
     this.#table = Number(returned.value['number']);
-    this.note({ what: 'table-accepted', number: this.#table });
+    this.addEvent({ what: 'table-accepted', number: this.#table });
   }
 
   /** Sets one cell of the table and returns the HTTP status. */
@@ -147,14 +147,14 @@
     );
     if (returned.status === 200) {
       this.#table = Number(returned.value['number']);
-      this.note({ what: 'table-accepted', number: this.#table });
+      this.addEvent({ what: 'table-accepted', number: this.#table });
     }
     return returned.status;
   }
 
   /** Evacuates a zone or restores it. Throws if that is rejected. */
-  async emptyZone(zone: string, isEmpty: boolean): Promise<void> {
-    if (!isEmpty) this.note({ what: 'zone-filling', zone });
+  async setZoneEvacuated(zone: string, isEmpty: boolean): Promise<void> {
+    if (!isEmpty) this.addEvent({ what: 'zone-filling', zone });
     const returned = await this.#fleet.callApiWithRetry(
       isEmpty ? 'PUT' : 'DELETE',
       `/zones/${zone}/empty`,
@@ -162,7 +162,7 @@
       20_000,
     );
     if (returned.status !== 200) throw new Error(`zone ${zone}: ${JSON.stringify(returned)}`);
-    if (isEmpty) this.note({ what: 'zone-emptied', zone });
+    if (isEmpty) this.addEvent({ what: 'zone-emptied', zone });
   }
 
   /** Sends the traffic, causes failures if planned, and checks the rules. Returns whether all checks passed. */
@@ -224,7 +224,7 @@
   }
 
   /** Waits until a leader serves and every proxy is fresh. Throws after `limitMs`. */
-  async backInService(limitMs: number): Promise<void> {
+  async awaitRecovery(limitMs: number): Promise<void> {
     await this.#fleet.waitUntil('a serving leader and every proxy fresh', limitMs, () =>
       this.#isServingAndFresh(),
     );
@@ -243,11 +243,11 @@
     const self = {
       setCell: (row: string, column: string, value: string | number | boolean) =>
         this.setCell(row, column, value),
-      awaitService: (limitMs: number) => this.backInService(limitMs),
+      awaitService: (limitMs: number) => this.awaitRecovery(limitMs),
       race: (row: string) => this.#raceEdits(row),
       leader: () => this.leaderName(),
-      emptyZone: (zone: string, isEmpty: boolean) => this.emptyZone(zone, isEmpty),
-      note: this.note.bind(this),
+      emptyZone: (zone: string, isEmpty: boolean) => this.setZoneEvacuated(zone, isEmpty),
+      note: this.addEvent.bind(this),
       table: () => this.#tableNumber(),
       primariesAt: (runner: string) => this.#primariesAt(runner),
       isSound: (name: string) => this.isSound(name),
@@ -526,7 +526,7 @@
       statuses.push(returned.status);
       if (returned.status !== 200) continue;
       this.#table = Number(returned.value['number']);
-      this.note({ what: 'table-accepted', number: this.#table });
+      this.addEvent({ what: 'table-accepted', number: this.#table });
     }
     return statuses.sort().join(' and ');
   }
@@ -534,7 +534,7 @@
   /** Reads the table back, evaluates all records, and returns the violations. */
   async violations(callers: Callers): Promise<readonly Violation[]> {
     const read = await this.#fleet.callApiWithRetry('GET', '/table', undefined, 20_000);
-    this.note({ what: 'table-read', number: Number(read.value['number']) });
+    this.addEvent({ what: 'table-read', number: Number(read.value['number']) });
     const backs = readBackRecords(this.#fleet.recordPaths());
     const lateness = new Map<string, number>();
     for (const row of compile(this.#fleet.deployment.table).table.rows)
--- a/src/rehearsal/run-findings.ts
+++ b/src/rehearsal/run-findings.ts
@@ -24,18 +24,18 @@
   }
 
   /** Records a violation. A text that begins with a rule's name and a colon counts for that rule. */
-  find(text: string): void {
+  addViolation(text: string): void {
     this.#violations.add(text);
-    this.say(`VIOLATION ${text}`);
+    this.log(`VIOLATION ${text}`);
   }
 
   /** Records an event with the current virtual time. */
-  note(event: Omit<EventRecord, 'at'>): void {
+  addEvent(event: Omit<EventRecord, 'at'>): void {
     this.#events.push({ at: this.#scheduler.now, ...event });
   }
 
   /** Writes a line with the current virtual time to the trace, if there is one. */
-  say(text: string): void {
+  log(text: string): void {
     this.#trace?.(`${Math.round(this.#scheduler.now)} ${text}`);
   }
 }
--- a/src/rehearsal/sim-agent.test.ts
+++ b/src/rehearsal/sim-agent.test.ts
@@ -1,8 +1,8 @@
 import { expect, test } from 'vitest';
-import { storm } from './storms.js';
+import { runSeeds } from './storms.js';
 test('no rule is broken when agents and proxies die, freeze or are cut off', async () => {
   expect(
-    await storm(3000, 30, [
+    await runSeeds(3000, 30, [
       'kill-link',
       'freeze-link',
       'kill-flow',
--- a/src/rehearsal/sim-agent.ts
+++ b/src/rehearsal/sim-agent.ts
@@ -55,7 +55,7 @@
     );
   }
 
-  protected died(): void {
+  protected onKilled(): void {
     this.#core = undefined;
   }
 
@@ -69,7 +69,7 @@
     this.#drainEffects();
   }
 
-  gone(from: string): void {
+  onDisconnect(from: string): void {
     this.#core?.onDisconnect(this.now(), from);
     this.#drainEffects();
   }
--- a/src/rehearsal/sim-backend.ts
+++ b/src/rehearsal/sim-backend.ts
@@ -4,12 +4,12 @@
 import type { SimConnection, SimRequest } from './sim-connection.js';
 
 /** The ways in which a back end can misbehave. */
-export const MOODS = ['breaks', 'silent', 'slow', 'unbounded', 'full', 'closes'] as const;
+export const MISBEHAVIORS = ['breaks', 'silent', 'slow', 'unbounded', 'full', 'closes'] as const;
 /** How a back end behaves. */
-export type Mood = 'sound' | (typeof MOODS)[number];
+export type Behavior = 'sound' | (typeof MISBEHAVIORS)[number];
 
 /** Settings of one back end. */
-export interface SimBackSettings {
+export interface SimBackendSettings {
   readonly id: string;
   /** Whether it is a plain back end, which serves without models, and not a runner. */
   readonly isPlain: boolean;
@@ -21,31 +21,31 @@
   readonly line: SimConnection;
   readonly request: SimRequest;
   readonly run: string;
-  readonly mood: Mood;
+  readonly behavior: Behavior;
   isOver: boolean;
   isUnboundedBegun: boolean;
 }
 
 /** The machine of a back end, which holds its models and is notified of runs. */
-export interface Holder {
+export interface BackendHost {
   /** Whether the model and adapter of a request are ready at a back end. */
   holds(id: string, request: SimRequest): boolean;
   /** A run began at a back end. */
-  began(id: string, request: SimRequest): void;
+  onRunStart(id: string, request: SimRequest): void;
   /** A run ended at a back end. */
-  ended(id: string, request: SimRequest): void;
+  onRunEnd(id: string, request: SimRequest): void;
 }
 
 /** The serving side of a simulated runner or plain back end: it runs requests, can break at any byte, freeze or die. */
 export class SimBackend {
   readonly id: string;
-  readonly #settings: SimBackSettings;
+  readonly #settings: SimBackendSettings;
   readonly #scheduler: Scheduler;
   readonly #seeded: SeededRandom;
-  readonly #host: Holder;
+  readonly #host: BackendHost;
   readonly #records: BackRecord[];
   /** Open connections. */
-  readonly lines = new Set<SimConnection>();
+  readonly connections = new Set<SimConnection>();
   readonly #runs = new Set<SimRun>();
   #pending: (() => void)[] = [];
   #runCount = 0;
@@ -54,17 +54,17 @@
   /** Whether the process runs; a frozen one does. */
   isUp = true;
   /** Whether the process is frozen; its kernel still accepts connections and data. */
-  isDark = false;
+  isFrozen = false;
   /** Whether the machine was removed: nothing comes back from it, not even a reset. */
-  isGone = false;
+  isMachineRemoved = false;
   /** The current behavior. */
-  mood: Mood = 'sound';
+  behavior: Behavior = 'sound';
 
   constructor(
-    settings: SimBackSettings,
+    settings: SimBackendSettings,
     scheduler: Scheduler,
     seeded: SeededRandom,
-    holder: Holder,
+    holder: BackendHost,
     records: BackRecord[],
   ) {
     this.id = settings.id;
@@ -81,8 +81,8 @@
   }
 
   /** Freezes or resumes the process; on resuming, it handles its queued inputs in order. */
-  setDark(isDark: boolean): void {
-    this.isDark = isDark;
+  setFrozen(isDark: boolean): void {
+    this.isFrozen = isDark;
     if (isDark) return;
     const pending = this.#pending;
     this.#pending = [];
@@ -90,10 +90,10 @@
   }
 
   /** Ends the process: its machine closes the connections, unless the machine is removed as well. */
-  die(isMachineGone: boolean): void {
+  kill(isMachineGone: boolean): void {
     this.boot += 1;
-    this.isGone = isMachineGone;
-    this.isDark = false;
+    this.isMachineRemoved = isMachineGone;
+    this.isFrozen = false;
     this.#pending = [];
     for (const run of this.#runs) {
       run.isOver = true;
@@ -101,28 +101,28 @@
       // Without a length or chunks, the machine's close looks the same for a crash as for an end.
       if (!isMachineGone && run.isUnboundedBegun) {
         run.line.tell('ended');
-        this.lines.delete(run.line);
+        this.connections.delete(run.line);
       }
     }
     this.#runs.clear();
-    if (!isMachineGone) for (const line of this.lines) line.tell('broke');
-    this.lines.clear();
+    if (!isMachineGone) for (const line of this.connections) line.tell('broke');
+    this.connections.clear();
   }
 
   /** Starts a new process. */
-  rise(): void {
+  start(): void {
     this.isUp = true;
-    this.isGone = false;
+    this.isMachineRemoved = false;
     this.#records.push({ at: this.#scheduler.now, what: 'boot', runner: this.id });
   }
 
   /** A request arrived at the machine. */
-  take(line: SimConnection, request: SimRequest): void {
+  onRequest(line: SimConnection, request: SimRequest): void {
     this.#perform(() => this.#begin(line, request));
   }
 
   /** The proxy closed a connection: its runs are canceled once the process notices. */
-  left(line: SimConnection): void {
+  onDisconnect(line: SimConnection): void {
     function cancel(back: SimBackend): void {
       for (const run of back.#runs) if (run.line === line) back.#end(run);
     }
@@ -135,7 +135,7 @@
     function due(): void {
       if (back.isCurrent()) run();
     }
-    if (this.isDark) this.#pending.push(due);
+    if (this.isFrozen) this.#pending.push(due);
     else due();
   }
 
@@ -148,7 +148,7 @@
   }
 
   #begin(line: SimConnection, request: SimRequest): void {
-    const mood = this.mood;
+    const mood = this.behavior;
     // It closes the connection as the request arrives, without running it.
     if (mood === 'closes' && this.#seeded.isLikely(0.7)) {
       line.tell('broke');
@@ -171,12 +171,12 @@
       line,
       request,
       run: `${this.id}/${this.boot}/${this.#runCount}`,
-      mood: this.#seeded.isLikely(0.6) ? mood : 'sound',
+      behavior: this.#seeded.isLikely(0.6) ? mood : 'sound',
       isOver: false,
       isUnboundedBegun: false,
     };
     this.#runs.add(run);
-    this.#host.began(this.id, request);
+    this.#host.onRunStart(this.id, request);
     // The run counts from the moment when the proxy wrote the request, however long that was queued in a socket.
     this.#records.push({
       at: request.at,
@@ -187,17 +187,17 @@
     });
     const promptMs =
       this.#seeded.between(5, this.#settings.isPlain ? 30 : 150) * (mood === 'slow' ? 40 : 1);
-    if (run.mood === 'breaks' && this.#seeded.isLikely(this.#settings.isPlain ? 0.9 : 0.3))
+    if (run.behavior === 'breaks' && this.#seeded.isLikely(this.#settings.isPlain ? 0.9 : 0.3))
       this.#later(promptMs, () => this.#breakRun(run));
     // A run may stall permanently, before its headers or after some of its lines.
-    else if (run.mood === 'silent' && this.#seeded.isLikely(0.3)) this.#recordFault(run);
+    else if (run.behavior === 'silent' && this.#seeded.isLikely(0.3)) this.#recordFault(run);
     else this.#later(promptMs, () => this.#sendHeaders(run));
   }
 
   #sendHeaders(run: SimRun): void {
     if (run.isOver) return;
-    run.isUnboundedBegun = run.mood === 'unbounded';
-    run.line.head(true, run.mood !== 'unbounded');
+    run.isUnboundedBegun = run.behavior === 'unbounded';
+    run.line.head(true, run.behavior !== 'unbounded');
     if (this.#settings.isPlain) this.#sendLastLine(run);
     else this.#sendLine(run, 0);
   }
@@ -210,17 +210,17 @@
       return;
     }
     const line = `${JSON.stringify({ id, run: run.run, index })}\n`;
-    if ((run.mood === 'breaks' || run.mood === 'unbounded') && this.#seeded.isLikely(0.2)) {
+    if ((run.behavior === 'breaks' || run.behavior === 'unbounded') && this.#seeded.isLikely(0.2)) {
       run.line.text(line.slice(0, this.#seeded.below(line.length)));
       this.#breakRun(run);
       return;
     }
     run.line.text(line);
-    if (run.mood === 'silent' && this.#seeded.isLikely(0.3)) {
+    if (run.behavior === 'silent' && this.#seeded.isLikely(0.3)) {
       this.#recordFault(run);
       return;
     }
-    this.#later(this.#seeded.between(10, 80) * (run.mood === 'slow' ? 10 : 1), () =>
+    this.#later(this.#seeded.between(10, 80) * (run.behavior === 'slow' ? 10 : 1), () =>
       this.#sendLine(run, index + 1),
     );
   }
@@ -256,6 +256,6 @@
     if (run.isOver) return;
     run.isOver = true;
     this.#runs.delete(run);
-    this.#host.ended(this.id, run.request);
+    this.#host.onRunEnd(this.id, run.request);
   }
 }
--- a/src/rehearsal/sim-clients.ts
+++ b/src/rehearsal/sim-clients.ts
@@ -6,7 +6,7 @@
 import type { CallerRecord } from './records.js';
 
 /** A request as a caller sends it. */
-export interface Traffic {
+export interface CallerRequest {
   readonly type: string;
   readonly method: string;
   readonly path: string;
@@ -22,7 +22,7 @@
 export interface SimClient {
   readonly id: number;
   readonly requestId: string;
-  readonly traffic: Traffic;
+  readonly traffic: CallerRequest;
   readonly sentAt: number;
   /** Checks the lines of the response. */
   readonly check: LineCheck;
@@ -54,7 +54,7 @@
   }
 
   /** Opens a request. */
-  begin(traffic: Traffic): SimClient {
+  begin(traffic: CallerRequest): SimClient {
     this.#count += 1;
     const requestId = `${this.#proxyId}/${this.#count}`;
     const client: SimClient = {
@@ -85,7 +85,7 @@
   }
 
   /** The age of the oldest open request, ms. */
-  longestMs(): number {
+  oldestRequestMs(): number {
     let longest = 0;
     for (const client of this.#open.values())
       longest = Math.max(longest, this.#scheduler.now - client.sentAt);
@@ -93,7 +93,7 @@
   }
 
   /** The response was complete. */
-  finished(client: SimClient): void {
+  onComplete(client: SimClient): void {
     client.check.end();
     this.#end(client, {
       status: 200,
@@ -105,7 +105,7 @@
   }
 
   /** The proxy closed the connection before the response was complete. */
-  broken(client: SimClient): void {
+  onAbort(client: SimClient): void {
     // A caller that stopped reading is disconnected for that reason.
     if (!client.isReading) {
       this.#end(client, { status: 0, outcome: 'stalled' });
@@ -119,12 +119,12 @@
   }
 
   /** The caller disconnected. */
-  left(client: SimClient): void {
+  onDisconnect(client: SimClient): void {
     this.#end(client, { status: 0, outcome: 'left' });
   }
 
   /** The proxy sent an error response. */
-  told(client: SimClient, kind: ErrorCode, retryMs: number, table: number): void {
+  onErrorResponse(client: SimClient, kind: ErrorCode, retryMs: number, table: number): void {
     const response = ERROR_RESPONSES[kind];
     client.table = kind === 'blind' ? -1 : table;
     this.#end(client, {
@@ -162,7 +162,7 @@
   }
 
   /** The proxy's process ended: all connections close. */
-  lost(): void {
-    for (const client of [...this.#open.values()]) this.broken(client);
+  onProxyExit(): void {
+    for (const client of [...this.#open.values()]) this.onAbort(client);
   }
 }
--- a/src/rehearsal/sim-connection.test.ts
+++ b/src/rehearsal/sim-connection.test.ts
@@ -1,5 +1,5 @@
 import { expect, test } from 'vitest';
-import { bite } from './storms.js';
+import { checkMutation } from './storms.js';
 test.each([
   'emptied-ignored',
   'versions-unchecked',
@@ -8,8 +8,8 @@
   'room-forgotten',
 ] as const)(
   'the simulator detects the mutation %s',
-  async (mutation: Parameters<typeof bite>[0]) => {
-    expect(await bite(mutation)).toEqual([]);
+  async (mutation: Parameters<typeof checkMutation>[0]) => {
+    expect(await checkMutation(mutation)).toEqual([]);
   },
   600_000,
 );
--- a/src/rehearsal/sim-connection.ts
+++ b/src/rehearsal/sim-connection.ts
@@ -1,7 +1,7 @@
 import type { Scheduler } from './scheduler.js';
 
 /** The proxy's callbacks for one of its connections to a back end. */
-export interface Hear {
+export interface ConnectionHandler {
   /** The connection is open. */
   connected(): void;
   /** The response's headers: whether a run began, and whether the body has a length or chunks that show its end. */
@@ -31,13 +31,13 @@
   readonly boot: number;
   readonly isUp: boolean;
   /** Whether the machine was removed: nothing comes back from it, not even a reset. */
-  readonly isGone: boolean;
+  readonly isMachineRemoved: boolean;
   /** Open connections. */
-  readonly lines: Set<SimConnection>;
+  readonly connections: Set<SimConnection>;
   /** A request arrived. */
-  take(line: SimConnection, request: SimRequest): void;
+  onRequest(line: SimConnection, request: SimRequest): void;
   /** The proxy closed the connection. */
-  left(line: SimConnection): void;
+  onDisconnect(line: SimConnection): void;
 }
 
 /** The interval at which a cut connection is tried again, as TCP retransmits what was sent during a cut; ms. */
@@ -52,7 +52,7 @@
   /** The `boot` of the back end's process that it was opened to. */
   readonly boot: number;
   /** The current callbacks; replaced when the connection is reused. */
-  hear: Hear;
+  handler: ConnectionHandler;
   #outbox: (() => void)[] = [];
   #isClosed = false;
 
@@ -61,13 +61,13 @@
     back: ConnectionTarget,
     isCut: () => boolean,
     delay: () => number,
-    hear: Hear,
+    hear: ConnectionHandler,
   ) {
     this.#scheduler = scheduler;
     this.#back = back;
     this.#isCut = isCut;
     this.#delay = delay;
-    this.hear = hear;
+    this.handler = hear;
     this.boot = back.boot;
     this.#scheduler.after(delay(), () => this.#connect());
   }
@@ -79,7 +79,7 @@
 
   #connect(): void {
     if (this.#isClosed) return;
-    if (this.#isCut() || this.#back.isGone) {
+    if (this.#isCut() || this.#back.isMachineRemoved) {
       this.#scheduler.after(CUT_RETRY_MS, () => this.#connect());
       return;
     }
@@ -87,7 +87,7 @@
       this.tell('broke');
       return;
     }
-    this.#back.lines.add(this);
+    this.#back.connections.add(this);
     // The machine's kernel accepts the connection, even while the process is frozen.
     this.tell('connected');
   }
@@ -99,7 +99,7 @@
 
   #arrive(request: SimRequest): void {
     // A reset connection drops data that has not arrived.
-    if (this.#back.isGone || (this.#isCut() && this.#isClosed)) return;
+    if (this.#back.isMachineRemoved || (this.#isCut() && this.#isClosed)) return;
     if (this.#isCut()) {
       this.#scheduler.after(CUT_RETRY_MS, () => this.#arrive(request));
       return;
@@ -108,7 +108,7 @@
       this.tell('broke');
       return;
     }
-    this.#back.take(this, request);
+    this.#back.onRequest(this, request);
   }
 
   /** Closes the connection at the proxy; the back end learns of it after a delay. */
@@ -116,13 +116,13 @@
     if (this.#isClosed) return;
     this.#isClosed = true;
     this.#outbox = [];
-    this.#back.lines.delete(this);
+    this.#back.connections.delete(this);
     this.#scheduler.after(this.#delay(), () => this.#notifyClosed());
   }
 
   #notifyClosed(): void {
     if (this.#isCut()) this.#scheduler.after(CUT_RETRY_MS, () => this.#notifyClosed());
-    else this.#back.left(this);
+    else this.#back.onDisconnect(this);
   }
 
   // ---- from the back end to the proxy
@@ -130,7 +130,7 @@
   /** Reports an event without data to the proxy. */
   tell(what: 'connected' | 'ended' | 'broke'): void {
     function run(line: SimConnection): void {
-      line.hear[what]();
+      line.handler[what]();
     }
     this.#enqueue(() => run(this));
   }
@@ -138,7 +138,7 @@
   /** Sends the response's headers. */
   head(isBegun: boolean, isBounded: boolean): void {
     function run(line: SimConnection): void {
-      line.hear.head(isBegun, isBounded);
+      line.handler.head(isBegun, isBounded);
     }
     this.#enqueue(() => run(this));
   }
@@ -146,7 +146,7 @@
   /** Sends a piece of the response's body. */
   text(text: string): void {
     function run(line: SimConnection): void {
-      line.hear.text(text);
+      line.handler.text(text);
     }
     this.#enqueue(() => run(this));
   }
--- a/src/rehearsal/sim-control.test.ts
+++ b/src/rehearsal/sim-control.test.ts
@@ -1,7 +1,7 @@
 import { expect, test } from 'vitest';
 import { SimControl } from './sim-control.js';
 import { Simulation } from './simulation.js';
-import { storm } from './storms.js';
+import { runSeeds } from './storms.js';
 function mayOrder(controlNode: SimControl): boolean {
   return controlNode.core?.mayOrder(controlNode.now()) === true;
 }
@@ -9,7 +9,7 @@
   const gaps: number[] = [];
   for (let seed = 1; seed <= 6; seed += 1) {
     await new Promise(setImmediate);
-    const simulation = new Simulation({ seed, edges: 0, stormMs: 0, troubles: [] });
+    const simulation = new Simulation({ seed, edges: 0, faultPeriodMs: 0, faultKinds: [] });
     const { scheduler, network } = simulation;
     simulation.start();
     scheduler.runUntil(12_000);
@@ -43,7 +43,7 @@
 }, 600_000);
 test('after a planned stop the next leader orders right after the handover gap, and no sooner', () => {
   // The next leader may issue orders as soon as the gap between two leaders is over.
-  const simulation = new Simulation({ seed: 3, edges: 1, stormMs: 0, troubles: [] });
+  const simulation = new Simulation({ seed: 3, edges: 1, faultPeriodMs: 0, faultKinds: [] });
   const { scheduler } = simulation;
   simulation.start();
   scheduler.runUntil(15_000);
@@ -60,12 +60,12 @@
 }, 600_000);
 test('no rule is broken when leaders are stopped as planned under faults', async () => {
   expect(
-    await storm(5000, 20, ['retire-mind', 'freeze-mind', 'cut-one-way', 'dark-runner']),
+    await runSeeds(5000, 20, ['retire-mind', 'freeze-mind', 'cut-one-way', 'dark-runner']),
   ).toEqual([]);
 }, 600_000);
 test('no rule is broken when control nodes die, freeze, lose their disk or wait for it', async () => {
   expect(
-    await storm(1000, 30, [
+    await runSeeds(1000, 30, [
       'kill-mind',
       'wipe-mind',
       'rot-file',
--- a/src/rehearsal/sim-control.ts
+++ b/src/rehearsal/sim-control.ts
@@ -4,7 +4,7 @@
 import { ControlCore } from '../control/control-core.js';
 import { CONTROL_DEFAULTS, type ControlEffect } from '../control/control-effect.js';
 import type { Scheduler } from './scheduler.js';
-import type { SimOutside } from './sim-outside.js';
+import type { SimEnvironment } from './sim-environment.js';
 import { SimNode } from './sim-node.js';
 import { PLACER_DEFAULTS } from '../placement/placer-types.js';
 import type { VoteSettings } from '../election/vote-settings.js';
@@ -14,25 +14,25 @@
 import type { SeededRandom } from './seeded-random.js';
 
 /** Receives the response to an operator's command; status 0 if the node died first. */
-export type Returned = (status: number, body: string) => void;
+export type ReplyHandler = (status: number, body: string) => void;
 
 /** A simulated control node: the production `ControlCore` on a simulated disk, network and environment. */
 export class SimControl extends SimNode {
   readonly #network: Network;
   readonly #trace: NodeTrace;
-  readonly #outside: SimOutside;
+  readonly #outside: SimEnvironment;
   readonly #seeded: SeededRandom;
   readonly #seeds: readonly string[];
   readonly #vote: VoteSettings;
   readonly #mutation: MutationKind | '';
   readonly #store = new MemoryStore();
-  readonly #replies = new Map<number, Returned>();
+  readonly #replies = new Map<number, ReplyHandler>();
   #core: ControlCore | undefined;
   #commandId = 0;
   /** While set, writes to the disk do not complete. */
   isDiskStalled = false;
   /** Upper bound of the random duration of a write, ms. */
-  diskMs = 3;
+  maxDiskDelayMs = 3;
   #stalledWrites: (() => void)[] = [];
 
   constructor(
@@ -40,7 +40,7 @@
     scheduler: Scheduler,
     seeded: SeededRandom,
     network: Network,
-    outside: SimOutside,
+    outside: SimEnvironment,
     seeds: readonly string[],
     vote: VoteSettings,
     mutation: MutationKind | '',
@@ -76,7 +76,7 @@
     });
   }
 
-  protected died(): void {
+  protected onKilled(): void {
     this.#core = undefined;
     this.freezeAtOrderMs = 0;
     this.#stalledWrites = [];
@@ -86,7 +86,7 @@
   }
 
   /** Erases the disk. */
-  wipe(): void {
+  eraseDisk(): void {
     this.#store.erase();
   }
 
@@ -100,12 +100,12 @@
   }
 
   /** Corrupts a partition's file on the disk. */
-  rot(partition: PartitionName): void {
+  corruptDisk(partition: PartitionName): void {
     this.#store.corrupt(partition);
   }
 
   /** Ends a stall of the disk: the writes held back begin now. */
-  unstall(): void {
+  resumeDisk(): void {
     this.isDiskStalled = false;
     const writes = this.#stalledWrites;
     this.#stalledWrites = [];
@@ -119,7 +119,7 @@
   #tickCore(core: ControlCore): void {
     if (this.#mutation === 'acks-unasked') {
       const members = [];
-      for (const id of this.#network.linkIds)
+      for (const id of this.#network.agentIds)
         members.push({ id, zone: '', address: id, epoch: 1e9, count: 0 });
       core.onMessage(this.now(), this.id, { kind: 'acked', members });
     }
@@ -133,7 +133,7 @@
     });
   }
 
-  gone(from: string): void {
+  onDisconnect(from: string): void {
     const now = () => this.now();
     this.#handle((core: ControlCore) => {
       core.onDisconnect(now(), from);
@@ -146,12 +146,12 @@
   #freezeBeforeOrder(): void {
     if (this.freezeAtOrderMs === 0 || this.isFrozen) return;
     this.freeze();
-    this.scheduler.after(this.freezeAtOrderMs, () => this.wake());
+    this.scheduler.after(this.freezeAtOrderMs, () => this.resume());
     this.freezeAtOrderMs = 0;
   }
 
   /** Submits an operator's command to this node's API. */
-  command(verb: string, body: string, returned: Returned): void {
+  command(verb: string, body: string, returned: ReplyHandler): void {
     if (!this.isUp) {
       returned(0, '');
       return;
@@ -319,7 +319,7 @@
     function persist(): void {
       store.persist(partition, version, body);
     }
-    const write = this.later.bind(this, this.#seeded.between(0.5, this.diskMs), () => {
+    const write = this.later.bind(this, this.#seeded.between(0.5, this.maxDiskDelayMs), () => {
       if (delayWrite) delayWrite(persist);
       else persist();
       perform();
--- a/src/rehearsal/sim-outside.test.ts
+++ b/src/rehearsal/sim-environment.test.ts
@@ -1,8 +1,8 @@
 import { expect, test } from 'vitest';
-import { storm } from './storms.js';
+import { runSeeds } from './storms.js';
 test('no rule is broken when runners restart, freeze, lose capacity or leave while the leader changes', async () => {
   expect(
-    await storm(4000, 30, [
+    await runSeeds(4000, 30, [
       'restart-runner',
       'vanish-runner',
       'dark-runner',
--- a/src/rehearsal/sim-outside.ts
+++ b/src/rehearsal/sim-environment.ts
@@ -2,14 +2,14 @@
 import type { BackRecord } from './records.js';
 import type { Scheduler } from './scheduler.js';
 import type { SeededRandom } from './seeded-random.js';
-import { SimBackend, type Holder } from './sim-backend.js';
-import { SimConnection, type Hear, type SimRequest } from './sim-connection.js';
+import { SimBackend, type BackendHost } from './sim-backend.js';
+import { SimConnection, type ConnectionHandler, type SimRequest } from './sim-connection.js';
 import { SimOrders } from './sim-orders.js';
 import { SimPlatform } from './sim-platform.js';
 import { bootOf, newRunner, unitKey, type SimRunner } from './sim-runner.js';
 
 /** A runner of the platform's initial list. */
-export interface RunnerPlace {
+export interface RunnerSpec {
   readonly id: string;
   readonly zone: string;
   /** Capacity for models, in the unit of their sizes. */
@@ -17,7 +17,7 @@
 }
 
 /** A plain back end of the platform's initial list. */
-export interface PlainPlace {
+export interface PlainBackendSpec {
   readonly id: string;
   readonly zone: string;
 }
@@ -27,7 +27,7 @@
 const PLAIN_SERVICE = 'kiosk';
 
 /** The environment of the simulated fleet: the platform's list, the weight store, runners and plain back ends. */
-export class SimOutside implements Holder {
+export class SimEnvironment implements BackendHost {
   /** Records of the whole environment, which the `Judge` evaluates. */
   readonly records: BackRecord[] = [];
   readonly platform: SimPlatform;
@@ -43,8 +43,8 @@
     scheduler: Scheduler,
     seeded: SeededRandom,
     catalog: Catalog,
-    runners: readonly RunnerPlace[],
-    plain: readonly PlainPlace[],
+    runners: readonly RunnerSpec[],
+    plain: readonly PlainBackendSpec[],
   ) {
     this.#scheduler = scheduler;
     this.#seeded = seeded;
@@ -72,20 +72,25 @@
   }
 
   /** The serving side of a runner or plain back end. */
-  back(id: string): SimBackend | undefined {
+  backend(id: string): SimBackend | undefined {
     return this.#runners.get(id)?.back ?? this.#plain.get(id);
   }
 
   /** The serving sides of all plain back ends and runners. */
-  backs(): SimBackend[] {
+  backends(): SimBackend[] {
     const list = [...this.#plain.values()];
     for (const runner of this.#runners.values()) list.push(runner.back);
     return list;
   }
 
   /** Opens a connection to a back end. Throws if there is no back end with this id. */
-  open(id: string, isCut: () => boolean, delay: () => number, hear: Hear): SimConnection {
-    const back = this.back(id);
+  open(
+    id: string,
+    isCut: () => boolean,
+    delay: () => number,
+    hear: ConnectionHandler,
+  ): SimConnection {
+    const back = this.backend(id);
     if (!back) throw new Error(`no back end ${id}`);
     return new SimConnection(this.#scheduler, back, isCut, delay, hear);
   }
@@ -99,13 +104,13 @@
     const back = this.#makeBackend(fresh, false);
     this.#runners.set(fresh, newRunner(back, runner.room, this.#scheduler.now));
     this.platform.replace(id, fresh);
-    this.#scheduler.after(span, () => this.down(id, true));
+    this.#scheduler.after(span, () => this.kill(id, true));
   }
 
   /** Whether a runner's process is up and not frozen, and its machine exists. */
   isAnswering(id: string): boolean {
     const back = this.#runners.get(id)?.back;
-    return back !== undefined && back.isUp && !back.isDark && !back.isGone;
+    return back !== undefined && back.isUp && !back.isFrozen && !back.isMachineRemoved;
   }
 
   /** A runner's report to the leader; undefined if it does not respond. */
@@ -138,12 +143,12 @@
   }
 
   /** Counts the start of a run. */
-  began(id: string, request: SimRequest): void {
+  onRunStart(id: string, request: SimRequest): void {
     this.#changeRunCount(id, request, 1);
   }
 
   /** Counts the end of a run, and completes unloads that waited for it. */
-  ended(id: string, request: SimRequest): void {
+  onRunEnd(id: string, request: SimRequest): void {
     this.#changeRunCount(id, request, -1);
     const runner = this.#runners.get(id);
     for (const [key, hold] of runner?.holds ?? [])
@@ -164,14 +169,14 @@
   }
 
   /** Ends a back end's process: its models are lost, and its fetches in progress end. */
-  down(id: string, isMachineGone: boolean): void {
+  kill(id: string, isMachineGone: boolean): void {
     const runner = this.#runners.get(id);
     if (runner) this.orders.endFetches(runner);
     for (const key of this.#running.keys())
       if (key.startsWith(`${id}\n`)) this.#running.delete(key);
-    const back = this.back(id);
+    const back = this.backend(id);
     if (!back) return;
-    back.die(isMachineGone);
+    back.kill(isMachineGone);
     back.isUp = false;
     if (!runner) return;
     runner.holds = new Map();
@@ -179,23 +184,23 @@
   }
 
   /** Starts a back end, unless it is up. */
-  up(id: string): void {
-    const back = this.back(id);
-    if (!back || (back.isUp && !back.isGone)) return;
-    back.rise();
+  start(id: string): void {
+    const back = this.backend(id);
+    if (!back || (back.isUp && !back.isMachineRemoved)) return;
+    back.start();
     const runner = this.#runners.get(id);
     if (runner) runner.bornAt = this.#scheduler.now;
   }
 
   /** Ends a back end's process and starts a new one at once. */
   restart(id: string): void {
-    this.down(id, false);
-    this.up(id);
+    this.kill(id, false);
+    this.start(id);
   }
 
   /** Freezes or resumes a back end. */
-  setDark(id: string, isDark: boolean): void {
-    this.back(id)?.setDark(isDark);
+  setFrozen(id: string, isDark: boolean): void {
+    this.backend(id)?.setFrozen(isDark);
   }
 
   /** Changes a runner's capacity. */
--- a/src/rehearsal/sim-node.ts
+++ b/src/rehearsal/sim-node.ts
@@ -63,7 +63,7 @@
     this.#isFrozen = false;
     this.#incarnation += 1;
     this.#pending = [];
-    this.died();
+    this.onKilled();
   }
 
   /** Stops execution, as SIGSTOP does; inputs are queued. */
@@ -72,7 +72,7 @@
   }
 
   /** Resumes execution and handles the inputs queued in its sockets, in order. */
-  wake(): void {
+  resume(): void {
     if (!this.#isFrozen) return;
     this.#isFrozen = false;
     const pending = this.#pending;
@@ -126,11 +126,11 @@
   /** Creates the state of a new process. */
   protected abstract boot(): void;
   /** Discards the state of the killed process. */
-  protected abstract died(): void;
+  protected abstract onKilled(): void;
   /** Called periodically while the process runs. */
   protected abstract tick(): void;
   /** Handles a message from another node. */
   abstract receive(from: string, message: Message): void;
   /** The connection to another node was closed. */
-  abstract gone(from: string): void;
+  abstract onDisconnect(from: string): void;
 }
--- a/src/rehearsal/sim-operators.ts
+++ b/src/rehearsal/sim-operators.ts
@@ -179,7 +179,7 @@
     this.#restoring.set(zone, restoring);
     if (!isEvacuation) {
       this.#evacuated.delete(zone);
-      this.#fleet.findings.note({ what: 'zone-filling', zone });
+      this.#fleet.findings.addEvent({ what: 'zone-filling', zone });
       restoring.add(id);
       this.#restoreCount += 1;
     }
@@ -212,7 +212,7 @@
   ): void {
     if (status === 200 && restoringAtStart === 0 && this.#restoreCount === restoreCountAtStart) {
       this.#evacuated.set(zone, this.#fleet.scheduler.now);
-      this.#fleet.findings.note({ what: 'zone-emptied', zone });
+      this.#fleet.findings.addEvent({ what: 'zone-emptied', zone });
     }
     onReply(status, body);
   }
@@ -226,7 +226,7 @@
     const count = isAccepted ? (parsed?.number ?? 0) : 0;
     this.#outcomes.push({ id, at: scheduler.now, outcome, number: count, version });
     const detail = isAccepted ? '' : body;
-    findings.say(`edit ${id}: ${outcome} ${status} ${count} ${versionText(version)} ${detail}`);
+    findings.log(`edit ${id}: ${outcome} ${status} ${count} ${versionText(version)} ${detail}`);
     if (isAccepted) this.#noteAccepted(version, count);
     if (outcome === 'unsure' && seeded.isLikely(QUERY_PROBABILITY))
       scheduler.after(seeded.between(100, 4000), () => this.#queryOutcome(id));
@@ -241,7 +241,7 @@
   #noteAccepted(version: Version, count: number): void {
     if (compareVersions(version, this.#newest) > 0) this.#newest = version;
     this.#newestNumber = Math.max(this.#newestNumber, count);
-    this.#fleet.findings.note({ what: 'table-accepted', number: count });
+    this.#fleet.findings.addEvent({ what: 'table-accepted', number: count });
   }
 
   #queryOutcome(id: string): void {
--- a/src/rehearsal/sim-proxy.ts
+++ b/src/rehearsal/sim-proxy.ts
@@ -13,11 +13,11 @@
 import { probeValues, stepValues } from './proxy-trace.js';
 import type { CallerRecord } from './records.js';
 import type { SeededRandom } from './seeded-random.js';
-import { SimClients, type SimClient, type Traffic } from './sim-clients.js';
+import { SimClients, type SimClient, type CallerRequest } from './sim-clients.js';
 import { BLIND_MS, type SimAgent } from './sim-agent.js';
-import type { Hear, SimConnection } from './sim-connection.js';
+import type { ConnectionHandler, SimConnection } from './sim-connection.js';
 import { SimNode } from './sim-node.js';
-import type { SimOutside } from './sim-outside.js';
+import type { SimEnvironment } from './sim-environment.js';
 import type { MutationKind } from './mutation.js';
 
 /** The `late` limits of the first table's rows by type of request, ms. */
@@ -33,12 +33,12 @@
   readonly #seeded: SeededRandom;
   readonly #network: Network;
   readonly #trace: NodeTrace;
-  readonly #outside: SimOutside;
+  readonly #outside: SimEnvironment;
   readonly #onWrite: (runner: string) => void;
   readonly #clients: SimClients;
   readonly #mutation: MutationKind | '';
   readonly #connections: ProxyConnections;
-  #decision: PolicyRouter | undefined;
+  #router: PolicyRouter | undefined;
   #inFlightRequests: InFlightRequests | undefined;
   #probes: ConnectionProbes | undefined;
   readonly #probeConnections = new Map<string, SimConnection>();
@@ -52,7 +52,7 @@
     scheduler: Scheduler,
     seeded: SeededRandom,
     network: Network,
-    outside: SimOutside,
+    outside: SimEnvironment,
     agent: SimAgent,
     records: CallerRecord[],
     onWrite: (runner: string) => void,
@@ -86,16 +86,16 @@
   }
 
   /** The proxy's router; undefined while the process is down. */
-  get decision(): PolicyRouter | undefined {
-    return this.#decision;
+  get router(): PolicyRouter | undefined {
+    return this.#router;
   }
   /** Number of open requests. */
   get open(): number {
     return this.#clients.size;
   }
   /** The age of the oldest open request, ms. */
-  get longestMs(): number {
-    return this.#clients.longestMs();
+  get oldestRequestMs(): number {
+    return this.#clients.oldestRequestMs();
   }
   /** Whether a planned stop is in progress. */
   get isDraining(): boolean {
@@ -106,7 +106,7 @@
     const isNeverStale = this.#mutation === 'never-blind';
     const retries = this.#mutation === 'no-budget' ? { retryShare: 1, extraRetries: 1000 } : {};
     const slowStart = this.#mutation === 'no-ramp' ? { slowStartMs: 1 } : {};
-    this.#decision = new PolicyRouter({
+    this.#router = new PolicyRouter({
       ...POLICY_ROUTER_DEFAULTS,
       ...retries,
       ...slowStart,
@@ -115,21 +115,21 @@
       incarnation: this.incarnation,
     });
     this.#inFlightRequests = new InFlightRequests(
-      this.#decision,
+      this.#router,
       { connectTimeoutMs: 500, idleTimeoutMs: IDLE_TIMEOUT_MS },
       new Counters(),
     );
-    this.#probes = new ConnectionProbes(this.#decision);
+    this.#probes = new ConnectionProbes(this.#router);
     this.#isDraining = false;
   }
 
-  protected died(): void {
-    this.#decision = undefined;
+  protected onKilled(): void {
+    this.#router = undefined;
     this.#inFlightRequests = undefined;
     this.#connections.closeAll();
     for (const connection of this.#probeConnections.values()) connection.close();
     this.#probeConnections.clear();
-    this.#clients.lost();
+    this.#clients.onProxyExit();
   }
 
   /** Begins a planned stop; calls `done` once all requests have ended, or after the drain timeout. */
@@ -156,7 +156,7 @@
   }
 
   protected tick(): void {
-    const decision = this.#decision;
+    const decision = this.#router;
     if (!decision) return;
     this.#ticks += 1;
     this.#inFlightRequests?.tick(this.now());
@@ -190,7 +190,7 @@
   }
 
   /** A caller's request arrives at the machine; the process handles it once it is not frozen. */
-  send(traffic: Traffic): void {
+  send(traffic: CallerRequest): void {
     if (!this.isUp || this.#isDraining) return;
     const client = this.#clients.begin(traffic);
     this.perform(() => this.#startRequest(client));
@@ -215,7 +215,7 @@
 
   #disconnect(client: SimClient): void {
     if (!this.#clients.get(client.id)) return;
-    this.#clients.left(client);
+    this.#clients.onDisconnect(client);
     this.#inFlightRequests?.onClientDisconnect(this.now(), client.id);
     this.#drainSteps();
   }
@@ -267,7 +267,7 @@
     );
   }
 
-  #open(back: string, hear: Hear): SimConnection {
+  #open(back: string, hear: ConnectionHandler): SimConnection {
     const isCut = () => this.#network.isCut(this.#agent.id, back);
     return this.#outside.open(back, isCut, () => this.#network.delay(), hear);
   }
@@ -286,7 +286,7 @@
         if (client) client.table = step.table;
         break;
       case 'complete':
-        if (client) this.#clients.finished(client);
+        if (client) this.#clients.onComplete(client);
         this.#connections.release(step.id, true);
         break;
       case 'abort':
@@ -314,9 +314,9 @@
   }
 
   #respondError(client: SimClient, step: Extract<ForwardStep, { do: 'respondError' }>): void {
-    const table = this.#decision?.tableNumber ?? -1;
+    const table = this.#router?.tableNumber ?? -1;
     const isUnsureMutation = this.#mutation === 'unsure-run-as-no' && step.kind === 'unsure-run';
-    const respond = this.#clients.told.bind(
+    const respond = this.#clients.onErrorResponse.bind(
       this.#clients,
       client,
       isUnsureMutation ? 'crowded' : step.kind,
@@ -329,7 +329,7 @@
 
   #abort(client: SimClient): void {
     if (this.#mutation !== 'streams-resumed') {
-      this.#clients.broken(client);
+      this.#clients.onAbort(client);
       return;
     }
     // The mutated proxy continues a broken response with the response of another run.
@@ -347,7 +347,7 @@
   }
 
   receive(_from: string, message: Message): void {
-    const decision = this.#decision;
+    const decision = this.#router;
     if (!decision) return;
     if (message.kind === 'update') {
       this.#onTopicUpdate(
@@ -390,7 +390,7 @@
     decision.onUpdate(this.now(), topic, version, mutatedBody);
   }
 
-  gone(): void {
+  onDisconnect(): void {
     /* a closed connection to its agent changes nothing: the proxy repeats its freshness request */
   }
 }
--- a/src/rehearsal/simulated-fleet.ts
+++ b/src/rehearsal/simulated-fleet.ts
@@ -5,9 +5,9 @@
 import type { SimAgent } from './sim-agent.js';
 import type { SimControl } from './sim-control.js';
 import type { SimNode } from './sim-node.js';
-import type { SimOutside } from './sim-outside.js';
+import type { SimEnvironment } from './sim-environment.js';
 import type { SimProxy } from './sim-proxy.js';
-import type { Condition } from './trouble-kinds.js';
+import type { Condition } from './fault-kinds.js';
 
 /** Ids of the runners, which serve models, of every simulated fleet. */
 export const RUNNERS = ['r0', 'r1', 'r2', 'r3'] as const;
@@ -25,7 +25,7 @@
   readonly scheduler: Scheduler;
   readonly seeded: SeededRandom;
   readonly network: Network;
-  readonly outside: SimOutside;
+  readonly outside: SimEnvironment;
   readonly nodes: ReadonlyMap<string, SimNode>;
   readonly controlNodes: readonly SimControl[];
   readonly agents: readonly SimAgent[];
@@ -91,7 +91,7 @@
     node.kill();
     for (const [id, other] of nodes) {
       if (id === node.id || network.isCut(node.id, id)) continue;
-      scheduler.after(network.delay(), () => other.perform(() => other.gone(node.id)));
+      scheduler.after(network.delay(), () => other.perform(() => other.onDisconnect(node.id)));
     }
   }
 
@@ -101,7 +101,7 @@
     proxy.kill();
     for (const agent of this.#fleet.agents)
       if (agent.proxies.has(proxy.id))
-        this.#fleet.scheduler.after(1, () => agent.perform(() => agent.gone(proxy.id)));
+        this.#fleet.scheduler.after(1, () => agent.perform(() => agent.onDisconnect(proxy.id)));
   }
 
   /** Kills a control node or an agent and starts it again after the span. */
--- a/src/rehearsal/simulation-types.ts
+++ b/src/rehearsal/simulation-types.ts
@@ -1,6 +1,6 @@
 import type { MutationKind } from './mutation.js';
 import type { RunTrace } from './run-trace.js';
-import type { TroubleKind } from './trouble-kinds.js';
+import type { FaultKind } from './fault-kinds.js';
 
 /** Settings of one simulation run. */
 export interface SimulationSettings {
@@ -8,11 +8,11 @@
   /** Number of edge machines, each with one agent and one proxy. */
   readonly edges: number;
   /** How long faults are injected after a fault-free start; then all faults are healed. */
-  readonly stormMs: number;
+  readonly faultPeriodMs: number;
   /** The kinds of faults to draw from. */
-  readonly troubles: readonly TroubleKind[];
+  readonly faultKinds: readonly FaultKind[];
   /** A defect to put into the build, to show that the checks detect it. */
-  readonly wrong?: MutationKind;
+  readonly mutation?: MutationKind;
   /** Records the externally visible behavior of the run. */
   readonly runTrace?: RunTrace;
 }
@@ -37,5 +37,5 @@
   /** Callers' requests by outcome. */
   readonly calls: Readonly<Record<string, number>>;
   /** How often each kind of fault was injected, and under which conditions. */
-  readonly met: ReadonlyMap<string, number>;
+  readonly faultCounts: ReadonlyMap<string, number>;
 }
--- a/src/rehearsal/simulation.test.ts
+++ b/src/rehearsal/simulation.test.ts
@@ -1,10 +1,10 @@
 import { expect, test } from 'vitest';
 import { compile } from '../policy/language.js';
 import { SimControl } from './sim-control.js';
-import { TROUBLES } from './trouble-kinds.js';
+import { FAULT_KINDS } from './fault-kinds.js';
 import { Simulation } from './simulation.js';
 import type { SimulationResult } from './simulation-types.js';
-import { storm } from './storms.js';
+import { runSeeds } from './storms.js';
 const INTERRUPTIONS = [
   'kill new node',
   'cut new node',
@@ -28,7 +28,7 @@
   for (let seed = 1; seed <= 24; seed += 1) {
     await new Promise(setImmediate);
     const kind = INTERRUPTIONS[seed % INTERRUPTIONS.length] ?? 'kill leader';
-    const simulation = new Simulation({ seed, edges: 2, stormMs: 0, troubles: [] });
+    const simulation = new Simulation({ seed, edges: 2, faultPeriodMs: 0, faultKinds: [] });
     const { scheduler, network } = simulation;
     simulation.start();
     scheduler.runUntil(14_000);
@@ -63,7 +63,7 @@
       scheduler.after(3000, () => victim.start());
     } else if (kind.startsWith('freeze')) {
       victim.freeze();
-      scheduler.after(3000, () => victim.wake());
+      scheduler.after(3000, () => victim.resume());
     } else {
       for (const controlNode of simulation.controlNodes)
         if (controlNode !== victim) {
@@ -95,7 +95,7 @@
   expect(failures).toEqual([]);
 }, 600_000);
 test('an edit that has been dropped from the record of edits is never reported as rejected', async () => {
-  const simulation = new Simulation({ seed: 4, edges: 1, stormMs: 0, troubles: [] });
+  const simulation = new Simulation({ seed: 4, edges: 1, faultPeriodMs: 0, faultKinds: [] });
   const { scheduler } = simulation;
   simulation.start();
   scheduler.runUntil(14_000);
@@ -133,7 +133,7 @@
 test("after the loss of two or three disks no cluster forms by itself, and force-new-cluster recovers the members' table", async () => {
   for (const lost of [3, 2]) {
     await new Promise(setImmediate);
-    const simulation = new Simulation({ seed: lost, edges: 3, stormMs: 0, troubles: [] });
+    const simulation = new Simulation({ seed: lost, edges: 3, faultPeriodMs: 0, faultKinds: [] });
     const { scheduler } = simulation;
     simulation.start();
     scheduler.runUntil(15_000);
@@ -151,7 +151,7 @@
     const victims = simulation.controlNodes.slice(0, lost);
     for (const controlNode of victims) {
       simulation.kill(controlNode);
-      controlNode.wipe();
+      controlNode.eraseDisk();
     }
     scheduler.runUntil(scheduler.now + 500);
     for (const controlNode of victims) controlNode.start();
@@ -184,7 +184,7 @@
   const epochs: number[] = [];
   for (let seed = 1; seed <= 10; seed += 1) {
     await new Promise(setImmediate);
-    const simulation = new Simulation({ seed, edges: 1, stormMs: 0, troubles: [] });
+    const simulation = new Simulation({ seed, edges: 1, faultPeriodMs: 0, faultKinds: [] });
     const { scheduler } = simulation;
     simulation.start();
     scheduler.runUntil(15_000 + seed * 37);
@@ -205,7 +205,7 @@
   for (let seed = 1; seed <= 6; seed += 1) {
     // A seed takes seconds of CPU time: yield to the event loop so that the test runner stays responsive.
     await new Promise(setImmediate);
-    const simulation = new Simulation({ seed, edges: 3, stormMs: 0, troubles: [] });
+    const simulation = new Simulation({ seed, edges: 3, faultPeriodMs: 0, faultKinds: [] });
     const { scheduler } = simulation;
     simulation.start();
     scheduler.runUntil(15_000);
@@ -242,11 +242,16 @@
   }
 }, 600_000);
 test('no rule is broken under faults of all kinds', async () => {
-  expect(await storm(1, 40, TROUBLES)).toEqual([]);
+  expect(await runSeeds(1, 40, FAULT_KINDS)).toEqual([]);
 }, 600_000);
 test('two runs of a seed are identical', () => {
   function run(): SimulationResult {
-    return new Simulation({ seed: 5, edges: 2, stormMs: 8000, troubles: TROUBLES }).run();
+    return new Simulation({
+      seed: 5,
+      edges: 2,
+      faultPeriodMs: 8000,
+      faultKinds: FAULT_KINDS,
+    }).run();
   }
   expect(run()).toEqual(run());
 }, 600_000);
--- a/src/rehearsal/simulation.ts
+++ b/src/rehearsal/simulation.ts
@@ -2,7 +2,7 @@
 import type { Message } from '../common/messages.js';
 import { PlacesShape } from '../placement/shapes.js';
 import { VOTE_DEFAULTS } from '../election/vote-settings.js';
-import { checkHealed } from './final-checks.js';
+import { checkHealedFleet } from './final-checks.js';
 import { Judge, type Evidence } from './judge.js';
 import { Network } from './network.js';
 import { ProxyWatch } from './proxy-watch.js';
@@ -14,9 +14,9 @@
 import { SimControl } from './sim-control.js';
 import type { SimNode } from './sim-node.js';
 import { SimOperators } from './sim-operators.js';
-import { SimOutside } from './sim-outside.js';
+import { SimEnvironment } from './sim-environment.js';
 import { LATE_MS, SimProxy } from './sim-proxy.js';
-import { SimTroubles } from './sim-troubles.js';
+import { FaultInjector } from './fault-injector.js';
 import {
   MAX_CONCURRENT_LOADS,
   PLAIN_BACK_ENDS,
@@ -25,7 +25,7 @@
   ZONES,
 } from './simulated-fleet.js';
 import type { SimulationResult, SimulationSettings } from './simulation-types.js';
-import type { Condition } from './trouble-kinds.js';
+import type { Condition } from './fault-kinds.js';
 
 /** How long a run continues without faults: before the first one, and after all were healed; ms. */
 const FAULT_FREE_MS = 14_000;
@@ -45,7 +45,7 @@
   readonly #scheduler = new Scheduler();
   readonly #seeded: SeededRandom;
   readonly #network: Network;
-  readonly #outside: SimOutside;
+  readonly #outside: SimEnvironment;
   readonly #nodes = new Map<string, SimNode>();
   readonly #controlNodes: SimControl[] = [];
   readonly #agents: SimAgent[] = [];
@@ -54,7 +54,7 @@
   readonly #findings: RunFindings;
   readonly #operators: SimOperators;
   readonly #watch: ProxyWatch;
-  readonly #troubles: SimTroubles;
+  readonly #faultInjector: FaultInjector;
   #isInjectingFaults = false;
   #leaderlessSince: number | undefined;
   readonly #leaderlessMs: number[] = [];
@@ -75,13 +75,13 @@
       seeded: this.#seeded,
       controlNodes: this.#controlNodes,
       findings: this.#findings,
-      takesUnsureForRefused: settings.wrong === 'unsure-as-no',
+      takesUnsureForRefused: settings.mutation === 'unsure-as-no',
     });
     this.#watch = new ProxyWatch(this.#outside, this.#operators, this.#findings);
     const seeds = ['mind-0:1', 'mind-1:1', 'mind-2:1'];
     for (const id of seeds) this.#addControlNode(id, seeds);
     for (let index = 0; index < settings.edges; index += 1) this.#addEdge(index, seeds);
-    this.#troubles = new SimTroubles({
+    this.#faultInjector = new FaultInjector({
       scheduler: this.#scheduler,
       seeded: this.#seeded,
       network: this.#network,
@@ -95,7 +95,7 @@
     });
   }
 
-  #makeOutside(): SimOutside {
+  #makeOutside(): SimEnvironment {
     const models = [];
     for (let index = 0; index < MODELS; index += 1)
       models.push({ name: `m-${index}`, size: MODEL_SIZE });
@@ -106,7 +106,7 @@
     for (const [index, id] of PLAIN_BACK_ENDS.entries())
       plain.push({ id, zone: ZONES[index % 3] ?? 'a' });
     const adapters = [{ name: 'm-0-a', model: 'm-0', size: 1 }];
-    return new SimOutside(
+    return new SimEnvironment(
       this.#scheduler,
       this.#seeded,
       { limit: MAX_CONCURRENT_LOADS, models, adapters },
@@ -133,7 +133,7 @@
       agent,
       this.#calls,
       (runner) => this.#onRequestSent(id, runner),
-      this.#settings.wrong ?? '',
+      this.#settings.mutation ?? '',
     );
     this.#agents.push(agent);
     this.#proxies.push(proxy);
@@ -146,7 +146,7 @@
       case 'requests open':
         return this.#proxies.some(hasOpenRequests);
       case 'runs under way':
-        return this.#outside.backs().some(hasRuns);
+        return this.#outside.backends().some(hasRuns);
       case 'edit in flight':
         return this.#operators.openEdits > 0;
       case 'fetch under way':
@@ -184,7 +184,7 @@
   }
 
   kill(controlNode: SimControl): void {
-    this.#troubles.kill(controlNode);
+    this.#faultInjector.kill(controlNode);
   }
 
   /** Starts all nodes now, for tests that drive the scheduler themselves instead of calling `run`. */
@@ -205,14 +205,14 @@
   /** Whether every proxy has the latest revision of the platform's list. */
   haveAllMarks(): boolean {
     for (const proxy of this.#proxies)
-      if ((proxy.decision?.runnerListRevision ?? 0) < this.#outside.platform.revision) return false;
+      if ((proxy.router?.runnerListRevision ?? 0) < this.#outside.platform.revision) return false;
     return true;
   }
 
   /** The number of the table that each proxy uses; -1 if it is down. */
   tableNumbers(): number[] {
     const numbers: number[] = [];
-    for (const proxy of this.#proxies) numbers.push(proxy.decision?.tableNumber ?? -1);
+    for (const proxy of this.#proxies) numbers.push(proxy.router?.tableNumber ?? -1);
     return numbers;
   }
 
@@ -223,7 +223,7 @@
 
   /** Removes a machine without notice: its connections are not closed. */
   vanish(runner: string): void {
-    this.#outside.down(runner, true);
+    this.#outside.kill(runner, true);
   }
 
   /** The models of which a runner is the primary. */
@@ -249,10 +249,10 @@
       this.#network,
       this.#outside,
       seeds,
-      this.#settings.wrong === 'no-gap-between-holders'
+      this.#settings.mutation === 'no-gap-between-holders'
         ? { ...VOTE_DEFAULTS, handoverGapMs: 0 }
         : VOTE_DEFAULTS,
-      this.#settings.wrong ?? '',
+      this.#settings.mutation ?? '',
     );
     this.#controlNodes.push(controlNode);
     this.#nodes.set(id, controlNode);
@@ -273,24 +273,24 @@
     this.#scheduler.at(FIRST_CHECK_MS, () => this.#checkPeriodically());
     this.#scheduler.runUntil(FAULT_FREE_MS);
     const serveMs = this.#findLeader() ? this.#scheduler.now : -1;
-    if (serveMs < 0) this.#findings.find('no leader serves after the fault-free start');
-    this.found();
+    if (serveMs < 0) this.#findings.addViolation('no leader serves after the fault-free start');
+    this.putFirstTable();
     this.#isInjectingFaults = true;
     this.#operators.begin();
     this.#scheduler.after(100, () => this.#operators.operate());
     this.#scheduler.after(1000, () => this.#injectFaults());
-    this.#scheduler.runUntil(FAULT_FREE_MS + this.#settings.stormMs);
+    this.#scheduler.runUntil(FAULT_FREE_MS + this.#settings.faultPeriodMs);
     this.#isInjectingFaults = false;
     this.#operators.end();
-    this.#troubles.healAll();
+    this.#faultInjector.healAll();
     this.#scheduler.after(RESTORE_AFTER_MS, () => this.#restoreZones());
-    this.#scheduler.runUntil(FAULT_FREE_MS + this.#settings.stormMs + HEAL_MS);
+    this.#scheduler.runUntil(FAULT_FREE_MS + this.#settings.faultPeriodMs + HEAL_MS);
     this.#checkAfterHealing();
     return this.#result(serveMs);
   }
 
   #checkAfterHealing(): void {
-    checkHealed({
+    checkHealedFleet({
       now: this.#scheduler.now,
       leader: this.#findLeader(),
       controlNodes: this.#controlNodes,
@@ -300,7 +300,7 @@
       findings: this.#findings,
     });
     for (const violation of new Judge(this.#evidence()).judge())
-      this.#findings.find(`${violation.rule}: ${violation.text}`);
+      this.#findings.addViolation(`${violation.rule}: ${violation.text}`);
   }
 
   #result(serveMs: number): SimulationResult {
@@ -322,7 +322,7 @@
       runs: this.#watch.runCount,
       messages: this.#network.sent,
       calls,
-      met: this.#troubles.met,
+      faultCounts: this.#faultInjector.faultCounts,
     };
   }
 
@@ -350,7 +350,7 @@
   }
 
   /** Submits the first table to the leader. */
-  found(): void {
+  putFirstTable(): void {
     this.#operators.putFirstTable(this.#findLeader());
   }
 
@@ -372,20 +372,20 @@
 
   #injectFaults(): void {
     if (!this.#isInjectingFaults) return;
-    const kind = this.#seeded.pick(this.#settings.troubles);
-    if (kind) this.#troubles.bringAbout(kind);
+    const kind = this.#seeded.pick(this.#settings.faultKinds);
+    if (kind) this.#faultInjector.inject(kind);
     this.#scheduler.after(this.#seeded.between(300, 5000), () => this.#injectFaults());
   }
 
   #restoreZones(): void {
     const leader = this.#findLeader();
     if (leader) this.#operators.restoreAll(leader);
-    else this.#findings.find('no leader within 10 s after all faults were healed');
+    else this.#findings.addViolation('no leader within 10 s after all faults were healed');
   }
 }
 
 function isFresh(proxy: SimProxy): boolean {
-  return proxy.decision?.isFresh(proxy.now()) === true;
+  return proxy.router?.isFresh(proxy.now()) === true;
 }
 function hasOpenRequests(proxy: SimProxy): boolean {
   return proxy.open > 0;
--- a/src/rehearsal/storm-command.ts
+++ b/src/rehearsal/storm-command.ts
@@ -1,9 +1,9 @@
 import { Command, Flags } from '@oclif/core';
 import { Simulation } from './simulation.js';
-import { CONDITIONS, TROUBLES, type TroubleKind } from './trouble-kinds.js';
+import { CONDITIONS, FAULT_KINDS, type FaultKind } from './fault-kinds.js';
 
-function isFaultKind(text: string): text is TroubleKind {
-  return TROUBLES.some((kind) => text === kind);
+function isFaultKind(text: string): text is FaultKind {
+  return FAULT_KINDS.some((kind) => text === kind);
 }
 
 function pairText(pair: readonly [string, number]): string {
@@ -33,7 +33,7 @@
     trouble: Flags.string({
       multiple: true,
       description: 'inject only faults of these kinds',
-      options: [...TROUBLES],
+      options: [...FAULT_KINDS],
     }),
     met: Flags.boolean({
       default: false,
@@ -48,7 +48,7 @@
   #printConditionTable(counts: ReadonlyMap<string, number>): void {
     this.log(`| fault | count | ${CONDITIONS.join(' | ')} |`);
     this.log(`| --- | --- | ${CONDITIONS.map(separatorCell).join(' | ')} |`);
-    for (const kind of TROUBLES) {
+    for (const kind of FAULT_KINDS) {
       const cells = [kind, String(counts.get(`${kind}|times`) ?? 0)];
       for (const condition of CONDITIONS)
         cells.push(String(counts.get(`${kind}|${condition}`) ?? 0));
@@ -58,7 +58,7 @@
 
   async run(): Promise<void> {
     const { flags } = await this.parse(StormCommand);
-    const kinds = (flags.trouble ?? [...TROUBLES]).filter(isFaultKind);
+    const kinds = (flags.trouble ?? [...FAULT_KINDS]).filter(isFaultKind);
     const leaderlessMs: number[] = [];
     let failed = 0;
     const conditionCounts = new Map<string, number>();
@@ -67,7 +67,7 @@
     const trace = flags.trace ? this.log.bind(this) : undefined;
     for (let seed = flags.from; seed < flags.from + flags.seeds; seed += 1) {
       const result = new Simulation(
-        { seed, edges: flags.edges, stormMs: flags.seconds * 1000, troubles: kinds },
+        { seed, edges: flags.edges, faultPeriodMs: flags.seconds * 1000, faultKinds: kinds },
         trace,
       ).run();
       leaderlessMs.push(...result.leaderlessMs);
@@ -77,7 +77,7 @@
       orders += result.orders;
       messages += result.messages;
       runs += result.runs;
-      for (const [key, count] of result.met)
+      for (const [key, count] of result.faultCounts)
         conditionCounts.set(key, (conditionCounts.get(key) ?? 0) + count);
       for (const [key, count] of Object.entries(result.calls))
         calls.set(key, (calls.get(key) ?? 0) + count);
--- a/src/rehearsal/storms.ts
+++ b/src/rehearsal/storms.ts
@@ -1,8 +1,8 @@
 /** Batches of seeded runs for tests: the correct build under faults, and builds with one defect each. */
 import { setImmediate } from 'node:timers/promises';
-import { WRONGS, type MutationKind } from './mutation.js';
+import { MUTATIONS, type MutationKind } from './mutation.js';
 import { Simulation } from './simulation.js';
-import type { TroubleKind } from './trouble-kinds.js';
+import type { FaultKind } from './fault-kinds.js';
 
 /** Virtual time during which faults are injected, for the correct build and for a mutated one, ms. */
 const FAULT_PERIOD_MS = 25_000;
@@ -12,18 +12,18 @@
 const MAX_SEEDS = 32;
 
 /** Runs `count` seeds in sequence, starting with `from`, and returns every violation with its seed. */
-export async function storm(
+export async function runSeeds(
   from: number,
   count: number,
-  kinds: readonly TroubleKind[],
+  kinds: readonly FaultKind[],
 ): Promise<string[]> {
   const violations: string[] = [];
   for (let seed = from; seed < from + count; seed += 1) {
     const result = new Simulation({
       seed,
       edges: PROXIES,
-      stormMs: FAULT_PERIOD_MS,
-      troubles: kinds,
+      faultPeriodMs: FAULT_PERIOD_MS,
+      faultKinds: kinds,
     }).run();
     for (const violation of result.violations) violations.push(`seed ${seed}: ${violation}`);
     // A seed takes a second of CPU time: yield to the event loop so that the test runner stays responsive.
@@ -37,14 +37,17 @@
  * same seeds. Returns an empty list if both behave as expected; otherwise the violation of the correct build, or the
  * mutation that no seed detected.
  */
-export async function bite(mutationKind: MutationKind, maxSeeds = MAX_SEEDS): Promise<string[]> {
-  const { rule, faultKinds: kinds } = WRONGS[mutationKind];
+export async function checkMutation(
+  mutationKind: MutationKind,
+  maxSeeds = MAX_SEEDS,
+): Promise<string[]> {
+  const { rule, faultKinds: kinds } = MUTATIONS[mutationKind];
   for (let seed = 1; seed <= maxSeeds; seed += 1) {
     const correct = new Simulation({
       seed,
       edges: PROXIES,
-      stormMs: MUTATION_FAULT_PERIOD_MS,
-      troubles: kinds,
+      faultPeriodMs: MUTATION_FAULT_PERIOD_MS,
+      faultKinds: kinds,
     }).run();
     // Yield before each return as well: consecutive checks would otherwise block the event loop for minutes.
     await setImmediate();
@@ -53,9 +56,9 @@
     const { violations } = new Simulation({
       seed,
       edges: PROXIES,
-      stormMs: MUTATION_FAULT_PERIOD_MS,
-      troubles: kinds,
-      wrong: mutationKind,
+      faultPeriodMs: MUTATION_FAULT_PERIOD_MS,
+      faultKinds: kinds,
+      mutation: mutationKind,
     }).run();
     await setImmediate();
     if (violations.some((violation) => violation.startsWith(`${rule}:`))) return [];
--- a/src/rehearsal/table-measure.ts
+++ b/src/rehearsal/table-measure.ts
@@ -124,7 +124,7 @@
 }
 
 function measureInForceMs(table: Table): number {
-  const simulation = new Simulation({ seed: 1, edges: 12, stormMs: 0, troubles: [] });
+  const simulation = new Simulation({ seed: 1, edges: 12, faultPeriodMs: 0, faultKinds: [] });
   const { scheduler } = simulation;
   simulation.start();
   scheduler.runUntil(15_000);
--- a/src/simulation/same-runs/orders-run.ts
+++ b/src/simulation/same-runs/orders-run.ts
@@ -46,13 +46,19 @@
   constructor(seed: number, runTrace: TraceDigest) {
     this.#random = new SeededRandom(seed);
     this.#lostDisks = seed % 2 === 1 ? 0 : 2 + ((seed / 2) % 2);
-    this.#simulation = new Simulation({ seed, edges: PROXIES, stormMs: 0, troubles: [], runTrace });
+    this.#simulation = new Simulation({
+      seed,
+      edges: PROXIES,
+      faultPeriodMs: 0,
+      faultKinds: [],
+      runTrace,
+    });
   }
 
   run(): void {
     this.#simulation.start();
     this.#wait(START_MS);
-    this.#simulation.found();
+    this.#simulation.putFirstTable();
     for (let count = 0; count < ORDERS; count += 1) {
       this.#sendOrder(this.#random.pick(this.#simulation.controlNodes));
       this.#wait(this.#random.between(0, MAX_PAUSE_MS));
@@ -135,7 +141,7 @@
     const lost = this.#simulation.controlNodes.slice(0, this.#lostDisks);
     for (const node of lost) {
       this.#simulation.kill(node);
-      node.wipe();
+      node.eraseDisk();
     }
     this.#wait(MAX_PAUSE_MS);
     for (const node of lost) node.start();
--- a/src/simulation/same-runs/pinned-runs.ts
+++ b/src/simulation/same-runs/pinned-runs.ts
@@ -1,5 +1,5 @@
 import { Simulation } from '../../rehearsal/simulation.js';
-import { TROUBLES } from '../../rehearsal/trouble-kinds.js';
+import { FAULT_KINDS } from '../../rehearsal/fault-kinds.js';
 import { simulate } from '../control-simulation.js';
 import { MIXED, optionsOf, shapeOf } from '../run-shape.js';
 import { drawSchedule } from '../schedule-draw.js';
@@ -36,7 +36,7 @@
 
 function runStorm(seed: number, log?: TraceLog): string {
   const runTrace = new TraceDigest(log);
-  const fixed = { edges: STORM_PROXIES, stormMs: STORM_MS, troubles: TROUBLES };
+  const fixed = { edges: STORM_PROXIES, faultPeriodMs: STORM_MS, faultKinds: FAULT_KINDS };
   new Simulation({ seed, ...fixed, runTrace }).run();
   return runTrace.finish();
 }
