--- a/bench/compare-trees.mjs
+++ b/bench/compare-trees.mjs
@@ -1,4 +1,4 @@
-// Starts the comparison of two checkouts: bundles it to target/ and runs its command.
+// Bundles the command that compares two checkouts into target/ and runs it.
 import { build } from 'esbuild';
 
 await build({
--- a/bench/compare/command.ts
+++ b/bench/compare/command.ts
@@ -3,15 +3,15 @@
 import { basename, resolve } from 'node:path';
 import { parseArgs } from 'node:util';
 import { comparisonTable, type DayPair } from './comparison-table.js';
-import { playDays, type DayPlay, type PlayedDay } from './day-player.js';
+import { runDays, type DayRun, type CompletedRun } from './day-player.js';
 
-/** How the command is used. */
+/** Usage text of the command. */
 export const USAGE = `usage:
   compare-trees --before DIR --after DIR --bench PROGRAM --out DIR --why TEXT
                 --site SITE [--site SITE...] --day DAY [--day DAY...] [--seed N...]
                 [--jobs N] [-- OPTIONS OF THE BENCH...]
 
-Plays each day with each seed in both checkouts and prints the mean differences, after less before, with their 95 %
+Plays each day with each seed in both checkouts and prints the mean differences (after minus before) with their 95 %
 intervals. The bench leaves its journal entries in the checkouts.`;
 
 const OPTIONS = {
@@ -26,7 +26,11 @@
   jobs: { type: 'string', default: '2' },
 } as const;
 
-/** Runs the command; gives the exit status. */
+/**
+ * Runs the command and returns the exit status.
+ *
+ * @throws {VError} if the bench fails or writes no valid report.
+ */
 export async function runCommand(args: string[], print: (line: string) => void): Promise<number> {
   const { values, positionals } = parseArgs({ args, options: OPTIONS, allowPositionals: true });
   const { before, after, bench, out, why, site = [], day = [], seed = ['1'] } = values;
@@ -38,33 +42,39 @@
     return 2;
   }
   mkdirSync(out, { recursive: true });
-  const plays = playsOf({ before, after }, site.map(absolute), day, seeds);
-  const settings = { bench: resolve(bench), out: resolve(out), jobs, why, options: positionals };
-  for (const line of comparisonTable(pairDays(await playDays(plays, settings)))) print(line);
+  const runs = listRuns({ before, after }, site.map(absolute), day, seeds);
+  const settings = {
+    bench: resolve(bench),
+    outputDir: resolve(out),
+    maxConcurrentRuns: jobs,
+    why,
+    options: positionals,
+  };
+  for (const line of comparisonTable(pairRuns(await runDays(runs, settings)))) print(line);
   return 0;
 }
 
-function playsOf(
-  trees: Record<'before' | 'after', string>,
+function listRuns(
+  checkouts: Record<'before' | 'after', string>,
   sites: readonly string[],
   days: readonly string[],
   seeds: readonly number[],
-): DayPlay[] {
-  const plays: DayPlay[] = [];
+): DayRun[] {
+  const runs: DayRun[] = [];
   for (const site of sites) {
     for (const day of days) {
       for (const seed of seeds) {
         const name = `${basename(site, '.toml')}.${basename(day, '.toml')}.${seed}`;
-        plays.push({ tree: trees.before, site, day, seed, label: `before.${name}` });
-        plays.push({ tree: trees.after, site, day, seed, label: `after.${name}` });
+        runs.push({ checkoutDir: checkouts.before, site, day, seed, label: `before.${name}` });
+        runs.push({ checkoutDir: checkouts.after, site, day, seed, label: `after.${name}` });
       }
     }
   }
-  return plays;
+  return runs;
 }
 
-function pairDays(played: readonly PlayedDay[]): DayPair[] {
-  const byLabel = new Map(played.map(({ play, figures }) => [play.label, figures]));
+function pairRuns(completedRuns: readonly CompletedRun[]): DayPair[] {
+  const byLabel = new Map(completedRuns.map(({ run, figures }) => [run.label, figures]));
   const pairs: DayPair[] = [];
   for (const [label, before] of [...byLabel].sort()) {
     if (!label.startsWith('before.')) continue;
--- a/bench/compare/compare.test.ts
+++ b/bench/compare/compare.test.ts
@@ -4,7 +4,7 @@
 import { join } from 'node:path';
 import { expect, test } from 'vitest';
 import { runCommand } from './command.js';
-import { readDayReport } from './day-report.js';
+import { parseDayReport } from './day-report.js';
 import { meanDifference } from './paired-differences.js';
 
 const REPORT = {
@@ -18,7 +18,7 @@
   breaks: {},
 };
 
-/** Answers with the worth that the checkout's file `worth` names, and 0.01 more for each seed. */
+/** Reports the worth in the checkout's file `worth`, plus 0.01 times the seed. */
 const STUB_BENCH = `#!/usr/bin/env node
 const { readFileSync, writeFileSync } = require('node:fs');
 const [, , , , , , seed, , report] = process.argv;
@@ -27,7 +27,7 @@
 writeFileSync(report, JSON.stringify({ ...${JSON.stringify(REPORT)}, G: worth, breaks }));
 `;
 
-test('the mean of paired differences has the interval of their spread', () => {
+test('the half width of the interval follows from the spread of the paired differences', () => {
   const pairs = [
     { before: 1, after: 2 },
     { before: 1, after: 4 },
@@ -38,8 +38,10 @@
   expect(meanDifference(pairs.slice(1)).halfWidth).toBeUndefined();
 });
 
-test('a report is read by figure, and one of another shape is an error', () => {
-  const { figures, brokenRules } = readDayReport(JSON.stringify({ ...REPORT, breaks: { ONE: 2 } }));
+test('a report is parsed into figures, and an invalid one is rejected', () => {
+  const { figures, brokenRules } = parseDayReport(
+    JSON.stringify({ ...REPORT, breaks: { ONE: 2 } }),
+  );
   expect(Object.fromEntries(figures)).toEqual({
     worth: 0.8,
     'whole day': 0.9,
@@ -47,20 +49,20 @@
     'price orders': 0.002,
   });
   expect(brokenRules).toEqual(['ONE']);
-  expect(() => readDayReport('{}')).toThrow();
+  expect(() => parseDayReport('{}')).toThrow();
 });
 
-test('both checkouts play each day with each seed, and differences and broken rules are told', async () => {
+test('both checkouts play each day with each seed; the output has the differences and broken rules', async () => {
   const folder = mkdtempSync(join(tmpdir(), 'compare-'));
   const bench = join(folder, 'bench');
   writeFileSync(bench, STUB_BENCH);
   chmodSync(bench, 0o755);
-  for (const [tree, worth] of [
+  for (const [checkout, worth] of [
     ['old', '0.8'],
     ['new', '0.9'],
   ] as const) {
-    mkdirSync(join(folder, tree));
-    writeFileSync(join(folder, tree, 'worth'), worth);
+    mkdirSync(join(folder, checkout));
+    writeFileSync(join(folder, checkout, 'worth'), worth);
   }
   const lines: string[] = [];
   const args = ['--before', join(folder, 'old'), '--after', join(folder, 'new'), '--bench', bench];
@@ -73,13 +75,13 @@
   expect(lines).toContain('rule broken after on example.quiet-1.3: LOST');
 });
 
-test('a bench that fails is an error that names the day', async () => {
+test('the error of a failed bench names the day', async () => {
   const args = ['--before', '.', '--after', '.', '--bench', '/bin/false', '--why', 'a test'];
   args.push('--out', mkdtempSync(join(tmpdir(), 'compare-')), '--site', 'a.toml', '--day', 'd');
   await expect(runCommand(args, () => undefined)).rejects.toThrow(/a\.d\.1: the bench ended/);
 });
 
-test('without its options the command tells how it is used', async () => {
+test('without its options the command prints its usage', async () => {
   const lines: string[] = [];
   expect(await runCommand([], (line) => lines.push(line))).toBe(2);
   expect(lines.join()).toContain('usage:');
--- a/bench/compare/day-player.ts
+++ b/bench/compare/day-player.ts
@@ -1,70 +1,71 @@
-/** Plays days by the bench in two checkouts, a few at a time, and reads their reports. */
+/** Plays days with the bench in two checkouts, with limited concurrency, and reads the reports. */
 import { spawn } from 'node:child_process';
 import { createWriteStream } from 'node:fs';
 import { readFile } from 'node:fs/promises';
 import { join } from 'node:path';
 import { from, lastValueFrom, mergeMap, toArray } from 'rxjs';
 import { VError } from 'verror';
-import { readDayReport, type DayFigures } from './day-report.js';
+import { parseDayReport, type DayFigures } from './day-report.js';
 
-/** One day to be played in one checkout. */
-export interface DayPlay {
-  /** The checkout in which the bench runs. */
-  readonly tree: string;
+/** One day to play in one checkout. */
+export interface DayRun {
+  /** The checkout that the bench runs in, as its working directory. */
+  readonly checkoutDir: string;
   readonly site: string;
   readonly day: string;
   readonly seed: number;
-  /** Names the files of report and output. */
+  /** Base name of the report and output files. */
   readonly label: string;
 }
 
-export interface PlayerSettings {
-  /** The bench's program. */
+/** Settings that all runs share. */
+export interface RunSettings {
+  /** Path of the bench's executable. */
   readonly bench: string;
-  /** Where reports and outputs are written. */
-  readonly out: string;
-  /** How many days are played at a time. */
-  readonly jobs: number;
-  /** The line for the journal. */
+  /** Directory for the report and output files. */
+  readonly outputDir: string;
+  /** The maximum number of days that are played at the same time. */
+  readonly maxConcurrentRuns: number;
+  /** The reason that the bench records in its journal entry. */
   readonly why: string;
-  /** Further options of the bench, such as `--small`. */
+  /** Additional options of the bench, such as `--small`. */
   readonly options: readonly string[];
 }
 
-/** A play with its figures. */
-export interface PlayedDay {
-  readonly play: DayPlay;
+/** A completed run with the figures of its report. */
+export interface CompletedRun {
+  readonly run: DayRun;
   readonly figures: DayFigures;
 }
 
 /**
- * Plays all; one that fails ends the others' waiting, but not their programs.
+ * Plays all days. The first failure rejects the promise; bench processes that still run are not stopped.
  *
- * @throws {VError} where the bench fails or writes no report.
+ * @throws {VError} if the bench fails or writes no valid report.
  */
-export async function playDays(
-  plays: readonly DayPlay[],
-  settings: PlayerSettings,
-): Promise<PlayedDay[]> {
+export async function runDays(
+  runs: readonly DayRun[],
+  settings: RunSettings,
+): Promise<CompletedRun[]> {
   return lastValueFrom(
-    from(plays).pipe(
-      mergeMap((play) => playDay(play, settings), settings.jobs),
+    from(runs).pipe(
+      mergeMap((run) => runDay(run, settings), settings.maxConcurrentRuns),
       toArray(),
     ),
   );
 }
 
-async function playDay(play: DayPlay, settings: PlayerSettings): Promise<PlayedDay> {
-  const path = join(settings.out, play.label);
+async function runDay(run: DayRun, settings: RunSettings): Promise<CompletedRun> {
+  const path = join(settings.outputDir, run.label);
   const report = `${path}.json`;
-  const args = ['run', play.site, play.day, '--seed', String(play.seed), '--report', report];
+  const args = ['run', run.site, run.day, '--seed', String(run.seed), '--report', report];
   args.push('--why', settings.why, ...settings.options);
-  const status = await runProgram(settings.bench, args, play.tree, `${path}.txt`);
-  if (status !== 0) throw new VError('%s: the bench ended with status %s', play.label, status);
+  const status = await runProgram(settings.bench, args, run.checkoutDir, `${path}.txt`);
+  if (status !== 0) throw new VError('%s: the bench ended with status %s', run.label, status);
   try {
-    return { play, figures: readDayReport(await readFile(report, 'utf8')) };
+    return { run, figures: parseDayReport(await readFile(report, 'utf8')) };
   } catch (error) {
-    throw new VError(error instanceof Error ? error : new Error(String(error)), play.label);
+    throw new VError(error instanceof Error ? error : new Error(String(error)), run.label);
   }
 }
 
@@ -72,11 +73,11 @@
   program: string,
   args: readonly string[],
   directory: string,
-  output: string,
+  outputPath: string,
 ): Promise<number | null> {
   return new Promise((resolve, reject) => {
     const child = spawn(program, args, { cwd: directory, stdio: ['ignore', 'pipe', 'pipe'] });
-    const file = createWriteStream(output);
+    const file = createWriteStream(outputPath);
     child.stdout.pipe(file, { end: false });
     child.stderr.pipe(file, { end: false });
     child.on('error', reject);
--- a/bench/compare/paired-differences.ts
+++ b/bench/compare/paired-differences.ts
@@ -2,8 +2,8 @@
 import { mean, sampleStandardDeviation } from 'simple-statistics';
 
 /**
- * 97.5 % quantiles of Student's t distribution for 1, 2, … degrees of freedom, as tables give them; beyond the last one
- * that of the normal distribution is close enough for plays of a few minutes each.
+ * 97.5 % quantiles of Student's t distribution for 1, 2, … degrees of freedom, from standard tables. Beyond the last
+ * one the quantile of the normal distribution is close enough for days that take a few minutes each.
  */
 const T_QUANTILES = [
   12.706, 4.303, 3.182, 2.776, 2.571, 2.447, 2.365, 2.306, 2.262, 2.228, 2.201, 2.179, 2.16, 2.145,
@@ -16,7 +16,7 @@
   readonly after: number;
 }
 
-/** The mean of the differences; `halfWidth` is undefined for a single pair, which tells nothing of the spread. */
+/** The mean of the differences; `halfWidth` is undefined for a single pair, which has no measurable spread. */
 export interface MeanDifference {
   readonly pairs: number;
   readonly before: number;
@@ -28,7 +28,7 @@
 /**
  * Compares paired measurements.
  *
- * @throws {Error} where there is no pair.
+ * @throws {Error} if there are no pairs.
  */
 export function meanDifference(pairs: readonly Pair[]): MeanDifference {
   const differences = pairs.map(({ before, after }) => after - before);
