--- a/bench/compare/command.ts
+++ b/bench/compare/command.ts
@@ -30,6 +30,7 @@
  * Runs the command and returns the exit status.
  *
  * @throws {VError} if the bench fails or writes no valid report.
+ * @throws {Error} if the bench cannot be started.
  */
 export async function runCommand(args: string[], print: (line: string) => void): Promise<number> {
   const { values, positionals } = parseArgs({ args, options: OPTIONS, allowPositionals: true });
--- a/bench/compare/day-player.ts
+++ b/bench/compare/day-player.ts
@@ -42,6 +42,7 @@
  * Plays all days. The first failure rejects the promise; bench processes that still run are not stopped.
  *
  * @throws {VError} if the bench fails or writes no valid report.
+ * @throws {Error} if the bench cannot be started.
  */
 export async function runDays(
   runs: readonly DayRun[],
