--- a/bench/play-days.sh
+++ b/bench/play-days.sh
@@ -15,7 +15,7 @@
   touch "$out/before"
   sed "s/ENGINE/$engine/" "$day" > "$out/$name.toml"
   "$bench" run "$site" "$out/$name.toml" --why "own day $name" "$@" > "$out/$name.txt" 2>&1
-  # Other runs may write entries at the same time: take the newest entry whose reason names this day.
+  # Other runs may write entries at the same time: take one written since the start whose reason names this day.
   entry=$(find journal -maxdepth 1 -name '*.json' -newer "$out/before" -exec grep -l "\"why\":\"own day $name\"" {} + | tail -1)
   if [ -n "$entry" ] && grep -q '"gate":true' "$entry" && ! grep -q '"gate":false' "$entry"; then echo "passed  $name"
   else echo "FAILED  $name  ($out/$name.txt)"; failed=$((failed + 1)); fi
