--- a/bench/draw/clusters.ts
+++ b/bench/draw/clusters.ts
@@ -1,6 +1,6 @@
 /** Clusters of related events: drawn sequences, each of which tests one known weakness of control planes. */
 import type { DayEvent } from './day.js';
-import { MACHINE_SELECTORS, drawSideActions, joinWords } from './kinds/aims.js';
+import { MACHINE_SELECTORS, drawSideActions, joinWords } from './kinds/machine-selectors.js';
 import type { Random } from './random.js';
 import type { Site } from './site.js';
 
--- a/bench/draw/draw-day.ts
+++ b/bench/draw/draw-day.ts
@@ -7,7 +7,7 @@
   type DaySection,
   type DayEvent,
 } from './day.js';
-import type { EventKind, Target } from './kind-of-trouble.js';
+import type { EventKind, Target } from './event-kind.js';
 import { KINDS } from './kinds.js';
 import { Random } from './random.js';
 import type { Site } from './site.js';
--- a/bench/draw/kinds.ts
+++ b/bench/draw/kinds.ts
@@ -1,5 +1,5 @@
 /** The table of all kinds of event that the generator can draw. */
-import type { EventKindTable } from './kind-of-trouble.js';
+import type { EventKindTable } from './event-kind.js';
 import { CONTROL_KINDS } from './kinds/control.js';
 import { OPERATOR_KINDS } from './kinds/operators.js';
 import { PROXY_KINDS } from './kinds/proxies.js';
--- a/bench/draw/kinds/control.ts
+++ b/bench/draw/kinds/control.ts
@@ -1,6 +1,6 @@
 /** Kinds of event that affect the control plane: its machines and their links, disks and clocks. */
 import type { EventFields } from '../day.js';
-import type { EventKindTable } from '../kind-of-trouble.js';
+import type { EventKindTable } from '../event-kind.js';
 import type { Random } from '../random.js';
 import type { Site } from '../site.js';
 import {
@@ -9,7 +9,7 @@
   drawMachineCount,
   drawSideActions,
   joinWords,
-} from './aims.js';
+} from './machine-selectors.js';
 
 const CUT_MODES = ['', '', 'one_way', 'one_way', 'seeds', 'both', 'near', 'all', 'lure'] as const;
 /** The usual selectors, and the machine with the oldest disk. */
--- a/bench/draw/kinds/operators.ts
+++ b/bench/draw/kinds/operators.ts
@@ -1,6 +1,6 @@
 /** Kinds of event of operators: configuration changes, races, evacuations and lost responses. */
 import type { EventFields } from '../day.js';
-import type { EventKindTable } from '../kind-of-trouble.js';
+import type { EventKindTable } from '../event-kind.js';
 import type { Random } from '../random.js';
 import type { Site } from '../site.js';
 
--- a/bench/draw/kinds/proxies.ts
+++ b/bench/draw/kinds/proxies.ts
@@ -1,9 +1,9 @@
 /** Kinds of event that affect proxies and their agents. */
 import type { EventFields } from '../day.js';
-import type { EventKindTable } from '../kind-of-trouble.js';
+import type { EventKindTable } from '../event-kind.js';
 import type { Random } from '../random.js';
 import type { Site } from '../site.js';
-import { MACHINE_SELECTORS } from './aims.js';
+import { MACHINE_SELECTORS } from './machine-selectors.js';
 
 /** Kinds of event of proxies by their names in day files. */
 export const PROXY_KINDS: EventKindTable = {
--- a/bench/draw/kinds/runners.ts
+++ b/bench/draw/kinds/runners.ts
@@ -1,9 +1,9 @@
 /** Kinds of event that affect runners. */
 import type { EventFields } from '../day.js';
-import type { EventKindTable } from '../kind-of-trouble.js';
+import type { EventKindTable } from '../event-kind.js';
 import type { Random } from '../random.js';
 import type { Site } from '../site.js';
-import { joinWords } from './aims.js';
+import { joinWords } from './machine-selectors.js';
 
 const GARBLE_MODES = ['', 'extra', 'extra late', 'unframed', 'early'] as const;
 const SERVER_CUT_MODES = ['', 'fronts', 'one_way', 'reset', 'fronts reset'] as const;
--- a/bench/draw/kinds/traffic.ts
+++ b/bench/draw/kinds/traffic.ts
@@ -1,6 +1,6 @@
 /** Kinds of event caused by clients and their requests. */
 import type { EventFields } from '../day.js';
-import type { EventKindTable } from '../kind-of-trouble.js';
+import type { EventKindTable } from '../event-kind.js';
 import type { Random } from '../random.js';
 import type { Site } from '../site.js';
 
