--- a/src/control/command-handler.ts
+++ b/src/control/command-handler.ts
@@ -85,7 +85,7 @@
   }
 
   #executeAsLeader(now: Moment, origin: Origin, verb: string, body: string): void {
-    const { reads, table, document, edits: edits } = this.#dependencies;
+    const { reads, table, document, edits } = this.#dependencies;
     if (verb === 'read') reads.read(origin);
     else if (verb === 'live') this.#answer(origin, table.live(now, document.newest()));
     else if (verb === 'fleet') this.#answer(origin, table.fleet(now, document.newest()));
--- a/src/control/control-components.ts
+++ b/src/control/control-components.ts
@@ -242,12 +242,12 @@
   }
 
   #makeTakeover(): Takeover {
-    const { placement, edits: edits, reads, updates, membership, tree } = this;
+    const { placement, edits, reads, updates, membership, tree } = this;
     return new Takeover({
       ...this.#replica,
       ...this.#writers(),
       placement,
-      edits: edits,
+      edits,
       reads,
       updates,
       membership,
@@ -256,13 +256,13 @@
   }
 
   #makeCommands(): CommandHandler {
-    const { repair, takeover, forwarding, edits: edits, reads, document, placement } = this;
+    const { repair, takeover, forwarding, edits, reads, document, placement } = this;
     return new CommandHandler({
       ...this.#replica,
       repair,
       takeover,
       forwarding,
-      edits: edits,
+      edits,
       reads,
       document,
       table: placement.table,
--- a/src/control/control-core.ts
+++ b/src/control/control-core.ts
@@ -142,14 +142,8 @@
 
   /** Advances all timers; called every 50 ms. */
   tick(now: Moment): void {
-    const {
-      stateMessages,
-      memberMessages,
-      takeover,
-      forwarding,
-      edits: edits,
-      placement,
-    } = this.#components;
+    const { stateMessages, memberMessages, takeover, forwarding, edits, placement } =
+      this.#components;
     this.#replica.elector.tick(now);
     stateMessages.tick(now);
     this.#replica.state.tick(now);
@@ -358,7 +352,7 @@
     now: Moment,
     { version, tokens, members: reportedMembers }: CommittedEffect,
   ): void {
-    const { document, edits: edits, members } = this.#components;
+    const { document, edits, members } = this.#components;
     const { voters, elector, me } = this.#replica;
     document.onCommitted(version);
     voters.follow();
--- a/src/control/takeover.ts
+++ b/src/control/takeover.ts
@@ -112,7 +112,7 @@
   }
 
   #stepDown(): void {
-    const { state, voters, placement, writer, edits: edits, reads } = this.#dependencies;
+    const { state, voters, placement, writer, edits, reads } = this.#dependencies;
     this.#recoverUntil = undefined;
     state.stepDown();
     voters.clearConfigRead();
--- a/src/proxy/table-proxy-process.ts
+++ b/src/proxy/table-proxy-process.ts
@@ -42,7 +42,7 @@
     this.#router = new PolicyRouter({
       ...POLICY_ROUTER_DEFAULTS,
       freshnessBoundMs: settings.blindMs,
-      proxyId: proxyId,
+      proxyId,
       incarnation: newIncarnation(),
     });
     this.#forwarder = new PolicyForwarder(
--- a/src/rehearsal/platform-faults.ts
+++ b/src/rehearsal/platform-faults.ts
@@ -1,6 +1,6 @@
 import type { SimEnvironment } from './sim-environment.js';
 import {
-  MAX_CONCURRENT_LOADS,
+  MAX_LOADS,
   RUNNER_CAPACITY,
   RUNNERS,
   type SimulatedFleet,
@@ -34,9 +34,7 @@
         break;
       case 'lower-limit':
         outside.orders.setLimit(1);
-        scheduler.after(spanMs + EXTRA_LIMIT_MS, () =>
-          outside.orders.setLimit(MAX_CONCURRENT_LOADS),
-        );
+        scheduler.after(spanMs + EXTRA_LIMIT_MS, () => outside.orders.setLimit(MAX_LOADS));
         break;
       case 'platform-down':
         outside.platform.isUp = false;
@@ -52,7 +50,7 @@
   /** Ends all faults of the list and the weight store. */
   heal(): void {
     restoreList(this.#stage.outside);
-    this.#stage.outside.orders.setLimit(MAX_CONCURRENT_LOADS);
+    this.#stage.outside.orders.setLimit(MAX_LOADS);
   }
 
   /** Restores the capacity of all runners. */
--- a/src/rehearsal/sim-proxy.ts
+++ b/src/rehearsal/sim-proxy.ts
@@ -69,7 +69,7 @@
     this.#clients = new SimClients(id, scheduler, records, this.#trace);
     this.#connections = new ProxyConnections({
       clients: this.#clients,
-      mutation: mutation,
+      mutation,
       inFlightRequests: () => this.#currentRequests(),
       now: () => this.now(),
       perform: (run) => this.perform(run),
--- a/src/rehearsal/simulated-fleet.ts
+++ b/src/rehearsal/simulated-fleet.ts
@@ -18,7 +18,7 @@
 /** Capacity of a runner, in the unit of model sizes, unless a fault changes it. */
 export const RUNNER_CAPACITY = 35;
 /** Concurrent loads that the weight store allows, unless a fault changes the number. */
-export const MAX_CONCURRENT_LOADS = 2;
+export const MAX_LOADS = 2;
 
 /** The view of a simulated fleet that fault injection works on. */
 export interface SimulatedFleet {
--- a/src/rehearsal/simulation.ts
+++ b/src/rehearsal/simulation.ts
@@ -17,13 +17,7 @@
 import { SimEnvironment } from './sim-environment.js';
 import { LATE_MS, SimProxy } from './sim-proxy.js';
 import { FaultInjector } from './fault-injector.js';
-import {
-  MAX_CONCURRENT_LOADS,
-  PLAIN_BACK_ENDS,
-  RUNNER_CAPACITY,
-  RUNNERS,
-  ZONES,
-} from './simulated-fleet.js';
+import { MAX_LOADS, PLAIN_BACK_ENDS, RUNNER_CAPACITY, RUNNERS, ZONES } from './simulated-fleet.js';
 import type { SimulationResult, SimulationSettings } from './simulation-types.js';
 import type { Condition } from './fault-kinds.js';
 
@@ -103,13 +97,12 @@
     for (const [index, id] of RUNNERS.entries())
       runners.push({ id, zone: ZONES[index % 3] ?? 'a', room: RUNNER_CAPACITY });
     const plain = [];
-    for (const [index, id] of PLAIN_BACK_ENDS.entries())
-      plain.push({ id, zone: ZONES[index % 3] ?? 'a' });
+    for (const [i, id] of PLAIN_BACK_ENDS.entries()) plain.push({ id, zone: ZONES[i % 3] ?? 'a' });
     const adapters = [{ name: 'm-0-a', model: 'm-0', size: 1 }];
     return new SimEnvironment(
       this.#scheduler,
       this.#seeded,
-      { limit: MAX_CONCURRENT_LOADS, models, adapters },
+      { limit: MAX_LOADS, models, adapters },
       runners,
       plain,
     );
