--- a/src/proxy/load-wait.test.ts
+++ b/src/proxy/load-wait.test.ts
@@ -94,7 +94,7 @@
   expect(bench.decideOnNew(0, { adapter: 'a2' })).toEqual({ do: 'wait', forMs: 80 });
 });
 
-/** A stream whose client gives up after 2.4 s without an event, before its deadline. */
+/** A stream whose client gives up after 2.4 s without an event, though its deadline is 6 s away. */
 function impatientRequest(
   arrivedAt: number,
   timeLeftMs: number,
