--- a/bench/draw-days.mjs
+++ b/bench/draw-days.mjs
@@ -1,4 +1,4 @@
-// Starts the generator of days: bundles it to target/ and runs its command.
+// Bundles the command of the day generator into target/ and runs it.
 import { build } from 'esbuild';
 
 await build({
--- a/bench/draw/kind-of-trouble.ts
+++ b/bench/draw/kind-of-trouble.ts
@@ -1,20 +1,20 @@
-/** What the table of kinds says of each kind of trouble. */
-import type { Part, TroubleFields } from './day.js';
+/** The type of the entries in the table of event kinds. */
+import type { DaySection, EventFields } from './day.js';
 import type { Random } from './random.js';
 import type { Site } from './site.js';
 
-/** What a kind of trouble mostly strikes. */
+/** The part of the system that a kind of event mainly affects. */
 export type Target = 'control' | 'proxies' | 'runners' | 'traffic';
 
-/** One kind of trouble. */
-export interface KindOfTrouble {
+/** How often events of one kind are drawn, and with which parameters. */
+export interface EventKind {
   readonly target: Target;
-  readonly part: Part;
-  /** How often it is drawn beside the others of its target. */
+  readonly section: DaySection;
+  /** Relative probability among the candidate kinds of the same draw. */
   readonly weight: number;
-  /** The shape of one trouble of this kind; `strength` goes from 0 to 1. */
-  readonly draw: (random: Random, site: Site, strength: number) => TroubleFields;
+  /** Draws the parameters of one event of this kind; `intensity` ranges from 0 to 1. */
+  readonly draw: (random: Random, site: Site, intensity: number) => EventFields;
 }
 
-/** Kinds of trouble by the names that day files give them. */
-export type KindTable = Readonly<Record<string, KindOfTrouble>>;
+/** Kinds of event by their names in day files. */
+export type EventKindTable = Readonly<Record<string, EventKind>>;
--- a/bench/draw/site.ts
+++ b/bench/draw/site.ts
@@ -1,22 +1,22 @@
-/** What the generator needs to know of a deployment, read from its site file. */
+/** The properties of a deployment that the generator needs, parsed from its site file. */
 import { array, number, optional, string, type, create } from 'superstruct';
 import { parse } from 'smol-toml';
 
-/** The parts of a site file that shape the troubles of its days. */
+/** The parts of a site file that determine the events of its days. */
 export interface Site {
   readonly name: string;
   readonly lengthSeconds: number;
   readonly zones: readonly string[];
   readonly modelService: string;
   readonly plainServices: readonly string[];
-  readonly requestKinds: readonly string[];
-  /** How many machines with a counted disk may be lost at once. */
+  readonly requestClasses: readonly string[];
+  /** How many machines with a counted disk may be lost at the same time. */
   readonly toleratedMachines: number;
-  /** The line of the site file that shrinks a large day, or null where the site has none. */
-  readonly smallTwin: string | null;
+  /** The line of the site file that scales down a large day, or null where the site has none. */
+  readonly smallVariantLine: string | null;
 }
 
-const SiteFile = type({
+const SiteFileShape = type({
   name: string(),
   length_s: number(),
   zones: array(type({ name: string() })),
@@ -25,9 +25,13 @@
   tolerate: type({ machines: number() }),
 });
 
-/** Reads the text of a site file; throws when a needed part is missing. */
-export function readSite(text: string): Site {
-  const file = create(parse(text), SiteFile);
+/**
+ * Parses a site file.
+ *
+ * @throws {Error} if a required part is missing or the site has no model service.
+ */
+export function parseSite(text: string): Site {
+  const file = create(parse(text), SiteFileShape);
   const plainServices: string[] = [];
   let modelService: string | null = null;
   for (const service of file.services) {
@@ -41,9 +45,9 @@
     zones: file.zones.map(nameOf),
     modelService,
     plainServices,
-    requestKinds: file.classes.map(nameOf),
+    requestClasses: file.classes.map(nameOf),
     toleratedMachines: file.tolerate.machines,
-    smallTwin: /^small = .*$/m.exec(text)?.[0] ?? null,
+    smallVariantLine: /^small = .*$/m.exec(text)?.[0] ?? null,
   };
 }
 
